--- /dev/null
+++ b/tests/golden.py
@@ -0,0 +1,760 @@
+"""Reads golden values with the present sources and writes them again.
+
+`WRITERS` has, for each kind of golden item, what turns the given values into what is stored or
+sent. Given and written values are raw: no name of the sources is in them, so that a renaming of
+the sources can't change them. What is only parsed is listed by `neutral`, without field names.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import re
+import time
+from collections.abc import Callable, Coroutine
+from typing import Any
+from unittest.mock import patch
+
+import anyio
+import cbor2
+import msgspec
+from click.testing import CliRunner
+
+from dapplewick import cli, client, config, script
+from dapplewick.cloud import CloudCalls
+from dapplewick.core.estimates import Estimates
+from dapplewick.core.job_writes import RANK_GRANTS, JobWrites
+from dapplewick.core.leader import LeaderCore
+from dapplewick.core.machines import Change, MachineBook
+from dapplewick.node import Node
+from dapplewick.protocol import wire
+from dapplewick.shares import commands, plan
+from dapplewick.storage.client import (
+    Conflict,
+    NoLease,
+    Refused,
+    StateClient,
+    TooLarge,
+    TooOld,
+    Unknown,
+    batches,
+    first_whole,
+)
+from dapplewick.storage.records import (
+    BOOKINGS,
+    CHUNKS,
+    FORMAT,
+    JOBS,
+    LEADER,
+    MACHINES,
+    NODES,
+    PARTS,
+    PLACES,
+    SHARE_PLAN,
+    TRANSFERS,
+    TYPE_KEYS,
+    TYPES,
+    Mirror,
+    size_of,
+)
+from dapplewick.transport import peer
+from dapplewick.transport.http import Request
+from dapplewick.types import (
+    Attempt,
+    JobId,
+    MachineId,
+    NodeName,
+    TaskIndex,
+    TaskRef,
+    Token,
+)
+from standins import Link, Wire, World, now, run_day, settings
+
+Writer = Callable[[Any], Any]
+
+
+def neutral(value: Any) -> Any:
+    """A value as lists of plain values in the order of declaration, without field names."""
+    if isinstance(value, msgspec.Struct):
+        return [neutral(getattr(value, name)) for name in value.__struct_fields__]
+    if isinstance(value, dict):
+        return [[neutral(key), neutral(item)] for key, item in value.items()]
+    if isinstance(value, list | tuple):
+        return [neutral(item) for item in value]
+    if isinstance(value, set | frozenset):
+        return sorted(neutral(item) for item in value)
+    return value
+
+
+def text(value: Any) -> str:
+    """A value as it is stored."""
+    return msgspec.json.encode(value).decode()
+
+
+def through_frame(message: Any) -> Any:
+    """A message as a peer gets it."""
+    return cbor2.loads(cbor2.dumps(message))
+
+
+# Stored records
+
+
+def mirror_of(records: list[list[Any]]) -> Mirror:
+    """A mirror that has read these records: key, value and version of each."""
+    mirror = Mirror()
+    for key, value, version in records:
+        mirror.put(key, value, version)
+        assert key not in mirror.unreadable, key
+    return mirror
+
+
+def _rewritten(mirror: Mirror, key: str) -> Any:
+    """A record as the present code writes what it has read of it."""
+    name = key.split("/", 2)[-1]
+    job, _, number = name.rpartition("/")
+    if key.startswith(JOBS):
+        return mirror.jobs[JobId(name)].dump()
+    if key.startswith(CHUNKS):
+        return mirror.jobs[JobId(job)].chunk_values()[int(number)]
+    if key.startswith(PLACES):
+        return msgspec.to_builtins(mirror.places[JobId(job)][int(number)])
+    if key.startswith(TYPE_KEYS):
+        return wire.types_value([mirror.types[name]])[0]
+    if key == TYPES:
+        return wire.types_value(list(mirror.types.values()))
+    if key == FORMAT:
+        return {"version": mirror.format}
+    if key == SHARE_PLAN:
+        return msgspec.to_builtins(plan.convert(mirror.share_plan))
+    if key == LEADER:
+        return msgspec.to_builtins(mirror.leader)
+    tables: list[tuple[str, Any]] = [
+        (MACHINES, mirror.groups),
+        (PARTS, mirror.parts),
+        (NODES, mirror.nodes),
+        (BOOKINGS, mirror.bookings),
+        (TRANSFERS, mirror.transfers.records),
+    ]
+    for prefix, table in tables:
+        if key.startswith(prefix):
+            return msgspec.to_builtins(table[name])
+    raise KeyError(key)
+
+
+def rewrite(records: list[list[Any]]) -> Any:
+    """Records read and written again, and what was read of machines, which no record names."""
+    mirror = mirror_of(records)
+    again = [[key, text(_rewritten(mirror, key))] for key, _, _ in records]
+    return {"again": again, "machines": neutral(mirror.machines)}
+
+
+def _changes(changes: list[Change]) -> Any:
+    return [[neutral(change)[0], text(change.value), *neutral(change)[2:]] for change in changes]
+
+
+def _draft_of(given: Any) -> tuple[JobWrites, Mirror, JobId]:
+    mirror = mirror_of(given["records"])
+    return JobWrites(mirror, ["a", "b"], given["most"]), mirror, JobId(given["job"])
+
+
+def write_places(given: Any) -> Any:
+    """The keys of a long gang's place."""
+    writes, mirror, job = _draft_of(given)
+    return _changes(writes.changes(10.0, job, mirror.jobs[job].copy(), RANK_GRANTS))
+
+
+def write_grants(given: Any) -> Any:
+    """The keys of a job of which a part is granted some tasks."""
+    writes, mirror, job = _draft_of(given)
+    draft = mirror.jobs[job].copy()
+    draft.grants.setdefault(given["part"], set()).update(given["tasks"])
+    return _changes(writes.changes(10.0, job, draft, RANK_GRANTS))
+
+
+def write_cut(given: Any) -> Any:
+    """The keys of a job that is cut into chunks."""
+    writes, _, _ = _draft_of(given)
+    return _changes(writes.convert())
+
+
+def write_leftovers(given: Any) -> Any:
+    """The removal of keys that nothing reads any more."""
+    writes, _, _ = _draft_of(given)
+    return _changes(writes.leftovers([]))
+
+
+def write_widened(given: Any) -> Any:
+    """A cancelled job whose grants do not fit into a value."""
+    _, mirror, job = _draft_of(given)
+    return text(mirror.jobs[job].dump(given["most"]))
+
+
+def write_machines(given: Any) -> Any:
+    """A group of which a machine is doomed, and one of which machines go to another share."""
+    mirror = mirror_of(given["records"])
+    book = MachineBook(mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
+    book.begin()
+    if "doom" in given:
+        book.doom(MachineId(given["doom"]), "golden")
+        return _changes(book.changes())
+    floors = {MachineId(name): floor for name, floor in given["floors"]}
+    going = book.move(floors, given["share"], "tie")
+    return [neutral(going), _changes(book.moves("tie"))]
+
+
+# A controller of its own
+
+
+class Service:
+    """Answers what it is told to, and keeps what it is asked."""
+
+    def __init__(self, answers: list[list[Any]]) -> None:
+        self.answers = [(int(status), str(body)) for status, body in answers]
+        self.asked: list[list[Any]] = []
+
+    async def request(
+        self, method: str, target: str, body: bytes | None, within: float
+    ) -> tuple[int, bytes]:
+        """Give the next answer."""
+        self.asked.append([method, target, None if body is None else body.decode()])
+        status, answer = self.answers.pop(0)
+        return status, answer.encode()
+
+
+class Peer:
+    """A link that keeps what is posted."""
+
+    def __init__(self, answer: Any = None) -> None:
+        self.posted: list[list[str]] = []
+        self.asked: list[str] = []
+        self.answer = answer
+
+    def post(self, kind: str, message: dict[str, Any]) -> None:
+        """Keep a message."""
+        self.posted.append([kind, cbor2.dumps(message).hex()])
+
+    async def ask(self, message: dict[str, Any], within: float) -> Any:
+        """Keep a question, and give the answer."""
+        self.asked.append(cbor2.dumps(message).hex())
+        return self.answer
+
+    async def run(self) -> None:
+        """Nothing is sent."""
+
+
+def _in_time(scene: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
+    """Run a scene in virtual time and give its result."""
+    out: list[Any] = []
+
+    async def main() -> None:
+        out.append(await scene())
+
+    run_day(main)
+    return out[0]
+
+
+def _node(
+    records: list[list[Any]], answers: list[list[Any]], answer: Any = None
+) -> tuple[Node, Service, Peer]:
+    service, link = Service(answers), Peer(answer)
+
+    def connect(host: str, port: int) -> Any:
+        return service
+
+    def linked(host: str, port: int) -> Any:
+        return link
+
+    with patch.object(time, "time_ns", lambda: 1):
+        node = Node(settings("n0"), connect=connect, link=linked, clock=now, seed=1)
+    node.boot = "n0-1"
+    node.wall = now  # type: ignore[method-assign]
+    node.ready = True
+    node.current_at = node.contact_at = now()
+    node.lease, node.lease_until = 7, now() + 5.0
+    revision = max((version for _, _, version in records), default=0)
+    node.mirror.reload({key: (value, version) for key, value, version in records}, revision)
+    assert not node.mirror.unreadable
+    node._apply_changed()
+    return node, service, link
+
+
+def _leads(node: Node) -> LeaderCore:
+    leader = LeaderCore(
+        node.mirror, node.settings, node.estimates, Token(3), now(), node.tuning, node.part_names()
+    )
+    node.leader = leader
+    return leader
+
+
+def hear(given: Any) -> Any:
+    """Messages of peers: what is read of them, and what is sent in answer."""
+
+    async def scene() -> Any:
+        node, _, link = _node(given["records"], [])
+        leader = _leads(node) if given.get("leads") else None
+        answers = [node.on_message(through_frame(message)) for message in given["messages"]]
+        node._gossip_wake.set()
+        with anyio.move_on_after(0.2):
+            await node._gossip_loop()
+        parts: list[Any] = []
+        if leader is not None:
+            leader.catalog(list(node.mirror.types.values()))
+            deaf = leader.deaf_parts()
+            parts = neutral([
+                [
+                    part.part, part.zone, part.token, part.number, part.clock, part.seen,
+                    part.machines, part.jobs, part.gangs, part.fresh, deaf,
+                    [part.placed(job) for job in part.jobs],
+                ]
+                for part in leader.parts.values()
+            ])  # fmt: skip
+            parts.append(_changes(leader.plan(now(), now())))
+        cancelled = node.mirror.cancellations(0)
+        read = neutral([
+            node._peer_state, node._running, node._heard_parts, node._confirmed, cancelled,
+            node.cancellations.known_at(now()), [job.stage for job in node.mirror.jobs.values()],
+        ])  # fmt: skip
+        frames = [None if answer is None else cbor2.dumps(answer).hex() for answer in answers]
+        return {"read": read, "parts": parts, "sent": link.posted, "answers": frames}
+
+    return _in_time(scene)
+
+
+def work(given: Any) -> Any:
+    """An owner of a part: its answers to workers, the status that it sends, and operators'."""
+
+    async def scene() -> Any:
+        node, service, link = _node(given["records"], given.get("answers", []))
+        out: list[Any] = []
+        for kind, body in given["steps"]:
+            if kind == "report":
+                request = Request("POST", "/checkin", text(body).encode(), False)
+                answer = await node.handle(request)
+                out.append([answer.status, answer.body.decode(), answer.retry_after])
+            elif kind == "request":
+                method, target, sent = body
+                answer = await node.handle(Request(method, target, sent.encode(), False))
+                out.append([answer.status, answer.body.decode(), answer.retry_after])
+            elif kind == "asked":
+                said = await node.on_request(through_frame(body))
+                out.append(cbor2.dumps(said).hex())
+            elif kind == "tick":
+                for core in node.cores.values():
+                    core.tick(now(), now(), True)
+                    node._send_status(now(), core)
+            elif kind == "wait":
+                await anyio.sleep(body)
+            elif kind == "too large":
+                answer = await node.handle(Request("POST", "/checkin", b"", True))
+                out.append([answer.status, answer.body.decode(), answer.retry_after])
+            elif kind == "records are old":
+                node.current_at = -1e9
+            elif kind == "falls behind":
+                node._late = 9.0
+        return {"answers": out, "sent": link.posted, "asked": service.asked}
+
+    return _in_time(scene)
+
+
+def put_to_peer(given: Any) -> Any:
+    """A user's request that a peer answers: the frame to it, and what is made of the answer."""
+
+    async def scene() -> Any:
+        node, _, link = _node([], [], given["answer"])
+        for name in ("n1", "n2"):
+            node._peer_state[NodeName(name)] = (now(), True)
+        method, target, body = given["request"]
+        answer = await node.ask_peer(Request(method, target, body.encode(), False))
+        said = None
+        if answer is not None:
+            said = [answer.status, answer.body.decode(), answer.retry_after]
+        return {"sent": link.asked, "answer": said}
+
+    return _in_time(scene)
+
+
+# Services
+
+
+def call_state(given: Any) -> Any:
+    """A call of the state service, and what is read of its answers."""
+
+    async def scene() -> Any:
+        service = Service(given["answers"])
+        state = StateClient(service, 100.0, 100.0)  # type: ignore[arg-type]
+        arguments = given["arguments"]
+        calls: dict[str, Callable[..., Coroutine[Any, Any, Any]]] = {
+            "one": state.get, "all": state.listing, "changes": state.changes,
+            "transaction": state.txn, "lease": state.new_lease, "renewal": state.renew,
+        }  # fmt: skip
+        refusals: dict[type[Exception], str] = {
+            Refused: "refused", Unknown: "unknown", Conflict: "conflict", TooLarge: "too large",
+            NoLease: "no lease", TooOld: "too old",
+        }  # fmt: skip
+        try:
+            said = neutral(await calls[given["call"]](*arguments))
+        except tuple(refusals) as err:
+            said = [refusals[type(err)], str(err)]
+        left = [round(budget.level(), 6) for budget in (state.calls, state.writes)]
+        return {"asked": service.asked, "read": said, "left": left}
+
+    return _in_time(scene)
+
+
+def transactions(given: Any) -> Any:
+    """How writes are cut into transactions, and which of them a budget lets through."""
+    changes = [Change(key, value, 0, 0, (), tie) for key, value, tie in given["changes"]]
+    limits = settings("n0").deployment.state.lowest()
+    cut = batches(changes, lambda change: size_of(change.value), limits)
+    return {
+        "cut": [[neutral(change)[0] for change in batch] for batch in cut],
+        "first": [
+            [neutral(change)[0] for change in first_whole(changes, most)]
+            for most in range(len(changes) + 1)
+        ],
+    }
+
+
+def call_cloud(given: Any) -> Any:
+    """A call of the cloud, and what the leader takes over of its answers."""
+
+    async def scene() -> Any:
+        node, service, _ = _node(given["records"], given["answers"])
+        leader = _leads(node)
+        calls = CloudCalls(node)
+        if given["call"] == "rent":
+            await calls._rent(leader, given["name"])
+        elif given["call"] == "delete":
+            await calls._delete(leader, [MachineId(name) for name in given["machines"]])
+        elif given["call"] == "catalogue":
+            await calls._catalog(leader)
+        else:
+            await calls._list(leader)
+        read = [leader.rented, leader.book.deleted, leader.book.listed, leader.types]
+        writes = _changes(leader.plan(now(), now()))
+        return {"asked": service.asked, "read": neutral(read), "writes": writes}
+
+    return _in_time(scene)
+
+
+# Bodies
+
+
+def submission(given: Any) -> Any:
+    """What is read of a submission, or why it is refused."""
+    try:
+        return neutral(wire.parse_submission(given.encode()))
+    except wire.Malformed as err:
+        return ["refused", str(err)]
+
+
+def report(given: Any) -> Any:
+    """What is read of a worker's report."""
+    return neutral(wire.parse_report(given.encode()))
+
+
+def worker_answer(given: Any) -> Any:
+    """The answer to a worker."""
+    orders = [
+        wire.Order(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
+        for op, job, number, attempt, grace in given["orders"]
+    ]
+    return wire.report_answer(Token(given["token"]), orders).decode()
+
+
+def redirection(given: Any) -> Any:
+    """The answer to a worker that names the owner of its part."""
+    return wire.redirect(given).decode()
+
+
+def user_answer(given: Any) -> Any:
+    """The answer to a user."""
+    return wire.job_view(*given).decode()
+
+
+def plan_script(given: Any) -> Any:
+    """A plan of shares as it is stored."""
+    return text(msgspec.to_builtins(plan.parse("plan.star", given)))
+
+
+def operators(given: Any) -> Any:
+    """What the command line prints of a controller's answer, as text and as JSON."""
+
+    async def said(*_: Any, **__: Any) -> Any:
+        return given["said"]
+
+    asked = client.shares if given["arguments"][0] == "shares" else client.status
+    with patch.object(client, asked.__name__, said):
+        result = CliRunner().invoke(cli.main, given["arguments"])
+    lines = commands.share_lines if given["arguments"][0] == "shares" else cli.status_lines
+    return {"printed": result.output, "code": result.exit_code, "lines": lines(given["said"])}
+
+
+def command(given: Any) -> Any:
+    """What the command line sends to a controller."""
+    sent: list[str] = []
+
+    async def kept(at: str, message: Any) -> Any:
+        sent.append(cbor2.dumps(message).hex())
+        return given["said"]
+
+    with patch.object(client, client._ask.__name__, kept):
+        result = CliRunner().invoke(cli.main, given["arguments"])
+    return {"sent": sent, "printed": result.output, "code": result.exit_code}
+
+
+def frame(given: Any) -> Any:
+    """A frame with its length."""
+    return peer._frame(given).hex()
+
+
+def operators_script(given: Any) -> Any:
+    """What an operators' script sets, as the command line prints it."""
+    return text(msgspec.to_builtins(script.parse("a.star", given)))
+
+
+def platform_settings(given: Any) -> Any:
+    """What is read of the platform's file."""
+    return neutral(config.parse(text(given).encode()))
+
+
+def estimates(given: Any) -> Any:
+    """What owners tell one another of estimates."""
+    known = Estimates()
+    known.adopt(given)
+    return neutral(known.dump())
+
+
+WRITERS: dict[str, Writer] = {
+    "records": rewrite, "places": write_places, "grants": write_grants, "cut": write_cut,
+    "leftovers": write_leftovers, "widened": write_widened, "machines": write_machines,
+    "messages": hear, "part": work, "to peer": put_to_peer, "state": call_state,
+    "transactions": transactions, "script": operators_script, "settings": platform_settings,
+    "cloud": call_cloud, "submission": submission, "report": report,
+    "worker": worker_answer, "redirect": redirection, "user": user_answer,
+    "plan": plan_script, "operators": operators, "command": command, "frame": frame,
+    "estimates": estimates,
+}  # fmt: skip
+
+
+# A day of which all that is sent is kept
+
+IDS = re.compile(r"^(run-|vm-|[rox]-|n\d|dw/|[a-z](/|$)|[a-z]\d+$)")
+
+
+def paths(value: Any, place: str = "") -> set[str]:
+    """The fields in a value, without what differs from one job, machine or controller to the
+    next. Texts of one word tell of a state, so they are among them."""
+    if isinstance(value, dict):
+        keys = [(("*" if IDS.match(str(key)) else str(key)), item) for key, item in value.items()]
+        return {place}.union(*(paths(item, f"{place}.{key}") for key, item in keys))
+    if isinstance(value, list):
+        return {place}.union(*(paths(item, f"{place}[]") for item in value))
+    if isinstance(value, str) and re.fullmatch(r"[a-z_]{2,}", value):
+        return {f"{place}={value}"}
+    return {f"{place}:{type(value).__name__}"}
+
+
+class Kept:
+    """What is sent on a day, by its kind: a sum of all, and the first ones with new fields."""
+
+    def __init__(self) -> None:
+        self._sums: dict[str, Any] = {}
+        self._counts: dict[str, int] = {}
+        self._seen: dict[str, set[str]] = {}
+        self._samples: dict[str, list[str]] = {}
+
+    def add(self, kind: str, sent: str, value: Any) -> None:
+        """Keep what was sent; `value` is the same as plain values."""
+        self._sums.setdefault(kind, hashlib.sha256()).update(sent.encode() + b"\n")
+        self._counts[kind] = self._counts.get(kind, 0) + 1
+        fields, seen = paths(value), self._seen.setdefault(kind, set())
+        samples = self._samples.setdefault(kind, [])
+        if not fields <= seen:
+            samples.append(sent)
+        seen |= fields
+
+    def view(self) -> dict[str, Any]:
+        """What was kept of each kind."""
+        return {
+            kind: {
+                "count": self._counts[kind],
+                "sha256": self._sums[kind].hexdigest(),
+                "samples": self._samples[kind],
+            }
+            for kind in sorted(self._sums)
+        }
+
+
+REFUSED = [
+    "", "[]", "{}", '{"name_id": "x"}', '{"name_id": "run-1", "shape": "x"}',
+    '{"name_id": "run-1", "shape": "sweep", "urgency": "x"}',
+    '{"name_id": "run-1", "shape": "sweep", "urgency": "urgent", "pieces": 0}',
+]  # fmt: skip
+
+PLAN = """
+shares = {
+    "night": {"teams": ["red"], "rules": [{"types": ["c8"], "most": 0.0}]},
+    "day": {"teams": ["blue"], "rules": [{"types": ["c8"], "most": 0.0}]},
+}
+hold_orders_s = 600
+move_within_s = 40
+"""
+
+
+def _plain(raw: bytes | str | None) -> Any:
+    return json.loads(raw) if raw else None
+
+
+def _kept_day(world: World, kept: Kept, script: Any, length: float) -> None:
+    """Play a day and keep what controllers send and answer."""
+    call, post, ask, handle = Wire.request, Link.post, Link.ask, Node.handle
+
+    async def keep_call(
+        self: Wire, method: str, target: str, body: bytes | None, within: float
+    ) -> tuple[int, bytes]:
+        service = "state" if self.service is world.state else "cloud"
+        path = target.partition("?")[0]
+        said = _plain(body)
+        kept.add(
+            f"{service} {method} {re.sub('[0-9]+', '*', '/'.join(path.split('/')[:3]))}",
+            text([target, None if body is None else body.decode()]),
+            said,
+        )
+        for item in said.get("apply", []) if isinstance(said, dict) else ():
+            if "write" in item:
+                kind = re.match(r"dw/(\w/|\w+)", item["write"])
+                assert kind is not None
+                kept.add(f"record {kind[0]}", text([item["write"], item["data"]]), item["data"])
+        return await call(self, method, target, body, within)
+
+    def keep_post(self: Link, kind: str, message: dict[str, Any]) -> None:
+        plain = json.loads(json.dumps(through_frame(message)))
+        kept.add(f"message {plain['kind']}", cbor2.dumps(message).hex(), plain)
+        post(self, kind, message)
+
+    async def keep_ask(self: Link, message: dict[str, Any], within: float) -> Any:
+        frame = cbor2.dumps(message).hex()
+        kept.add(f"question {message['kind']}", frame, {"keys": list(message)})
+        return await ask(self, message, within)
+
+    async def keep_handle(self: Node, request: Request) -> Any:
+        answer = await handle(self, request)
+        of = "worker" if request.target == "/checkin" else f"user {request.method}"
+        sent = text([answer.status, answer.body.decode(), answer.retry_after])
+        kept.add(f"answer to {of} {answer.status}", sent, _plain(answer.body))
+        return answer
+
+    async def main() -> None:
+        await world.play(length, script)
+
+    with (
+        patch.object(Wire, call.__name__, keep_call),
+        patch.object(Link, post.__name__, keep_post),
+        patch.object(Link, ask.__name__, keep_ask),
+        patch.object(Node, handle.__name__, keep_handle),
+        patch.object(time, "time_ns", lambda: 1),
+    ):
+        run_day(main)
+    assert world.broken == []
+
+
+async def _operator(world: World, kept: Kept, kind: str, message: dict[str, Any]) -> Any:
+    """An operator's question to the leader or another controller."""
+    said = await world.nodes["n0"].on_request(through_frame(message))
+    frame = cbor2.dumps(said)
+    kept.add(f"operator {kind}", frame.hex(), json.loads(json.dumps(cbor2.loads(frame))))
+    return said
+
+
+def _start(world: World, job: str, cancel_after: float | None = None, **fields: Any) -> None:
+    body = world.job(name_id=job, **fields)
+    world.group.start_soon(world.user, job, body, cancel_after)
+
+
+def day() -> dict[str, Any]:
+    """What is sent on a day without shares: arrays, gangs, services, cancellations, refusals, a
+    restart, and a state service that one controller does not reach."""
+    kept = Kept()
+    world = World(5)
+    world.boot_s = (0.5, 2.0)
+
+    async def script() -> None:
+        await anyio.sleep(4.0)
+        _start(world, "run-000001", pieces=9, true_s=4.0)
+        _start(world, "run-000002", pieces=2, shape="group", true_s=5.0, scatter=True)
+        _start(
+            world, "run-000003", cancel_after=14.0, pieces=2, shape="daemon", urgency="critical",
+            expected_s=0.0, borrowed=False,
+        )  # fmt: skip
+        _start(world, "run-000004", pieces=400, true_s=3.0, cancel_after=9.0, cpus=0.2)
+        _start(
+            world, "run-000005", pieces=1, accelerators=1.0, builds=["g8"], yard="a", due_s=90.0,
+            fold_s=5.0, borrowed=False, same_place=True,
+        )  # fmt: skip
+        await anyio.sleep(4.0)
+        for body in REFUSED:
+            await world.nodes["n0"].handle(Request("POST", "/v2/runs", body.encode(), False))
+        changes: list[dict[str, Any]] = [
+            {"crew": "none"}, {"yard": "none"}, {"cpus": 99.0}, {"yard": "a", "scatter": True},
+            {"builds": ["none"]}, {"accelerators": 2.0, "pieces": 4},
+            {"bundle": "\u20ac" * 200, "kit": "\u20ac" * 200},
+        ]  # fmt: skip
+        for change in changes:
+            asked = world.job(name_id="run-000099", shape="group", **change)
+            raw = json.dumps({k: v for k, v in asked.items() if k != "true_s"}).encode()
+            await world.ask("POST", "/v2/runs", raw)
+        for method, path in (
+            ("GET", "/v2/runs/run-0"), ("POST", "/v2/runs/run-0/abort"), ("GET", "/v2/runs"),
+            ("POST", "/v2/runs/run-0"), ("GET", "/v2/runs/run-0/abort"), ("GET", "/healthz"),
+        ):  # fmt: skip
+            await world.nodes["n0"].handle(Request(method, path, b"", False))
+        await _operator(world, kept, "status", {"kind": "status"})
+        world.modes["n1", "state"] = "refused"
+        await anyio.sleep(0.5)
+        for name in world.names:
+            await world.nodes[name].handle(Request("GET", "/v2/runs/run-000004", b"", False))
+        await anyio.sleep(1.5)
+        del world.modes["n1", "state"]
+        world.crash("n2")
+        await anyio.sleep(1.0)
+        world.start_node("n2")
+
+    _kept_day(world, kept, script, 32.0)
+    return kept.view()
+
+
+def day_of_shares() -> dict[str, Any]:
+    """What is sent on a day on which machines change from one share to another."""
+    kept = Kept()
+    world = World(11)
+    world.share_plan = plan.parse("plan.star", PLAN)
+    world.boot_s = (0.5, 2.0)
+    shares = {"kind": "shares"}
+
+    async def script() -> None:
+        await anyio.sleep(5.0)
+        known: dict[str, Any] = {"yard": "a", "builds": ["c8"], "borrowed": False}
+        _start(world, "run-000001", pieces=16, true_s=9.0, expected_s=200.0, **known)
+        await anyio.sleep(9.0)
+        order = {
+            "verb": "move", "zone": "a", "type": "c8", "source": "", "target": "night", "count": 2,
+        }  # fmt: skip
+        await _operator(world, kept, "move", {**shares, **order, "id": "o-000000f1"})
+        await _operator(world, kept, "show", {**shares, "verb": "show"})
+        await _operator(world, kept, "move", {**shares, **order, "count": 900, "id": "o-000000f2"})
+        await _operator(world, kept, "move", {**shares, **order, "id": "o-000000f3", "count": 1})
+        await _operator(world, kept, "cancel", {**shares, "verb": "cancel", "id": "o-000000f3"})
+        await _operator(world, kept, "cancel", {**shares, "verb": "cancel", "id": "o-000000f9"})
+        await _operator(world, kept, "unknown", {**shares, "verb": "none"})
+        given = msgspec.to_builtins(world.share_plan)
+        await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": given})
+        await anyio.sleep(10.0)
+        await _operator(world, kept, "show", {**shares, "verb": "show"})
+        await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": None})
+
+    _kept_day(world, kept, script, 34.0)
+    return kept.view()
+
+
+DAYS: dict[str, Callable[[], dict[str, Any]]] = {"without shares": day, "shares": day_of_shares}
--- /dev/null
+++ b/tests/test_golden_data.py
@@ -0,0 +1,78 @@
+"""What is stored and sent stays the same to the byte, whatever the sources call it.
+
+The golden data was written by `make_golden_data.py`. Each of its values is read with the present
+sources, written again and compared. What is sent on the days is compared as a whole, too.
+"""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+
+import make_golden_data
+from golden import WRITERS
+from make_golden_data import FOLDER
+
+GOLDEN: dict[str, Any] = {
+    file.stem.replace("_", " "): json.loads(file.read_text()) for file in FOLDER.glob("*.json")
+}
+DAYS: dict[str, Any] = GOLDEN.pop("days")
+ITEMS = [(kind, label) for kind in sorted(GOLDEN) for label in GOLDEN[kind]]
+SENT = [(label, kind) for label in DAYS for kind in DAYS[label]]
+STORED = [
+    (label, kind, number)
+    for label, kind in SENT
+    if kind.startswith("record ") and kind != "record dw/d/"
+    for number in range(len(DAYS[label][kind]["samples"]))
+]
+
+
+def plain(value: Any) -> Any:
+    """A value as the golden files have it."""
+    return json.loads(json.dumps(value))
+
+
+def test_each_kind_has_golden_values() -> None:
+    assert GOLDEN.keys() == WRITERS.keys()
+    assert all(GOLDEN.values())
+
+
+@pytest.mark.parametrize(("kind", "label"), ITEMS)
+def test_what_is_read_is_written_as_before(kind: str, label: str) -> None:
+    item = GOLDEN[kind][label]
+    assert plain(WRITERS[kind](item["given"])) == item["written"]
+
+
+@pytest.mark.parametrize("label", make_golden_data.records())
+def test_records_of_the_present_version_are_written_as_they_were_read(label: str) -> None:
+    item = GOLDEN["records"][label]
+    stored = [[key, json.dumps(value, separators=(",", ":"))] for key, value, _ in item["given"]]
+    assert item["written"]["again"] == stored
+
+
+@pytest.mark.parametrize(("label", "kind", "number"), STORED)
+def test_a_record_of_a_day_is_written_as_it_was_read(label: str, kind: str, number: int) -> None:
+    stored = DAYS[label][kind]["samples"][number]
+    key, value = json.loads(stored)
+    again = WRITERS["records"]([[key, value, 5]])["again"]
+    assert [f'["{key}",{text}]' for key, text in again] == [stored]
+
+
+@pytest.fixture(scope="module")
+def days_now() -> Any:
+    return make_golden_data.days()
+
+
+@pytest.mark.parametrize(("label", "kind"), SENT)
+def test_all_that_is_sent_on_a_day_is_as_before(days_now: Any, label: str, kind: str) -> None:
+    """A change of what is planned changes it, and then the data is made anew."""
+    now, before = days_now[label].get(kind), DAYS[label][kind]
+    assert now is not None and now["samples"] == before["samples"]
+    assert now == before
+
+
+@pytest.mark.parametrize("label", DAYS)
+def test_nothing_else_is_sent_on_a_day(days_now: Any, label: str) -> None:
+    assert days_now[label].keys() == DAYS[label].keys()
