--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -9,6 +9,7 @@
 
 from dapplewick.transport import http_client
 from dapplewick.transport.peer import MAX_FRAME
+from standins import recorder
 
 if TYPE_CHECKING:
     from standins.world import World
@@ -26,6 +27,10 @@
     async def request(
         self, method: str, target: str, body: bytes | None, within: float
     ) -> tuple[int, bytes]:
+        kind = "state" if self.service is self.world.state else "cloud"
+        recorder.record(
+            "request", sender=self.node, service=kind, method=method, target=target, body=body
+        )
         await self.world.thawed(self.node)
         try:
             return await self._request(method, target, body, within)
@@ -105,6 +110,7 @@
         self.waiting[kind] = cbor2.dumps(message)
 
     async def ask(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
+        recorder.record("ask", sender=self.sender, target=self.target, message=message)
         node = self.world.nodes.get(self.target)
         with anyio.move_on_after(within):
             if node is None or {self.sender, self.target} & self.world.cut_peers:
@@ -121,6 +127,10 @@
             await anyio.sleep(0.02 + self.world.random.random() * 0.03)
             await self.world.thawed(self.sender)
             batch, self.waiting = list(self.waiting.values()), {}
+            for frame in batch:
+                recorder.record(
+                    "frame", sender=self.sender, target=self.target, message=cbor2.loads(frame)
+                )
             node = self.world.nodes.get(self.target)
             if node is None or {self.sender, self.target} & self.world.cut_peers:
                 continue
--- /dev/null
+++ b/tests/standins/recorder.py
@@ -0,0 +1,102 @@
+"""A trace of what controllers send, answer and tell one another; off unless it is switched on.
+
+`tests/compare_behaviour.py` compares the traces of two versions. So the names of events and of
+their fields are part of its format: a refactoring leaves them as they are.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import TYPE_CHECKING, Any, TextIO
+
+import anyio
+
+if TYPE_CHECKING:
+    from standins.world import World
+
+ASK_S = 5.0  # how often an operator asks each controller
+
+_out: TextIO | None = None
+
+
+def start(out: TextIO) -> None:
+    """Record all events to a file from now on, one line of JSON each."""
+    global _out
+    _out = out
+
+
+def stop() -> None:
+    """Record nothing any more."""
+    global _out
+    _out = None
+
+
+def plain(value: Any) -> Any:
+    """A value as JSON can hold it, the same for the same value: bodies are parsed, and bytes and
+    keys that are no text are told from text."""
+    if isinstance(value, bytes):
+        try:
+            return {"json": plain(json.loads(value))}
+        except ValueError:
+            return {"bytes": value.hex()}
+    if isinstance(value, dict):
+        return {k if isinstance(k, str) else f"({k!r})": plain(v) for k, v in value.items()}
+    if isinstance(value, list | tuple):
+        return [plain(item) for item in value]
+    if isinstance(value, set | frozenset):
+        return {"set": sorted((plain(item) for item in value), key=json.dumps)}
+    if value is None or isinstance(value, str | int | float):
+        return value
+    raise TypeError(f"a {type(value).__name__} in a trace")
+
+
+def record(event: str, **fields: Any) -> None:
+    """Record one event with the virtual time; does nothing while nothing is recorded."""
+    if _out is None:
+        return
+    try:
+        at = round(asyncio.get_running_loop().time(), 6)
+    except RuntimeError:
+        at = 0.0  # outside of a day
+    line = {"at": at, "event": event, **{name: plain(value) for name, value in fields.items()}}
+    _out.write(json.dumps(line, sort_keys=True, separators=(",", ":")) + "\n")
+
+
+def watch(name: str, node: Any) -> None:
+    """Record what a controller answers to workers, users, operators and other controllers."""
+    if _out is None:
+        return
+    handle, on_request = node.handle, node.on_request
+
+    async def handled(request: Any) -> Any:
+        answer = await handle(request)
+        record(
+            "answer", node=name, method=request.method, target=request.target, asked=request.body,
+            status=answer.status, body=answer.body, retry_after=answer.retry_after,
+        )  # fmt: skip
+        return answer
+
+    async def requested(message: dict[str, Any]) -> Any:
+        asked = plain(message)
+        answer = await on_request(message)
+        record("reply", node=name, asked=asked, answer=answer)
+        return answer
+
+    node.handle, node.on_request = handled, requested
+
+
+async def ask_operators(world: World) -> None:
+    """An operator asks every controller for its status and its shares, all day, if recorded."""
+    while _out is not None:
+        await anyio.sleep(ASK_S)
+        for name in sorted(world.nodes):
+            for message in ({"kind": "status"}, {"kind": "shares", "verb": "show"}):
+                world.group.start_soon(_ask, world, name, message)
+
+
+async def _ask(world: World, name: str, message: dict[str, Any]) -> None:
+    node = world.nodes.get(name)
+    if node is not None and name not in world.frozen:
+        with anyio.move_on_after(ASK_S):
+            await node.on_request(message)
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -16,6 +16,7 @@
 from dapplewick.shares.solver import Problem, Targets, solve
 from dapplewick.transport import http_client
 from dapplewick.transport.http import Answer, Request
+from standins import recorder
 from standins.answers import AnswerHistory, Question
 from standins.cloud import Cloud
 from standins.deployment import ZONES, settings, zone_of
@@ -190,6 +191,7 @@
         )  # fmt: skip
         node.boot = f"{name}-{seed}"
         node.wall = now  # type: ignore[method-assign]
+        recorder.watch(name, node)
         self.nodes[name] = node
 
         # Known before it runs: one that ends in the same moment must not run on.
@@ -405,6 +407,7 @@
             for name in self.names:
                 self.start_node(name)
             group.start_soon(script)
+            group.start_soon(recorder.ask_operators, self)
             end = now() + until
             while now() < end:
                 await anyio.sleep(0.25)
--- /dev/null
+++ b/tests/test_compare_behaviour.py
@@ -0,0 +1,87 @@
+"""The comparison of two versions' behaviour finds what differs, and only that."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+
+from compare_behaviour import (
+    HASH_SEEDS,
+    ROOT,
+    Difference,
+    first_difference,
+    measure,
+    report,
+    run_tool,
+)
+from standins import recorder
+
+EVENTS = [
+    json.dumps({"at": float(n), "event": "frame", "message": {"number": n}}) + "\n"
+    for n in range(20)
+]
+
+
+def written(path: Path, events: list[str]) -> Path:
+    path.write_text("".join(events))
+    return path
+
+
+def test_equal_traces_are_equal(tmp_path: Path) -> None:
+    base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", EVENTS)
+    assert first_difference(base, present) is None
+    assert measure(base) == measure(present) and measure(base).events == len(EVENTS)
+
+
+@pytest.mark.parametrize(
+    ("changed", "line"),
+    [
+        ([*EVENTS[:7], EVENTS[7].replace("7}", "8}"), *EVENTS[8:]], 8),
+        ([*EVENTS[:4], EVENTS[5], EVENTS[4], *EVENTS[6:]], 5),
+        (EVENTS[:-1], len(EVENTS)),
+        ([*EVENTS, EVENTS[0]], len(EVENTS) + 1),
+        ([], 1),
+    ],
+    ids=["changed", "swapped", "one less", "one more", "none"],
+)
+def test_traces_that_differ_in_one_event_are_reported(
+    tmp_path: Path, changed: list[str], line: int
+) -> None:
+    base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", changed)
+    found = first_difference(base, present)
+    assert found is not None and found.line == line
+    assert found.before == EVENTS[max(0, line - 5) : line - 1]
+    assert found.base == (EVENTS[line - 1] if line <= len(EVENTS) else None)
+    assert found.present == (changed[line - 1] if line <= len(changed) else None)
+    text = report("quiet", found)
+    assert f"quiet: the traces differ at line {line}" in text
+    assert ("(the trace has ended)" in text) is (None in (found.base, found.present))
+
+
+def test_a_difference_far_into_a_long_event_is_shown() -> None:
+    one, other = "x" * 9000 + "one\n", "x" * 9000 + "other\n"
+    lines = report("quiet", Difference(1, [], one, other)).splitlines()
+    assert lines[-2].endswith("xone") and lines[-1].endswith("xother")
+
+
+def test_values_are_recorded_the_same_whatever_their_order() -> None:
+    assert recorder.plain(b'{"b":1,"a":[2]}') == {"json": {"a": [2], "b": 1}}
+    assert recorder.plain(b"\xff") == {"bytes": "ff"}
+    assert recorder.plain({1: (2, b"3"), "1": {5, 4}}) == {
+        "(1)": [2, {"json": 3}],
+        "1": {"set": [4, 5]},
+    }
+    with pytest.raises(TypeError):
+        recorder.plain(object())
+
+
+def test_a_day_is_the_same_in_two_processes_with_different_hash_seeds(tmp_path: Path) -> None:
+    traces = []
+    for side in HASH_SEEDS:
+        out = tmp_path / f"{side}.jsonl"
+        run_tool(ROOT, side, tmp_path / "cache", "--play", "odd-requests", "--out", str(out))
+        traces.append(measure(out))
+    assert traces[0] == traces[1] and traces[0].events > 100
+    assert len(set(HASH_SEEDS.values())) == 2
