--- a/src/dapplewick/coordination/cancellations.py
+++ b/src/dapplewick/coordination/cancellations.py
@@ -28,8 +28,8 @@
 class CancellationMessage(msgspec.Struct):
     """What a peer's message says of cancellations; `CancellationWatch.message` makes it."""
 
-    at: float
-    boot: str
+    at: float = msgspec.field(name="at")
+    boot: str = msgspec.field(name="boot")
     revision: int
     heard: dict[str, tuple[str, float]]
     complete: bool
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -123,9 +123,14 @@
         self._value_bytes = limits.value_bytes
         self._names = {settings.host_name, *(p.host_name for p in settings.peers)}
         self.book = MachineBook(
-            mirror, self.fleet, self.settings.workers.lease_s, self.settings.cloud.list_lag_s,
-            limits.value_bytes, limits.txn_ops, self.settings.workers.report_s,
-        )  # fmt: skip
+            mirror,
+            self.fleet,
+            self.settings.workers.lease_s,
+            self.settings.cloud.list_lag_s,
+            limits.value_bytes,
+            limits.txn_ops,
+            self.settings.workers.report_s,
+        )
         self._job_writes = JobWrites(mirror, part_names or self.settings.zones, limits.value_bytes)
         self.parts: dict[PartName, PartView] = {}
         self._need_planner = NeedPlanner(
@@ -302,8 +307,12 @@
                 held += job.gang is not None
         log.debug(
             "event=load rooms=%s coming=%d ungranted=%s gangs_waiting=%d gangs_placed=%d",
-            kinds, len(self.fleet.coming(wall)), waiting, gangs, held,
-        )  # fmt: skip
+            kinds,
+            len(self.fleet.coming(wall)),
+            waiting,
+            gangs,
+            held,
+        )
 
     def _absorb(self, now: Seconds) -> None:
         """Take over what the parts report of their jobs."""
@@ -435,9 +444,15 @@
                     if kind is None:
                         continue
                     view = part.views[machine_id] = view_of(
-                        machine_id, record.type, part.part, record.spot, kind.size, body,
-                        self.demand, part.clock,
-                    )  # fmt: skip
+                        machine_id,
+                        record.type,
+                        part.part,
+                        record.spot,
+                        kind.size,
+                        body,
+                        self.demand,
+                        part.clock,
+                    )
                 view.begin(now)
                 view.kept = None
                 views.append(view)
@@ -545,8 +560,11 @@
             self._edit(job_id, RANK_GRANTS).gang = GangPlace(attempt, places, preempt=preempt)
             log.info(
                 "event=gang_placed job=%s attempt=%d machines=%s preempt=%s",
-                job_id, attempt, ",".join(m for _, m in places), preempt,
-            )  # fmt: skip
+                job_id,
+                attempt,
+                ",".join(m for _, m in places),
+                preempt,
+            )
         return left
 
     # Singles
@@ -789,12 +807,16 @@
             for asked in bookings:
                 self._counter += 1
                 name = f"r-{self.epoch}-{self._counter}"
-                value = {k: getattr(asked, k) for k in asked.__struct_fields__}
+                value = msgspec.to_builtins(asked)
                 changes.append(Change(BOOKINGS + name, value, 0, 1))
                 log.info(
                     "event=rent booking=%s type=%s zone=%s spot=%s count=%d",
-                    name, asked.type, asked.zone, asked.spot, asked.count,
-                )  # fmt: skip
+                    name,
+                    asked.type,
+                    asked.zone,
+                    asked.spot,
+                    asked.count,
+                )
             self._returns(unmet, spare)
         return changes
 
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -267,9 +267,15 @@
             self._add(new, booking.type, booking.zone, booking.spot, wall, name, RANK_URGENT)
 
     def _add(
-        self, machines: list[MachineId], type_: str, zone: str, spot: bool, wall: Seconds,
-        name: str, rank: int,
-    ) -> None:  # fmt: skip
+        self,
+        machines: list[MachineId],
+        type_: str,
+        zone: str,
+        spot: bool,
+        wall: Seconds,
+        name: str,
+        rank: int,
+    ) -> None:
         """Into a group of their kind that has room, else into a new one of this name."""
         most = self._most(machines)
         if len(machines) > most:
@@ -313,9 +319,13 @@
     # The pass
 
     def review(
-        self, now: Seconds, wall: Seconds, heard: dict[MachineId, Any],
-        silent: dict[MachineId, Silence], zones: list[str],
-    ) -> None:  # fmt: skip
+        self,
+        now: Seconds,
+        wall: Seconds,
+        heard: dict[MachineId, Any],
+        silent: dict[MachineId, Silence],
+        zones: list[str],
+    ) -> None:
         """Look at every machine: `heard` is what the parts say of each, `silent` names those
         they have not heard for a while."""
         came_up: dict[str, list[MachineId]] = {}
@@ -359,9 +369,13 @@
         return min(half, max(LOST_ANSWER_S, SILENT_REPORTS * self._report_s))
 
     def _why_go(
-        self, now: Seconds, machine_id: MachineId, record: MachineRecord, body: Any,
+        self,
+        now: Seconds,
+        machine_id: MachineId,
+        record: MachineRecord,
+        body: Any,
         silence: Silence | None,
-    ) -> str:  # fmt: skip
+    ) -> str:
         if not record.up:
             since = self._up_since.setdefault(machine_id, now)
             return "never up" if now - since > self.fleet.boot_limit(record.type) else ""
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -663,8 +663,12 @@
             return []
         log.debug(
             "event=ended task=%s/%d attempt=%d machine=%s cause=%s",
-            task.job, task.number, item.attempt, machine.id, item.cause,
-        )  # fmt: skip
+            task.job,
+            task.number,
+            item.attempt,
+            machine.id,
+            item.cause,
+        )
         hold = self.holds.get(task.job)
         if hold is not None and hold.attempt == item.attempt and not hold.bad:
             hold.bad = item.cause or "exited"
@@ -1097,8 +1101,11 @@
         self._changed(machine)
         log.debug(
             "event=launch task=%s/%d attempt=%d machine=%s",
-            task.job, task.number, attempt, machine.id,
-        )  # fmt: skip
+            task.job,
+            task.number,
+            attempt,
+            machine.id,
+        )
         return Order("start", task, attempt)
 
     def _return_long_waits(self, now: Seconds) -> None:
--- a/src/dapplewick/core/part_state.py
+++ b/src/dapplewick/core/part_state.py
@@ -77,11 +77,32 @@
     """A machine as its reports tell it."""
 
     __slots__ = (
-        "address", "capacity", "deaf", "drain", "failures", "heard", "id", "idle_since", "images",
+        "address",
+        "capacity",
+        "deaf",
+        "drain",
+        "failures",
+        "heard",
+        "id",
+        "idle_since",
+        "images",
         "last",
-        "lateness", "live", "lost_at", "lost_starts", "newest", "notice", "renewed", "settled",
-        "slots", "slow", "spot", "stored", "type", "used", "was_usable",
-    )  # fmt: skip
+        "lateness",
+        "live",
+        "lost_at",
+        "lost_starts",
+        "newest",
+        "notice",
+        "renewed",
+        "settled",
+        "slots",
+        "slow",
+        "spot",
+        "stored",
+        "type",
+        "used",
+        "was_usable",
+    )
 
     def __init__(self, machine: MachineId, now: Seconds) -> None:
         self.id = machine
@@ -163,9 +184,18 @@
     """Slots of this part held for an attempt of a gang."""
 
     __slots__ = (
-        "attempt", "bad", "inherited", "launched", "on", "places", "preempt", "ready", "seen",
-        "since", "wait",
-    )  # fmt: skip
+        "attempt",
+        "bad",
+        "inherited",
+        "launched",
+        "on",
+        "places",
+        "preempt",
+        "ready",
+        "seen",
+        "since",
+        "wait",
+    )
 
     def __init__(self, attempt: int, places: dict[int, MachineId], now: Seconds) -> None:
         self.attempt = attempt
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -252,11 +252,16 @@
                 log.info("event=part_lost zone=%s token=%d", name, core.token)
             if mine and (core is None or core.token != token):
                 self.cores[name] = PartCore(
-                    name, token, self.mirror, self.estimates, now, tuning=self.tuning,
+                    name,
+                    token,
+                    self.mirror,
+                    self.estimates,
+                    now,
+                    tuning=self.tuning,
                     aimed=self.settings.deployment.aimed(),
                     lease_s=self.settings.deployment.workers.lease_s,
                     report_s=self.settings.deployment.workers.report_s,
-                )  # fmt: skip
+                )
                 log.info("event=part_owned zone=%s token=%d", name, token)
 
     def stored(self, key: str, value: object, version: int) -> None:
@@ -327,8 +332,10 @@
                     # only what it knew of: without the condition it took a controller out.
                     _, before = await self.state.get(key)
                     value = {
-                        "boot": self.boot, "zone": self.settings.zone, "version": self._format(),
-                    }  # fmt: skip
+                        "boot": self.boot,
+                        "zone": self.settings.zone,
+                        "version": self._format(),
+                    }
                     version = await self.state.txn(
                         {key: before}, {key: value}, leases={key: lease}, urgent=True
                     )
@@ -383,9 +390,11 @@
         assert self.lease is not None
         value = {"node": self.me, "boot": self.boot}
         version = await self.state.txn(
-            {LEADER: self.mirror.version(LEADER)}, {LEADER: value}, leases={LEADER: self.lease},
+            {LEADER: self.mirror.version(LEADER)},
+            {LEADER: value},
+            leases={LEADER: self.lease},
             urgent=True,
-        )  # fmt: skip
+        )
         self.stored(LEADER, value, version)
         await self.current()
 
@@ -449,9 +458,14 @@
         now = self.now()
         if self.leader is None:
             self.leader = LeaderCore(
-                self.mirror, self.settings, self.estimates, epoch, now, self.tuning,
+                self.mirror,
+                self.settings,
+                self.estimates,
+                epoch,
+                now,
+                self.tuning,
                 self.part_names(),
-            )  # fmt: skip
+            )
             self.state.writes.rate = self._many_writes
             log.info("event=leader_won node=%s epoch=%d", self.me, epoch)
         self.leader.epoch = epoch
@@ -655,9 +669,11 @@
         if not able:
             return None
         message = {
-            "kind": "ask", "method": request.method, "target": request.target,
+            "kind": "ask",
+            "method": request.method,
+            "target": request.target,
             "body": request.body,
-        }  # fmt: skip
+        }
         said = await self.links[self.random.choice(able)].ask(message, ASK_WITHIN_S)
         if said is None or said.get("status") in (None, 503):
             return None
@@ -674,15 +690,24 @@
                 link = self.links.get(NodeName(str(message["node"])))
                 if link is not None:
                     zone = str(message["zone"])
-                    link.post(f"have:{zone}", {
-                        "kind": "have", "zone": zone, "token": message["token"],
-                        "boot": self.boot, "number": number, "version": FORMAT_NOW,
-                    })  # fmt: skip
+                    link.post(
+                        f"have:{zone}",
+                        {
+                            "kind": "have",
+                            "zone": zone,
+                            "token": message["token"],
+                            "boot": self.boot,
+                            "number": number,
+                            "version": FORMAT_NOW,
+                        },
+                    )
         elif kind == "have":
             self._confirm(
-                PartName(message["zone"]), Token(message["token"]), str(message["boot"]),
+                PartName(message["zone"]),
+                Token(message["token"]),
+                str(message["boot"]),
                 int(message["number"]),
-            )  # fmt: skip
+            )
         elif kind == "node":
             node = NodeName(message["node"])
             self._peer_state[node] = (self.now(), bool(message["state"]))
--- a/src/dapplewick/protocol/wire.py
+++ b/src/dapplewick/protocol/wire.py
@@ -39,26 +39,27 @@
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True, dict=True):
     """What a user asks for. What is computed of it is computed once (`dict`)."""
 
-    bundle: str
+    bundle: str = msgspec.field(name="bundle")
     team: str
-    gang: bool
-    rank: int
-    tasks: int
+    gang: bool = msgspec.field(name="gang")
+    rank: int = msgspec.field(name="rank")
+    tasks: int = msgspec.field(name="tasks")
     cpus: float
     gpus: float
-    ram: float
+    ram: float = msgspec.field(name="ram")
     image: str
     image_gb: float
-    estimate: float
-    types: list[str] | None = None
+    estimate: float = msgspec.field(name="estimate")
+    types: list[str] | None = msgspec.field(name="types", default=None)
     zone: str | None = None
-    one_zone: bool = False
+    one_zone: bool = msgspec.field(name="one_zone", default=False)
     spread: bool = False
     spot: bool = False
-    checkpoint: float = 0.0
-    save: float = 0.0
-    deadline: float | None = None
-    daemon: bool = False  # a service: its tasks are replicas, and run until it is cancelled
+    checkpoint: float = msgspec.field(name="checkpoint", default=0.0)
+    save: float = msgspec.field(name="save", default=0.0)
+    deadline: float | None = msgspec.field(name="deadline", default=None)
+    # A service: its tasks are replicas, and run until it is cancelled.
+    daemon: bool = msgspec.field(name="daemon", default=False)
 
     @cached_property
     def size(self) -> Size:
@@ -68,9 +69,14 @@
     def shape(self) -> Shape:
         """What decides where a task fits: of jobs that are alike in it one is looked at."""
         return (
-            self.size, tuple(self.types or ()), self.spot, self.zone, self.rank, self.gang,
+            self.size,
+            tuple(self.types or ()),
+            self.spot,
+            self.zone,
+            self.rank,
+            self.gang,
             self.daemon,
-        )  # fmt: skip
+        )
 
     @property
     def zone_cap(self) -> int:
--- a/src/dapplewick/shares/commands.py
+++ b/src/dapplewick/shares/commands.py
@@ -130,14 +130,26 @@
 @click.option("--id", "order", help="Name of this order: a repeated one is carried out once.")
 @click.argument("count", type=int)
 def move(
-    at: str, as_json: bool, zone: str, type_: str, source: str, target: str, order: str | None,
+    at: str,
+    as_json: bool,
+    zone: str,
+    type_: str,
+    source: str,
+    target: str,
+    order: str | None,
     count: int,
-) -> None:  # fmt: skip
+) -> None:
     """Move COUNT machines from one share of a zone to another, as their work ends."""
     said = _call(
-        at, "move", id=order or f"o-{secrets.token_hex(6)}", zone=zone, type=type_, count=count,
-        source="" if source == OWN else source, target="" if target == OWN else target,
-    )  # fmt: skip
+        at,
+        "move",
+        id=order or f"o-{secrets.token_hex(6)}",
+        zone=zone,
+        type=type_,
+        count=count,
+        source="" if source == OWN else source,
+        target="" if target == OWN else target,
+    )
     _print(said, as_json, [f"transfer {said['id']}  {said['state']}"])
 
 
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -235,9 +235,14 @@
         log.info(
             "event=transfer_requested transfer=%s generation=%d source=%s target=%s type=%s "
             "count=%d origin=%s",
-            transfer, generation, record.source, record.target, record.type, record.count,
+            transfer,
+            generation,
+            record.source,
+            record.target,
+            record.type,
+            record.count,
             record.origin,
-        )  # fmt: skip
+        )
 
     def _cancel(self, transfer: TransferId, why: str) -> None:
         self._update(transfer, state=CANCELLED, draining=[])
@@ -331,9 +336,15 @@
         generation = self._generation + 1
         transfer = TransferId(f"p-{generation}-{self._mirror.revision}")
         record = TransferRecord(
-            generation, source, target, type_, min(count, COUNT_MOST), REQUESTED, wall,
+            generation,
+            source,
+            target,
+            type_,
+            min(count, COUNT_MOST),
+            REQUESTED,
+            wall,
             wall + self.plan.move_within_s,
-        )  # fmt: skip
+        )
         self._request(transfer, record)
 
     # The life of a transfer
@@ -357,16 +368,25 @@
             return False
         log.info(
             "event=transfer_overdue transfer=%s moved=%d count=%d draining=%s",
-            transfer, record.moved, record.count, ",".join(record.draining),
-        )  # fmt: skip
+            transfer,
+            record.moved,
+            record.count,
+            ",".join(record.draining),
+        )
         for machine in record.draining:
             self._avoid[MachineId(machine)] = now + AVOID_S
         self._update(transfer, state=OVERDUE, draining=[])
         if record.origin == OPERATOR:
             again = msgspec.structs.replace(
-                record, count=record.count - record.moved, moved=0, draining=[], state=REQUESTED,
-                at=wall, until=wall + self.plan.move_within_s, origin=AGAIN,
-            )  # fmt: skip
+                record,
+                count=record.count - record.moved,
+                moved=0,
+                draining=[],
+                state=REQUESTED,
+                at=wall,
+                until=wall + self.plan.move_within_s,
+                origin=AGAIN,
+            )
             successor = TransferId(f"{transfer}-again")
             self._request(successor, again)
             self._ties.setdefault(successor, f"again/{transfer}")
@@ -454,8 +474,12 @@
                 self._times.machine(now - self._drained_at.pop(machine))
         log.info(
             "event=handed_over transfer=%s source=%s target=%s machines=%s state=%s",
-            transfer, record.source, record.target, ",".join(moved), state,
-        )  # fmt: skip
+            transfer,
+            record.source,
+            record.target,
+            ",".join(moved),
+            state,
+        )
         if state == COMPLETE and transfer in self._begun_at:
             self._times.transfer(now - self._begun_at.pop(transfer))
         needs = tuple(
--- a/src/dapplewick/shares/orders.py
+++ b/src/dapplewick/shares/orders.py
@@ -54,9 +54,16 @@
     if isinstance(count, bool) or not isinstance(count, int) or not 0 < count <= COUNT_MOST:
         raise OrderRefused(f"count: a number from 1 to {COUNT_MOST} is needed")
     record = TransferRecord(
-        0, part_name(zone, source), part_name(zone, target), type_, count, REQUESTED, wall,
-        wall + plan.move_within_s, origin=OPERATOR,
-    )  # fmt: skip
+        0,
+        part_name(zone, source),
+        part_name(zone, target),
+        type_,
+        count,
+        REQUESTED,
+        wall,
+        wall + plan.move_within_s,
+        origin=OPERATOR,
+    )
     if TransferId(transfer) not in mirror.transfers.records:
         there = _available(mirror, record)
         if count > there:
--- a/src/dapplewick/shares/plan.py
+++ b/src/dapplewick/shares/plan.py
@@ -32,7 +32,7 @@
     there are in each zone, and in between what its work wants. The first rule of a share that
     holds for a type, a zone and a time of day counts."""
 
-    types: list[str]
+    types: list[str] = msgspec.field(name="types")
     least: float = 0.0
     most: float = 1.0
     zones: list[str] | None = None  # None: all
@@ -65,7 +65,7 @@
 class SharePlan(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """All shares, and how they change."""
 
-    shares: dict[str, Share] = {}
+    shares: dict[str, Share] = msgspec.field(name="shares", default_factory=dict)
     margin: float = 0.1  # of a zone's machines of a type that a new plan must differ by
     move_within_s: float = 300.0  # a machine that is not empty by then is left where it is
     hold_orders_s: float = 3600.0  # the plan leaves alone for so long what an operator has moved
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/shares/view.py
@@ -38,12 +38,14 @@
         wanted = {(cell.zone, cell.share, cell.type): count for cell, count in targets.items()}
         rows = [
             {
-                "zone": zone, "share": share, "type": type_,
+                "zone": zone,
+                "share": share,
+                "type": type_,
                 "machines": counts.get((zone, share, type_), 0),
                 "target": wanted.get((zone, share, type_), 0) if share else None,
             }
             for zone, share, type_ in sorted(counts.keys() | wanted.keys())
-        ]  # fmt: skip
+        ]
         return {
             "format": self._mirror.format,
             "targets_known": targets.known,
--- a/src/dapplewick/storage/client.py
+++ b/src/dapplewick/storage/client.py
@@ -235,8 +235,10 @@
             raise NoLease
         log.error(
             "event=state_rejected status=%d answer=%r keys=%s",
-            status, answer[:200], ",".join([*puts, *deletes]),
-        )  # fmt: skip
+            status,
+            answer[:200],
+            ",".join([*puts, *deletes]),
+        )
         if status == 400:
             raise TooLarge(str(status))
         raise Refused(str(status))
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -55,10 +55,12 @@
     """Where an attempt of a gang is held or runs. `over`: it is to end and be cleared."""
 
     attempt: int
-    places: list[tuple[str, str]]  # (part, machine) of each task
-    over: bool = False
+    # (shard, machine) of each task
+    places: list[tuple[str, str]] = msgspec.field(name="places")
+    over: bool = msgspec.field(name="over", default=False)
     preempt: bool = False
-    shares: int = 0  # of how many keys the places are to be read, if they are not here
+    # Of how many keys the places are to be read, if they are not here.
+    shares: int = msgspec.field(name="shares", default=0)
 
     def parts(self) -> set[str]:
         return {part for part, _ in self.places}
@@ -67,21 +69,21 @@
 class _RawJob(msgspec.Struct, omit_defaults=True):
     spec: JobSpec
     stage: str
-    at: float
+    at: float = msgspec.field(name="at")
     done: str = ""
-    grants: dict[str, str] = {}
+    grants: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
     gang: GangPlace | None = None
-    chunk: int = 0
+    chunk: int = msgspec.field(name="chunk", default=0)
 
 
 class _RawChunk(msgspec.Struct, omit_defaults=True):
     done: str = ""
-    grants: dict[str, str] = {}
+    grants: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
 
 
 class _RawPlaces(msgspec.Struct):
     attempt: int
-    places: list[tuple[str, str]]
+    places: list[tuple[str, str]] = msgspec.field(name="places")
 
 
 class Chunk:
@@ -117,9 +119,18 @@
     """
 
     __slots__ = (
-        "at", "chunk", "chunk_versions", "done", "gang", "grants", "main_version", "size", "spec",
-        "stage", "version",
-    )  # fmt: skip
+        "at",
+        "chunk",
+        "chunk_versions",
+        "done",
+        "gang",
+        "grants",
+        "main_version",
+        "size",
+        "spec",
+        "stage",
+        "version",
+    )
 
     def __init__(self, spec: JobSpec, at: float) -> None:
         self.spec = spec
@@ -279,8 +290,8 @@
     zone: str
     spot: bool
     machines: dict[str, str]
-    share: str = ""
-    floors: dict[str, int] = {}
+    share: str = msgspec.field(name="share", default="")
+    floors: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
 
     def without(self, machine: str) -> GroupRecord:
         """The group after a machine has left it."""
@@ -294,19 +305,24 @@
         text = self.machines[machine]
         state = text[:1]
         return MachineRecord(
-            type=self.type, zone=self.zone, spot=self.spot, at=float(text[1:] or 0),
-            up=state != BOOTING, doomed=state == DOOMED, share=self.share,
+            type=self.type,
+            zone=self.zone,
+            spot=self.spot,
+            at=float(text[1:] or 0),
+            up=state != BOOTING,
+            doomed=state == DOOMED,
+            share=self.share,
             floor=self.floors.get(machine, 0),
-        )  # fmt: skip
+        )
 
 
 class PartRecord(msgspec.Struct):
     owner: str
-    boot: str
+    boot: str = msgspec.field(name="boot")
 
 
 class NodeRecord(msgspec.Struct):
-    boot: str
+    boot: str = msgspec.field(name="boot")
     zone: str
     version: int = FIRST_FORMAT  # what this controller understands
 
@@ -318,8 +334,8 @@
 
 
 class LeaderRecord(msgspec.Struct):
-    node: str
-    boot: str
+    node: str = msgspec.field(name="node")
+    boot: str = msgspec.field(name="boot")
 
 
 class BookingRecord(msgspec.Struct):
@@ -327,7 +343,7 @@
     zone: str
     spot: bool
     count: int
-    at: float
+    at: float = msgspec.field(name="at")
 
 
 def job_of(key: str) -> JobId | None:
--- a/src/dapplewick/storage/transfers.py
+++ b/src/dapplewick/storage/transfers.py
@@ -34,8 +34,8 @@
     type: str
     count: int
     state: str
-    at: float
-    until: float
+    at: float = msgspec.field(name="at")
+    until: float = msgspec.field(name="until")
     moved: int = 0
     draining: list[str] = []
     origin: str = "plan"
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -33,8 +33,11 @@
 REFUSAL_S = 1.0  # for the answer to a malformed request
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 STREAM_ERRORS = (
-    OSError, anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream,
-)  # fmt: skip
+    OSError,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.EndOfStream,
+)
 
 
 class Request(NamedTuple):
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -111,9 +111,12 @@
                     with anyio.fail_after(SEND_S):
                         await send_frame(stream, answer)
             except (
-                OSError, TimeoutError, anyio.EndOfStream,
-                anyio.BrokenResourceError, anyio.ClosedResourceError,
-            ):  # fmt: skip
+                OSError,
+                TimeoutError,
+                anyio.EndOfStream,
+                anyio.BrokenResourceError,
+                anyio.ClosedResourceError,
+            ):
                 return
             except Exception as err:
                 log.error("event=peer_refused reason=malformed error=%r", err)
--- a/tests/answer_days.py
+++ b/tests/answer_days.py
@@ -101,9 +101,18 @@
 
 
 TROUBLES: list[Trouble] = [
-    _restart, _refused, _cut, _held, _lossy, _cut_from_peers, _stands_still, _late_writes,
-    _lost_answers, _slow_state, _outage,
-]  # fmt: skip
+    _restart,
+    _refused,
+    _cut,
+    _held,
+    _lossy,
+    _cut_from_peers,
+    _stands_still,
+    _late_writes,
+    _lost_answers,
+    _slow_state,
+    _outage,
+]
 
 
 async def _troubles(world: World) -> None:
@@ -122,10 +131,16 @@
     shape = pick.choice(["sweep", "sweep", "sweep", "group", "daemon"])
     true_s = pick.choice([0.3, 1.0, 3.0, 8.0])
     return world.job(
-        name_id=job_id, shape=shape, pieces=pick.randint(1, 4), cpus=6.0, ram_gb=6.0,
-        image_gb=0.1, true_s=true_s, expected_s=0.0 if shape == "daemon" else true_s,
+        name_id=job_id,
+        shape=shape,
+        pieces=pick.randint(1, 4),
+        cpus=6.0,
+        ram_gb=6.0,
+        image_gb=0.1,
+        true_s=true_s,
+        expected_s=0.0 if shape == "daemon" else true_s,
         urgency="critical" if shape == "daemon" else "standard",
-    )  # fmt: skip
+    )
 
 
 class JobUsers:
@@ -229,8 +244,9 @@
         print(
             f"seed {seed}: {world.history.answers} answers, {len(world.accepted)} jobs,",
             f"{len(world.cloud.bookings)} bookings, {world.cloud.next_name} machines,",
-            f"{len(world.broken)} broken: {world.broken[:3]}", flush=True,
-        )  # fmt: skip
+            f"{len(world.broken)} broken: {world.broken[:3]}",
+            flush=True,
+        )
     print(f"{last - first + 1} days played, rules broken on {broken}")
 
 
--- a/tests/compare_behaviour.py
+++ b/tests/compare_behaviour.py
@@ -133,8 +133,11 @@
     """Run a version's own copy of this tool."""
     done = subprocess.run(
         [sys.executable, str(root / "tests" / "compare_behaviour.py"), *arguments],
-        cwd=root, env=environment(root, side, cache), capture_output=True, text=True,
-    )  # fmt: skip
+        cwd=root,
+        env=environment(root, side, cache),
+        capture_output=True,
+        text=True,
+    )
     if done.returncode:
         raise Failed(f"{side}: {' '.join(arguments)} ended with {done.returncode}\n{done.stderr}")
     return done.stdout
@@ -159,8 +162,9 @@
     """The full name of a commit."""
     done = subprocess.run(
         ["git", "-C", str(ROOT), "rev-parse", "--verify", "-q", f"{revision}^{{commit}}"],
-        capture_output=True, text=True,
-    )  # fmt: skip
+        capture_output=True,
+        text=True,
+    )
     if done.returncode:
         raise Failed(f"{revision} is no commit")
     return done.stdout.strip()
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -20,7 +20,8 @@
 import msgspec
 from click.testing import CliRunner
 
-from dapplewick import cli, client, config, script
+from dapplewick import cli
+from dapplewick import client, config, script
 from dapplewick.cloud import CloudCalls
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.job_writes import RANK_GRANTS, JobWrites
@@ -28,7 +29,8 @@
 from dapplewick.core.machines import Change, MachineBook
 from dapplewick.node import Node
 from dapplewick.protocol import wire
-from dapplewick.shares import commands, plan
+from dapplewick.shares import commands
+from dapplewick.shares import plan
 from dapplewick.storage.client import (
     Conflict,
     NoLease,
@@ -300,20 +302,38 @@
         if leader is not None:
             leader.catalog(list(node.mirror.types.values()))
             deaf = leader.deaf_parts()
-            parts = neutral([
+            parts = neutral(
                 [
-                    part.part, part.zone, part.token, part.number, part.clock, part.seen,
-                    part.machines, part.jobs, part.gangs, part.fresh, deaf,
-                    [part.placed(job) for job in part.jobs],
+                    [
+                        part.part,
+                        part.zone,
+                        part.token,
+                        part.number,
+                        part.clock,
+                        part.seen,
+                        part.machines,
+                        part.jobs,
+                        part.gangs,
+                        part.fresh,
+                        deaf,
+                        [part.placed(job) for job in part.jobs],
+                    ]
+                    for part in leader.parts.values()
                 ]
-                for part in leader.parts.values()
-            ])  # fmt: skip
+            )
             parts.append(_changes(leader.plan(now(), now())))
         cancelled = node.mirror.cancellations(0)
-        read = neutral([
-            node._peer_state, node._running, node._heard_parts, node._confirmed, cancelled,
-            node.cancellations.known_at(now()), [job.stage for job in node.mirror.jobs.values()],
-        ])  # fmt: skip
+        read = neutral(
+            [
+                node._peer_state,
+                node._running,
+                node._heard_parts,
+                node._confirmed,
+                cancelled,
+                node.cancellations.known_at(now()),
+                [job.stage for job in node.mirror.jobs.values()],
+            ]
+        )
         frames = [None if answer is None else cbor2.dumps(answer).hex() for answer in answers]
         return {"read": read, "parts": parts, "sent": link.posted, "answers": frames}
 
@@ -384,13 +404,21 @@
         state = StateClient(service, 100.0, 100.0)  # type: ignore[arg-type]
         arguments = given["arguments"]
         calls: dict[str, Callable[..., Coroutine[Any, Any, Any]]] = {
-            "one": state.get, "all": state.listing, "changes": state.changes,
-            "transaction": state.txn, "lease": state.new_lease, "renewal": state.renew,
-        }  # fmt: skip
+            "one": state.get,
+            "all": state.listing,
+            "changes": state.changes,
+            "transaction": state.txn,
+            "lease": state.new_lease,
+            "renewal": state.renew,
+        }
         refusals: dict[type[Exception], str] = {
-            Refused: "refused", Unknown: "unknown", Conflict: "conflict", TooLarge: "too large",
-            NoLease: "no lease", TooOld: "too old",
-        }  # fmt: skip
+            Refused: "refused",
+            Unknown: "unknown",
+            Conflict: "conflict",
+            TooLarge: "too large",
+            NoLease: "no lease",
+            TooOld: "too old",
+        }
         try:
             said = neutral(await calls[given["call"]](*arguments))
         except tuple(refusals) as err:
@@ -526,15 +554,32 @@
 
 
 WRITERS: dict[str, Writer] = {
-    "records": rewrite, "places": write_places, "grants": write_grants, "cut": write_cut,
-    "leftovers": write_leftovers, "widened": write_widened, "machines": write_machines,
-    "messages": hear, "part": work, "to peer": put_to_peer, "state": call_state,
-    "transactions": transactions, "script": operators_script, "settings": platform_settings,
-    "cloud": call_cloud, "submission": submission, "report": report,
-    "worker": worker_answer, "redirect": redirection, "user": user_answer,
-    "plan": plan_script, "operators": operators, "command": command, "frame": frame,
+    "records": rewrite,
+    "places": write_places,
+    "grants": write_grants,
+    "cut": write_cut,
+    "leftovers": write_leftovers,
+    "widened": write_widened,
+    "machines": write_machines,
+    "messages": hear,
+    "part": work,
+    "to peer": put_to_peer,
+    "state": call_state,
+    "transactions": transactions,
+    "script": operators_script,
+    "settings": platform_settings,
+    "cloud": call_cloud,
+    "submission": submission,
+    "report": report,
+    "worker": worker_answer,
+    "redirect": redirection,
+    "user": user_answer,
+    "plan": plan_script,
+    "operators": operators,
+    "command": command,
+    "frame": frame,
     "estimates": estimates,
-}  # fmt: skip
+}
 
 
 # A day of which all that is sent is kept
@@ -587,10 +632,14 @@
 
 
 REFUSED = [
-    "", "[]", "{}", '{"name_id": "x"}', '{"name_id": "run-1", "shape": "x"}',
+    "",
+    "[]",
+    "{}",
+    '{"name_id": "x"}',
+    '{"name_id": "run-1", "shape": "x"}',
     '{"name_id": "run-1", "shape": "sweep", "urgency": "x"}',
     '{"name_id": "run-1", "shape": "sweep", "urgency": "urgent", "pieces": 0}',
-]  # fmt: skip
+]
 
 PLAN = """
 shares = {
@@ -684,30 +733,52 @@
         _start(world, "run-000001", pieces=9, true_s=4.0)
         _start(world, "run-000002", pieces=2, shape="group", true_s=5.0, scatter=True)
         _start(
-            world, "run-000003", cancel_after=14.0, pieces=2, shape="daemon", urgency="critical",
-            expected_s=0.0, borrowed=False,
-        )  # fmt: skip
+            world,
+            "run-000003",
+            cancel_after=14.0,
+            pieces=2,
+            shape="daemon",
+            urgency="critical",
+            expected_s=0.0,
+            borrowed=False,
+        )
         _start(world, "run-000004", pieces=400, true_s=3.0, cancel_after=9.0, cpus=0.2)
         _start(
-            world, "run-000005", pieces=1, accelerators=1.0, builds=["g8"], yard="a", due_s=90.0,
-            fold_s=5.0, borrowed=False, same_place=True,
-        )  # fmt: skip
+            world,
+            "run-000005",
+            pieces=1,
+            accelerators=1.0,
+            builds=["g8"],
+            yard="a",
+            due_s=90.0,
+            fold_s=5.0,
+            borrowed=False,
+            same_place=True,
+        )
         await anyio.sleep(4.0)
         for body in REFUSED:
             await world.nodes["n0"].handle(Request("POST", "/v2/runs", body.encode(), False))
         changes: list[dict[str, Any]] = [
-            {"crew": "none"}, {"yard": "none"}, {"cpus": 99.0}, {"yard": "a", "scatter": True},
-            {"builds": ["none"]}, {"accelerators": 2.0, "pieces": 4},
+            {"crew": "none"},
+            {"yard": "none"},
+            {"cpus": 99.0},
+            {"yard": "a", "scatter": True},
+            {"builds": ["none"]},
+            {"accelerators": 2.0, "pieces": 4},
             {"bundle": "\u20ac" * 200, "kit": "\u20ac" * 200},
-        ]  # fmt: skip
+        ]
         for change in changes:
             asked = world.job(name_id="run-000099", shape="group", **change)
             raw = json.dumps({k: v for k, v in asked.items() if k != "true_s"}).encode()
             await world.ask("POST", "/v2/runs", raw)
         for method, path in (
-            ("GET", "/v2/runs/run-0"), ("POST", "/v2/runs/run-0/abort"), ("GET", "/v2/runs"),
-            ("POST", "/v2/runs/run-0"), ("GET", "/v2/runs/run-0/abort"), ("GET", "/healthz"),
-        ):  # fmt: skip
+            ("GET", "/v2/runs/run-0"),
+            ("POST", "/v2/runs/run-0/abort"),
+            ("GET", "/v2/runs"),
+            ("POST", "/v2/runs/run-0"),
+            ("GET", "/v2/runs/run-0/abort"),
+            ("GET", "/healthz"),
+        ):
             await world.nodes["n0"].handle(Request(method, path, b"", False))
         await _operator(world, kept, "status", {"kind": "status"})
         world.modes["n1", "state"] = "refused"
@@ -738,8 +809,13 @@
         _start(world, "run-000001", pieces=16, true_s=9.0, expected_s=200.0, **known)
         await anyio.sleep(9.0)
         order = {
-            "verb": "move", "zone": "a", "type": "c8", "source": "", "target": "night", "count": 2,
-        }  # fmt: skip
+            "verb": "move",
+            "zone": "a",
+            "type": "c8",
+            "source": "",
+            "target": "night",
+            "count": 2,
+        }
         await _operator(world, kept, "move", {**shares, **order, "id": "o-000000f1"})
         await _operator(world, kept, "show", {**shares, "verb": "show"})
         await _operator(world, kept, "move", {**shares, **order, "count": 900, "id": "o-000000f2"})
--- a/tests/make_golden_data.py
+++ b/tests/make_golden_data.py
@@ -24,22 +24,44 @@
 FOLDER = Path(__file__).parent / "data" / "golden"
 
 SPEC: dict[str, Any] = {
-    "bundle": "x", "team": "red", "gang": False, "rank": 1, "tasks": 9, "cpus": 2.0, "gpus": 0.0,
-    "ram": 4.0, "image": "img", "image_gb": 1.0, "estimate": 8.0,
-}  # fmt: skip
+    "bundle": "x",
+    "team": "red",
+    "gang": False,
+    "rank": 1,
+    "tasks": 9,
+    "cpus": 2.0,
+    "gpus": 0.0,
+    "ram": 4.0,
+    "image": "img",
+    "image_gb": 1.0,
+    "estimate": 8.0,
+}
 ALL: dict[str, Any] = SPEC | {
-    "types": ["c8", "g8"], "zone": "a", "one_zone": True, "spread": True, "spot": True,
-    "checkpoint": 5.0, "save": 1.5, "deadline": 90.0,
-}  # fmt: skip
+    "types": ["c8", "g8"],
+    "zone": "a",
+    "one_zone": True,
+    "spread": True,
+    "spot": True,
+    "checkpoint": 5.0,
+    "save": 1.5,
+    "deadline": 90.0,
+}
 GANG: dict[str, Any] = SPEC | {"gang": True, "tasks": 2}
 LONG: dict[str, Any] = SPEC | {"gang": True, "tasks": 12}
 SERVICE: dict[str, Any] = SPEC | {"rank": 3, "tasks": 2, "estimate": 0.0, "daemon": True}
 PLACES = [["a", "vm-1"], ["b", "vm-2"]]
 LONG_PLACES = [["a" if n < 8 else "a/~night", f"vm-{n:06d}"] for n in range(12)]
 OFFERED = {
-    "sku": "c8", "cpus": 8.0, "accelerators": 0.0, "ram_gb": 32.0, "fetch_gb_per_s": 1.0,
-    "hourly": 1.0, "low_price": 0.4, "ready_s": 5.0, "yards": ["a", "b"],
-}  # fmt: skip
+    "sku": "c8",
+    "cpus": 8.0,
+    "accelerators": 0.0,
+    "ram_gb": 32.0,
+    "fetch_gb_per_s": 1.0,
+    "hourly": 1.0,
+    "low_price": 0.4,
+    "ready_s": 5.0,
+    "yards": ["a", "b"],
+}
 FORMAT = ["dw/format", {"version": 3}, 2]
 
 
@@ -57,9 +79,16 @@
 def transfer(state: str, **more: Any) -> dict[str, Any]:
     """A transfer's record."""
     return {
-        "generation": 3, "source": "a", "target": "a/~night", "type": "c8", "count": 4,
-        "state": state, "at": 1000.0, "until": 1300.5, **more,
-    }  # fmt: skip
+        "generation": 3,
+        "source": "a",
+        "target": "a/~night",
+        "type": "c8",
+        "count": 4,
+        "state": state,
+        "at": 1000.0,
+        "until": 1300.5,
+        **more,
+    }
 
 
 def long_gang(**more: Any) -> dict[str, Any]:
@@ -89,23 +118,27 @@
         "gang as it came": ("dw/j/run-1", job(GANG)),
         "gang with a place": ("dw/j/run-1", job(GANG, gang={"attempt": 7, "places": PLACES})),
         "gang that preempts": (
-            "dw/j/run-1", job(GANG, gang={"attempt": 7, "places": PLACES, "preempt": True}),
+            "dw/j/run-1",
+            job(GANG, gang={"attempt": 7, "places": PLACES, "preempt": True}),
         ),
         "gang that is cancelled": (
             "dw/j/run-1",
             job(GANG, "cancelled", gang={"attempt": 7, "places": PLACES, "over": True}),
         ),
         "gang that is done": (
-            "dw/j/run-1", job(GANG, "done", gang={"attempt": 7, "places": PLACES, "over": True}),
+            "dw/j/run-1",
+            job(GANG, "done", gang={"attempt": 7, "places": PLACES, "over": True}),
         ),
         "service": ("dw/j/run-1", job(SERVICE, grants={"a": "0", "b": "1"})),
         "service that is cancelled": ("dw/j/run-1", job(SERVICE, "cancelled", grants={"a": "0"})),
         "array of many tasks that is cancelled": (
-            "dw/j/run-1", job(SPEC | {"tasks": 400}, "cancelled", chunk=200),
+            "dw/j/run-1",
+            job(SPEC | {"tasks": 400}, "cancelled", chunk=200),
         ),
         "group of machines": ("dw/m/r-1", group({"vm-1": "u", "vm-2": "b1700", "vm-3": "d"})),
         "group of a share": (
-            "dw/m/r-1", group({"vm-1": "u", "vm-2": "d"}, share="night", floors={"vm-1": 9}),
+            "dw/m/r-1",
+            group({"vm-1": "u", "vm-2": "d"}, share="night", floors={"vm-1": 9}),
         ),
         "part": ("dw/p/a", {"owner": "n0", "boot": "n0-1"}),
         "part of a share": ("dw/p/a/~night", {"owner": "n0", "boot": "n0-1"}),
@@ -113,26 +146,45 @@
         "controller of format 3": ("dw/n/n0", {"boot": "n0-1", "zone": "a", "version": 3}),
         "controller of format 4": ("dw/n/n0", {"boot": "n0-1", "zone": "a", "version": 4}),
         "leader": ("dw/leader", {"node": "n0", "boot": "n0-1"}),
-        "booking": ("dw/b/r-4-1", {
-            "type": "c8", "zone": "a", "spot": True, "count": 3, "at": 1000.25,
-        }),
+        "booking": (
+            "dw/b/r-4-1",
+            {
+                "type": "c8",
+                "zone": "a",
+                "spot": True,
+                "count": 3,
+                "at": 1000.25,
+            },
+        ),
         "format 2": ("dw/format", {"version": 2}),
         "format 3": ("dw/format", {"version": 3}),
         "format 4": ("dw/format", {"version": 4}),
         "types": ("dw/types", [OFFERED, OFFERED | {"sku": "g8", "accelerators": 2.0}]),
         "type": ("dw/t/c8", OFFERED),
-        "plan of shares": ("dw/shares", {
-            "shares": {"night": {
-                "teams": ["red"],
-                "rules": [{
-                    "types": ["c8"], "least": 0.25, "most": 0.5, "zones": ["a"],
-                    "hours": ["03:30", "05:00"],
-                }],
-                "weight": 2.0,
-            }},
-            "margin": 0.2, "move_within_s": 40.0, "hold_orders_s": 600.0,
-        }),
-    }  # fmt: skip
+        "plan of shares": (
+            "dw/shares",
+            {
+                "shares": {
+                    "night": {
+                        "teams": ["red"],
+                        "rules": [
+                            {
+                                "types": ["c8"],
+                                "least": 0.25,
+                                "most": 0.5,
+                                "zones": ["a"],
+                                "hours": ["03:30", "05:00"],
+                            }
+                        ],
+                        "weight": 2.0,
+                    }
+                },
+                "margin": 0.2,
+                "move_within_s": 40.0,
+                "hold_orders_s": 600.0,
+            },
+        ),
+    }
     for state in ("requested", "draining", "complete", "cancelled", "overdue"):
         more = {"moved": 1, "draining": ["vm-1", "vm-2"], "origin": "operator"}
         alone[f"transfer {state}"] = "dw/s/o-000000f1", transfer(state, **more)
@@ -174,37 +226,50 @@
         },
         "grants": {
             "one key": {
-                "records": [FORMAT, ["dw/j/run-1", job(SPEC), 5]], "job": "run-1", "most": 900,
-                "part": "a", "tasks": [1, 2, 5],
+                "records": [FORMAT, ["dw/j/run-1", job(SPEC), 5]],
+                "job": "run-1",
+                "most": 900,
+                "part": "a",
+                "tasks": [1, 2, 5],
             },
             "chunks": {
-                "records": [FORMAT, *records()["array in chunks"]], "job": "run-1", "most": 900,
-                "part": "a", "tasks": [30, 31, 250],
+                "records": [FORMAT, *records()["array in chunks"]],
+                "job": "run-1",
+                "most": 900,
+                "part": "a",
+                "tasks": [30, 31, 250],
             },
         },
         "cut": {
             "array": {
                 "records": [FORMAT, ["dw/j/run-1", job(array, done="0-5", grants={"a": "9"}), 5]],
-                "job": "run-1", "most": 900,
+                "job": "run-1",
+                "most": 900,
             },
             "array of which all chunks are there": {
-                "records": [FORMAT, ["dw/j/run-1", job(array), 5]], "job": "run-1", "most": 900,
+                "records": [FORMAT, ["dw/j/run-1", job(array), 5]],
+                "job": "run-1",
+                "most": 900,
             },
         },
         "leftovers": {
             "all": {
                 "records": [
-                    FORMAT, ["dw/j/run-1", job(array, "done", chunk=200), 5],
-                    ["dw/d/run-1/1", {"done": "200-399"}, 6], ["dw/j/run-2", job(LONG), 7],
+                    FORMAT,
+                    ["dw/j/run-1", job(array, "done", chunk=200), 5],
+                    ["dw/d/run-1/1", {"done": "200-399"}, 6],
+                    ["dw/j/run-2", job(LONG), 7],
                     ["dw/g/run-2/0", places(0, 7), 8],
                 ],
-                "job": "run-1", "most": 900,
+                "job": "run-1",
+                "most": 900,
             },
         },
         "widened": {
             "array": {
                 "records": [FORMAT, ["dw/j/run-1", job(array, "cancelled", grants=odd), 5]],
-                "job": "run-1", "most": 500,
+                "job": "run-1",
+                "most": 500,
             },
         },
         "machines": {
@@ -214,17 +279,20 @@
             },
             "to a new group of a share": {
                 "records": [FORMAT, ["dw/m/r-1", group({"vm-1": "u", "vm-2": "b1700"}), 5]],
-                "floors": [["vm-1", 12]], "share": "night",
+                "floors": [["vm-1", 12]],
+                "share": "night",
             },
             "back from a share": {
                 "records": [
-                    FORMAT, ["dw/m/r-1", group({"vm-1": "u"}), 5],
+                    FORMAT,
+                    ["dw/m/r-1", group({"vm-1": "u"}), 5],
                     ["dw/m/r-2", group({"vm-2": "u"}, share="night", floors={"vm-2": 9}), 6],
                 ],
-                "floors": [["vm-2", 13]], "share": "",
+                "floors": [["vm-2", 13]],
+                "share": "",
             },
         },
-    }  # fmt: skip
+    }
 
 
 OWNED: list[list[Any]] = [
@@ -250,15 +318,30 @@
 def checkin(machine: str, seq: int, pieces: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
     """A worker's report."""
     return {
-        "loom": machine, "endpoint": "10.0.0.1:9", "build": "c8", "yard": "a", "borrowed": False,
-        "shift": 1, "tally": seq, "baton": 7, "recall_s": None, "pieces": pieces, **more,
-    }  # fmt: skip
+        "loom": machine,
+        "endpoint": "10.0.0.1:9",
+        "build": "c8",
+        "yard": "a",
+        "borrowed": False,
+        "shift": 1,
+        "tally": seq,
+        "baton": 7,
+        "recall_s": None,
+        "pieces": pieces,
+        **more,
+    }
 
 
 BUSY: dict[str, Any] = {
-    "free": [2.0, 0.0, 4.0], "ends": [[1003.5, 2.0, 0.0, 4.0, 1, ""]], "images": ["img"],
-    "queued": 1, "usable": True, "heard": True, "leaving": False, "faulty": False,
-}  # fmt: skip
+    "free": [2.0, 0.0, 4.0],
+    "ends": [[1003.5, 2.0, 0.0, 4.0, 1, ""]],
+    "images": ["img"],
+    "queued": 1,
+    "usable": True,
+    "heard": True,
+    "leaving": False,
+    "faulty": False,
+}
 IDLE = BUSY | {"free": [8.0, 0.0, 32.0], "ends": [], "queued": 0}
 
 
@@ -266,23 +349,47 @@
     """A part's status, as a controller of the present version sends it."""
     one = {"placed": 2, "running": 1, "done": [0, 3], "returned": [4], "version": 11}
     return {
-        "kind": "part", "zone": "b", "token": 8, "number": 3, "base": 0, "at": 990.5, "seen": 17,
+        "kind": "part",
+        "zone": "b",
+        "token": 8,
+        "number": 3,
+        "base": 0,
+        "at": 990.5,
+        "seen": 17,
         "machines": {"vm-9": BUSY, "vm-8": None, "vm-10": BUSY, "vm-11": BUSY},
         "jobs": {"run-1": one, "run-6": None},
-        "gangs": {"run-2": [7, "held", 3.0], "run-6": None}, "silent": {"vm-9": [6.5, True]},
-        "idle": {"vm-9": 2.5}, "heard_ago": 0.5, "clear": ["run-4"], "unheard": 2,
-        "estimates": {"x": [0.25, 3]}, "drained": ["vm-9"], "node": "n1", "version": 3, **more,
-    }  # fmt: skip
+        "gangs": {"run-2": [7, "held", 3.0], "run-6": None},
+        "silent": {"vm-9": [6.5, True]},
+        "idle": {"vm-9": 2.5},
+        "heard_ago": 0.5,
+        "clear": ["run-4"],
+        "unheard": 2,
+        "estimates": {"x": [0.25, 3]},
+        "drained": ["vm-9"],
+        "node": "n1",
+        "version": 3,
+        **more,
+    }
 
 
 def gossip(**more: Any) -> dict[str, Any]:
     """What a controller tells its peers of itself."""
     return {
-        "kind": "node", "node": "n1", "version": 3, "running": {"run-1": 2},
-        "parts": {"a": [7, "n0"], "b": [9, "n2"]}, "state": True, "at": 995.5, "boot": "n1-1",
-        "revision": 17, "heard": {"n0": ["1-2265b1f5", 999.5]}, "complete": True, "since": 16,
-        "cancelled": [[18, "run-1"]], **more,
-    }  # fmt: skip
+        "kind": "node",
+        "node": "n1",
+        "version": 3,
+        "running": {"run-1": 2},
+        "parts": {"a": [7, "n0"], "b": [9, "n2"]},
+        "state": True,
+        "at": 995.5,
+        "boot": "n1-1",
+        "revision": 17,
+        "heard": {"n0": ["1-2265b1f5", 999.5]},
+        "complete": True,
+        "since": 16,
+        "cancelled": [[18, "run-1"]],
+        **more,
+    }
 
 
 def messages() -> dict[str, Any]:
@@ -290,8 +397,13 @@
     old = {k: v for k, v in gossip().items() if k not in ("heard", "complete", "cancelled")}
     next_ = part_status(number=4, base=3, machines={"vm-9": None}, jobs={}, gangs={})
     have = {
-        "kind": "have", "zone": "a", "token": 7, "boot": "n1-1", "number": 5, "version": 3,
-    }  # fmt: skip
+        "kind": "have",
+        "zone": "a",
+        "token": 7,
+        "boot": "n1-1",
+        "number": 5,
+        "version": 3,
+    }
     part_a: dict[str, Any] = {"zone": "a", "token": 7, "machines": {}, "silent": {}, "idle": {}}
     in_a = {"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}
     many: dict[str, Any] = {
@@ -346,8 +458,9 @@
     }
     for state in ("bad", "done", "held", "on", "busy"):
         many[f"status of a gang that is {state}"] = {
-            "messages": [part_status(**part_a, gangs={"run-2": [7, state, 3.0]})], "leads": True,
-        }  # fmt: skip
+            "messages": [part_status(**part_a, gangs={"run-2": [7, state, 3.0]})],
+            "leads": True,
+        }
     return {label: {"records": OWNED, **given} for label, given in many.items()}
 
 
@@ -360,38 +473,55 @@
         ["report", checkin(f"vm-{n}", 1, pieces)]
         for n, pieces in ((1, [running, exited, gone]), (2, []), (3, []), (4, []))
     ]
-    again = [["report", checkin(f"vm-{n}", 2, [], recall_s=30.0 if n == 3 else None)]
-             for n in (2, 3)]  # fmt: skip
+    again = [
+        ["report", checkin(f"vm-{n}", 2, [], recall_s=30.0 if n == 3 else None)] for n in (2, 3)
+    ]
     ask = {"kind": "ask", "method": "GET", "target": "/v2/runs/run-5", "body": b"".hex()}
     steps: dict[str, list[Any]] = {
         "status before anything was heard": [["tick", None]],
         "reports": [*first, ["tick", None]],
         "reports and more": [
-            *first, ["tick", None], ["wait", 1.0], *again, ["tick", None], ["wait", 6.0],
+            *first,
+            ["tick", None],
+            ["wait", 1.0],
+            *again,
+            ["tick", None],
+            ["wait", 6.0],
             ["tick", None],
         ],
         "reports to others": [
-            ["report", checkin("vm-9", 1, [], yard="b")], ["report", checkin("vm-8", 1, [])],
-            ["report", {"loom": "vm-1"}], ["report", checkin("vm-7", 1, [], yard="c")],
+            ["report", checkin("vm-9", 1, [], yard="b")],
+            ["report", checkin("vm-8", 1, [])],
+            ["report", {"loom": "vm-1"}],
+            ["report", checkin("vm-7", 1, [], yard="c")],
         ],
         "reports that are refused": [
-            ["too large", None], ["records are old", None], ["report", checkin("vm-1", 1, [])],
+            ["too large", None],
+            ["records are old", None],
+            ["report", checkin("vm-1", 1, [])],
         ],
         "users of a controller that falls behind": [
-            ["falls behind", None], ["request", ["GET", "/v2/runs/run-5", ""]],
+            ["falls behind", None],
+            ["request", ["GET", "/v2/runs/run-5", ""]],
             ["request", ["GET", "/healthz", ""]],
         ],
         "status for operators": [*first, ["asked", {"kind": "status"}]],
         "shares that are switched off": [["asked", {"kind": "shares", "verb": "show"}]],
-        "a question of a peer": [["asked", ask | {"body": ""}], [
-            "asked", ask | {"target": "/v2/none", "body": ""}]],
+        "a question of a peer": [
+            ["asked", ask | {"body": ""}],
+            ["asked", ask | {"target": "/v2/none", "body": ""}],
+        ],
         "users": [
-            ["request", ["GET", "/v2/runs/run-4", ""]], ["request", ["GET", "/v2/runs/run-5", ""]],
-            ["request", ["POST", "/v2/runs", "[]"]], ["request", ["PUT", "/v2/runs", ""]],
-            ["request", ["GET", "/v2/runs/run-5/none", ""]], ["request", ["GET", "/none", ""]],
-            ["request", ["GET", "/healthz", ""]], ["request", ["GET", "/checkin", ""]],
+            ["request", ["GET", "/v2/runs/run-4", ""]],
+            ["request", ["GET", "/v2/runs/run-5", ""]],
+            ["request", ["POST", "/v2/runs", "[]"]],
+            ["request", ["PUT", "/v2/runs", ""]],
+            ["request", ["GET", "/v2/runs/run-5/none", ""]],
+            ["request", ["GET", "/none", ""]],
+            ["request", ["GET", "/healthz", ""]],
+            ["request", ["GET", "/checkin", ""]],
         ],
-    }  # fmt: skip
+    }
     for _, message in steps["a question of a peer"]:
         message["body"] = []
     return {label: {"records": OWNED, "steps": some} for label, some in steps.items()}
@@ -420,10 +550,12 @@
         "transaction": [["transaction", write], [200, '{"ledger": 12}']],
         "transaction, only conditions": [["transaction", [{"dw/a": 3}, {}]], [200, "{}"]],
         "transaction, conflict": [
-            ["transaction", write], [409, '{"failed": ["dw/a", "dw/b"], "ledger": 12}'],
+            ["transaction", write],
+            [409, '{"failed": ["dw/a", "dw/b"], "ledger": 12}'],
         ],
         "transaction, no lease": [
-            ["transaction", write], [400, '{"error": "no such lease"}'],
+            ["transaction", write],
+            [400, '{"error": "no such lease"}'],
         ],
         "transaction, too large": [["transaction", write], [400, '{"error": "too large"}']],
         "transaction, too many": [["transaction", write], [429, "{}"]],
@@ -431,7 +563,7 @@
         "lease": [["lease", [5000]], [200, '{"hold": 17}']],
         "renewal": [["renewal", [17]], [200, "{}"]],
         "renewal, ended": [["renewal", [17]], [404, "{}"]],
-    }  # fmt: skip
+    }
     return {
         label: {"call": call, "arguments": arguments, "answers": answers}
         for label, ((call, arguments), *answers) in many.items()
@@ -446,17 +578,24 @@
 
     large = [["dw/0", "x" * 5000, ""], ["dw/1", "x", "a"], ["dw/2", "x" * 5000, "a"]]
     return {
-        "loose": some("......"), "tied": some("..aaa.bb"), "too many": some("aaaaaaaaaaaaaaaaaaa."),
+        "loose": some("......"),
+        "tied": some("..aaa.bb"),
+        "too many": some("aaaaaaaaaaaaaaaaaaa."),
         "too large": {"changes": [*large, ["dw/3", "x", ""]]},
-    }  # fmt: skip
+    }
 
 
 def scripts() -> dict[str, Any]:
     """Operators' scripts."""
     names = (
-        "threshold_s", "patience_s", "horizon_s", "horizon_accelerator_s", "spare_slots", "idle_s",
+        "threshold_s",
+        "patience_s",
+        "horizon_s",
+        "horizon_accelerator_s",
+        "spare_slots",
+        "idle_s",
         "spend_cap",
-    )  # fmt: skip
+    )
     lines = [f"{name} = {number + 2}" for number, name in enumerate(names)]
     return {"empty": "", "all": "\n".join([*lines, "class_weights = {'x': 4}", ""])}
 
@@ -465,26 +604,38 @@
     """The platform's file."""
     deployment = standins.deployment(2) | {
         "objectives": [{"class": "x", "kind": "finished", "within_s": 60.0, "share": 0.9}],
-    }  # fmt: skip
-    return {"all": {
-        "host_name": "n0", "zone": "a", "client_listen": "127.0.0.1:1",
-        "peer_listen": "127.0.0.1:2", "deployment": deployment,
-        "peers": [{"host_name": "n1", "zone": "b", "peer_addr": "127.0.0.1:3"}],
-        "outside": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
-    }}  # fmt: skip
+    }
+    return {
+        "all": {
+            "host_name": "n0",
+            "zone": "a",
+            "client_listen": "127.0.0.1:1",
+            "peer_listen": "127.0.0.1:2",
+            "deployment": deployment,
+            "peers": [{"host_name": "n1", "zone": "b", "peer_addr": "127.0.0.1:3"}],
+            "outside": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
+        }
+    }
 
 
 def cloud_calls() -> dict[str, Any]:
     """Calls of the cloud, with every kind of answer."""
     listed = {
-        "name_id": "vm-1", "build": "c8", "yard": "a", "borrowed": True, "stage": "running",
-        "held_s": 12.5, "endpoint": "10.0.0.1:9",
-    }  # fmt: skip
+        "name_id": "vm-1",
+        "build": "c8",
+        "yard": "a",
+        "borrowed": True,
+        "stage": "running",
+        "held_s": 12.5,
+        "endpoint": "10.0.0.1:9",
+    }
     bare = {k: v for k, v in listed.items() if k != "endpoint"} | {"name_id": "vm-2"}
     many: dict[str, dict[str, Any]] = {
         "rental": {"call": "rent", "name": "r-4-1", "answers": [[200, '{"looms": ["vm-5"]}']]},
         "rental, no capacity": {
-            "call": "rent", "name": "r-4-1", "answers": [[503, '{"error":"no capacity"}']],
+            "call": "rent",
+            "name": "r-4-1",
+            "answers": [[503, '{"error":"no capacity"}']],
         },
         "rental, refused": {"call": "rent", "name": "r-4-1", "answers": [[400, "{}"]]},
         "rental, trouble": {"call": "rent", "name": "r-4-1", "answers": [[500, "{}"]]},
@@ -504,28 +655,60 @@
         },
         "list with a machine that failed": {
             "call": "list",
-            "answers": [[200, json.dumps({"looms": [listed | {
-                "name_id": "vm-9", "stage": "failed", "yard": "b",
-            }]})]],
+            "answers": [
+                [
+                    200,
+                    json.dumps(
+                        {
+                            "looms": [
+                                listed
+                                | {
+                                    "name_id": "vm-9",
+                                    "stage": "failed",
+                                    "yard": "b",
+                                }
+                            ]
+                        }
+                    ),
+                ]
+            ],
         },
         "list, malformed": {"call": "list", "answers": [[200, '{"looms": [{}]}']]},
-    }  # fmt: skip
+    }
     return {label: {"records": OWNED, **given} for label, given in many.items()}
 
 
 def bodies() -> dict[str, dict[str, Any]]:
     """What users and workers send, and what they are answered."""
     asked: dict[str, Any] = {
-        "name_id": "run-1", "bundle": "x", "crew": "red", "shape": "sweep", "urgency": "standard",
-        "pieces": 4, "cpus": 2.0, "accelerators": 1.0, "ram_gb": 4.0, "kit": "img",
-        "image_gb": 1.5, "builds": ["c8"], "yard": "a", "same_place": True, "scatter": False,
-        "borrowed": True, "expected_s": 8.0, "fold_s": 5.0, "press_s": 1.0, "due_s": 60.0,
-    }  # fmt: skip
+        "name_id": "run-1",
+        "bundle": "x",
+        "crew": "red",
+        "shape": "sweep",
+        "urgency": "standard",
+        "pieces": 4,
+        "cpus": 2.0,
+        "accelerators": 1.0,
+        "ram_gb": 4.0,
+        "kit": "img",
+        "image_gb": 1.5,
+        "builds": ["c8"],
+        "yard": "a",
+        "same_place": True,
+        "scatter": False,
+        "borrowed": True,
+        "expected_s": 8.0,
+        "fold_s": 5.0,
+        "press_s": 1.0,
+        "due_s": 60.0,
+    }
     changed: dict[str, dict[str, Any]] = {
-        "array": {}, "gang": {"shape": "group", "scatter": True, "same_place": False},
-        "service": {"shape": "daemon", "urgency": "critical"}, "urgent": {"urgency": "urgent"},
+        "array": {},
+        "gang": {"shape": "group", "scatter": True, "same_place": False},
+        "service": {"shape": "daemon", "urgency": "critical"},
+        "urgent": {"urgency": "urgent"},
         "least": {"urgency": "best_effort", "builds": None, "yard": None, "due_s": None},
-    }  # fmt: skip
+    }
     for field in asked:
         changed[f"without {field}"] = {field: None}
         changed[f"{field} out of range"] = {field: -1}
@@ -540,9 +723,10 @@
         "of a machine that is recalled": json.dumps(checkin("vm-1", 3, [], recall_s=30.0)),
     }
     orders = {
-        "start": ["start", "run-1", 0, 7340033, 0.0], "stop": ["stop", "run-1", 1, 5, 1.5],
+        "start": ["start", "run-1", 0, 7340033, 0.0],
+        "stop": ["stop", "run-1", 1, 5, 1.5],
         "forget": ["forget", "run-1", 2, 6, 0.0],
-    }  # fmt: skip
+    }
     workers: dict[str, Any] = {k: {"token": 7, "orders": [v]} for k, v in orders.items()}
     workers |= {"nothing": {"token": 7, "orders": []}}
     workers |= {"all": {"token": 7, "orders": list(orders.values())}}
@@ -550,9 +734,13 @@
     for stage in ("queued", "running", "done", "withdrawn"):
         users[stage] = ["run-1", stage, 3, 2]
     return {
-        "submission": submissions, "report": reports, "worker": workers,
-        "redirect": {"owner": "n1", "nobody": None}, "user": users,
-        "plan": {"short": golden.PLAN, "empty": ""}, "estimates": {"some": {"x": [0.25, 3]}},
+        "submission": submissions,
+        "report": reports,
+        "worker": workers,
+        "redirect": {"owner": "n1", "nobody": None},
+        "user": users,
+        "plan": {"short": golden.PLAN, "empty": ""},
+        "estimates": {"some": {"x": [0.25, 3]}},
         "to peer": {
             f"status {status}": {
                 "request": ["GET", "/v2/runs/run-1", ""],
@@ -561,48 +749,90 @@
             for status, retry in ((200, None), (404, 2), (503, 1))
         },
         "frame": {
-            "status": part_status(), "of itself": gossip(),
+            "status": part_status(),
+            "of itself": gossip(),
             "question": {"kind": "shares", "verb": "show", "forwarded": True},
         },
-    }  # fmt: skip
+    }
 
 
 def printed() -> dict[str, dict[str, Any]]:
     """What operators are shown."""
     status = {
-        "node": "n0", "version": "0.1.0", "ready": True, "lease_left_s": 4.5, "records_age_s": 0.1,
-        "leader": "n1", "epoch": 3, "format": 4, "versions": {"n0": 4, "n1": 3},
-        "parts": {"a": {"owner": "n0", "token": 7}}, "jobs": {"open": 3, "done": 1},
+        "node": "n0",
+        "version": "0.1.0",
+        "ready": True,
+        "lease_left_s": 4.5,
+        "records_age_s": 0.1,
+        "leader": "n1",
+        "epoch": 3,
+        "format": 4,
+        "versions": {"n0": 4, "n1": 3},
+        "parts": {"a": {"owner": "n0", "token": 7}},
+        "jobs": {"open": 3, "done": 1},
         "services": {"run-3": {"replicas": 2, "granted": 2, "running": 1}},
-        "machines": {"vm-1": {
-            "type": "c8", "zone": "a", "spot": False, "up": True, "doomed": False,
-        }},
-        "bookings": 1, "budgets": {"state_calls": 9.5, "state_writes": 4.0, "cloud_calls": 6.4},
-        "owned": {"a": {
-            "token": 7, "unheard": 1, "loose": 2,
-            "machines": {"vm-1": {
-                "type": "c8", "tasks": 1, "slots": 1, "queued": 0, "free": [2.0, 0.0, 4.0],
-                "silent": 0.5,
-            }},
-            "held": {"run-2": {"attempt": 7, "state": "held", "wait_s": 3.0}},
-        }},
+        "machines": {
+            "vm-1": {
+                "type": "c8",
+                "zone": "a",
+                "spot": False,
+                "up": True,
+                "doomed": False,
+            }
+        },
+        "bookings": 1,
+        "budgets": {"state_calls": 9.5, "state_writes": 4.0, "cloud_calls": 6.4},
+        "owned": {
+            "a": {
+                "token": 7,
+                "unheard": 1,
+                "loose": 2,
+                "machines": {
+                    "vm-1": {
+                        "type": "c8",
+                        "tasks": 1,
+                        "slots": 1,
+                        "queued": 0,
+                        "free": [2.0, 0.0, 4.0],
+                        "silent": 0.5,
+                    }
+                },
+                "held": {"run-2": {"attempt": 7, "state": "held", "wait_s": 3.0}},
+            }
+        },
         "latencies_ms": {"poll": {"count": 3, "p50": 2.0, "p95": 4.0, "max": 5.0}},
-    }  # fmt: skip
+    }
     old = {k: v for k, v in status.items() if k not in ("versions", "format", "services")}
     shares = {
-        "status": 200, "leader": "n1", "plan": {"shares": {}}, "format": 4, "targets_known": False,
+        "status": 200,
+        "leader": "n1",
+        "plan": {"shares": {}},
+        "format": 4,
+        "targets_known": False,
         "times": {"machines": {"count": 2, "p50_s": 1.5, "p95_s": 3.0, "max_s": 4.0}},
-        "teams": {"night": ["red", "blue"]}, "owners": {"a": "n0"},
+        "teams": {"night": ["red", "blue"]},
+        "owners": {"a": "n0"},
         "machines": [
             {"zone": "a", "share": "", "type": "c8", "machines": 3, "target": None},
             {"zone": "a", "share": "night", "type": "c8", "machines": 1, "target": 2},
         ],
-        "transfers": [{
-            "id": "o-000000f1", "generation": 3, "zone": "a", "source": "", "target": "night",
-            "type": "c8", "count": 2, "moved": 1, "state": "draining", "origin": "operator",
-            "left_s": 30.5, "waits_for": {"vm-4": "it is gone"},
-        }],
-    }  # fmt: skip
+        "transfers": [
+            {
+                "id": "o-000000f1",
+                "generation": 3,
+                "zone": "a",
+                "source": "",
+                "target": "night",
+                "type": "c8",
+                "count": 2,
+                "moved": 1,
+                "state": "draining",
+                "origin": "operator",
+                "left_s": 30.5,
+                "waits_for": {"vm-4": "it is gone"},
+            }
+        ],
+    }
     at = ["--at", "127.0.0.1:1"]
     order = ["--zone", "a", "--type", "c8", "--from", "-", "--to", "night", "--id", "o-000000f1"]
     known = {"status": 200, "id": "o-000000f1", "state": "draining"}
@@ -621,35 +851,47 @@
             "move": {"arguments": ["shares", "move", *at, *order, "2"], "said": known},
             "cancel": {"arguments": ["shares", "cancel", *at, "o-000000f1"], "said": known},
             "back to the first plan": {
-                "arguments": ["shares", "plan", *at, "--reset"], "said": {"status": 200},
+                "arguments": ["shares", "plan", *at, "--reset"],
+                "said": {"status": 200},
             },
             "refused": {
                 "arguments": ["shares", "cancel", *at, "o-000000f1"],
                 "said": {"status": 404, "error": "id: unknown"},
             },
             "not now": {
-                "arguments": ["shares", "show", *at], "said": {"status": 503, "error": "no leader"},
+                "arguments": ["shares", "show", *at],
+                "said": {"status": 503, "error": "no leader"},
             },
         },
-    }  # fmt: skip
+    }
 
 
 def given_values() -> dict[str, dict[str, Any]]:
     """All given values, by kind and label."""
     return {
-        "records": records() | old_records(), **job_writes(), "messages": messages(),
-        "part": owners(), "state": state_calls(),
-        "transactions": tied_changes(), "script": scripts(), "settings": platform(),
-        "cloud": cloud_calls(), **bodies(), **printed(),
-    }  # fmt: skip
+        "records": records() | old_records(),
+        **job_writes(),
+        "messages": messages(),
+        "part": owners(),
+        "state": state_calls(),
+        "transactions": tied_changes(),
+        "script": scripts(),
+        "settings": platform(),
+        "cloud": cloud_calls(),
+        **bodies(),
+        **printed(),
+    }
 
 
 def days() -> dict[str, Any]:
     """What is sent on the days, played by a process of its own."""
     done = subprocess.run(
         [sys.executable, __file__, "days"],
-        env=os.environ | {"PYTHONHASHSEED": "0"}, capture_output=True, check=False, timeout=300,
-    )  # fmt: skip
+        env=os.environ | {"PYTHONHASHSEED": "0"},
+        capture_output=True,
+        check=False,
+        timeout=300,
+    )
     if done.returncode:
         raise RuntimeError(done.stderr.decode())
     said: dict[str, Any] = json.loads(done.stdout)
--- a/tests/production.py
+++ b/tests/production.py
@@ -18,6 +18,7 @@
 from functools import lru_cache
 from pathlib import Path
 from types import SimpleNamespace
+from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -42,8 +43,9 @@
     name = f"dapplewick_at_{revision[:7]}"
     archive = subprocess.run(
         ["git", "-C", str(ROOT), "archive", revision, "src/dapplewick"],
-        check=True, capture_output=True,
-    ).stdout  # fmt: skip
+        check=True,
+        capture_output=True,
+    ).stdout
     folder = Path(tempfile.mkdtemp(prefix="earlier-version-"))
     with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
         tar.extractall(folder, filter="data")
@@ -57,11 +59,13 @@
         return importlib.import_module(f"{name}.{path}")
 
     separate = (folder / name / "transport" / "http_client.py").exists()
+    client: Any = module("transport.http_client" if separate else "transport.http")
 
     return SimpleNamespace(
         Node=module("node").Node,  # type: ignore[attr-defined]
         config=module("config"),
-        http_client=module("transport.http_client" if separate else "transport.http"),
+        http_client=SimpleNamespace(HttpError=client.HttpError, NotSent=client.NotSent),
+        Mirror=module("storage.records").Mirror,  # type: ignore[attr-defined]
         machines=module("core.machines"),
         records=module("storage.records"),
         wire=module("protocol.wire"),
--- a/tests/rolls.py
+++ b/tests/rolls.py
@@ -85,9 +85,15 @@
 
 
 TROUBLES: list[Trouble] = [
-    nothing, dies_before_its_turn, outage, all_killed, leaders_in_turn, cut, writes_come_late,
+    nothing,
+    dies_before_its_turn,
+    outage,
+    all_killed,
+    leaders_in_turn,
+    cut,
+    writes_come_late,
     leader_refused_alone,
-]  # fmt: skip
+]
 
 
 @dataclass
@@ -103,8 +109,13 @@
     for n in range(first, first + 2):
         each = [world.random.choice([1.0, 45.0]) for _ in range(420)]
         body = world.job(
-            name_id=f"run-large{n}", pieces=420, cpus=0.25, ram_gb=0.5, true_s=5.0, true_each=each,
-        )  # fmt: skip
+            name_id=f"run-large{n}",
+            pieces=420,
+            cpus=0.25,
+            ram_gb=0.5,
+            true_s=5.0,
+            true_each=each,
+        )
         world.group.start_soon(world.user, body["name_id"], body, None)
 
 
@@ -112,9 +123,15 @@
     """Three services, the last of which is called off after a minute."""
     for n in range(3):
         body = world.job(
-            name_id=f"run-service{n}", shape="daemon", pieces=3, cpus=1.0, urgency="critical",
-            scatter=n == 1, borrowed=False, expected_s=0.0,
-        )  # fmt: skip
+            name_id=f"run-service{n}",
+            shape="daemon",
+            pieces=3,
+            cpus=1.0,
+            urgency="critical",
+            scatter=n == 1,
+            borrowed=False,
+            expected_s=0.0,
+        )
         world.group.start_soon(world.user, body["name_id"], body, 60.0 if n == 2 else None)
 
 
--- a/tests/share_history.py
+++ b/tests/share_history.py
@@ -88,9 +88,14 @@
         return str(part_name(group["zone"], group.get("share", "")))
 
     def _check_move(
-        self, revision: int, machine: str, part: str, group: dict[str, Any], keys: list[str],
+        self,
+        revision: int,
+        machine: str,
+        part: str,
+        group: dict[str, Any],
+        keys: list[str],
         before: dict[str, Any],
-    ) -> None:  # fmt: skip
+    ) -> None:
         old = self._part_of.get(machine)
         floor = group.get("floors", {}).get(machine, 0)
         if old is not None and old != part:
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -56,9 +56,14 @@
     def snapshot(self) -> None:
         machines = [
             {
-                "name_id": w.name, "endpoint": "", "build": w.type, "yard": w.zone,
-                "borrowed": w.spot, "stage": "running", "held_s": now() - w.born,
+                "name_id": w.name,
+                "endpoint": "",
+                "build": w.type,
+                "yard": w.zone,
+                "borrowed": w.spot,
+                "stage": "running",
+                "held_s": now() - w.born,
             }
             for w in self.world.workers.values()
-        ]  # fmt: skip
+        ]
         self.history.append((now(), machines))
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -9,18 +9,38 @@
 
 ZONES = ["a", "b"]
 WORKERS = {
-    "report_s": 2.0, "lease_s": 14.0, "gang_wait_s": 40.0, "gang_peer_s": 6.0, "cancel_s": 36.0,
-}  # fmt: skip
+    "report_s": 2.0,
+    "lease_s": 14.0,
+    "gang_wait_s": 40.0,
+    "gang_peer_s": 6.0,
+    "cancel_s": 36.0,
+}
 TYPES = [
     {
-        "sku": "c8", "cpus": 8.0, "accelerators": 0.0, "ram_gb": 32.0, "local_gb": 50.0,
-        "fetch_gb_per_s": 1.0, "hourly": 1.0, "low_price": 0.4, "ready_s": 5, "yards": ZONES,
+        "sku": "c8",
+        "cpus": 8.0,
+        "accelerators": 0.0,
+        "ram_gb": 32.0,
+        "local_gb": 50.0,
+        "fetch_gb_per_s": 1.0,
+        "hourly": 1.0,
+        "low_price": 0.4,
+        "ready_s": 5,
+        "yards": ZONES,
     },
     {
-        "sku": "g8", "cpus": 16.0, "accelerators": 2.0, "ram_gb": 64.0, "local_gb": 50.0,
-        "fetch_gb_per_s": 1.0, "hourly": 5.0, "low_price": 2.0, "ready_s": 8, "yards": ZONES,
+        "sku": "g8",
+        "cpus": 16.0,
+        "accelerators": 2.0,
+        "ram_gb": 64.0,
+        "local_gb": 50.0,
+        "fetch_gb_per_s": 1.0,
+        "hourly": 5.0,
+        "low_price": 2.0,
+        "ready_s": 8,
+        "yards": ZONES,
     },
-]  # fmt: skip
+]
 TEAMS = [
     {"name": "red", "cpus": 0.0, "cpus_max": 0.0, "gpus": 2.0, "gpus_max": 5.0},
     {"name": "blue", "cpus": 0.0, "cpus_max": 24.0, "gpus": 0.0, "gpus_max": 0.0},
--- a/tests/standins/recorder.py
+++ b/tests/standins/recorder.py
@@ -72,9 +72,15 @@
     async def handled(request: Any) -> Any:
         answer = await handle(request)
         record(
-            "answer", node=name, method=request.method, target=request.target, asked=request.body,
-            status=answer.status, body=answer.body, retry_after=answer.retry_after,
-        )  # fmt: skip
+            "answer",
+            node=name,
+            method=request.method,
+            target=request.target,
+            asked=request.body,
+            status=answer.status,
+            body=answer.body,
+            retry_after=answer.retry_after,
+        )
         return answer
 
     async def requested(message: dict[str, Any]) -> Any:
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -70,15 +70,21 @@
         self.seq += 1
         session, sent = self.session, now()
         body = {
-            "loom": self.name, "endpoint": "", "build": self.type, "yard": self.zone,
-            "borrowed": self.spot, "shift": session, "tally": self.seq, "baton": self.token,
+            "loom": self.name,
+            "endpoint": "",
+            "build": self.type,
+            "yard": self.zone,
+            "borrowed": self.spot,
+            "shift": session,
+            "tally": self.seq,
+            "baton": self.token,
             "recall_s": self.notice,
             "pieces": [
                 {"piece": n, "try": p.attempt, "stage": p.stage}
                 | ({"cause": p.cause, "saved": p.saved} if p.cause else {})
                 for n, p in self.pieces.items()
             ],
-        }  # fmt: skip
+        }
         raw = json.dumps(body).encode()
         answer: Answer | None = None
         with anyio.move_on_after(4.0):
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -187,8 +187,12 @@
         more: Any = {} if old is not None else {"shares": self._shares(name)}
         node = made(
             settings(name, self.count, self.zones, parse),
-            connect=connect, link=link, clock=now, seed=seed, **more,
-        )  # fmt: skip
+            connect=connect,
+            link=link,
+            clock=now,
+            seed=seed,
+            **more,
+        )
         node.boot = f"{name}-{seed}"
         node.wall = now  # type: ignore[method-assign]
         recorder.watch(name, node)
@@ -369,12 +373,28 @@
 
     def job(self, **fields: Any) -> dict[str, Any]:
         body = {
-            "name_id": "", "bundle": "x", "crew": "red", "shape": "sweep", "urgency": "standard",
-            "pieces": 4, "cpus": 2.0, "accelerators": 0.0, "ram_gb": 4.0, "kit": "img",
-            "image_gb": 1.0, "builds": None, "yard": None, "same_place": False, "scatter": False,
-            "borrowed": True, "expected_s": 8.0, "fold_s": 0.0, "press_s": 1.0, "due_s": None,
+            "name_id": "",
+            "bundle": "x",
+            "crew": "red",
+            "shape": "sweep",
+            "urgency": "standard",
+            "pieces": 4,
+            "cpus": 2.0,
+            "accelerators": 0.0,
+            "ram_gb": 4.0,
+            "kit": "img",
+            "image_gb": 1.0,
+            "builds": None,
+            "yard": None,
+            "same_place": False,
+            "scatter": False,
+            "borrowed": True,
+            "expected_s": 8.0,
+            "fold_s": 0.0,
+            "press_s": 1.0,
+            "due_s": None,
             "true_s": 8.0,
-        }  # fmt: skip
+        }
         return body | fields
 
     def random_job(self) -> dict[str, Any]:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -518,10 +518,16 @@
     early = history.ask(JOB, "poll")  # put before the job was known, answered at the end
     before = history.ask(JOB, "poll")
     for verb, status, stage in [
-        ("submit", 503, ""), ("submit", 201, "queued"), ("submit", 200, "running"),
-        ("poll", 200, "queued"), ("abort", 503, ""), ("poll", 200, "running"),
-        ("abort", 200, "done"), ("submit", 200, "done"), ("poll", 200, "done"),
-    ]:  # fmt: skip
+        ("submit", 503, ""),
+        ("submit", 201, "queued"),
+        ("submit", 200, "running"),
+        ("poll", 200, "queued"),
+        ("abort", 503, ""),
+        ("poll", 200, "running"),
+        ("abort", 200, "done"),
+        ("submit", 200, "done"),
+        ("poll", 200, "done"),
+    ]:
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
     history.answered(early, 404, {})
     history.answered(before, 200, {"stage": "running"})
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -226,9 +226,13 @@
             put = wire.request
 
             async def request(
-                method: str, target: str, body: bytes | None, within: float,
-                put: Any = put, service: str = service,
-            ) -> tuple[int, bytes]:  # fmt: skip
+                method: str,
+                target: str,
+                body: bytes | None,
+                within: float,
+                put: Any = put,
+                service: str = service,
+            ) -> tuple[int, bytes]:
                 asked.add((service, target.partition("?")[0].split("/")[1]))
                 result: tuple[int, bytes] = await put(method, target, body, within)
                 return result
@@ -238,9 +242,13 @@
     monkeypatch.setattr(World, "start_node", spy)
     day(kept_for_the_next_leader, 1, 120.0)
     assert asked == {
-        ("state", "keys"), ("state", "changes"), ("state", "multi"), ("state", "leases"),
-        ("cloud", "catalog"), ("cloud", "hosts"),
-    }  # fmt: skip
+        ("state", "keys"),
+        ("state", "changes"),
+        ("state", "multi"),
+        ("state", "leases"),
+        ("cloud", "catalog"),
+        ("cloud", "hosts"),
+    }
     sources = Path(dapplewick.__file__).parent.rglob("*.py")
     made = {path.name for path in sources if HttpClient.__name__ in path.read_text()}
     assert made == {"client.py", "http_client.py", "node.py"}  # and no other code makes connections
@@ -420,8 +428,14 @@
 
 def test_an_older_answer_is_noticed() -> None:
     onlooker = Onlooker(World(1))
-    for before, stage, broken in [(0, "unknown", 0), (0, "queued", 0), (1, "unknown", 1),
-                                  (1, "done", 1), (2, "running", 2), (2, "done", 2)]:  # fmt: skip
+    for before, stage, broken in [
+        (0, "unknown", 0),
+        (0, "queued", 0),
+        (1, "unknown", 1),
+        (1, "done", 1),
+        (2, "running", 2),
+        (2, "done", 2),
+    ]:
         onlooker.note("run-1", before, stage)
         assert len(onlooker.broken) == broken
     assert onlooker.known == {"run-1": 2}
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -256,10 +256,22 @@
 async def drawn(world: World) -> None:
     """Several troubles at once, as the seed has it."""
     faults = [
-        one_crash, all_crash, roll, refused_by_state, cut_from_state, cut_from_workers,
-        state_outage, cloud_outage, bad_machines, deaf_machines, late_copies, blinks,
-        stands_still, zone_cut, many_machines,
-    ]  # fmt: skip
+        one_crash,
+        all_crash,
+        roll,
+        refused_by_state,
+        cut_from_state,
+        cut_from_workers,
+        state_outage,
+        cloud_outage,
+        bad_machines,
+        deaf_machines,
+        late_copies,
+        blinks,
+        stands_still,
+        zone_cut,
+        many_machines,
+    ]
     async with anyio.create_task_group() as group:
         for fault in world.random.sample(faults, 3):
             group.start_soon(fault, world)
@@ -273,9 +285,13 @@
 
 
 def play(
-    fault: Fault, seed: int, jobs: int = 14, length: float = 240.0, slow: float = 1.0,
+    fault: Fault,
+    seed: int,
+    jobs: int = 14,
+    length: float = 240.0,
+    slow: float = 1.0,
     world: World | None = None,
-) -> World:  # fmt: skip
+) -> World:
     world = world or World(seed)
 
     async def script() -> None:
@@ -315,11 +331,28 @@
 
 
 FAULTS = [
-    quiet, one_crash, all_crash, roll, quick_restarts, refused_by_state, cut_from_state,
-    cut_from_workers, state_outage, lost_answers, cloud_outage, bad_machines, everything,
-    deaf_machines, late_copies, blinks, alone_with_its_workers, stands_still,
-    all_end_in_an_outage, zone_cut, many_machines,
-]  # fmt: skip
+    quiet,
+    one_crash,
+    all_crash,
+    roll,
+    quick_restarts,
+    refused_by_state,
+    cut_from_state,
+    cut_from_workers,
+    state_outage,
+    lost_answers,
+    cloud_outage,
+    bad_machines,
+    everything,
+    deaf_machines,
+    late_copies,
+    blinks,
+    alone_with_its_workers,
+    stands_still,
+    all_end_in_an_outage,
+    zone_cut,
+    many_machines,
+]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -112,9 +112,7 @@
             )
             for task, attempt in self.on[name].items()
         ]
-        report = Report(
-            name, TypeName("k"), IN_ZONE, False, 1, self.seq, TOKEN, None, "", tasks
-        )  # fmt: skip
+        report = Report(name, TypeName("k"), IN_ZONE, False, 1, self.seq, TOKEN, None, "", tasks)
         orders = self.core.report(at, report, True)
         for task in done:
             self.on[name].pop(task, None)
@@ -253,20 +251,38 @@
     for n in range(idle):
         mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
         machines[f"vm-{n}"] = {
-            "free": (4.0, 0.0, 64.0), "ends": [], "queued": 0, "usable": True, "heard": True,
-            "leaving": False, "faulty": False, "images": [],
-        }  # fmt: skip
+            "free": (4.0, 0.0, 64.0),
+            "ends": [],
+            "queued": 0,
+            "usable": True,
+            "heard": True,
+            "leaving": False,
+            "faulty": False,
+            "images": [],
+        }
     gangs = [(tasks, float(n)) for n, tasks in enumerate(sizes)]
     for n, (tasks, at) in enumerate(gangs):
         mirror.put(f"dw/j/run-{n}", JobRecord(spec(tasks, 4.0, 10.0, True), at).dump(), 100 + n)
     core.part_status(
         1.0,
         {
-            "zone": "a", "token": 2, "number": 1, "base": 0, "at": 1.0, "seen": 500,
-            "machines": machines, "jobs": {}, "gangs": {}, "silent": {}, "idle": {},
-            "heard_ago": 0.0, "clear": [], "estimates": {}, "unheard": 0,
+            "zone": "a",
+            "token": 2,
+            "number": 1,
+            "base": 0,
+            "at": 1.0,
+            "seen": 500,
+            "machines": machines,
+            "jobs": {},
+            "gangs": {},
+            "silent": {},
+            "idle": {},
+            "heard_ago": 0.0,
+            "clear": [],
+            "estimates": {},
+            "unheard": 0,
         },
-    )  # fmt: skip
+    )
     placed = {
         int(change.key.rpartition("-")[2])
         for change in core.plan(1.0, 1.0)
@@ -363,7 +379,7 @@
         item = TaskReport(task, bench.on[machine][task], "exited", "full", False)
         report = Report(
             machine, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", [item]
-        )  # fmt: skip
+        )
         return bench.core.report(at, report, False)
 
     assert [o.op for o in failed(1.0)] == ["forget"]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -254,7 +254,7 @@
     bench.core = PartCore(ZONE, bench.core.token, bench.mirror, Estimates(), 0.0)
     said = Report(
         MachineId("vm-1"), TypeName("g"), IN_ZONE, False, 1, 1, bench.core.token, None, "", []
-    )  # fmt: skip
+    )
     bench.core.report(9.0, said, True)
     scans = replace(spec(9, 2.0, 30.0), gpus=1.0, types=["g"])
     bench.put("dw/j/run-s", JobRecord(scans, 9.0).dump())
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -38,7 +38,7 @@
     stands_still,
     state_outage,
     zone_cut,
-)  # fmt: skip
+)
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -294,9 +294,10 @@
     assert len(lost) == 3 and world.broken == [] and finished(world) == {}
     for at, epoch in lost:
         after = [
-            body for t, _, body in world.writes
+            body
+            for t, _, body in world.writes
             if t > at and {"key": LEADER, "stamp": epoch} in body.get("if", [])
-        ]  # fmt: skip
+        ]
         assert after
         assert all(op.get("write") == LEADER for body in after for op in body["apply"])
 
@@ -366,7 +367,7 @@
     """The task had moved under the old owner; the copy said where it was before."""
     from dapplewick.core.estimates import Estimates
     from dapplewick.protocol.wire import Report, TaskReport
-    from dapplewick.types import TaskIndex, TaskRef, Token, TypeName
+    from dapplewick.types import MachineId, TaskIndex, TaskRef, Token, TypeName, zone_of
     from test_four_points import TOKEN, ZONE, Bench, spec, starts
 
     bench = Bench(2)
@@ -377,7 +378,8 @@
 
     def report(name: str, seq: int, token: int, attempt: int, at: float) -> list[Any]:
         tasks = [TaskReport(task, attempt, "running", None, False)] if attempt else []  # type: ignore[arg-type]
-        said = Report(name, TypeName("k"), ZONE, False, 1, seq, Token(token), None, "", tasks)  # type: ignore[arg-type]
+        machine, zone = MachineId(name), zone_of(ZONE)
+        said = Report(machine, TypeName("k"), zone, False, 1, seq, Token(token), None, "", tasks)
         return core.report(at, said, True)
 
     copy_says = report(first, 5, TOKEN, 1, 3.0)
@@ -458,9 +460,11 @@
     assert world.broken == [] and finished(world) == {}
     assert len(set(epochs)) == len(epochs)
     names = [
-        op["write"] for _, _, body in world.writes for op in body.get("apply", [])
+        op["write"]
+        for _, _, body in world.writes
+        for op in body.get("apply", [])
         if op.get("write", "").startswith("dw/b/")
-    ]  # fmt: skip
+    ]
     assert len(names) == len(set(names))
 
 
@@ -512,10 +516,14 @@
     await anyio.sleep(3)
     for n in range(24):
         body = world.job(
-            name_id=f"run-{n:06d}", pieces=6, cpus=4.0, true_s=10.0,
+            name_id=f"run-{n:06d}",
+            pieces=6,
+            cpus=4.0,
+            true_s=10.0,
             urgency=["urgent", "standard", "best_effort"][n % 3],
-            shape="group" if n % 4 == 0 else "sweep", crew="blue",
-        )  # fmt: skip
+            shape="group" if n % 4 == 0 else "sweep",
+            crew="blue",
+        )
         world.group.start_soon(world.user, body["name_id"], body, 20.0 if n % 5 == 0 else None)
         await anyio.sleep(0.5)
     await anyio.sleep(60)
@@ -607,13 +615,19 @@
     await anyio.sleep(3)
     for n in range(9):
         places: list[dict[str, Any]] = [
-            {"yard": "a"}, {"same_place": True}, {"same_place": True, "yard": "b"}
-        ]  # fmt: skip
+            {"yard": "a"},
+            {"same_place": True},
+            {"same_place": True, "yard": "b"},
+        ]
         place = places[n % 3]
         body = world.job(
-            name_id=f"run-{n:06d}", pieces=3, cpus=4.0, true_s=30.0,
-            shape="group" if n % 2 else "sweep", **place,
-        )  # fmt: skip
+            name_id=f"run-{n:06d}",
+            pieces=3,
+            cpus=4.0,
+            true_s=30.0,
+            shape="group" if n % 2 else "sweep",
+            **place,
+        )
         world.group.start_soon(world.user, body["name_id"], body, None)
     for zone in ("a", "b", "a"):
         await anyio.sleep(20)
@@ -645,10 +659,16 @@
 
 
 MEETINGS = [
-    all_away, overload, unreachable_with_long_tasks, limit_and_cancellation,
-    cut_leader_and_new_one, mute_machines, bound_jobs_lose_machines, long_outage,
+    all_away,
+    overload,
+    unreachable_with_long_tasks,
+    limit_and_cancellation,
+    cut_leader_and_new_one,
+    mute_machines,
+    bound_jobs_lose_machines,
+    long_outage,
     zone_cut_and_calm,
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -703,9 +723,21 @@
 
 
 DRAWN: list[Script] = [
-    late_writes, slow_state, mute, cancel_running, all_crash, blinks, cut_from_state,
-    deaf_machines, late_copies, one_crash, refused_by_state, stands_still, state_outage, zone_cut,
-]  # fmt: skip
+    late_writes,
+    slow_state,
+    mute,
+    cancel_running,
+    all_crash,
+    blinks,
+    cut_from_state,
+    deaf_machines,
+    late_copies,
+    one_crash,
+    refused_by_state,
+    stands_still,
+    state_outage,
+    zone_cut,
+]
 
 
 @pytest.mark.parametrize("seed", range(41, 53))
@@ -793,9 +825,24 @@
     ({"scatter": 1}, 400),
 ]
 FIELDS = [
-    "name_id", "bundle", "crew", "shape", "urgency", "pieces", "cpus", "accelerators", "ram_gb",
-    "kit", "image_gb", "same_place", "scatter", "borrowed", "expected_s", "fold_s", "press_s",
-]  # fmt: skip
+    "name_id",
+    "bundle",
+    "crew",
+    "shape",
+    "urgency",
+    "pieces",
+    "cpus",
+    "accelerators",
+    "ram_gb",
+    "kit",
+    "image_gb",
+    "same_place",
+    "scatter",
+    "borrowed",
+    "expected_s",
+    "fold_s",
+    "press_s",
+]
 
 
 def test_odd_requests_get_the_protocols_answer_also_in_an_outage() -> None:
@@ -835,9 +882,10 @@
             assert await submit(world.jobs["run-open"]) == status
             assert await submit(world.jobs["run-done"]) == 200
             assert (await call(world, "n2", "POST", "run-done", "abort")) == (
-                (503, {"error": "not available now"}) if outage
+                (503, {"error": "not available now"})
+                if outage
                 else (200, {"name_id": "run-done", "stage": "done"})
-            )  # fmt: skip
+            )
             unknown = 503 if outage else 404
             assert (await call(world, "n0", "GET", "run-none"))[0] == unknown
             assert (await call(world, "n0", "POST", "run-none", "abort"))[0] == unknown
--- a/tests/test_mirror_model.py
+++ b/tests/test_mirror_model.py
@@ -114,10 +114,14 @@
     def watch_is_answered(self) -> None:
         since = int(self.mirror.revision)
         events = [
-            Event(number, put=None if value is None else key,
-                  delete=key if value is None else None, value=value)
+            Event(
+                number,
+                put=None if value is None else key,
+                delete=key if value is None else None,
+                value=value,
+            )
             for number, key, value in self.history.changes[since:]
-        ]  # fmt: skip
+        ]
         self.answers.append((events, self.history.revision))
 
     @rule(which=st.integers(0, 5))
@@ -164,9 +168,10 @@
         """With the version at which the peer first read it: that of the cancellation itself, or
         of a later change of the same record."""
         versions = [
-            n for n, key, value in self.history.changes
+            n
+            for n, key, value in self.history.changes
             if key == JOBS + job_id and value is not None and value["stage"] == CANCELLED
-        ]  # fmt: skip
+        ]
         if not versions:
             return
         version = versions[-1 if latest else 0]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -43,11 +43,13 @@
         ("class_weights = [1]\n", "a dict of classes"),
         ("load('x.star', 'y')\n", "a.star:1"),
         ("open('/etc/passwd')\n", "a.star:1"),
-        ("def f():\n  for a in range(100000):\n    for b in range(100000):\n      pass\nf()\n",
-         "too many steps"),
+        (
+            "def f():\n  for a in range(100000):\n    for b in range(100000):\n      pass\nf()\n",
+            "too many steps",
+        ),
         ("def f():\n  f()\nf()\n", "a.star"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_script_is_refused_with_its_place(text: str, complaint: str) -> None:
     with pytest.raises(script.ScriptError) as caught:
         script.parse("a.star", text)
--- a/tests/test_previous_main.py
+++ b/tests/test_previous_main.py
@@ -111,8 +111,11 @@
             if change.value is not None and change.value["machines"].get(name) == "d":
                 machines[name] = msgspec.convert(change.value, type=GroupRecord).record(name)
         for mirror in (
-            store.mirror, followed, store.read_anew(Mirror()), store.read_anew(earlier.Mirror())
-        ):  # fmt: skip
+            store.mirror,
+            followed,
+            store.read_anew(Mirror()),
+            store.read_anew(earlier.Mirror()),
+        ):
             assert states(mirror.machines) == states(machines)
         if all(size_of(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
             break
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -34,7 +34,7 @@
     run_script,
     state_outage,
     zone_cut,
-)  # fmt: skip
+)
 from test_four_points import IN_ZONE, TOKEN, Bench, spec, starts
 from test_meetings import call, finished
 
@@ -59,9 +59,18 @@
 
 
 TROUBLES: list[Script] = [
-    all_crash, bad_machines, blinks, cut_from_state, deaf_machines, late_copies, lost_answers,
-    quick_restarts, refused_by_state, state_outage, zone_cut,
-]  # fmt: skip
+    all_crash,
+    bad_machines,
+    blinks,
+    cut_from_state,
+    deaf_machines,
+    late_copies,
+    lost_answers,
+    quick_restarts,
+    refused_by_state,
+    state_outage,
+    zone_cut,
+]
 
 
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
@@ -157,9 +166,13 @@
 
 
 def ended(
-    bench: Bench, machine: MachineId, task: TaskRef, cause: str, at: float,
+    bench: Bench,
+    machine: MachineId,
+    task: TaskRef,
+    cause: str,
+    at: float,
     notice: float | None = None,
-) -> list[Order]:  # fmt: skip
+) -> list[Order]:
     bench.seq += 1
     attempt = bench.on[machine].pop(task)
     tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[machine].items()]
--- a/tests/test_share_history.py
+++ b/tests/test_share_history.py
@@ -24,9 +24,17 @@
 
 def transfer(state: str, draining: list[str], moved: int = 0, count: int = 1) -> dict[str, Any]:
     return {
-        "generation": 1, "source": "a", "target": NIGHT, "type": "c8", "count": count,
-        "state": state, "at": 0.0, "until": 60.0, "moved": moved, "draining": draining,
-    }  # fmt: skip
+        "generation": 1,
+        "source": "a",
+        "target": NIGHT,
+        "type": "c8",
+        "count": count,
+        "state": state,
+        "at": 0.0,
+        "until": 60.0,
+        "moved": moved,
+        "draining": draining,
+    }
 
 
 BEGUN: list[Entry] = [
@@ -65,13 +73,18 @@
             "without a transfer",
         ),
         (
-            [HANDED_OVER[0], (14, "dw/m/r.1", group({"m1": "u"}, "night", {"m1": 10}), False),
-             HANDED_OVER[2]],
+            [
+                HANDED_OVER[0],
+                (14, "dw/m/r.1", group({"m1": "u"}, "night", {"m1": 10}), False),
+                HANDED_OVER[2],
+            ],
             "does not shut a out",
         ),
         (
-            [(13, "dw/j/g", {"gang": {"attempt": 1, "places": [["a", "m1"]]}}, False),
-             *HANDED_OVER],
+            [
+                (13, "dw/j/g", {"gang": {"attempt": 1, "places": [["a", "m1"]]}}, False),
+                *HANDED_OVER,
+            ],
             "while dw/j/g had a place on it",
         ),
         (
@@ -81,12 +94,14 @@
         ([(14, "dw/s/t", transfer("complete", [], 2), False)], "moved more than it was to"),
         ([(14, "dw/s/t", None, True)], "removed while it was open"),
         (
-            [(14, "dw/s/t", transfer("cancelled", []), False),
-             (15, "dw/s/t", transfer("draining", ["m1"]), False)],
+            [
+                (14, "dw/s/t", transfer("cancelled", []), False),
+                (15, "dw/s/t", transfer("draining", ["m1"]), False),
+            ],
             "opened again",
         ),
         ([(14, "dw/s/u", transfer("draining", ["m1"]), False)], "drain the same machine"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_history_is_found_bad(entries: list[Entry], complaint: str) -> None:
     assert any(complaint in said for said in check(*entries))
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -1,9 +1,10 @@
 """The keeping of shares against a slow plain model of machines, owners and workers.
 
-The real leader's side (`ShareKeeper`, `MachineBook`, `Mirror`) writes to a store in which any
-write may be lost, come late, or be the last of its leader. Owners are plain: each has its own
-mirror, which lags behind, and starts work on whatever that shows to be its own. Workers keep the
-highest token that they have seen. The model counts by looking at everything.
+The real leader's side (`ShareKeeper`, `MachineBook`, `Mirror`)
+writes to a store in which any write may be lost, come late, or be the last of its leader. Owners
+are plain: each has its own cache, which lags behind, and starts work on whatever that shows to be
+its own. Workers keep the highest token that they have seen.
+The model counts by looking at everything.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 from hypothesis import strategies as st
 from msgspec import to_builtins
 
+from dapplewick.core.fleet import Fleet
 from dapplewick.core.machines import Change, MachineBook
 from dapplewick.core.part_view import PartView
 from dapplewick.protocol.wire import Event
@@ -128,20 +130,33 @@
         view = PartView(self.part, self.token)
         machines = {
             machine: {
-                "heard": True, "leaving": False, "faulty": False, "usable": True,
+                "heard": True,
+                "leaving": False,
+                "faulty": False,
+                "usable": True,
                 "ends": [(5.0, 1.0, 0.0, 1.0, 0, "")] * len(running),
             }
             for machine, running in self.heard.items()
-        }  # fmt: skip
+        }
         drained = [
             machine
             for machine in self.mirror.transfers.drained()
             if self.heard.get(machine) == set()
         ]
-        view.apply(0.0, {
-            "number": number, "base": 0, "at": 0.0, "seen": self.mirror.revision,
-            "machines": machines, "jobs": {}, "gangs": {}, "drained": drained, "silent": {},
-        })  # fmt: skip
+        view.apply(
+            0.0,
+            {
+                "number": number,
+                "base": 0,
+                "at": 0.0,
+                "seen": self.mirror.revision,
+                "machines": machines,
+                "jobs": {},
+                "gangs": {},
+                "drained": drained,
+                "silent": {},
+            },
+        )
         return view
 
 
@@ -175,9 +190,8 @@
         self.late.clear()
         self.mirror = Mirror()
         self.store.follow(self.mirror)
-        self.book = MachineBook(
-            self.mirror, None, 14.0, 4.0, VALUE_BYTES, TXN_OPS  # type: ignore[arg-type]
-        )  # fmt: skip
+        fleet = Fleet(self.mirror, ["a"], 1)
+        self.book = MachineBook(self.mirror, fleet, 14.0, 4.0, VALUE_BYTES, TXN_OPS)
         self.keeper = ShareKeeper(self.mirror, MachineIndex(self.mirror), ["a"], MoveTimes())
         self.keeper.plan = PLAN
         self.keeper.targets.known = True
@@ -193,9 +207,16 @@
     def order(self, source: PartName, target: PartName, count: int) -> None:
         self.orders += 1
         record = TransferRecord(
-            0, source, target, "m", count, REQUESTED, self.now,
-            self.now + PLAN.move_within_s, origin=OPERATOR,
-        )  # fmt: skip
+            0,
+            source,
+            target,
+            "m",
+            count,
+            REQUESTED,
+            self.now,
+            self.now + PLAN.move_within_s,
+            origin=OPERATOR,
+        )
         self.keeper.orders = [Order(TransferId(f"o-{self.orders}"), record)]
 
     def lead(self, trouble: bool) -> None:
@@ -293,9 +314,10 @@
     machines=st.integers(1, 24),
     moves=st.lists(
         st.tuples(st.permutations(PARTS_OF_ZONE), st.integers(1, 9), st.integers(0, 40)),
-        min_size=1, max_size=5,
+        min_size=1,
+        max_size=5,
     ),
-)  # fmt: skip
+)
 def test_drawn_moves_failures_and_lags(
     seed: int, machines: int, moves: list[tuple[list[PartName], int, int]]
 ) -> None:
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -473,9 +473,17 @@
 
 
 WORLD_TROUBLES: list[Script] = [
-    state_down, answers_lost, writes_late, late_reports, machine_hangs, machine_taken, workers_deaf,
-    all_killed, leaders_in_turn, giver_cut_from_workers,
-]  # fmt: skip
+    state_down,
+    answers_lost,
+    writes_late,
+    late_reports,
+    machine_hangs,
+    machine_taken,
+    workers_deaf,
+    all_killed,
+    leaders_in_turn,
+    giver_cut_from_workers,
+]
 
 
 @pytest.mark.parametrize("second", [False, True], ids=["one move", "moved on"])
@@ -606,8 +614,13 @@
 def test_bad_orders_and_plans_are_refused_and_the_plan_in_force_stays() -> None:
     world = new_world(34)
     good = {
-        "id": "o-000000aa", "zone": "a", "type": "c8", "count": 1, "source": "", "target": "night",
-    }  # fmt: skip
+        "id": "o-000000aa",
+        "zone": "a",
+        "type": "c8",
+        "count": 1,
+        "source": "",
+        "target": "night",
+    }
 
     async def script(world: World) -> None:
         await busy_zone(world, 4, 5.0)
@@ -662,13 +675,25 @@
     async def script(world: World) -> None:
         await busy_zone(world, 4, 8.0)
         good: dict[str, Any] = {
-            "generation": 1, "source": "a", "target": "a/~night", "type": "c8", "count": 1,
-            "state": "draining", "at": 0.0, "until": 1e9,
-        }  # fmt: skip
+            "generation": 1,
+            "source": "a",
+            "target": "a/~night",
+            "type": "c8",
+            "count": 1,
+            "state": "draining",
+            "at": 0.0,
+            "until": 1e9,
+        }
         bad_fields: list[dict[str, Any]] = [
-            {"state": "lost"}, {"count": 0}, {"count": "x"}, {"target": "a"}, {"moved": -1},
-            {"draining": ["m"] * 2}, {"draining": [f"m{n}" for n in range(61)]}, {"source": 4},
-        ]  # fmt: skip
+            {"state": "lost"},
+            {"count": 0},
+            {"count": "x"},
+            {"target": "a"},
+            {"moved": -1},
+            {"draining": ["m"] * 2},
+            {"draining": [f"m{n}" for n in range(61)]},
+            {"source": 4},
+        ]
         for number, bad in enumerate(bad_fields):
             world.state.ledger += 1
             key, value = f"dw/s/bad{number}", good | bad
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -64,22 +64,30 @@
         ("shares = {'X!': {'teams': ['t'], 'rules': [{'types': ['m']}]}}", "shares['X!']: a name"),
         ("shares = {'x': {'teams': [], 'rules': [{'types': ['m']}]}}", "shares['x'].teams"),
         ("shares = {'x': {'teams': ['t'], 'rules': [{'types': []}]}}", "rules[0].types"),
-        ("shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.6, 'most': 0.5}]}}",
-         "shares['x'].rules[0].least"),
-        ("shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'hours': ('3', '4')}]}}",
-         "rules[0].hours: '3' is no time of day"),
-        ("_x = {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.6}]}\n"
-         "shares = {'x': _x, 'y': _x}",
-         "shares['y'].rules: least: 1.2 of all m is promised in each zone at 00:00"),
-        ("shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.5}]},"
-         " 'y': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.8, 'zones': ['a'],"
-         " 'hours': ('22:00', '04:30')}]}}",
-         "1.3 of all m is promised in a at 00:00"),
+        (
+            "shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.6, 'most': 0.5}]}}",
+            "shares['x'].rules[0].least",
+        ),
+        (
+            "shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'hours': ('3', '4')}]}}",
+            "rules[0].hours: '3' is no time of day",
+        ),
+        (
+            "_x = {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.6}]}\n"
+            "shares = {'x': _x, 'y': _x}",
+            "shares['y'].rules: least: 1.2 of all m is promised in each zone at 00:00",
+        ),
+        (
+            "shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.5}]},"
+            " 'y': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.8, 'zones': ['a'],"
+            " 'hours': ('22:00', '04:30')}]}}",
+            "1.3 of all m is promised in a at 00:00",
+        ),
         ("margin = 2", "margin: must be from 0 to 1"),
         ("move_within_s = 1", "move_within_s: must be from 10"),
         ("hold_orders_s = -1", "hold_orders_s: must be from 0"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_plan_is_refused_in_one_line_that_names_the_field(text: str, complaint: str) -> None:
     with pytest.raises(PlanError) as caught:
         parse("p.star", text)
@@ -154,12 +162,14 @@
     )
     solution = solve(asked)
     assert solution is not None and solution[Cell("x", "a", "m")] == 3
-    heavy = convert({
-        "shares": {
-            "x": {"teams": ["t"], "rules": [rule()], "weight": 5.0},
-            "y": {"teams": ["u"], "rules": [rule()]},
+    heavy = convert(
+        {
+            "shares": {
+                "x": {"teams": ["t"], "rules": [rule()], "weight": 5.0},
+                "y": {"teams": ["u"], "rules": [rule()]},
+            }
         }
-    })  # fmt: skip
+    )
     solution = solve(problem(heavy, 4, {"x": 32.0, "y": 32.0}))
     assert solution is not None and solution[Cell("x", "a", "m")] == 4
 
@@ -211,9 +221,10 @@
     machines=st.integers(0, 30),
     shares=st.lists(
         st.tuples(st.floats(0.0, 0.3), st.floats(0.3, 1.0), st.floats(0.0, 400.0)),
-        min_size=1, max_size=3,
+        min_size=1,
+        max_size=3,
     ),
-)  # fmt: skip
+)
 def test_solutions_are_whole_and_within_all_bounds(
     machines: int, shares: list[tuple[float, float, float]]
 ) -> None:
@@ -230,10 +241,26 @@
 
 def job(team: str, tasks: int, cpus: float, deadline: float | None = None) -> JobRecord:
     spec = JobSpec(
-        bundle="x", team=team, gang=False, rank=1, tasks=tasks, cpus=cpus, gpus=0.0, ram=1.0,
-        image="i", image_gb=1.0, types=None, zone=None, one_zone=False, spread=False, spot=False,
-        estimate=10.0, checkpoint=0.0, save=0.0, deadline=deadline,
-    )  # fmt: skip
+        bundle="x",
+        team=team,
+        gang=False,
+        rank=1,
+        tasks=tasks,
+        cpus=cpus,
+        gpus=0.0,
+        ram=1.0,
+        image="i",
+        image_gb=1.0,
+        types=None,
+        zone=None,
+        one_zone=False,
+        spread=False,
+        spot=False,
+        estimate=10.0,
+        checkpoint=0.0,
+        save=0.0,
+        deadline=deadline,
+    )
     return JobRecord(spec, 1000.0)
 
 
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -23,12 +23,14 @@
 from test_size import GROUP, MACHINES_UP
 
 SHARES = [f"s{n}" for n in range(20)]
-PLAN = plans.convert({
-    "shares": {
-        name: {"teams": ["red"], "rules": [{"types": ["c8"], "least": 0.01, "most": 0.01}]}
-        for name in SHARES
+PLAN = plans.convert(
+    {
+        "shares": {
+            name: {"teams": ["red"], "rules": [{"types": ["c8"], "least": 0.01, "most": 0.01}]}
+            for name in SHARES
+        }
     }
-})  # fmt: skip
+)
 MOVED = 40
 
 
@@ -51,13 +53,15 @@
         self.book = MachineBook(self.mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
         index = MachineIndex(self.mirror)
         self.keeper = ShareKeeper(self.mirror, index, ["a"], MoveTimes())
-        self.keeper.plan = plans.convert({
-            "shares": {
-                name: {"teams": ["red"], "rules": [{"types": ["c8"], "most": 0.0}]}
-                for name in SHARES
-            },
-            "hold_orders_s": 600000.0,
-        })  # fmt: skip
+        self.keeper.plan = plans.convert(
+            {
+                "shares": {
+                    name: {"teams": ["red"], "rules": [{"types": ["c8"], "most": 0.0}]}
+                    for name in SHARES
+                },
+                "hold_orders_s": 600000.0,
+            }
+        )
         self.views = [self.view(part) for part in self.parts]
         index.refresh()
 
@@ -73,16 +77,27 @@
         view = PartView(part, self.mirror.version(PARTS + part))
         body = {"heard": True, "leaving": False, "faulty": False, "ends": []}
         machines = {m: body for m, r in self.mirror.machines.items() if r.part == part}
-        view.apply(0.0, {
-            "number": 1, "base": 0, "at": 0.0, "seen": 0, "machines": machines, "jobs": {},
-            "gangs": {}, "drained": [], "silent": {}, "idle": dict.fromkeys(machines, 30.0),
-        })  # fmt: skip
+        view.apply(
+            0.0,
+            {
+                "number": 1,
+                "base": 0,
+                "at": 0.0,
+                "seen": 0,
+                "machines": machines,
+                "jobs": {},
+                "gangs": {},
+                "drained": [],
+                "silent": {},
+                "idle": dict.fromkeys(machines, 30.0),
+            },
+        )
         return view
 
     def order(self) -> None:
         record = TransferRecord(
             0, "a", self.parts[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
-        )  # fmt: skip
+        )
         self.keeper.orders = [Order(TransferId("o-00000001"), record)]
 
     def passes(self) -> int:
@@ -136,8 +151,11 @@
             names = [f"vm-{n:06d}" for n in range(first, min(MACHINES_UP, first + GROUP))]
             zone = world.zones[first // GROUP % len(world.zones)]
             value = {
-                "type": "c8", "zone": zone, "spot": False, "machines": dict.fromkeys(names, "u"),
-            }  # fmt: skip
+                "type": "c8",
+                "zone": zone,
+                "spot": False,
+                "machines": dict.fromkeys(names, "u"),
+            }
             state.ledger += 1
             state.keys[f"{MACHINES}r-0-{first}"] = (value, state.ledger, None)
             state.log.append((state.ledger, f"{MACHINES}r-0-{first}", value, False))
--- a/tests/test_shares_sockets.py
+++ b/tests/test_shares_sockets.py
@@ -55,9 +55,19 @@
 
 def move(source: str, target: str, count: int, order: str) -> list[str]:
     return [
-        "move", "--zone", "a", "--type", "c8", "--from", source, "--to", target, "--id", order,
+        "move",
+        "--zone",
+        "a",
+        "--type",
+        "c8",
+        "--from",
+        source,
+        "--to",
+        target,
+        "--id",
+        order,
         str(count),
-    ]  # fmt: skip
+    ]
 
 
 def test_a_move_each_way_with_a_controller_ended_on_the_way(world: RealWorld) -> None:
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -152,7 +152,10 @@
         "sys.exit(', '.join(bad) or 0)"
     )
     done = subprocess.run(
-        [sys.executable, "-c", text], env={"PYTHONPATH": str(ROOT / "src")}, capture_output=True,
-        text=True, check=False,
-    )  # fmt: skip
+        [sys.executable, "-c", text],
+        env={"PYTHONPATH": str(ROOT / "src")},
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert done.returncode == 0, done.stderr
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -53,8 +53,10 @@
     run_script(world, 22.0, script)
     assert world.broken == []
     assert world.told == {
-        "run-000001": "done", "run-000002": "done", "run-000003": "withdrawn",
-    }  # fmt: skip
+        "run-000001": "done",
+        "run-000002": "done",
+        "run-000003": "withdrawn",
+    }
     assert not any(name.startswith("run-000003/") for _, name in world.on_machines_or_fetching())
     assert len(world.workers) >= MACHINES_UP
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -194,14 +194,18 @@
             for _ in range(500):
                 await anyio.sleep(0.1)
                 if [world.told.get(f"run-{n:06d}") for n in (1, 2, 3)] == [
-                    "done", "done", "withdrawn",
-                ]:  # fmt: skip
+                    "done",
+                    "done",
+                    "withdrawn",
+                ]:
                     break
             users.cancel_scope.cancel()
         assert world.broken == []
         assert world.told == {
-            "run-000001": "done", "run-000002": "done", "run-000003": "withdrawn",
-        }  # fmt: skip
+            "run-000001": "done",
+            "run-000002": "done",
+            "run-000003": "withdrawn",
+        }
         assert all(p.poll() is None for p in world.processes.values())
         assert now() > 0
 
@@ -254,8 +258,9 @@
         [sys.executable, *command[1:], "nowhere.json"], cwd=tmp_path, capture_output=True
     )
     assert (done.returncode, done.stderr.decode()) == (
-        2, "dapplewick: settings: nowhere.json: No such file or directory\n",
-    )  # fmt: skip
+        2,
+        "dapplewick: settings: nowhere.json: No such file or directory\n",
+    )
 
 
 def test_past_its_limit_a_listener_gives_up_idle_connections_and_never_ends(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -46,7 +46,7 @@
     run_script,
     state_outage,
     zone_cut,
-)  # fmt: skip
+)
 from test_four_points import Bench, spec
 from test_meetings import cancel, finished, leader
 
@@ -167,9 +167,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    "trouble", [quick_restarts, late_copies, lost_answers, cut_from_state, state_outage, zone_cut],
+    "trouble",
+    [quick_restarts, late_copies, lost_answers, cut_from_state, state_outage, zone_cut],
     ids=lambda f: f.__name__,
-)  # fmt: skip
+)
 def test_arrays_in_chunks_keep_the_rules_in_every_trouble(trouble: Trouble, seed: int) -> None:
     """Grants move between parts, tasks end in no order, some jobs are cancelled, and the limits
     are the lower ones from the start."""
@@ -181,9 +182,16 @@
         for n in range(5):
             each = [world.random.choice([0.5, 3.0, 12.0]) for _ in range(240)]
             body = world.job(
-                name_id=f"run-{n:06d}", pieces=240, cpus=0.25, ram_gb=1.0, true_s=4.0,
-                true_each=each, scatter=n == 1, crew="blue" if n == 2 else "red", expected_s=4.0,
-            )  # fmt: skip
+                name_id=f"run-{n:06d}",
+                pieces=240,
+                cpus=0.25,
+                ram_gb=1.0,
+                true_s=4.0,
+                true_each=each,
+                scatter=n == 1,
+                crew="blue" if n == 2 else "red",
+                expected_s=4.0,
+            )
             world.group.start_soon(world.user, body["name_id"], body, 40.0 if n == 3 else None)
         await trouble(world)
         world.calm_at = now()
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -188,16 +188,33 @@
         machines = {
             f"vm-{n}": {
                 "free": (4.0, 0.0, 64.0) if n < idle else (0.0, 0.0, 63.0),
-                "ends": [] if n < idle else busy, "queued": 0, "usable": True, "heard": True,
-                "leaving": False, "faulty": False, "images": [],
+                "ends": [] if n < idle else busy,
+                "queued": 0,
+                "usable": True,
+                "heard": True,
+                "leaving": False,
+                "faulty": False,
+                "images": [],
             }
             for n in range(6)
-        }  # fmt: skip
+        }
         status = {
-            "zone": "a", "token": 2, "number": number, "base": 0, "at": now, "seen": 500,
-            "machines": machines, "jobs": {}, "gangs": {}, "silent": {}, "idle": {},
-            "heard_ago": 0.0, "clear": [], "estimates": {}, "unheard": 0,
-        }  # fmt: skip
+            "zone": "a",
+            "token": 2,
+            "number": number,
+            "base": 0,
+            "at": now,
+            "seen": 500,
+            "machines": machines,
+            "jobs": {},
+            "gangs": {},
+            "silent": {},
+            "idle": {},
+            "heard_ago": 0.0,
+            "clear": [],
+            "estimates": {},
+            "unheard": 0,
+        }
         core.part_status(now, status)
         found = set()
         for change in core.plan(now, now):
--- a/tests/test_whole_transactions.py
+++ b/tests/test_whole_transactions.py
@@ -33,7 +33,7 @@
 @given(
     runs=st.lists(st.tuples(st.booleans(), st.integers(1, 4)), max_size=8),
     room=st.integers(0, 40),
-)  # fmt: skip
+)
 def test_what_is_cut_off_and_batched_keeps_runs_whole(
     runs: list[tuple[bool, int]], room: int
 ) -> None:
