--- a/src/dapplewick/api.py
+++ b/src/dapplewick/api.py
@@ -118,7 +118,7 @@
             return "unknown zone"
         names = spec.types if spec.types is not None else list(self.controller.mirror.types)
         types = [t for name in names if (t := self.controller.mirror.types.get(name)) is not None]
-        fitting = [t for t in types if spec.size.fits(t.size)]
+        fitting = [t for t in types if spec.resources.fits_in(t.resources)]
         if not fitting:
             return "a task fits no allowed machine type"
         # A type that names no zones is offered in all of them.
--- a/src/dapplewick/coordination/cancellations.py
+++ b/src/dapplewick/coordination/cancellations.py
@@ -19,7 +19,7 @@
 
 from dapplewick.protocol.wire import JOB_ID, MAX_COUNT
 from dapplewick.storage.records import Mirror
-from dapplewick.types import JobId, NodeName, Revision, Seconds
+from dapplewick.types import ControllerName, JobId, Revision, Seconds
 
 HEARD_S = 10.0  # a peer not heard for longer is not waited for with what it has not read
 MAX_LISTED = 2000  # cancellations in one message; with more of them it assures nothing
@@ -49,14 +49,14 @@
 class CancellationWatch:
     """One controller's side of the exchange; a state machine without I/O."""
 
-    def __init__(self, boot: str, peers: Iterable[NodeName], count: int) -> None:
+    def __init__(self, boot: str, peers: Iterable[ControllerName], count: int) -> None:
         self._boot = boot
         self._peers = frozenset(peers)
         # Who is not named among the peers can't be asked, and may tell users of cancellations.
         self._all_named = len(self._peers) + 1 >= count
-        self._questions: dict[NodeName, tuple[str, Seconds]] = {}
-        self._revisions: dict[NodeName, tuple[Seconds, Revision]] = {}
-        self._answered: dict[NodeName, Seconds] = {}
+        self._questions: dict[ControllerName, tuple[str, Seconds]] = {}
+        self._revisions: dict[ControllerName, tuple[Seconds, Revision]] = {}
+        self._answered: dict[ControllerName, Seconds] = {}
 
     def message(self, now: Seconds, mirror: Mirror, ready: bool) -> dict[str, Any]:
         """What to tell the peers now; at the same time a question to them."""
@@ -77,7 +77,12 @@
         }
 
     def hear(
-        self, now: Seconds, me: NodeName, peer: NodeName, said: dict[str, Any], mirror: Mirror
+        self,
+        now: Seconds,
+        me: ControllerName,
+        peer: ControllerName,
+        said: dict[str, Any],
+        mirror: Mirror,
     ) -> None:
         """A peer's message; what it lists goes into the mirror. Raises if it is malformed."""
         if peer not in self._peers or "heard" not in said:
--- a/src/dapplewick/coordination/parts.py
+++ b/src/dapplewick/coordination/parts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dapplewick.storage.records import Mirror, PartRecord
-from dapplewick.types import NodeName, PartName, Seconds, share_of, zone_of
+from dapplewick.types import ControllerName, Seconds, ShardName, partition_of, zone_of
 
 DEAF_PAUSE_S = 20.0  # a part changes hands for silent workers at most this often
 STEADY_S = 20.0  # a controller that came back gets a part again after this time
@@ -14,37 +14,37 @@
 class PartAssigner:
     """The leader's choice of owners; a part changes hands only for a reason."""
 
-    def __init__(self, mirror: Mirror, zones: list[str], me: NodeName) -> None:
+    def __init__(self, mirror: Mirror, zones: list[str], me: ControllerName) -> None:
         self.mirror = mirror
-        self._zones = [PartName(zone) for zone in zones]
-        self.wanted: list[PartName] = []  # parts of shares that are to be there
+        self._zones = [ShardName(zone) for zone in zones]
+        self.wanted: list[ShardName] = []  # parts of shares that are to be there
         self.me = me
         self._uneven_since: Seconds | None = None
-        self._moved_at: dict[PartName, Seconds] = {}
+        self._moved_at: dict[ShardName, Seconds] = {}
 
-    def parts(self) -> list[PartName]:
+    def parts(self) -> list[ShardName]:
         """Every part that has or needs an owner: the zones, and the shares of them."""
-        shares = [part for part in self.mirror.parts if share_of(part)]
+        shares = [part for part in self.mirror.parts if partition_of(part)]
         return list(dict.fromkeys([*self._zones, *self.wanted, *shares]))
 
-    def changes(self, now: Seconds, deaf: set[PartName]) -> dict[PartName, PartRecord]:
+    def changes(self, now: Seconds, deaf: set[ShardName]) -> dict[ShardName, PartRecord]:
         """The parts that get a new owner now. `deaf` are those whose owner hears none of its
         machines: it may have lost the way to them alone, and another may hear them."""
         nodes = self.mirror.nodes
-        load: dict[NodeName, int] = dict.fromkeys(nodes, 0)
+        load: dict[ControllerName, int] = dict.fromkeys(nodes, 0)
         if self.me in load:
             load[self.me] = LEADING
-        orphans: list[PartName] = []
+        orphans: list[ShardName] = []
         for name in self.parts():
             part = self.mirror.parts.get(name)
-            node = nodes.get(NodeName(part.owner)) if part is not None else None
+            node = nodes.get(ControllerName(part.owner)) if part is not None else None
             # A controller that was started again knows nothing of its earlier life: its part
             # is given out anew, under a new token.
             if part is None or node is None or node.boot != part.boot:
                 orphans.append(name)
             else:
-                load[NodeName(part.owner)] += 1
-        out: dict[PartName, PartRecord] = {}
+                load[ControllerName(part.owner)] += 1
+        out: dict[ShardName, PartRecord] = {}
         for name in orphans:
             if not load:
                 return out
@@ -56,10 +56,10 @@
         return out
 
     def _move_deaf(
-        self, now: Seconds, load: dict[NodeName, int], deaf: set[PartName]
-    ) -> dict[PartName, PartRecord]:
+        self, now: Seconds, load: dict[ControllerName, int], deaf: set[ShardName]
+    ) -> dict[ShardName, PartRecord]:
         for name in sorted(deaf & self.mirror.parts.keys()):
-            owner = NodeName(self.mirror.parts[name].owner)
+            owner = ControllerName(self.mirror.parts[name].owner)
             others = {n: count for n, count in load.items() if n != owner}
             if others and now - self._moved_at.get(name, -1e9) >= DEAF_PAUSE_S:
                 self._moved_at[name] = now
@@ -67,11 +67,15 @@
                 return {name: PartRecord(owner=node, boot=self.mirror.nodes[node].boot)}
         return {}
 
-    def _key(self, node: NodeName, part: PartName, load: dict[NodeName, int]) -> tuple[object, ...]:
+    def _key(
+        self, node: ControllerName, part: ShardName, load: dict[ControllerName, int]
+    ) -> tuple[object, ...]:
         """The least loaded, preferably not the leader, preferably in the zone itself."""
         return (load[node], node == self.me, self.mirror.nodes[node].zone != zone_of(part), node)
 
-    def _even_out(self, now: Seconds, load: dict[NodeName, int]) -> dict[PartName, PartRecord]:
+    def _even_out(
+        self, now: Seconds, load: dict[ControllerName, int]
+    ) -> dict[ShardName, PartRecord]:
         if not load or max(load.values()) - min(load.values()) < 2:
             self._uneven_since = None
             return {}
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -6,7 +6,7 @@
 
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.storage.records import Mirror
-from dapplewick.types import NOTHING, JobId, Seconds, Size
+from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds
 
 GANG_WINDOW_S = 45.0  # gang tasks that come in this time should find idle slots
 MEMORY_S = 60.0  # over this time the rate at which gangs come is counted
@@ -28,12 +28,12 @@
         self._aimed = aimed  # classes of which the users say what they expect
         self._wanted = 0.0
         self._at = 0.0
-        self._each = Size(0.0, 1.0, 0.0)
+        self._each = Resources(0.0, 1.0, 0.0)
         self._share = 0.0
         self.rank = -1  # the highest of the work that wants accelerators
 
     def update(self, now: Seconds, wall: Seconds) -> None:
-        wanted = cpus = ram = 0.0
+        wanted = cpus = ram_gb = 0.0
         self.rank = -1
         for _, job in self.mirror.each_live():
             spec = job.spec
@@ -45,9 +45,9 @@
                 self.rank = max(self.rank, spec.rank)
                 wanted += spec.gpus * (spec.tasks - len(job.done))
                 cpus = max(cpus, spec.cpus / spec.gpus)
-                ram = max(ram, spec.ram / spec.gpus)
-        if cpus or ram:
-            self._each = Size(cpus, 1.0, ram)
+                ram_gb = max(ram_gb, spec.ram_gb / spec.gpus)
+        if cpus or ram_gb:
+            self._each = Resources(cpus, 1.0, ram_gb)
         fade = math.exp(-max(0.0, now - self._at) / FADE_S)
         self._at = now
         self._wanted = max(wanted, self._wanted * fade)
@@ -65,13 +65,13 @@
         """Whether most accelerators are wanted: what their work leaves goes to more of it."""
         return self._share > SCARCE
 
-    def reserve(self, capacity: Size, free: Size) -> Size:
+    def reserve(self, capacity: Resources, free: Resources) -> Resources:
         """What is to be left free on a machine for the accelerators that are wanted."""
         if capacity.gpus <= 0 or self._share <= 0.01:
-            return NOTHING
+            return NO_RESOURCES
         target = math.floor(self._share * capacity.gpus + 0.5)
         count = max(0.0, min(free.gpus, target - (capacity.gpus - free.gpus)))
-        return Size(self._each.cpus * count, 0.0, self._each.ram * count)
+        return Resources(self._each.cpus * count, 0.0, self._each.ram_gb * count)
 
 
 class GangDemand:
@@ -89,7 +89,7 @@
         self._begun = 0.0
         self.spec: JobSpec | None = None
         self._seen: dict[JobId, None] = {}
-        self.size = NOTHING
+        self.resources = NO_RESOURCES
         self.rank = 0
         self.slots = 0.0  # for gangs that are expected
         self.waiting = 0  # tasks of gangs that have no place yet
@@ -106,7 +106,7 @@
             if job.spec.gang and job_id not in self._seen:
                 self._seen[job_id] = None
                 self.spec = job.spec
-                self.size = job.spec.size
+                self.resources = job.spec.resources
                 self.rank = job.spec.rank
                 if self._at is not None:
                     fresh += job.spec.tasks
@@ -137,9 +137,13 @@
             return False
         return spec.rank >= self.rank and self.slots + self.waiting >= 0.5
 
-    def rest(self, free: Size) -> Size:
+    def rest(self, free: Resources) -> Resources:
         """A room less the whole slots of the gangs' size in it."""
-        count = self.size.times_in(free)
+        count = self.resources.count_in(free)
         return free.minus(
-            Size(self.size.cpus * count, self.size.gpus * count, self.size.ram * count)
+            Resources(
+                self.resources.cpus * count,
+                self.resources.gpus * count,
+                self.resources.ram_gb * count,
+            )
         )
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -11,7 +11,7 @@
 from dapplewick.protocol.wire import JobSpec, MachineType
 from dapplewick.storage.records import BookingRecord, Mirror
 from dapplewick.tuning import Tuning
-from dapplewick.types import MachineId, PartName, Seconds, TypeName, Zone
+from dapplewick.types import MachineId, Seconds, ShardName, TypeName, Zone
 
 log = logging.getLogger("dapplewick.fleet")
 
@@ -85,7 +85,14 @@
 
     def _empty(self, name: str, kind: MachineType, zone: str, spot: bool) -> View:
         return View(
-            MachineId(name), TypeName(kind.name), PartName(zone), spot, kind.size, kind.size, [], 0
+            MachineId(name),
+            TypeName(kind.name),
+            ShardName(zone),
+            spot,
+            kind.resources,
+            kind.resources,
+            [],
+            0,
         )
 
     def _offers(
@@ -102,7 +109,7 @@
         for kind in (self.prices or self.mirror.types).values():
             if spec.types is not None and kind.name not in spec.types:
                 continue
-            if not spec.size.fits(kind.size):
+            if not spec.resources.fits_in(kind.resources):
                 continue
             for zone in kind.zones or self.zones:
                 if zone not in zones or (spec.zone is not None and spec.zone != zone):
@@ -128,7 +135,7 @@
         """
         pool = _rooms_by_zone(rooms)
         for zone in self.zones:
-            pool.setdefault(Zone(zone), PartRooms(PartName(zone), []))
+            pool.setdefault(Zone(zone), PartRooms(ShardName(zone), []))
         for view in self.coming(wall):
             if view.zone in pool:
                 pool[view.zone].add(view)
@@ -231,7 +238,7 @@
         """The offer with the lowest price for each task it would run now."""
         best: tuple[float, float, Offer] | None = None
         for offer in self._offers(now, spec, zones, asked):
-            slots = min(count, spec.size.times_in(offer.type.size))
+            slots = min(count, spec.resources.count_in(offer.type.resources))
             # Machines of one kind and zone are few: ask for some elsewhere too.
             crowd = asked.get((offer.type.name, offer.zone, offer.spot), 0)
             key = (offer.price / slots * (1.0 + 0.1 * crowd), self.random.random())
@@ -265,7 +272,7 @@
 def _joined(zone: Zone, rooms: list[PartRooms]) -> PartRooms:
     if len(rooms) == 1:
         return rooms[0]
-    return PartRooms(PartName(zone), [view for room in rooms for view in room.views])
+    return PartRooms(ShardName(zone), [view for room in rooms for view in room.views])
 
 
 def wanted_slots(work: Seconds, running: int, horizon: Seconds) -> int:
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -50,14 +50,14 @@
 )
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
-    PER_TOKEN,
+    IDS_PER_TOKEN,
+    ControllerName,
+    FencingToken,
     JobId,
     MachineId,
-    NodeName,
-    PartName,
+    Resources,
     Seconds,
-    Size,
-    Token,
+    ShardName,
     Zone,
     zone_of,
 )
@@ -81,7 +81,7 @@
     def note_waiting(self, wall: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Jobs of which nothing has started may wait for room that is kept for other teams."""
 
-    def served_teams(self, part: PartName) -> frozenset[str] | None:
+    def served_teams(self, part: ShardName) -> frozenset[str] | None:
         """The teams whose work may come to a part; None: all teams."""
 
     def changes(
@@ -103,7 +103,7 @@
         mirror: Mirror,
         settings: Settings,
         estimates: Estimates,
-        epoch: Token,
+        epoch: FencingToken,
         now: Seconds,
         tuning: Tuning | None = None,
         part_names: list[str] | None = None,
@@ -132,7 +132,7 @@
             self.settings.workers.report_s,
         )
         self._job_writes = JobWrites(mirror, part_names or self.settings.zones, limits.value_bytes)
-        self.parts: dict[PartName, PartView] = {}
+        self.parts: dict[ShardName, PartView] = {}
         self._need_planner = NeedPlanner(
             mirror, self.settings.zones, estimates, self.tuning, self.gangs, self.parts, self._job
         )
@@ -152,7 +152,7 @@
 
     def part_status(self, now: Seconds, body: dict[str, Any]) -> int:
         """A part's status; gives the number up to which this part is known here."""
-        name = PartName(body["zone"])
+        name = ShardName(body["zone"])
         token = self.mirror.version(PARTS + name)
         if body["token"] != token:
             return 0
@@ -183,7 +183,7 @@
         self.types = types
         self.fleet.catalog(types)
 
-    def deaf_parts(self) -> set[PartName]:
+    def deaf_parts(self) -> set[ShardName]:
         """Parts whose owner has not heard any of its machines for a while, though they are up.
 
         Deleting them all as silent would cost a part its work for one node's broken network.
@@ -266,7 +266,10 @@
         it, the newer format is used: for good, since the record of it is a condition of nothing
         and read by all. One that was not heard of may yet come back with the older version."""
         understood = min(
-            (self.mirror.understood.get(NodeName(name), FIRST_FORMAT) for name in self._names),
+            (
+                self.mirror.understood.get(ControllerName(name), FIRST_FORMAT)
+                for name in self._names
+            ),
             default=FIRST_FORMAT,
         )
         if self.mirror.format >= understood:
@@ -369,7 +372,7 @@
                 continue
             states = []
             for name in gang.parts():
-                part = owned.get(PartName(name))
+                part = owned.get(ShardName(name))
                 state = "unknown"
                 if part is not None and part.seen >= old.version:
                     attempt, said, _ = part.gangs.get(job_id, (0, "unknown", 0.0))
@@ -394,9 +397,9 @@
                     )
         self._held_since = held
 
-    def _usage(self) -> dict[str, Size]:
+    def _usage(self) -> dict[str, Resources]:
         """What each team's tasks use or may still use."""
-        usage = {name: Size(0.0, 0.0, 0.0) for name in self._teams}
+        usage = {name: Resources(0.0, 0.0, 0.0) for name in self._teams}
         for job_id in self.mirror.live_jobs:
             job = self._job(job_id)
             count = sum(len(tasks) for tasks in job.grants.values())
@@ -404,10 +407,10 @@
                 count += job.spec.tasks
             used = usage.get(job.spec.team)
             if used is not None and count:
-                usage[job.spec.team] = used.plus(job.size.times(count))
+                usage[job.spec.team] = used.plus(job.resources.times(count))
         return usage
 
-    def _within_limit(self, spec: JobSpec, usage: dict[str, Size]) -> int:
+    def _within_limit(self, spec: JobSpec, usage: dict[str, Resources]) -> int:
         """How many more tasks of this kind its team's limit allows."""
         team, used = self._teams.get(spec.team), usage.get(spec.team)
         if team is None or used is None:
@@ -421,8 +424,8 @@
                 most = min(most, int((limit - have + 1e-6) / each))
         return max(0, most)
 
-    def _spend(self, spec: JobSpec, count: int, usage: dict[str, Size]) -> None:
-        usage[spec.team] = usage[spec.team].plus(spec.size.times(count))
+    def _spend(self, spec: JobSpec, count: int, usage: dict[str, Resources]) -> None:
+        usage[spec.team] = usage[spec.team].plus(spec.resources.times(count))
 
     def _rooms(self, now: Seconds) -> list[PartRooms]:
         """The parts' rooms, less what was given to them that their statuses don't show."""
@@ -448,7 +451,7 @@
                         record.type,
                         part.part,
                         record.spot,
-                        kind.size,
+                        kind.resources,
                         body,
                         self.demand,
                         part.clock,
@@ -465,16 +468,16 @@
             job = self._job(job_id)
             if job.gang is not None:
                 for name, machine in job.gang.places:
-                    said = self.parts.get(PartName(name))
+                    said = self.parts.get(ShardName(name))
                     if name not in by_part or said is None or said.seen >= job.version:
                         continue
                     taken = said.views.get(MachineId(machine))
                     if taken is not None:
-                        by_part[name].take([taken], job.size)
+                        by_part[name].take([taken], job.resources)
             for name, tasks in job.grants.items():
                 if name not in by_part:
                     continue
-                backlog = len(tasks) - self.parts[PartName(name)].placed(job_id)
+                backlog = len(tasks) - self.parts[ShardName(name)].placed(job_id)
                 if backlog > 0:
                     by_part[name].take_most(job.spec, backlog)
         return rooms
@@ -482,7 +485,7 @@
     # Gangs
 
     def _place_gangs(
-        self, now: Seconds, wall: Seconds, rooms: list[PartRooms], usage: dict[str, Size]
+        self, now: Seconds, wall: Seconds, rooms: list[PartRooms], usage: dict[str, Resources]
     ) -> None:
         """The largest fitting gang first, the oldest among equals, until none fits."""
         waiting = [
@@ -509,7 +512,7 @@
     ) -> list[tuple[JobId, JobRecord]]:
         """Gangs for which no machines without accelerators are about to come up. At the start
         of a day all come up together, and those that were there first kept gangs for minutes."""
-        coming = {Zone(z): PartRooms(PartName(z), []) for z in self.settings.zones}
+        coming = {Zone(z): PartRooms(ShardName(z), []) for z in self.settings.zones}
         for view in self.fleet.coming(wall):
             if view.capacity.gpus == 0 and view.zone in coming:
                 coming[view.zone].add(view)
@@ -532,7 +535,7 @@
         waiting: list[tuple[JobId, JobRecord]],
         wall: Seconds,
         rooms: list[PartRooms],
-        usage: dict[str, Size],
+        usage: dict[str, Resources],
     ) -> list[tuple[JobId, JobRecord]]:
         """Place gangs in this order; gives those for which there was no room."""
         left = []
@@ -551,11 +554,11 @@
                 continue
             chosen, preempt = found
             for view in chosen:
-                by_part[view.part].take([view], job.size)
+                by_part[view.part].take([view], job.resources)
             self._reservation.placed(wall, {view.part for view in chosen})
             self._spend(spec, spec.tasks, usage)
             self._counter += 1
-            attempt = self.epoch * PER_TOKEN + self._counter
+            attempt = self.epoch * IDS_PER_TOKEN + self._counter
             places = [(str(v.part), str(v.id)) for v in chosen]
             self._edit(job_id, RANK_GRANTS).gang = GangPlace(attempt, places, preempt=preempt)
             log.info(
@@ -650,7 +653,7 @@
     def _grant(
         self,
         rooms: list[PartRooms],
-        usage: dict[str, Size],
+        usage: dict[str, Resources],
         ordered: list[Waiting],
     ) -> None:
         """Parts get singles by their free room, and a few more for their queues."""
@@ -702,7 +705,7 @@
             or wall - entry.job.at > UNAIMED_WAIT_S
         ]
 
-    def _queue_room(self, rooms: list[PartRooms]) -> dict[PartName, int]:
+    def _queue_room(self, rooms: list[PartRooms]) -> dict[ShardName, int]:
         room = {}
         for part in rooms:
             said = self.parts[part.part]
@@ -721,10 +724,10 @@
         spec: JobSpec,
         job: JobRecord,
         rooms: list[PartRooms],
-        queue_room: dict[PartName, int],
+        queue_room: dict[ShardName, int],
         count: int,
         warm: bool,
-    ) -> dict[PartName, int]:
+    ) -> dict[ShardName, int]:
         shape = spec.shape
         parts = [p for p in rooms if any(v.allows(spec) for v in p.views)]
         if spec.one_zone:
@@ -732,7 +735,7 @@
             if not zones and parts:
                 zones = {_widest_zone(parts, spec)}
             parts = [p for p in parts if p.zone in zones]
-        shares: dict[PartName, int] = {}
+        shares: dict[ShardName, int] = {}
         left = {p.zone: spec.zone_cap - job.granted_in_zone(p.zone) for p in parts}
         # A share kept for its team goes before what all use; by idle room else.
         parts.sort(key=lambda p: (p.teams is None, -p.idle(spec, shape)))
@@ -871,19 +874,19 @@
 
     def _spare_slots(self, rooms: list[PartRooms]) -> int:
         """How many idle slots of the gangs' size there are beyond those to be kept."""
-        idle = sum(self.gangs.size.times_in(v.free) for p in rooms for v in p.open)
+        idle = sum(self.gangs.resources.count_in(v.free) for p in rooms for v in p.open)
         return idle - math.ceil(self.gangs.slots)
 
     def _gang_slots(self, record: MachineRecord) -> int:
         kind = self.mirror.types.get(record.type)
         if kind is None or self.gangs.slots < 0.5:
             return 0
-        return self.gangs.size.times_in(kind.size)
+        return self.gangs.resources.count_in(kind.resources)
 
     def _wanted(self, record: MachineRecord, needs: list[Need]) -> bool:
         kind = self.mirror.types.get(record.type)
         return kind is not None and any(
-            need.spec.size.fits(kind.size)
+            need.spec.resources.fits_in(kind.resources)
             and (need.spec.types is None or record.type in need.spec.types)
             and (need.spec.spot or not record.spot)
             for need in needs
@@ -899,4 +902,4 @@
 
 
 def _shape(kind: MachineType) -> tuple[Any, ...]:
-    return (kind.name, kind.cpus, kind.gpus, kind.ram, kind.boot, tuple(kind.zones))
+    return (kind.name, kind.cpus, kind.gpus, kind.ram_gb, kind.boot, tuple(kind.zones))
--- a/src/dapplewick/core/model.py
+++ b/src/dapplewick/core/model.py
@@ -9,7 +9,15 @@
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.protocol.wire import JobSpec, Shape
-from dapplewick.types import NOTHING, MachineId, PartName, Seconds, Size, TypeName, zone_of
+from dapplewick.types import (
+    NO_RESOURCES,
+    MachineId,
+    Resources,
+    Seconds,
+    ShardName,
+    TypeName,
+    zone_of,
+)
 
 ONE_GROUP_TIMES = 4.0  # behind one gang a longer wait is taken than behind several
 GANG_RANK = 99  # a gang's task counts as this among ends: nothing stops it for another gang
@@ -19,7 +27,7 @@
     """When a task on a machine is estimated to end, and what it leaves."""
 
     at: Seconds
-    size: Size
+    resources: Resources
     rank: int
     group: str  # tasks with the same one end together: a gang's
 
@@ -53,10 +61,10 @@
         self,
         machine: MachineId,
         type_: TypeName,
-        part: PartName,
+        part: ShardName,
         spot: bool,
-        capacity: Size,
-        free: Size,
+        capacity: Resources,
+        free: Resources,
         ends: list[End],
         queued: int,
         demand: AcceleratorDemand | None = None,
@@ -76,7 +84,7 @@
         self.queued = queued
         self.demand = demand
         self.singles = sum(end.rank < GANG_RANK for end in ends)  # that run here
-        self.could_be = free.cpus + sum(end.size.cpus for end in ends)
+        self.could_be = free.cpus + sum(end.resources.cpus for end in ends)
         self.images = frozenset(images)
         self.usable = True
         self.memo: dict[Any, Any] = {}  # slots by shape, until room is taken
@@ -94,7 +102,7 @@
         """Whether the image of this work is there, or being fetched."""
         return spec.image in self.images
 
-    def room(self, spec: JobSpec) -> Size:
+    def room(self, spec: JobSpec) -> Resources:
         """The free room that this work may use."""
         free = self.free
         if spec.gpus > 0 or spec.daemon or self.demand is None:
@@ -102,7 +110,7 @@
         if self.kept is not None and self.kept.applies(spec):
             free = self.kept.rest(free)
         reserve = self.demand.reserve(self.capacity, self.free)
-        return free if reserve is NOTHING else free.minus(reserve)
+        return free if reserve is NO_RESOURCES else free.minus(reserve)
 
     def keeps_accelerators(self, spec: JobSpec) -> bool:
         """Whether the CPUs beside accelerators here are for work that needs these. A gang that
@@ -110,7 +118,7 @@
         return spec.gpus == 0 and self.demand is not None and self.demand.scarce()
 
     def times(self, spec: JobSpec) -> int:
-        return spec.size.times_in(self.room(spec))
+        return spec.resources.count_in(self.room(spec))
 
     def allows(self, spec: JobSpec) -> bool:
         return (
@@ -123,9 +131,9 @@
     def room_in(self, spec: JobSpec) -> tuple[Seconds, Seconds] | None:
         """When the singles here will have made room: by themselves, and with those below a
         rank stopped. None if they never do."""
-        size, rank = spec.size, spec.rank
+        resources, rank = spec.resources, spec.rank
         room = forced = self.room(spec)
-        if size.fits(room):
+        if resources.fits_in(room):
             return 0.0, 0.0
         natural = -1.0
         keep = self.keeps_accelerators(spec)
@@ -135,15 +143,15 @@
             room = room.plus(taken)
             if other < rank:
                 forced = forced.plus(taken)
-            if natural < 0.0 and size.fits(room):
+            if natural < 0.0 and resources.fits_in(room):
                 natural = max(0.0, end - self.now)
         if natural < 0.0:
             return None
-        stopped = 0.0 if size.fits(forced) else natural
+        stopped = 0.0 if resources.fits_in(forced) else natural
         return natural, stopped
 
-    def take(self, size: Size) -> None:
-        self.free = self.free.minus(size)
+    def take(self, resources: Resources) -> None:
+        self.free = self.free.minus(resources)
         if self.memo:
             self.memo.clear()
 
@@ -156,7 +164,7 @@
             if self.could_be >= spec.cpus - 1e-6 and self.allows(spec):
                 saved = self.free
                 while (times := self.room_in(spec)) is not None:
-                    self.free = self.free.minus(spec.size)
+                    self.free = self.free.minus(spec.resources)
                     waits.append(min(times))
                 self.free = saved
         return waits
@@ -167,17 +175,17 @@
         if slots is None:
             slots = self.memo[(shape, "ends")] = []
             if self.could_be >= spec.cpus - 1e-6 and self.allows(spec):
-                size, room = spec.size, self.room(spec)
-                count = size.times_in(room)
+                resources, room = spec.resources, self.room(spec)
+                count = resources.count_in(room)
                 slots.extend([(0.0, "")] * count)
-                room = room.minus(size.times(count))
+                room = room.minus(resources.times(count))
                 keep = self.keeps_accelerators(spec)
                 for end in self.ends:
-                    if keep and end.size.gpus > 0:
+                    if keep and end.resources.gpus > 0:
                         continue
-                    room = room.plus(end.size)
-                    while size.fits(room):
-                        room = room.minus(size)
+                    room = room.plus(end.resources)
+                    while resources.fits_in(room):
+                        room = room.minus(resources)
                         group = end.group or f"{self.id}/{len(slots)}"
                         slots.append((max(0.0, end.at - self.now), group))
         return slots
@@ -198,7 +206,7 @@
         0.0 if view.warm(spec) else 1.0,
         0.0 if view.spot else 1.0,
         view.free.cpus,
-        view.free.ram,
+        view.free.ram_gb,
     )
 
 
@@ -248,7 +256,7 @@
                 break
             if times[0] > patience and times[1] < times[0]:
                 preempt = True
-            view.take(spec.size)
+            view.take(spec.resources)
             chosen.append(view)
         view.free = saved
         if len(chosen) == count:
@@ -259,17 +267,17 @@
 def view_of(
     machine: MachineId,
     type_: str,
-    part: PartName,
+    part: ShardName,
     spot: bool,
-    capacity: Size,
+    capacity: Resources,
     status: dict[str, Any],
     demand: AcceleratorDemand,
     clock: Seconds = 0.0,
 ) -> View:
     """A machine as a part's status tells it; `clock` is our clock less the part's."""
     ends = [
-        End(float(end) + clock, Size(cpus, gpus, ram), int(rank), str(group))
-        for end, cpus, gpus, ram, rank, group in status["ends"]
+        End(float(end) + clock, Resources(cpus, gpus, ram_gb), int(rank), str(group))
+        for end, cpus, gpus, ram_gb, rank, group in status["ends"]
     ]
     view = View(
         machine,
@@ -277,7 +285,7 @@
         part,
         spot,
         capacity,
-        Size(*status["free"]),
+        Resources(*status["free"]),
         ends,
         int(status["queued"]),
         demand,
@@ -318,7 +326,7 @@
 class PartRooms:
     """One part's rooms within a pass."""
 
-    def __init__(self, part: PartName, views: list[View]) -> None:
+    def __init__(self, part: ShardName, views: list[View]) -> None:
         self.part = part
         self.zone = zone_of(part)
         self.teams: frozenset[str] | None = None  # whose work may come here; None: everybody's
@@ -381,7 +389,7 @@
 
     def could_hold(self, spec: JobSpec) -> bool:
         """Whether this part's machines, if they were empty, would take all of a gang."""
-        slots = (spec.size.times_in(v.capacity) for v in self.views if v.allows(spec))
+        slots = (spec.resources.count_in(v.capacity) for v in self.views if v.allows(spec))
         return sum(slots) >= spec.tasks
 
     def groups(self, spec: JobSpec, shape: Shape) -> tuple[list[View], list[EndGroup]]:
@@ -457,26 +465,26 @@
             if view.allows(spec):
                 times = view.room_in(spec)
                 if times is not None and min(times) <= 0.0:
-                    view.take(spec.size)
+                    view.take(spec.resources)
                     taken += 1
         if taken:
             self.changed()
         return taken
 
-    def take(self, views: Iterable[View], size: Size) -> None:
+    def take(self, views: Iterable[View], resources: Resources) -> None:
         for view in views:
-            view.take(size)
+            view.take(resources)
         self.changed()
 
     def keep_for_gangs(self, gangs: GangDemand, share: float) -> None:
         """Mark the rooms if there are no more idle slots than are to be kept for gangs."""
         if self._elsewhere is None:
-            self._elsewhere = any(not gangs.size.fits(v.capacity) for v in self.views)
+            self._elsewhere = any(not gangs.resources.fits_in(v.capacity) for v in self.views)
         slots = gangs.kept_slots(self._elsewhere)
         if slots < 0.5:
             return
         if self._idle is None:
-            self._idle = sum(gangs.size.times_in(v.free) for v in self.open)
+            self._idle = sum(gangs.resources.count_in(v.free) for v in self.open)
         kept = gangs if self._idle <= math.ceil(slots * share) else None
         if kept is not self._kept:
             self._kept = kept
@@ -490,4 +498,4 @@
 
 def take_times(view: View, spec: JobSpec, count: int) -> None:
     """Take the room of `count` tasks."""
-    view.take(spec.size.times(count))
+    view.take(spec.resources.times(count))
--- a/src/dapplewick/core/needs.py
+++ b/src/dapplewick/core/needs.py
@@ -14,7 +14,7 @@
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.storage.records import GangPlace, JobRecord, Mirror
 from dapplewick.tuning import Tuning
-from dapplewick.types import JobId, PartName, Seconds, zone_of
+from dapplewick.types import JobId, Seconds, ShardName, zone_of
 
 LEAST_RUN_S = 1.0  # an owner may say that a task takes no time at all
 STARVED_S = 60.0  # a job of which nothing started for so long has machines rented for it
@@ -49,7 +49,7 @@
         estimates: Estimates,
         tuning: Tuning,
         gangs: GangDemand,
-        parts: Mapping[PartName, PartView],
+        parts: Mapping[ShardName, PartView],
         drafted: Callable[[JobId], JobRecord],
     ) -> None:
         self._mirror = mirror
@@ -106,7 +106,7 @@
     def _long_held(self, job_id: JobId, gang: GangPlace) -> bool:
         """Whether a gang's slots will still be busy for long: more room is wanted then."""
         for name in gang.parts():
-            part = self._parts.get(PartName(name))
+            part = self._parts.get(ShardName(name))
             if part is not None:
                 attempt, state, wait = part.gangs.get(job_id, (0, "", 0.0))
                 if attempt == gang.attempt and state == "held" and wait > LONG_HOLD_S:
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -38,17 +38,17 @@
 from dapplewick.storage.records import JobRecord, Mirror
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
-    NOTHING,
-    PER_TOKEN,
+    IDS_PER_TOKEN,
+    NO_RESOURCES,
     Attempt,
+    FencingToken,
     JobId,
     MachineId,
-    PartName,
+    Resources,
     Seconds,
-    Size,
+    ShardName,
     TaskIndex,
     TaskRef,
-    Token,
     zone_of,
 )
 
@@ -80,8 +80,8 @@
 
     def __init__(
         self,
-        part: PartName,
-        token: Token,
+        part: ShardName,
+        token: FencingToken,
         mirror: Mirror,
         estimates: Estimates,
         now: Seconds,
@@ -260,7 +260,7 @@
         del self.machines[machine.id]
         self.dirty = True
 
-    def token_for(self, machine_id: MachineId) -> Token:
+    def token_for(self, machine_id: MachineId) -> FencingToken:
         """The token that commands to a machine's worker carry."""
         return self.mirror.token_for(machine_id, self.token)
 
@@ -317,7 +317,7 @@
         machine.notice = report.notice
         known = self.mirror.types.get(report.type)
         if known is not None:
-            machine.capacity = known.size
+            machine.capacity = known.resources
         # A report from before our token was seen may miss starts of the old owner that are
         # still under way; only one that carries our token settles what is not there.
         settles = report.token == self.token_for(report.machine)
@@ -420,7 +420,7 @@
                 machine.type, machine.spot = record.type, record.spot
                 known = self.mirror.types.get(record.type)
                 if known is not None:
-                    machine.capacity = known.size
+                    machine.capacity = known.resources
         return machine
 
     def _single(self, task: TaskRef) -> Single | None:
@@ -468,9 +468,9 @@
         """Whether tasks of several jobs have failed here and none has completed since."""
         return len(machine.failures) >= FAULTY
 
-    def _size(self, task: TaskRef) -> Size:
+    def _size(self, task: TaskRef) -> Resources:
         job = self.mirror.jobs.get(task.job)
-        return job.size if job is not None else NOTHING
+        return job.resources if job is not None else NO_RESOURCES
 
     def _changed(self, machine: Machine) -> None:
         """What is on this machine, or meant for it, has changed."""
@@ -478,7 +478,7 @@
         self.touched.machine(machine.id)
         self.dirty = True
 
-    def _free_for(self, machine: Machine, spec: JobSpec) -> Size:
+    def _free_for(self, machine: Machine, spec: JobSpec) -> Resources:
         """The free room that this work may use."""
         free = machine.free()
         if spec.gpus > 0 or spec.daemon:
@@ -486,16 +486,18 @@
         reserve = self.demand.reserve(machine.capacity, free)
         if self._few and self.gang_demand.applies(spec):
             free = self.gang_demand.rest(free)
-        return free if reserve is NOTHING else free.minus(reserve)
+        return free if reserve is NO_RESOURCES else free.minus(reserve)
 
     def _few_slots(self) -> bool:
         """Whether no more idle slots are left here than are kept for gangs."""
-        size = self.gang_demand.size
-        elsewhere = any(m.was_usable and not size.fits(m.capacity) for m in self.machines.values())
+        resources = self.gang_demand.resources
+        elsewhere = any(
+            m.was_usable and not resources.fits_in(m.capacity) for m in self.machines.values()
+        )
         kept = self.gang_demand.kept_slots(elsewhere)
         if kept < 0.5:
             return False
-        idle = sum(size.times_in(m.free()) for m in self.machines.values())
+        idle = sum(resources.count_in(m.free()) for m in self.machines.values())
         return idle <= math.ceil(kept / max(1, len(self.mirror.parts)))
 
     def _held_on(self, machine_id: MachineId) -> list[tuple[JobId, Hold, int]]:
@@ -515,13 +517,13 @@
         job = self.mirror.jobs.get(job_id)
         return job is not None and job.open and job.gang is not None and not job.gang.over
 
-    def held_size(self, machine_id: MachineId) -> Size:
+    def reserved_resources(self, machine_id: MachineId) -> Resources:
         if machine_id not in self._holds_on:
-            return NOTHING
-        size = NOTHING
+            return NO_RESOURCES
+        resources = NO_RESOURCES
         for job_id, _, _ in self._held_on(machine_id):
-            size = size.plus(self.mirror.jobs[job_id].size)
-        return size
+            resources = resources.plus(self.mirror.jobs[job_id].resources)
+        return resources
 
     def _drop(self, task: TaskRef, single: Single) -> None:
         """The grant of a single is over: it is done, given back, or not wanted."""
@@ -797,9 +799,9 @@
                 continue
             machines = able.get(shape)
             if machines is None:
-                size = spec.size
+                resources = spec.resources
                 machines = able[shape] = [
-                    m for m in usable if self.allowed(spec, m) and size.fits(m.capacity)
+                    m for m in usable if self.allowed(spec, m) and resources.fits_in(m.capacity)
                 ]
             if not self._join(now, task, single, spec, machines):
                 stuck.add(shape)
@@ -813,15 +815,15 @@
             return self._join_replica(now, task, spec, able)
         if len(able) > SAMPLE:
             able = self._sample(spec, able)
-        size = spec.size
+        resources = spec.resources
         best: tuple[tuple[float, ...], Machine] | None = None
         fits: list[Machine] = []
         for machine in able:
             free = self._free_for(machine, spec)
-            if not size.fits(free):
+            if not resources.fits_in(free):
                 continue
             fits.append(machine)
-            if not size.fits(free.minus(self.held_size(machine.id))):
+            if not resources.fits_in(free.minus(self.reserved_resources(machine.id))):
                 continue
             spare_gpus = machine.capacity.gpus if spec.gpus == 0 else 0.0
             cold = 0.0 if spec.image in machine.images else 1.0 + machine.fetches()
@@ -883,7 +885,7 @@
                     machine is not None
                     and machine.was_usable
                     and self.allowed(spec, machine)
-                    and spec.size.fits(machine.capacity)
+                    and spec.resources.fits_in(machine.capacity)
                 ):
                     chosen.append(machine)
         rest = self.random.sample(able, SAMPLE - len(chosen))
@@ -917,18 +919,18 @@
 
     def _room_in(self, now: Seconds, machine: Machine) -> Seconds:
         """Estimated time until all that is held on a machine is idle."""
-        need = self.held_size(machine.id)
+        need = self.reserved_resources(machine.id)
         room = machine.free()
-        if need.fits(room):
+        if need.fits_in(room):
             return 0.0
         ends = sorted(
-            (self.left(now, live), live.size)
+            (self.left(now, live), live.resources)
             for live in machine.live.values()
             if live.stage != "exited"
         )
-        for left, size in ends:
-            room = room.plus(size)
-            if need.fits(room):
+        for left, resources in ends:
+            room = room.plus(resources)
+            if need.fits_in(room):
                 return left
         return ends[-1][0] if ends else 0.0
 
@@ -952,8 +954,8 @@
     def _fitting(self, now: Seconds, machine: Machine, jobs: Iterable[JobId]) -> dict[JobId, None]:
         """The jobs of which a single may start on this machine now, those first whose image
         is there: among queues that are equally long it decides."""
-        held = self.held_size(machine.id)
-        rooms: dict[tuple[bool, int, bool], Size] = {}
+        held = self.reserved_resources(machine.id)
+        rooms: dict[tuple[bool, int, bool], Resources] = {}
         warm: dict[JobId, None] = {}
         cold: dict[JobId, None] = {}
         for job_id in jobs:
@@ -967,9 +969,9 @@
             room = rooms.get(kind)
             if room is None:
                 room = rooms[kind] = self._free_for(machine, spec)
-            if not job.size.fits(room):
+            if not job.resources.fits_in(room):
                 continue
-            beside = held is NOTHING or job.size.fits(room.minus(held))
+            beside = held is NO_RESOURCES or job.resources.fits_in(room.minus(held))
             if beside or self._passes(now, spec, machine):
                 (warm if spec.image in machine.images else cold)[job_id] = None
         return warm | cold
@@ -1012,7 +1014,7 @@
             task = slot.current
             if task is not None and task not in machine.live:
                 single = self._single(task)
-                if slot.endless and not NOTHING.fits(machine.free()):
+                if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
                     kept.append(slot)  # what is stopped for it is not gone yet
                     continue
                 if single is not None and single.state == ASSIGNED:
@@ -1034,7 +1036,7 @@
         single = self._single(task)
         assert single is not None
         slot.current = task
-        slot.size = self._size(task)
+        slot.resources = self._size(task)
         self._set(task, single, ASSIGNED)
         single.machine = slot.machine
         single.queue = slot
@@ -1090,7 +1092,7 @@
 
     def _new_attempt(self) -> Attempt:
         self._attempts += 1
-        return Attempt(self.token * PER_TOKEN + self._attempts)
+        return Attempt(self.token * IDS_PER_TOKEN + self._attempts)
 
     def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Order:
         spec = self._spec(task)
@@ -1135,7 +1137,7 @@
             hold.bad = "machine leaves"
             self.dirty = True
             return
-        each = self.mirror.jobs[job_id].size
+        each = self.mirror.jobs[job_id].resources
         for machine_id, indices in hold.on.items():
             machine = self.machines.get(machine_id)
             if machine is None:
@@ -1147,11 +1149,11 @@
                 if other is hold:
                     older = False
                 elif (older or other.ready) and not other.bad and self._gang_wanted(other_id):
-                    size = self.mirror.jobs[other_id].size
+                    resources = self.mirror.jobs[other_id].resources
                     room = room.minus(
-                        size.times(sum(i not in other.launched for i in other.on[machine_id]))
+                        resources.times(sum(i not in other.launched for i in other.on[machine_id]))
                     )
-            if not each.times(len(indices)).fits(room):
+            if not each.times(len(indices)).fits_in(room):
                 return
         hold.ready = True
         self.dirty = True
@@ -1223,7 +1225,7 @@
             job = self.mirror.jobs.get(job_id)
             if not hold.preempt or hold.ready or job is None:
                 continue
-            stop_until_fits(machine, self.held_size(machine.id), job.spec.rank, stop)
+            stop_until_fits(machine, self.reserved_resources(machine.id), job.spec.rank, stop)
         self._make_room(machine, stop)
         return stop
 
@@ -1240,7 +1242,7 @@
             return
         # Their slots are counted as taken, so less than nothing is free before the stops.
         rank = max(spec.rank for spec in waiting)
-        stop_until_fits(machine, NOTHING, rank, stop)
+        stop_until_fits(machine, NO_RESOURCES, rank, stop)
 
     # What the leader is told
 
--- a/src/dapplewick/core/part_state.py
+++ b/src/dapplewick/core/part_state.py
@@ -7,12 +7,12 @@
 
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.types import (
-    NOTHING,
+    NO_RESOURCES,
     Attempt,
     JobId,
     MachineId,
+    Resources,
     Seconds,
-    Size,
     TaskRef,
 )
 
@@ -40,12 +40,12 @@
 class Slot:
     """A share of a machine, carved to the size of its task, with a queue of singles."""
 
-    __slots__ = ("current", "endless", "image", "machine", "queue", "size")
+    __slots__ = ("current", "endless", "image", "machine", "queue", "resources")
 
     def __init__(self, machine: MachineId) -> None:
         self.machine = machine
         self.current: TaskRef | None = None
-        self.size = NOTHING  # what the current task takes
+        self.resources = NO_RESOURCES  # what the current task takes
         self.image = ""  # and the image that it needs
         self.endless = False  # a replica's: no queue waits behind it
         self.queue: deque[TaskRef] = deque()
@@ -54,7 +54,7 @@
 class Live:
     """A task that is, or may be, on a machine."""
 
-    __slots__ = ("attempt", "running_at", "sent", "since", "size", "spec", "stage", "stopped")
+    __slots__ = ("attempt", "resources", "running_at", "sent", "since", "spec", "stage", "stopped")
 
     def __init__(
         self, attempt: Attempt, stage: str, now: Seconds, sent: bool, spec: JobSpec | None
@@ -70,7 +70,7 @@
     def describe(self, spec: JobSpec | None) -> None:
         """What its job asks for; None while the job's record is not here yet."""
         self.spec = spec
-        self.size = spec.size if spec is not None else NOTHING
+        self.resources = spec.resources if spec is not None else NO_RESOURCES
 
 
 class Machine:
@@ -106,7 +106,7 @@
 
     def __init__(self, machine: MachineId, now: Seconds) -> None:
         self.id = machine
-        self.capacity = NOTHING
+        self.capacity = NO_RESOURCES
         self.type = ""
         self.spot = False
         self.address = ""
@@ -128,31 +128,31 @@
         self.lateness: deque[float] = deque(maxlen=SLOW_SAMPLES)
         self.drain = False  # only replicas are left here, and there is room for them elsewhere
         self.slow = False  # tasks take much longer here than elsewhere
-        self.used: Size | None = None  # what its tasks take; None: to be counted anew
+        self.used: Resources | None = None  # what its tasks take; None: to be counted anew
         self.was_usable = False
 
-    def taken(self) -> Size:
+    def taken(self) -> Resources:
         """What its tasks take, and those that are about to start."""
         if self.used is None:
             self.used = self._count_taken()
         return self.used
 
-    def _count_taken(self) -> Size:
-        cpus = gpus = ram = 0.0
+    def _count_taken(self) -> Resources:
+        cpus = gpus = ram_gb = 0.0
         for live in self.live.values():
             if live.stage != "exited":
-                size = live.size
-                cpus += size.cpus
-                gpus += size.gpus
-                ram += size.ram
+                resources = live.resources
+                cpus += resources.cpus
+                gpus += resources.gpus
+                ram_gb += resources.ram_gb
         for slot in self.slots:
             if slot.current is not None and slot.current not in self.live:
-                cpus += slot.size.cpus
-                gpus += slot.size.gpus
-                ram += slot.size.ram
-        return Size(cpus, gpus, ram)
+                cpus += slot.resources.cpus
+                gpus += slot.resources.gpus
+                ram_gb += slot.resources.ram_gb
+        return Resources(cpus, gpus, ram_gb)
 
-    def free(self) -> Size:
+    def free(self) -> Resources:
         """The free capacity."""
         return self.capacity.minus(self.taken())
 
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/part_status.py
@@ -114,7 +114,7 @@
     ends = [
         (
             round(now + core.expected_left(now, live), 1),
-            *live.size,
+            *live.resources,
             GANG_RANK if live.spec.gang or live.spec.daemon else live.spec.rank,
             task.job if live.spec.gang else "",
         )
@@ -123,7 +123,7 @@
     ]
     ends.sort()
     return {
-        "free": tuple(machine.free().minus(core.held_size(machine.id))),
+        "free": tuple(machine.free().minus(core.reserved_resources(machine.id))),
         "ends": ends,
         "images": list(machine.images),
         "queued": sum(len(s.queue) for s in machine.slots),
--- a/src/dapplewick/core/part_view.py
+++ b/src/dapplewick/core/part_view.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from dapplewick.core.model import View
-from dapplewick.types import JobId, MachineId, PartName, Revision, Seconds, zone_of
+from dapplewick.types import JobId, MachineId, Revision, Seconds, ShardName, zone_of
 
 
 class PartView:
     """What a part has told, put together from its statuses."""
 
-    def __init__(self, part: PartName, token: int) -> None:
+    def __init__(self, part: ShardName, token: int) -> None:
         self.part = part
         self.zone = zone_of(part)
         self.token = token
--- a/src/dapplewick/core/preemption.py
+++ b/src/dapplewick/core/preemption.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dapplewick.core.part_state import Live, Machine
-from dapplewick.types import Size, TaskRef
+from dapplewick.types import Resources, TaskRef
 
 
 def may_be_stopped(live: Live, rank: int) -> bool:
@@ -24,7 +24,7 @@
     return task in stopping or (live.stopped and live.stage != "exited")
 
 
-def stop_until_fits(machine: Machine, need: Size, rank: int, stopping: set[TaskRef]) -> None:
+def stop_until_fits(machine: Machine, need: Resources, rank: int, stopping: set[TaskRef]) -> None:
     """Add tasks to `stopping` until `need` fits beside what is left.
 
     Those of the lowest rank go first, and among them those that began last lose least.
@@ -32,14 +32,14 @@
     room = machine.free()
     for task, live in machine.live.items():
         if leaves(task, live, stopping):
-            room = room.plus(live.size)
+            room = room.plus(live.resources)
     victims = sorted(
         (live.spec.rank, -live.since, task)
         for task, live in machine.live.items()
         if live.spec is not None and task not in stopping and may_be_stopped(live, rank)
     )
     for _, _, task in victims:
-        if need.fits(room):
+        if need.fits_in(room):
             break
-        room = room.plus(machine.live[task].size)
+        room = room.plus(machine.live[task].resources)
         stopping.add(task)
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/replicas.py
@@ -14,7 +14,7 @@
 from dapplewick.core.preemption import leaves, may_be_stopped
 from dapplewick.protocol.wire import JobSpec, MachineType
 from dapplewick.storage.records import Mirror
-from dapplewick.types import NOTHING, JobId, MachineId, Seconds, Size
+from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds
 
 log = logging.getLogger("dapplewick.part")
 
@@ -39,7 +39,7 @@
 
     def allowed(self, spec: JobSpec, machine: Machine) -> bool: ...
 
-    def held_size(self, machine_id: MachineId) -> Size: ...
+    def reserved_resources(self, machine_id: MachineId) -> Resources: ...
 
 
 class ReplicaPlacement:
@@ -57,11 +57,13 @@
         best: tuple[Seconds, Machine] | None = None
         for machine in able:
             room = machine.free()
-            held = self._part.held_size(machine.id)
-            if held is not NOTHING:
+            held = self._part.reserved_resources(machine.id)
+            if held is not NO_RESOURCES:
                 room = room.minus(held)
-            forced = not spec.size.fits(room)
-            if forced and not spec.size.fits(self._room_with_stops(machine, room, spec.rank)):
+            forced = not spec.resources.fits_in(room)
+            if forced and not spec.resources.fits_in(
+                self._room_with_stops(machine, room, spec.rank)
+            ):
                 continue
             # What is stopped goes with one report, and the start comes with the next: that is
             # sooner than an image.
@@ -71,10 +73,10 @@
         return best[1] if best is not None else None
 
     @staticmethod
-    def _room_with_stops(machine: Machine, room: Size, rank: int) -> Size:
+    def _room_with_stops(machine: Machine, room: Resources, rank: int) -> Resources:
         for task, live in machine.live.items():
             if may_be_stopped(live, rank) or leaves(task, live, set()):
-                room = room.plus(live.size)
+                room = room.plus(live.resources)
         return room
 
     def _cost(self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine) -> Seconds:
@@ -102,7 +104,7 @@
             return False
         able = (m for m in self._others(machine) if self._part.allowed(spec, m))
         place = self.best_machine(now, spec, job_id, able)
-        if place is None or not spec.size.fits(place.free()):
+        if place is None or not spec.resources.fits_in(place.free()):
             return False
         # Without its image there it is away for longer: only for a notice, or in the end.
         waited = drained and now - machine.idle_since > 2.0 * DRAIN_S
@@ -139,9 +141,12 @@
 
     def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
-            any(self._part.allowed(s, m) and s.size.fits(m.free()) for m in machines) for s in specs
+            any(self._part.allowed(s, m) and s.resources.fits_in(m.free()) for m in machines)
+            for s in specs
         )
 
 
 def _fits(spec: JobSpec, kind: MachineType) -> bool:
-    return spec.size.fits(kind.size) and (spec.types is None or kind.name in spec.types)
+    return spec.resources.fits_in(kind.resources) and (
+        spec.types is None or kind.name in spec.types
+    )
--- a/src/dapplewick/core/reservation.py
+++ b/src/dapplewick/core/reservation.py
@@ -10,7 +10,7 @@
 
 from dapplewick.core.model import PartRooms
 from dapplewick.protocol.wire import JobSpec
-from dapplewick.types import PartName, Seconds
+from dapplewick.types import Seconds, ShardName
 
 OVERDUE_S = 60.0  # a gang that found no room for so long may have a part reserved
 HOPELESS_S = 240.0  # and one so late keeps no others waiting any more
@@ -22,8 +22,8 @@
     """At most one part, chosen anew in each pass."""
 
     def __init__(self) -> None:
-        self._part: PartName | None = None  # in this pass
-        self._last: PartName | None = None  # in the pass before
+        self._part: ShardName | None = None  # in this pass
+        self._last: ShardName | None = None  # in the pass before
         self._since: Seconds = 0.0  # when it was reserved first, or a gang was placed there
         self._paused_until: Seconds = 0.0
 
@@ -35,7 +35,7 @@
         """The parts in which the next gang may be placed."""
         return [room for room in rooms if room.part != self._part]
 
-    def placed(self, wall: Seconds, parts: set[PartName]) -> None:
+    def placed(self, wall: Seconds, parts: set[ShardName]) -> None:
         """A gang was placed in these parts."""
         if self._last in parts:
             self._since = wall
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -57,7 +57,7 @@
 from dapplewick.transport.listen import Door, Mark
 from dapplewick.transport.peer import PeerLink, receive_frames
 from dapplewick.tuning import Tuning
-from dapplewick.types import JobId, NodeName, PartName, Seconds, Token, share_of
+from dapplewick.types import ControllerName, FencingToken, JobId, Seconds, ShardName, partition_of
 
 if TYPE_CHECKING:
     from dapplewick.shares.service import ShareService
@@ -117,7 +117,7 @@
         self.tuning = tuning or Tuning()
         self.latencies = Latencies()
         self.settings = settings
-        self.me = NodeName(settings.host_name)
+        self.me = ControllerName(settings.host_name)
         self.now = clock
         self.random = random.Random(seed)
         self.boot = f"{time.time_ns():x}-{self.random.getrandbits(32):x}"
@@ -148,30 +148,30 @@
         self._due = 1e18  # and when the next thing is due
         self.lease: int | None = None
         self.lease_until = -1e9
-        self.cores: dict[PartName, PartCore] = {}
+        self.cores: dict[ShardName, PartCore] = {}
         self.estimates = Estimates()
         self.leader: LeaderCore | None = None
         self.assigner = PartAssigner(self.mirror, deployment.zones, self.me)
         self.api = Api(self, deployment)
-        self.links: dict[NodeName, PeerLink] = {}
+        self.links: dict[ControllerName, PeerLink] = {}
         for peer in settings.peers:
-            self.links[NodeName(peer.host_name)] = link(
+            self.links[ControllerName(peer.host_name)] = link(
                 *host_port(peer.peer_addr, "peers.peer_addr")
             )
-        self._peer_state: dict[NodeName, tuple[Seconds, bool]] = {}
-        self._heard_parts: dict[PartName, tuple[Token, NodeName]] = {}
-        self._running: dict[NodeName, dict[JobId, int]] = {}
+        self._peer_state: dict[ControllerName, tuple[Seconds, bool]] = {}
+        self._heard_parts: dict[ShardName, tuple[FencingToken, ControllerName]] = {}
+        self._running: dict[ControllerName, dict[JobId, int]] = {}
         self.cancellations = CancellationWatch(self.boot, self.links, deployment.count)
         self._gossip_wake = anyio.Event()
-        self._read_epoch = Token(0)  # the epoch after whose beginning the records were read
-        self._planned_epoch = Token(0)  # the newest under which this process planned
-        self._doubted_epoch = Token(0)  # one under which a write may still come late
+        self._read_epoch = FencingToken(0)  # the epoch after whose beginning the records were read
+        self._planned_epoch = FencingToken(0)  # the newest under which this process planned
+        self._doubted_epoch = FencingToken(0)  # one under which a write may still come late
         self._leader_wake = anyio.Event()
         self._hurry = anyio.Event()
         self._pass_took = 0.0
-        self._status_at: dict[PartName, Seconds] = {}
+        self._status_at: dict[ShardName, Seconds] = {}
         # Up to which status of which part's owner the leader (a boot of a node) has them.
-        self._confirmed: dict[PartName, tuple[Token, str, int]] = {}
+        self._confirmed: dict[ShardName, tuple[FencingToken, str, int]] = {}
         self._cloud_calls = CloudCalls(self)
         self.shares = shares  # None where they are switched off
         self._dissolver: ShareService | None = None
@@ -189,7 +189,7 @@
         before, one without a plan brings all machines back to the zones' own parts."""
         if self.shares is not None:
             return self.shares
-        if not self.mirror.transfers and not any(map(share_of, self.mirror.parts)):
+        if not self.mirror.transfers and not any(map(partition_of, self.mirror.parts)):
             self._dissolver = None
         elif self._dissolver is None:
             from dapplewick.shares.service import ShareService
@@ -244,7 +244,7 @@
     def _check_parts(self, now: Seconds) -> None:
         for name in dict.fromkeys([*self.cores, *self.assigner.parts()]):
             part = self.mirror.parts.get(name)
-            token = Token(self.mirror.version(PARTS + name))
+            token = FencingToken(self.mirror.version(PARTS + name))
             mine = part is not None and part.owner == self.me and part.boot == self.boot
             core = self.cores.get(name)
             if core is not None and (not mine or core.token != token):
@@ -431,7 +431,7 @@
         self.leader = None
         self.state.writes.rate = self._few_writes
 
-    async def _settle_epoch(self) -> Token:
+    async def _settle_epoch(self) -> FencingToken:
         """The epoch under which to plan now.
 
         A write without an answer may still come as long as the leader's key is what it was: no
@@ -440,11 +440,11 @@
         attempts and bookings are named after it. And the records are read once after an epoch
         has begun: until then an earlier leader, or an earlier life of this one, could write.
         """
-        epoch = Token(self.mirror.version(LEADER))
+        epoch = FencingToken(self.mirror.version(LEADER))
         renamed = self.leader is None and epoch <= self._planned_epoch
         if renamed or epoch == self._doubted_epoch:
             await self._write_leader()
-            epoch = Token(self.mirror.version(LEADER))
+            epoch = FencingToken(self.mirror.version(LEADER))
         if epoch != self._read_epoch:
             await self.current()
             if epoch != self.mirror.version(LEADER):
@@ -503,7 +503,7 @@
             return self._limits
         return msgspec.structs.replace(limits, txn_ops=self._limits.txn_ops)
 
-    async def _write_some(self, epoch: Token, now: Seconds, batch: list[Change]) -> None:
+    async def _write_some(self, epoch: FencingToken, now: Seconds, batch: list[Change]) -> None:
         """Write a batch; where it is refused for its size, each change by itself, so that one
         that is too large keeps no other back."""
         assert self.leader is not None
@@ -520,7 +520,7 @@
         if self.leader is not None:
             self.leader.written(now, batch)
 
-    async def _write(self, epoch: Token, changes: list[Change]) -> None:
+    async def _write(self, epoch: FencingToken, changes: list[Change]) -> None:
         """Write records as the leader: only as long as the epoch and the records still hold.
 
         The epoch is the one that was planned under. The mirror may show another leader's by
@@ -585,19 +585,19 @@
             self._leader_wake.set()
             return
         record = self.mirror.leader
-        link = self.links.get(NodeName(record.node)) if record is not None else None
+        link = self.links.get(ControllerName(record.node)) if record is not None else None
         if link is not None:
             status = core.status(now, self._base(core.part, core))
             link.post(f"part:{core.part}", {**status, "node": self.me, "version": FORMAT_NOW})
 
-    def _base(self, part: PartName, core: PartCore) -> int:
+    def _base(self, part: ShardName, core: PartCore) -> int:
         """The newest of a part's statuses that the present leader has confirmed."""
-        token, boot, number = self._confirmed.get(part, (Token(0), "", 0))
+        token, boot, number = self._confirmed.get(part, (FencingToken(0), "", 0))
         leader = self.mirror.leader
         same = token == core.token and leader is not None and leader.boot == boot
         return number if same else 0
 
-    def _confirm(self, part: PartName, token: Token, boot: str, number: int) -> None:
+    def _confirm(self, part: ShardName, token: FencingToken, boot: str, number: int) -> None:
         """A leader has this part's statuses up to a number; another life of it has none."""
         self._confirmed[part] = (token, boot, number)
 
@@ -687,7 +687,7 @@
             if self.leader is not None:
                 number = self.leader.part_status(self.now(), message)
                 self._leader_wake.set()
-                link = self.links.get(NodeName(str(message["node"])))
+                link = self.links.get(ControllerName(str(message["node"])))
                 if link is not None:
                     zone = str(message["zone"])
                     link.post(
@@ -703,18 +703,18 @@
                     )
         elif kind == "have":
             self._confirm(
-                PartName(message["zone"]),
-                Token(message["token"]),
+                ShardName(message["zone"]),
+                FencingToken(message["token"]),
                 str(message["boot"]),
                 int(message["number"]),
             )
         elif kind == "node":
-            node = NodeName(message["node"])
+            node = ControllerName(message["node"])
             self._peer_state[node] = (self.now(), bool(message["state"]))
             self._running[node] = {JobId(j): int(n) for j, n in message["running"].items()}
             for part, (token, owner) in message["parts"].items():
                 if token > self._heard_parts.get(part, (0, ""))[0]:
-                    self._heard_parts[part] = (Token(token), NodeName(owner))
+                    self._heard_parts[part] = (FencingToken(token), ControllerName(owner))
             self.cancellations.hear(self.now(), self.me, node, message, self.mirror)
             self._apply_changed()
         return None
@@ -747,7 +747,9 @@
         now = self.now()
         name = self.mirror.part_of(report.machine, report.zone)
         core = self.cores.get(name)
-        heard_token, heard_owner = self._heard_parts.get(name, (Token(0), NodeName("")))
+        heard_token, heard_owner = self._heard_parts.get(
+            name, (FencingToken(0), ControllerName(""))
+        )
         if (
             core is not None
             and core.token >= heard_token
--- a/src/dapplewick/protocol/wire.py
+++ b/src/dapplewick/protocol/wire.py
@@ -11,13 +11,13 @@
 
 from dapplewick.types import (
     Attempt,
+    FencingToken,
     JobId,
     MachineId,
+    Resources,
     Seconds,
-    Size,
     TaskIndex,
     TaskRef,
-    Token,
     TypeName,
     Zone,
 )
@@ -46,7 +46,7 @@
     tasks: int = msgspec.field(name="tasks")
     cpus: float
     gpus: float
-    ram: float = msgspec.field(name="ram")
+    ram_gb: float = msgspec.field(name="ram")
     image: str
     image_gb: float
     estimate: float = msgspec.field(name="estimate")
@@ -62,14 +62,14 @@
     daemon: bool = msgspec.field(name="daemon", default=False)
 
     @cached_property
-    def size(self) -> Size:
-        return Size(self.cpus, self.gpus, self.ram)
+    def resources(self) -> Resources:
+        return Resources(self.cpus, self.gpus, self.ram_gb)
 
     @cached_property
     def shape(self) -> Shape:
         """What decides where a task fits: of jobs that are alike in it one is looked at."""
         return (
-            self.size,
+            self.resources,
             tuple(self.types or ()),
             self.spot,
             self.zone,
@@ -148,7 +148,7 @@
         tasks=tasks,
         cpus=_amount(body, "cpus"),
         gpus=_amount(body, "accelerators"),
-        ram=_amount(body, "ram_gb"),
+        ram_gb=_amount(body, "ram_gb"),
         image=_text(body, "kit"),
         image_gb=_amount(body, "image_gb"),
         estimate=_amount(body, "expected_s"),
@@ -213,7 +213,7 @@
     spot: bool
     session: int
     seq: int
-    token: Token
+    token: FencingToken
     notice: Seconds | None
     address: str
     tasks: list[TaskReport]
@@ -250,7 +250,7 @@
         body.borrowed,
         body.shift,
         body.tally,
-        Token(body.baton),
+        FencingToken(body.baton),
         body.recall_s,
         body.endpoint,
         tasks,
@@ -269,7 +269,7 @@
 _VERBS = {"start": "launch", "stop": "kill", "forget": "forget"}
 
 
-def report_answer(token: Token, orders: list[Order]) -> bytes:
+def report_answer(token: FencingToken, orders: list[Order]) -> bytes:
     out = []
     for order in orders:
         item: dict[str, Any] = {
@@ -296,7 +296,7 @@
     name: str = msgspec.field(name="sku")
     cpus: float = 0.0
     gpus: float = msgspec.field(name="accelerators", default=0.0)
-    ram: float = msgspec.field(name="ram_gb", default=0.0)
+    ram_gb: float = msgspec.field(name="ram_gb", default=0.0)
     fetch_rate: float = msgspec.field(name="fetch_gb_per_s", default=0.1)
     price: float = msgspec.field(name="hourly", default=1.0)
     spot_price: float = msgspec.field(name="low_price", default=1.0)
@@ -304,8 +304,8 @@
     zones: list[str] = msgspec.field(name="yards", default_factory=list)
 
     @property
-    def size(self) -> Size:
-        return Size(self.cpus, self.gpus, self.ram)
+    def resources(self) -> Resources:
+        return Resources(self.cpus, self.gpus, self.ram_gb)
 
 
 class _Catalog(msgspec.Struct):
--- a/src/dapplewick/shares/demand.py
+++ b/src/dapplewick/shares/demand.py
@@ -9,7 +9,7 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.shares.plan import SharePlan
 from dapplewick.storage.records import JobRecord
-from dapplewick.types import NOTHING, Seconds, Size
+from dapplewick.types import NO_RESOURCES, Resources, Seconds
 
 UNLIMITED = 1e12  # CPUs, accelerators or GB: more than any fleet has
 SOON_TIMES = 2.0  # work that is due within this times its run time is pressing
@@ -19,11 +19,11 @@
     """Room that a share's work would use if it had it all. Pressing is what is due soon or is
     within its team's guarantee."""
 
-    pressing: Size = NOTHING
-    other: Size = NOTHING
+    pressing: Resources = NO_RESOURCES
+    other: Resources = NO_RESOURCES
 
     @property
-    def total(self) -> Size:
+    def total(self) -> Resources:
         return self.pressing.plus(self.other)
 
 
@@ -32,15 +32,17 @@
 
     def __init__(self, team: Team) -> None:
         self._team = team
-        self._guaranteed_left = Size(team.cpus, team.gpus, 0.0)
-        self._limit_left = Size(team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED, UNLIMITED)
-        self.pressing = NOTHING
-        self.other = NOTHING
+        self._guaranteed_left = Resources(team.cpus, team.gpus, 0.0)
+        self._limit_left = Resources(
+            team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED, UNLIMITED
+        )
+        self.pressing = NO_RESOURCES
+        self.other = NO_RESOURCES
 
     def add(self, job: JobRecord, soon: bool) -> None:
         """Count a job's unfinished tasks, as many as the team's limit has room for."""
-        each = job.size
-        count = min(job.spec.tasks - job.done_count, each.times_in(self._limit_left))
+        each = job.resources
+        count = min(job.spec.tasks - job.done_count, each.count_in(self._limit_left))
         if count <= 0:
             return
         wanted = each.times(count)
@@ -50,7 +52,7 @@
         else:
             self.other = self.other.plus(wanted)
 
-    def _within_guarantee(self, wanted: Size) -> bool:
+    def _within_guarantee(self, wanted: Resources) -> bool:
         left = self._guaranteed_left
         by_gpus = wanted.gpus > 0 and wanted.gpus <= left.gpus
         by_cpus = wanted.gpus == 0 and 0 < wanted.cpus <= left.cpus
@@ -74,7 +76,7 @@
             team.add(job, _due_soon(job, estimates, wall))
     out = {}
     for name, share in plan.shares.items():
-        pressing = other = NOTHING
+        pressing = other = NO_RESOURCES
         for team_name in share.teams:
             if team_name in sums:
                 pressing = pressing.plus(sums[team_name].pressing)
--- a/src/dapplewick/shares/index.py
+++ b/src/dapplewick/shares/index.py
@@ -10,13 +10,13 @@
 from typing import NamedTuple
 
 from dapplewick.storage.records import MACHINES, Mirror
-from dapplewick.types import MachineId, PartName
+from dapplewick.types import MachineId, ShardName
 
 
 class Kind(NamedTuple):
     """Machines of a type that one part schedules."""
 
-    part: PartName
+    part: ShardName
     type: str
 
 
@@ -26,8 +26,8 @@
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
         self._machines: dict[Kind, dict[MachineId, None]] = {}
-        self._part_of: dict[MachineId, PartName] = {}  # of those to be deleted, too
-        self._in_part: Counter[PartName] = Counter()
+        self._part_of: dict[MachineId, ShardName] = {}  # of those to be deleted, too
+        self._in_part: Counter[ShardName] = Counter()
         self._kind_of: dict[MachineId, Kind] = {}
         self._in_group: dict[str, set[MachineId]] = {}
         self._changed: dict[str, None] = dict.fromkeys(mirror.groups)
@@ -67,7 +67,7 @@
             self._machines.setdefault(kind, {})[machine] = None
             self._kind_of[machine] = kind
 
-    def _count(self, machine: MachineId, part: PartName | None) -> None:
+    def _count(self, machine: MachineId, part: ShardName | None) -> None:
         old = self._part_of.pop(machine, None)
         if old is not None:
             self._in_part[old] -= 1
@@ -75,7 +75,7 @@
             self._part_of[machine] = part
             self._in_part[part] += 1
 
-    def has_any(self, part: PartName) -> bool:
+    def has_any(self, part: ShardName) -> bool:
         """Whether any machine is recorded in a part, also one that is to be deleted."""
         return self._in_part[part] > 0
 
@@ -86,9 +86,9 @@
 
     def count(self, part: str, type_: str) -> int:
         """How many machines of a type a part has."""
-        return len(self._machines.get(Kind(PartName(part), type_), ()))
+        return len(self._machines.get(Kind(ShardName(part), type_), ()))
 
     def machines(self, part: str, type_: str) -> KeysView[MachineId]:
         """The machines of a type that a part has."""
         empty: dict[MachineId, None] = {}
-        return self._machines.get(Kind(PartName(part), type_), empty).keys()
+        return self._machines.get(Kind(ShardName(part), type_), empty).keys()
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -33,13 +33,13 @@
     TransferRecord,
 )
 from dapplewick.types import (
+    FencingToken,
     MachineId,
-    PartName,
     Seconds,
-    Token,
+    ShardName,
     TransferId,
-    part_name,
-    share_of,
+    partition_of,
+    shard_name,
     zone_of,
 )
 
@@ -102,26 +102,26 @@
             and wall - job.at > LEND_S
         )
 
-    def served_teams(self, part: PartName) -> frozenset[str] | None:
+    def served_teams(self, part: ShardName) -> frozenset[str] | None:
         """The teams whose work may come to a part; None for a zone's own part: all teams."""
-        name = share_of(part)
+        name = partition_of(part)
         if not name:
             return None
         share = self.plan.shares.get(name)
         return frozenset(share.teams) | self._starving if share is not None else frozenset()
 
-    def wanted_parts(self) -> list[PartName]:
+    def wanted_parts(self) -> list[ShardName]:
         """The parts of shares that are to get machines, or have some."""
         if self._mirror.format < SHARES_FORMAT:
             return []
         wanted = {
-            part_name(cell.zone, cell.share): None
+            shard_name(cell.zone, cell.share): None
             for cell, count in self.targets.items()
             if count > 0 and cell.share in self.plan.shares
         }
         for record in self._open().values():
-            if share_of(record.target) in self.plan.shares:
-                wanted[PartName(record.target)] = None
+            if partition_of(record.target) in self.plan.shares:
+                wanted[ShardName(record.target)] = None
         return list(wanted)
 
     def changes(
@@ -270,13 +270,13 @@
 
     def _balance(self, wall: Seconds, zone: str, type_: str) -> None:
         """Pair shares that have too many machines of a kind with those that have too few."""
-        shares = {share_of(k.part) for k, _ in self._index.kinds() if zone_of(k.part) == zone}
+        shares = {partition_of(k.part) for k, _ in self._index.kinds() if zone_of(k.part) == zone}
         shares |= {cell.share for cell, _ in self.targets.items() if cell.zone == zone}
         coming, going = self._in_flight(zone, type_)
         spare: dict[str, int] = {}
         short: dict[str, int] = {}
         for share in sorted(shares - {""}):
-            name = part_name(zone, share)
+            name = shard_name(zone, share)
             have = self._index.count(name, type_)
             differ = have + coming.get(name, 0) - going.get(name, 0)
             differ -= self._target(Cell(share, zone, type_))
@@ -284,7 +284,7 @@
                 spare[name] = differ
             elif differ < 0:
                 short[name] = -differ
-        own = part_name(zone)
+        own = shard_name(zone)
         left = self._index.count(own, type_) - going.get(own, 0)
         for target, missing in short.items():
             missing -= self._cancel_counter_moves(target, type_, missing, outgoing=True)
@@ -448,7 +448,7 @@
         record = self._open()[transfer]
         if transfer in self._drafts or not record.draining:
             return []  # what is drafted is not stored: no owner has seen it
-        source = PartName(record.source)
+        source = ShardName(record.source)
         if not self._owner_knows(transfer, source, parts):
             return []
         if not self._mirror.version(PARTS + record.target):
@@ -459,10 +459,10 @@
         # All of one transaction come from one group.
         group = self._mirror.group_of[empty[0]]
         going = [m for m in empty if self._mirror.group_of[m] == group][:HAND_OVER_MOST]
-        source_token = Token(self._mirror.version(PARTS + source))
+        source_token = FencingToken(self._mirror.version(PARTS + source))
         floors = {m: self._mirror.token_for(m, source_token) + 1 for m in going}
         tie = f"transfer/{transfer}"
-        moved = book.move(floors, share_of(record.target), tie)
+        moved = book.move(floors, partition_of(record.target), tie)
         if not moved:
             return []
         left = [m for m in record.draining if MachineId(m) not in moved]
@@ -490,7 +490,7 @@
         return [*book.moves(tie), write]
 
     def _owner_knows(
-        self, transfer: TransferId, source: PartName, parts: Iterable[PartView]
+        self, transfer: TransferId, source: ShardName, parts: Iterable[PartView]
     ) -> bool:
         """Whether the giving part's owner has seen the transfer as it is stored. What it told
         before says nothing of what it has started since, as after a transfer was cancelled."""
@@ -504,10 +504,10 @@
         if not self.targets.known:
             return []
         wanted = set(self.wanted_parts())
-        unwanted = {p for p in self._mirror.parts if share_of(p)} - wanted
+        unwanted = {p for p in self._mirror.parts if partition_of(p)} - wanted
         if not unwanted:
             return []
-        unwanted -= {PartName(r.target) for r in self._open().values()}
+        unwanted -= {ShardName(r.target) for r in self._open().values()}
         unwanted = {part for part in unwanted if not self._index.has_any(part)}
         for _, job in self._mirror.each_live():
             unwanted -= job.grants.keys()
--- a/src/dapplewick/shares/orders.py
+++ b/src/dapplewick/shares/orders.py
@@ -10,7 +10,7 @@
 from dapplewick.shares.plan import SharePlan
 from dapplewick.storage.records import Mirror
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
-from dapplewick.types import Seconds, TransferId, part_name
+from dapplewick.types import Seconds, TransferId, shard_name
 
 ORDER_ID = re.compile(r"o-[0-9a-f]{8,32}")
 
@@ -45,7 +45,7 @@
         raise OrderRefused(f"type: unknown type {type_!r}")
     source, target = _text(message, "source"), _text(message, "target")
     for field, share in (("source", source), ("target", target)):
-        known = not share or share in plan.shares or part_name(zone, share) in mirror.parts
+        known = not share or share in plan.shares or shard_name(zone, share) in mirror.parts
         if not known or (field == "target" and share and share not in plan.shares):
             raise OrderRefused(f"{field}: unknown share {share!r}")
     if source == target:
@@ -55,8 +55,8 @@
         raise OrderRefused(f"count: a number from 1 to {COUNT_MOST} is needed")
     record = TransferRecord(
         0,
-        part_name(zone, source),
-        part_name(zone, target),
+        shard_name(zone, source),
+        shard_name(zone, target),
         type_,
         count,
         REQUESTED,
--- a/src/dapplewick/shares/selection.py
+++ b/src/dapplewick/shares/selection.py
@@ -12,7 +12,7 @@
 from dapplewick.shares.index import MachineIndex
 from dapplewick.storage.records import MachineRecord, Mirror
 from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
-from dapplewick.types import MachineId, PartName, Seconds
+from dapplewick.types import MachineId, Seconds, ShardName
 
 NAMES_BYTES = 480  # of those drained, in a record: half of the smallest value
 SAMPLE = 200  # machines that are looked at, beside the idle ones
@@ -84,7 +84,7 @@
         there = self._index.machines(transfer.source, transfer.type)
         if len(there) <= SAMPLE:
             return there
-        part = self._parts.get(PartName(transfer.source))
+        part = self._parts.get(ShardName(transfer.source))
         idle = part.fresh["idle"] if part is not None else {}
         known_idle = [machine for machine in idle if machine in there][:MACHINES_MOST]
         draw = random.Random(transfer.generation * COUNT_MOST + transfer.moved)
@@ -106,7 +106,7 @@
             return False
         if not record.up:
             return True  # nothing was ever started there
-        part = self._parts.get(PartName(transfer.source))
+        part = self._parts.get(ShardName(transfer.source))
         return part is not None and machine_id in part.fresh.get("drained", ())
 
     def _expected_wait(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/shares/service.py
@@ -22,7 +22,7 @@
 from dapplewick.storage.client import Conflict, Refused, TooLarge, Unknown
 from dapplewick.storage.records import LEADER, SHARE_PLAN, SHARES_FORMAT, size_of
 from dapplewick.storage.transfers import CANCELLED
-from dapplewick.types import NodeName, PartName, Seconds, part_name
+from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
 
 if TYPE_CHECKING:
     from dapplewick.core.leader import LeaderCore
@@ -68,9 +68,9 @@
     def part_names(self, zones: list[str]) -> list[str]:
         """The parts that records of jobs may have to name: those of all shares, in all zones."""
         shares = self._plan.shares
-        return [*zones, *(part_name(zone, share) for zone in zones for share in shares)]
+        return [*zones, *(shard_name(zone, share) for zone in zones for share in shares)]
 
-    def wanted_parts(self) -> list[PartName]:
+    def wanted_parts(self) -> list[ShardName]:
         """The parts of shares that are to have an owner."""
         return self.keeper.wanted_parts() if self.keeper is not None else []
 
@@ -181,7 +181,7 @@
     async def _ask_leader(self, message: dict[str, Any]) -> dict[str, Any]:
         node = self._node
         record = node.mirror.leader
-        link = node.links.get(NodeName(record.node)) if record is not None else None
+        link = node.links.get(ControllerName(record.node)) if record is not None else None
         if link is None or message.get("forwarded"):
             return _unavailable("no controller leads now")
         said = await link.ask({**message, "forwarded": True}, ASK_WITHIN_S)
--- a/src/dapplewick/shares/solver.py
+++ b/src/dapplewick/shares/solver.py
@@ -11,7 +11,7 @@
 
 from dapplewick.shares.demand import ShareDemand
 from dapplewick.shares.plan import SharePlan
-from dapplewick.types import Seconds, Size
+from dapplewick.types import Resources, Seconds
 
 SOLVE_WITHIN_S = 0.5
 PRESSING_COST = 100.0  # of a slot-sized shortfall of pressing work, against other work's 1
@@ -30,7 +30,7 @@
 class Supply(NamedTuple):
     """Machines of one type in one zone: what each has, and how many there are."""
 
-    size: Size
+    resources: Resources
     machines: int
 
 
@@ -130,7 +130,7 @@
             if total <= 0.0 or scale <= 0.0:
                 continue
             room = sum(
-                getattr(problem.supply[cell.zone, cell.type].size, field) / scale * column
+                getattr(problem.supply[cell.zone, cell.type].resources, field) / scale * column
                 for cell, column in mine
             )
             missing = model.addVariable(lb=0.0)
@@ -147,5 +147,6 @@
 def _largest(problem: Problem, mine: list[tuple[Cell, Any]], field: str) -> float:
     """What the largest machine that a share may have has of a resource."""
     return max(
-        (float(getattr(problem.supply[c.zone, c.type].size, field)) for c, _ in mine), default=0.0
+        (float(getattr(problem.supply[c.zone, c.type].resources, field)) for c, _ in mine),
+        default=0.0,
     )
--- a/src/dapplewick/shares/targets.py
+++ b/src/dapplewick/shares/targets.py
@@ -14,7 +14,7 @@
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.solver import Bounds, Cell, Problem, Supply, Targets, bounds
 from dapplewick.storage.records import Mirror
-from dapplewick.types import share_of, zone_of
+from dapplewick.types import partition_of, zone_of
 
 log = logging.getLogger("dapplewick.shares")
 
@@ -28,7 +28,7 @@
     for kind, count in index.kinds():
         counts[zone_of(kind.part), kind.type] += count
     return {
-        (zone, type_): Supply(mirror.types[type_].size, count)
+        (zone, type_): Supply(mirror.types[type_].resources, count)
         for (zone, type_), count in counts.items()
         if type_ in mirror.types
     }
@@ -37,9 +37,9 @@
 def holdings(index: MachineIndex) -> dict[Cell, int]:
     """How many machines of each kind each share has; those of no share are left out."""
     return {
-        Cell(share_of(kind.part), zone_of(kind.part), kind.type): count
+        Cell(partition_of(kind.part), zone_of(kind.part), kind.type): count
         for kind, count in index.kinds()
-        if share_of(kind.part)
+        if partition_of(kind.part)
     }
 
 
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/shares/view.py
@@ -12,7 +12,7 @@
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.storage.records import PARTS, TRANSFERS, Mirror
 from dapplewick.storage.transfers import TransferRecord
-from dapplewick.types import MachineId, PartName, Seconds, share_of, zone_of
+from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
 
 SILENT_S = 4.0
 
@@ -65,8 +65,8 @@
             "id": name,
             "generation": record.generation,
             "zone": zone_of(record.source),
-            "source": share_of(record.source),
-            "target": share_of(record.target),
+            "source": partition_of(record.source),
+            "target": partition_of(record.target),
             "type": record.type,
             "count": record.count,
             "moved": record.moved,
@@ -89,7 +89,7 @@
             return "the receiving share has no owner yet"
         if not known.up:
             return "it is still coming up and goes over with the next writes"
-        part = self._parts.get(PartName(record.source))
+        part = self._parts.get(ShardName(record.source))
         if part is None:
             return "the owner of the giving share has not been heard yet"
         if part.seen < self._mirror.version(TRANSFERS + name):
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -13,14 +13,14 @@
 from dapplewick.storage.ranges import pack, unpack
 from dapplewick.storage.transfers import TransferRecord, Transfers
 from dapplewick.types import (
+    ControllerName,
+    FencingToken,
     JobId,
     MachineId,
-    NodeName,
-    PartName,
     Revision,
-    Token,
+    ShardName,
     TransferId,
-    part_name,
+    shard_name,
     zone_of,
 )
 
@@ -126,7 +126,7 @@
         "gang",
         "grants",
         "main_version",
-        "size",
+        "resources",
         "spec",
         "stage",
         "version",
@@ -134,7 +134,7 @@
 
     def __init__(self, spec: JobSpec, at: float) -> None:
         self.spec = spec
-        self.size = spec.size  # of each task
+        self.resources = spec.resources  # of each task
         self.stage = OPEN
         self.at = at
         self.done: set[int] = set()
@@ -270,9 +270,9 @@
     floor: int = 0  # commands to its worker carry at least this token
 
     @property
-    def part(self) -> PartName:
+    def part(self) -> ShardName:
         """The part that schedules this machine."""
-        return part_name(self.zone, self.share)
+        return shard_name(self.zone, self.share)
 
 
 BOOTING, UP, DOOMED = "b", "u", "d"
@@ -374,14 +374,14 @@
         self.group_of: dict[MachineId, str] = {}
         self._groups_listing: dict[MachineId, set[str]] = {}
         self._group_versions: dict[str, int] = {}
-        self.parts: dict[PartName, PartRecord] = {}
+        self.parts: dict[ShardName, PartRecord] = {}
         self.transfers = Transfers()
         self.share_plan: Any = None  # as it was stored: the shares' package reads it
-        self.nodes: dict[NodeName, NodeRecord] = {}
+        self.nodes: dict[ControllerName, NodeRecord] = {}
         self.bookings: dict[str, BookingRecord] = {}
         self.format = FIRST_FORMAT
         # The format that each controller understood when it was last seen.
-        self.understood: dict[NodeName, int] = {}
+        self.understood: dict[ControllerName, int] = {}
         self._mains: dict[JobId, JobRecord] = {}  # records as written, of jobs with more keys
         self.chunks: dict[JobId, dict[int, Chunk]] = {}
         self.places: dict[JobId, dict[int, _RawPlaces]] = {}
@@ -480,10 +480,10 @@
         elif key.startswith(MACHINES):
             self._set_group(name, msgspec.convert(value, type=GroupRecord), version)
         elif key.startswith(PARTS):
-            self.parts[PartName(name)] = msgspec.convert(value, type=PartRecord)
+            self.parts[ShardName(name)] = msgspec.convert(value, type=PartRecord)
         elif key.startswith(NODES):
-            node = self.nodes[NodeName(name)] = msgspec.convert(value, type=NodeRecord)
-            self.understood[NodeName(name)] = node.version
+            node = self.nodes[ControllerName(name)] = msgspec.convert(value, type=NodeRecord)
+            self.understood[ControllerName(name)] = node.version
         elif key == FORMAT:
             self.format = max(self.format, msgspec.convert(value, type=FormatRecord).version)
         elif key.startswith(BOOKINGS):
@@ -610,9 +610,9 @@
         elif key.startswith(MACHINES):
             self._set_group(name, None)
         elif key.startswith(PARTS):
-            self.parts.pop(PartName(name), None)
+            self.parts.pop(ShardName(name), None)
         elif key.startswith(NODES):
-            self.nodes.pop(NodeName(name), None)
+            self.nodes.pop(ControllerName(name), None)
         elif key.startswith(BOOKINGS):
             self.bookings.pop(name, None)
         elif key.startswith(TRANSFERS):
@@ -654,7 +654,7 @@
         return self.versions.get(key, 0)
 
     @property
-    def new_nodes(self) -> set[NodeName]:
+    def new_nodes(self) -> set[ControllerName]:
         """Controllers that were seen with a version that understands all of ours."""
         return {name for name, version in self.understood.items() if version >= FORMAT_NOW}
 
@@ -662,15 +662,15 @@
         """Whether just one group lists a machine: two do while an oversized one is copied."""
         return len(self._groups_listing.get(machine, ())) == 1
 
-    def part_of(self, machine: MachineId, zone: str) -> PartName:
+    def part_of(self, machine: MachineId, zone: str) -> ShardName:
         """The part that schedules a machine; the zone's own for one that is not known here."""
         record = self.machines.get(machine)
-        return record.part if record is not None else PartName(zone)
+        return record.part if record is not None else ShardName(zone)
 
-    def token_for(self, machine: MachineId, part_token: Token) -> Token:
+    def token_for(self, machine: MachineId, part_token: FencingToken) -> FencingToken:
         """The token that commands to a machine's worker carry, from the owner of its part."""
         record = self.machines.get(machine)
-        return Token(max(part_token, record.floor)) if record is not None else part_token
+        return FencingToken(max(part_token, record.floor)) if record is not None else part_token
 
     def each_live(self) -> Iterator[tuple[JobId, JobRecord]]:
         for job_id in self.live_jobs:
--- a/src/dapplewick/types.py
+++ b/src/dapplewick/types.py
@@ -6,38 +6,38 @@
 
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
-NodeName = NewType("NodeName", str)
+ControllerName = NewType("ControllerName", str)
 Zone = NewType("Zone", str)
-PartName = NewType("PartName", str)
+ShardName = NewType("ShardName", str)
 TransferId = NewType("TransferId", str)
 TypeName = NewType("TypeName", str)
 TaskIndex = NewType("TaskIndex", int)
 Attempt = NewType("Attempt", int)
 Revision = NewType("Revision", int)
-Token = NewType("Token", int)
+FencingToken = NewType("FencingToken", int)
 Seconds = float
 
 # A node's attempts and request names are its fencing token times this, plus a counter: a
 # token is never given out twice, so neither is an attempt or a name.
-PER_TOKEN = 1 << 20
+IDS_PER_TOKEN = 1 << 20
 
 
-SHARE_MARK = "/~"  # between the zone and the share in the name of a share's part
+PARTITION_SEPARATOR = "/~"  # between the zone and the share in the name of a share's part
 
 
-def part_name(zone: str, share: str = "") -> PartName:
+def shard_name(zone: str, share: str = "") -> ShardName:
     """The part that schedules a share of a zone; without a share, the zone's own part."""
-    return PartName(f"{zone}{SHARE_MARK}{share}" if share else zone)
+    return ShardName(f"{zone}{PARTITION_SEPARATOR}{share}" if share else zone)
 
 
 def zone_of(part: str) -> Zone:
     """The zone whose machines a part schedules."""
-    return Zone(part.partition(SHARE_MARK)[0])
+    return Zone(part.partition(PARTITION_SEPARATOR)[0])
 
 
-def share_of(part: str) -> str:
+def partition_of(part: str) -> str:
     """The share that a part is of; empty for a zone's own part."""
-    return part.partition(SHARE_MARK)[2]
+    return part.partition(PARTITION_SEPARATOR)[2]
 
 
 class TaskRef(NamedTuple):
@@ -47,31 +47,31 @@
     number: TaskIndex
 
 
-class Size(NamedTuple):
+class Resources(NamedTuple):
     """What a task takes of its machine, or what a machine has."""
 
     cpus: float
     gpus: float
-    ram: float
+    ram_gb: float
 
-    def plus(self, other: Size) -> Size:
-        return Size(self.cpus + other.cpus, self.gpus + other.gpus, self.ram + other.ram)
+    def plus(self, other: Resources) -> Resources:
+        return Resources(self.cpus + other.cpus, self.gpus + other.gpus, self.ram_gb + other.ram_gb)
 
-    def minus(self, other: Size) -> Size:
-        return Size(self.cpus - other.cpus, self.gpus - other.gpus, self.ram - other.ram)
+    def minus(self, other: Resources) -> Resources:
+        return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.ram_gb - other.ram_gb)
 
-    def times(self, count: int) -> Size:
-        return Size(self.cpus * count, self.gpus * count, self.ram * count)
+    def times(self, count: int) -> Resources:
+        return Resources(self.cpus * count, self.gpus * count, self.ram_gb * count)
 
-    def fits(self, room: Size) -> bool:
+    def fits_in(self, room: Resources) -> bool:
         """Whether this size fits into the room (with an allowance for rounding)."""
         return (
             self.cpus <= room.cpus + 1e-6
             and self.gpus <= room.gpus + 1e-6
-            and self.ram <= room.ram + 1e-6
+            and self.ram_gb <= room.ram_gb + 1e-6
         )
 
-    def times_in(self, room: Size) -> int:
+    def count_in(self, room: Resources) -> int:
         """How often this size fits into the room."""
         most = 1 << 20
         for need, have in zip(self, room, strict=True):
@@ -80,4 +80,4 @@
         return max(0, most)
 
 
-NOTHING = Size(0.0, 0.0, 0.0)
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -20,8 +20,7 @@
 import msgspec
 from click.testing import CliRunner
 
-from dapplewick import cli
-from dapplewick import client, config, script
+from dapplewick import cli, client, config, script
 from dapplewick.cloud import CloudCalls
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.job_writes import RANK_GRANTS, JobWrites
@@ -29,8 +28,7 @@
 from dapplewick.core.machines import Change, MachineBook
 from dapplewick.node import Node
 from dapplewick.protocol import wire
-from dapplewick.shares import commands
-from dapplewick.shares import plan
+from dapplewick.shares import commands, plan
 from dapplewick.storage.client import (
     Conflict,
     NoLease,
@@ -63,12 +61,12 @@
 from dapplewick.transport.http import Request
 from dapplewick.types import (
     Attempt,
+    ControllerName,
+    FencingToken,
     JobId,
     MachineId,
-    NodeName,
     TaskIndex,
     TaskRef,
-    Token,
 )
 from standins import Link, Wire, World, now, run_day, settings
 
@@ -282,7 +280,13 @@
 
 def _leads(node: Node) -> LeaderCore:
     leader = LeaderCore(
-        node.mirror, node.settings, node.estimates, Token(3), now(), node.tuning, node.part_names()
+        node.mirror,
+        node.settings,
+        node.estimates,
+        FencingToken(3),
+        now(),
+        node.tuning,
+        node.part_names(),
     )
     node.leader = leader
     return leader
@@ -382,7 +386,7 @@
     async def scene() -> Any:
         node, _, link = _node([], [], given["answer"])
         for name in ("n1", "n2"):
-            node._peer_state[NodeName(name)] = (now(), True)
+            node._peer_state[ControllerName(name)] = (now(), True)
         method, target, body = given["request"]
         answer = await node.ask_peer(Request(method, target, body.encode(), False))
         said = None
@@ -487,7 +491,7 @@
         wire.Order(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
         for op, job, number, attempt, grace in given["orders"]
     ]
-    return wire.report_answer(Token(given["token"]), orders).decode()
+    return wire.report_answer(FencingToken(given["token"]), orders).decode()
 
 
 def redirection(given: Any) -> Any:
--- a/tests/share_history.py
+++ b/tests/share_history.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from dapplewick.storage.records import CHUNKS, JOBS, LEADER, MACHINES, PARTS, TRANSFERS
-from dapplewick.types import part_name
+from dapplewick.types import shard_name
 
 Entry = tuple[int, str, Any, bool]  # revision, key, value, whether it was removed
 
@@ -85,7 +85,7 @@
 
     @staticmethod
     def _part(group: dict[str, Any]) -> str:
-        return str(part_name(group["zone"], group.get("share", "")))
+        return str(shard_name(group["zone"], group.get("share", "")))
 
     def _check_move(
         self,
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -184,7 +184,7 @@
         seed = self.random.getrandbits(32)
         made = old.Node if old is not None else Node
         parse = old.config if old is not None else config
-        more: Any = {} if old is not None else {"shares": self._shares(name)}
+        more: Any = {} if old is not None else {"partitions": self._partitions(name)}
         node = made(
             settings(name, self.count, self.zones, parse),
             connect=connect,
@@ -207,7 +207,7 @@
 
         self.group.start_soon(run)
 
-    def _shares(self, name: str) -> ShareService | None:
+    def _partitions(self, name: str) -> ShareService | None:
         """A controller's shares. The solver runs in its turn: threads know no virtual time."""
         if self.share_plan is None or name in self.without_shares:
             return None
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -26,7 +26,7 @@
     Mirror,
 )
 from dapplewick.transport.http import Answer, Request
-from dapplewick.types import JobId, NodeName
+from dapplewick.types import ControllerName, JobId
 from standins import AnswerHistory, World, now, run_day
 from test_days import run_script
 
@@ -413,23 +413,23 @@
     ],
 )
 def test_a_malformed_list_of_cancellations_cancels_nothing(change: dict[str, Any]) -> None:
-    peer, mirror = NodeName("b"), Mirror()
+    peer, mirror = ControllerName("b"), Mirror()
     mirror.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
     watch = CancellationWatch("boot-a", [peer], 2)
-    message = CancellationWatch("boot-b", [NodeName("a")], 2).message(5.0, Mirror(), True)
+    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, Mirror(), True)
     with pytest.raises(ValueError):
-        watch.hear(6.0, NodeName("a"), peer, message | change, mirror)
+        watch.hear(6.0, ControllerName("a"), peer, message | change, mirror)
     assert mirror.jobs[JobId(JOB)].open and mirror.cancellations(0) == []
     assert watch.known_at(7.0) < 0
 
 
 def test_a_list_of_cancellations_is_taken_over() -> None:
     """The same message, well-formed: what the test before changes is what matters."""
-    peer, mirror = NodeName("b"), Mirror()
+    peer, mirror = ControllerName("b"), Mirror()
     mirror.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
-    message = CancellationWatch("boot-b", [NodeName("a")], 2).message(5.0, Mirror(), True)
+    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, Mirror(), True)
     listed = message | {"cancelled": [[7, JOB]]}
-    CancellationWatch("boot-a", [peer], 2).hear(6.0, NodeName("a"), peer, listed, mirror)
+    CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, mirror)
     assert not mirror.jobs[JobId(JOB)].open and mirror.cancellations(0) == [(7, JOB)]
 
 
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -23,7 +23,7 @@
         self.unheard.clear()
         settle(self, now)
 
-    patch.setattr(PartCore, "_settle_unsure", hasty)
+    patch.setattr(PartCore, "_release_unconfirmed", hasty)
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -239,7 +239,7 @@
 
             wire.request = request  # type: ignore[method-assign]
 
-    monkeypatch.setattr(World, "start_node", spy)
+    monkeypatch.setattr(World, "start_controller", spy)
     day(kept_for_the_next_leader, 1, 120.0)
     assert asked == {
         ("state", "keys"),
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -27,22 +27,22 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
     Attempt,
+    FencingToken,
     JobId,
     MachineId,
-    PartName,
+    Resources,
     Seconds,
-    Size,
+    ShardName,
     TaskIndex,
     TaskRef,
-    Token,
     TypeName,
     zone_of,
 )
 
-TOKEN = Token(50)
-ZONE = PartName("a")
+TOKEN = FencingToken(50)
+ZONE = ShardName("a")
 IN_ZONE = zone_of(ZONE)
-KIND = MachineType(name="k", cpus=4.0, gpus=0.0, ram=64.0, zones=["a"])
+KIND = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, zones=["a"])
 
 
 def spec(
@@ -56,7 +56,7 @@
         tasks=tasks,
         cpus=cpus,
         gpus=0.0,
-        ram=1.0,
+        ram_gb=1.0,
         image="img",
         image_gb=1.0,
         estimate=estimate,
@@ -246,7 +246,7 @@
     mirror = Mirror()
     mirror.put(TYPES, types_value([KIND]), 1)
     mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    core = LeaderCore(mirror, standins.settings("n0"), Estimates(), Token(9), 0.0)
+    core = LeaderCore(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
     machines = {}
     for n in range(idle):
         mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
@@ -292,7 +292,7 @@
 
 
 def view(name: str, cpus: float) -> View:
-    room = Size(cpus, 0.0, 64.0)
+    room = Resources(cpus, 0.0, 64.0)
     return View(MachineId(name), TypeName("k"), ZONE, False, room, room, [], 0)
 
 
@@ -310,7 +310,7 @@
     chosen = fit_all(views, spec(count, float(cpus), 1.0, True), count)
     assert (chosen is not None) == (sum(room // cpus for room in rooms) >= count)
     for v in chosen or []:
-        v.take(Size(float(cpus), 0.0, 1.0))
+        v.take(Resources(float(cpus), 0.0, 1.0))
     assert all(v.free.cpus >= 0 for v in views)
 
 
@@ -340,7 +340,7 @@
     """At the start of a day hundreds are missing: a fixed number a pass cost half a minute."""
     mirror = Mirror()
     kinds = [
-        MachineType(name=f"k{n}", cpus=4.0, ram=64.0, price=1.0 + n, zones=["a", "b"])
+        MachineType(name=f"k{n}", cpus=4.0, ram_gb=64.0, price=1.0 + n, zones=["a", "b"])
         for n in range(4)
     ]
     need = Need(spec(3000, 4.0, 30.0), 3000, False)
@@ -404,11 +404,13 @@
         old.report(name, 0.0)
     old.grant("run-1", spec(2, 4.0, 10.0), 0.0)
     assert len(starts(old.report(old.names[0], 1.0))) == 1
-    core = PartCore(ZONE, Token(60), old.mirror, Estimates(), 2.0)
+    core = PartCore(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
 
     def report(name: MachineId, seq: int, token: int, on: dict[TaskRef, Attempt]) -> list[Order]:
         tasks = [TaskReport(t, a, "running", None, False) for t, a in on.items()]
-        said = Report(name, TypeName("k"), IN_ZONE, False, 1, seq, Token(token), None, "", tasks)
+        said = Report(
+            name, TypeName("k"), IN_ZONE, False, 1, seq, FencingToken(token), None, "", tasks
+        )
         return core.report(3.0, said, True)
 
     # The second machine reports under the old token, then under the new one: still nothing
@@ -424,13 +426,13 @@
 def test_a_deleted_machine_counts_as_heard() -> None:
     old = Bench(2)
     old.grant("run-1", spec(1, 4.0, 10.0), 0.0)
-    core = PartCore(ZONE, Token(60), old.mirror, Estimates(), 2.0)
+    core = PartCore(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
     name, silent = old.names
-    said = Report(name, TypeName("k"), IN_ZONE, False, 1, 1, Token(60), None, "", [])
+    said = Report(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
     assert starts(core.report(3.0, said, True)) == []
     old.mirror.remove(MACHINES + silent, 10_000)
     core.machine_changed(4.0, silent)
-    said = Report(name, TypeName("k"), IN_ZONE, False, 1, 2, Token(60), None, "", [])
+    said = Report(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
     assert len(starts(core.report(5.0, said, True))) == 1
 
 
@@ -482,7 +484,7 @@
     record.gang = GangPlace(7, [("a", old.names[0]), ("a", old.names[1])])
     old.put(JOBS + "run-1", record.dump())
     old.mirror.remove(MACHINES + old.names[0], 10_000)
-    core = PartCore(ZONE, Token(60), old.mirror, Estimates(), 2.0)
+    core = PartCore(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
     assert core.status(3.0)["gangs"]["run-1"][1] == "bad"
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -21,7 +21,7 @@
 from dapplewick.protocol.wire import MachineType, Report, types_value
 from dapplewick.storage.client import batches
 from dapplewick.storage.records import TYPES, GangPlace, JobRecord, Mirror
-from dapplewick.types import JobId, MachineId, Revision, Token, TypeName
+from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
 from test_four_points import IN_ZONE, KIND, ZONE, Bench, spec
 
 
@@ -115,7 +115,7 @@
 
 def leader_of(bench: Bench, now: float) -> LeaderCore:
     bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.core.token))
-    return LeaderCore(bench.mirror, standins.settings("n0"), Estimates(), Token(9), now)
+    return LeaderCore(bench.mirror, standins.settings("n0"), Estimates(), FencingToken(9), now)
 
 
 def test_a_pass_costs_little_more_for_each_gang_that_waits() -> None:
@@ -230,7 +230,7 @@
     told = standins.settings("n0")
     told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
     bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.core.token))
-    leader = LeaderCore(bench.mirror, told, Estimates(), Token(9), 0.0)
+    leader = LeaderCore(bench.mirror, told, Estimates(), FencingToken(9), 0.0)
     waits = replace(spec(9, 4.0, 30.0, gang=True), bundle="gangs")
     bench.put("dw/j/run-g", JobRecord(waits, 0.0).dump())
     bench.put("dw/j/run-s", JobRecord(spec(2, 1.0, 100.0), 0.0).dump())
@@ -246,7 +246,7 @@
 def test_gangs_wait_for_plain_machines_that_are_coming() -> None:
     """At the start of a day gangs of high priority took the machines with accelerators, which
     were up a few seconds sooner, and kept most accelerators idle for minutes."""
-    kinds = [KIND, MachineType(name="g", cpus=4.0, gpus=2.0, ram=64.0, zones=["a"])]
+    kinds = [KIND, MachineType(name="g", cpus=4.0, gpus=2.0, ram_gb=64.0, zones=["a"])]
     bench = Bench(0)
     bench.put(TYPES, types_value(kinds))
     bench.put("dw/m/r-1", {"type": "g", "zone": "a", "spot": False, "machines": {"vm-1": "u"}})
@@ -290,13 +290,15 @@
         cores: list[PartCore] = []
 
         def rebuild() -> None:
-            cores.append(PartCore(ZONE, Token(5), mirror, Estimates(), 0.0))
+            cores.append(PartCore(ZONE, FencingToken(5), mirror, Estimates(), 0.0))
 
         rebuilt = calls(rebuild)
 
         def hear() -> None:
             for name in names:
-                said = Report(name, TypeName("k"), IN_ZONE, False, 1, 1, Token(5), None, "", [])
+                said = Report(
+                    name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(5), None, "", []
+                )
                 cores[0].report(1.0, said, True)
 
         heard = calls(hear)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -367,19 +367,21 @@
     """The task had moved under the old owner; the copy said where it was before."""
     from dapplewick.core.estimates import Estimates
     from dapplewick.protocol.wire import Report, TaskReport
-    from dapplewick.types import MachineId, TaskIndex, TaskRef, Token, TypeName, zone_of
+    from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
     from test_four_points import TOKEN, ZONE, Bench, spec, starts
 
     bench = Bench(2)
     first, second = bench.names
     bench.grant("run-1", spec(1, 1.0, 100.0), 0.0)
-    core = PartCore(ZONE, Token(60), bench.mirror, Estimates(), 2.0)
+    core = PartCore(ZONE, FencingToken(60), bench.mirror, Estimates(), 2.0)
     task = TaskRef("run-1", TaskIndex(0))  # type: ignore[arg-type]
 
     def report(name: str, seq: int, token: int, attempt: int, at: float) -> list[Any]:
         tasks = [TaskReport(task, attempt, "running", None, False)] if attempt else []  # type: ignore[arg-type]
         machine, zone = MachineId(name), zone_of(ZONE)
-        said = Report(machine, TypeName("k"), zone, False, 1, seq, Token(token), None, "", tasks)
+        said = Report(
+            machine, TypeName("k"), zone, False, 1, seq, FencingToken(token), None, "", tasks
+        )
         return core.report(at, said, True)
 
     copy_says = report(first, 5, TOKEN, 1, 3.0)
@@ -482,9 +484,9 @@
         node.mirror.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         try:
             from dapplewick.core.machines import Change
-            from dapplewick.types import Token
+            from dapplewick.types import FencingToken
 
-            await node._write(Token(epoch), [Change("dw/x", {}, 0, 0)])
+            await node._write(FencingToken(epoch), [Change("dw/x", {}, 0, 0)])
         except Exception as err:
             seen.append(repr(err))
         last = world.writes[-1][2]["if"]
--- a/tests/test_previous_main.py
+++ b/tests/test_previous_main.py
@@ -86,7 +86,7 @@
     """The leader may change after any write, the machines' states change meanwhile, and whoever
     reads the records anew, of this version or of the main before, finds the same machines."""
     pick = random.Random(seed)
-    store, earlier = Store(count), production.load_commit(production.PREVIOUS_MAIN).records
+    store, earlier = Store(count), production.load_commit(production.PREVIOUS_MAIN)
     followed = store.read_anew(earlier.Mirror())
     machines, book = dict(store.machines), store.book()
     for _ in range(400):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -303,8 +303,8 @@
     from dapplewick.storage.records import TYPES
 
     bench = Bench(1)
-    dear = MachineType(name="dear", cpus=64.0, gpus=8.0, ram=512.0, price=20.0, zones=["a"])
-    cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram=64.0, price=0.5, zones=["a"])
+    dear = MachineType(name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, price=20.0, zones=["a"])
+    cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, price=0.5, zones=["a"])
     bench.put(TYPES, types_value([cheap, dear]))
     large = MachineId("vm-large")
     value = {"type": "dear", "zone": "a", "spot": False, "machines": {large: "u"}}
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -29,16 +29,16 @@
 from dapplewick.storage.records import FORMAT, MACHINES, PARTS, SHARES_FORMAT, Mirror
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import (
+    FencingToken,
     MachineId,
-    PartName,
-    Token,
+    ShardName,
     TransferId,
-    part_name,
+    shard_name,
 )
 from share_history import ShareHistory
 
-OWN = PartName("a")
-NIGHT, DAY = part_name("a", "night"), part_name("a", "day")
+OWN = ShardName("a")
+NIGHT, DAY = shard_name("a", "night"), shard_name("a", "day")
 PARTS_OF_ZONE = [OWN, NIGHT, DAY]
 PLAN = SharePlan(
     shares={
@@ -101,9 +101,9 @@
 class Owner:
     """One life of a part's owner; earlier ones may go on for as long as they like."""
 
-    def __init__(self, part: PartName, token: int) -> None:
+    def __init__(self, part: ShardName, token: int) -> None:
         self.part = part
-        self.token = Token(token)
+        self.token = FencingToken(token)
         self.mirror = Mirror()
         self.heard: dict[MachineId, set[str]] = {}  # what each worker reported under our token
 
@@ -174,14 +174,14 @@
             some = self.names[first : first + 7]
             group = {"type": "m", "zone": "a", "spot": False, "machines": dict.fromkeys(some, "u")}
             self.store.put(f"{MACHINES}r-{first}", group)
-        self.owners: dict[PartName, Owner] = {}
+        self.owners: dict[ShardName, Owner] = {}
         self.former: list[Owner] = []
         for part in PARTS_OF_ZONE:
             self.new_owner(part)
         self.late: list[list[Change]] = []  # transactions without an answer
         self.orders = 0
         self.statuses = 0
-        self.views: dict[PartName, PartView] = {}
+        self.views: dict[ShardName, PartView] = {}
         self.new_leader()
 
     def new_leader(self) -> None:
@@ -197,14 +197,14 @@
         self.keeper.targets.known = True
         self.views.clear()
 
-    def new_owner(self, part: PartName) -> None:
+    def new_owner(self, part: ShardName) -> None:
         if part in self.owners:
             self.former.append(self.owners[part])  # it may go on for as long as it likes
         self.store.put(PARTS + part, {"owner": f"n{self.store.revision}", "boot": "x"})
         owner = self.owners[part] = Owner(part, self.store.revision)
         self.store.follow(owner.mirror)
 
-    def order(self, source: PartName, target: PartName, count: int) -> None:
+    def order(self, source: ShardName, target: ShardName, count: int) -> None:
         self.orders += 1
         record = TransferRecord(
             0,
@@ -319,7 +319,7 @@
     ),
 )
 def test_drawn_moves_failures_and_lags(
-    seed: int, machines: int, moves: list[tuple[list[PartName], int, int]]
+    seed: int, machines: int, moves: list[tuple[list[ShardName], int, int]]
 ) -> None:
     """No machine has work of two parts or counts twice, and every move ends."""
     play = Play(seed, machines)
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -10,14 +10,14 @@
 
 from dapplewick.shares import plan as plans
 from dapplewick.storage.records import FORMAT, PARTS, SHARES_FORMAT
-from dapplewick.types import part_name
+from dapplewick.types import shard_name
 from share_history import ShareHistory
 from standins import World, now, run_day
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 
-NIGHT = part_name("a", "night")
-DAY = part_name("a", "day")
+NIGHT = shard_name("a", "night")
+DAY = shard_name("a", "day")
 
 PLAN = plans.parse(
     "plan.star",
@@ -85,7 +85,7 @@
     return {
         machine
         for key, (group, _, _) in world.state.keys.items()
-        if key.startswith("dw/m/") and part_name(group["zone"], group.get("share", "")) == part
+        if key.startswith("dw/m/") and shard_name(group["zone"], group.get("share", "")) == part
         for machine, text in group["machines"].items()
         if not text.startswith("d")
     }
@@ -660,11 +660,11 @@
         await crash(world, who(world, "leader"))
         await anyio.sleep(10.0)
         assert await shares_now(world) == {"x"}
-        await until(lambda: bool(machines_of(world, part_name("a", "x"))), 40.0)
+        await until(lambda: bool(machines_of(world, shard_name("a", "x"))), 40.0)
         assert (await command(world, "plan"))["status"] == 200
         await anyio.sleep(2.0)
         assert await shares_now(world) == {"night", "day"}
-        await until(lambda: not machines_of(world, part_name("a", "x")), 60.0)
+        await until(lambda: not machines_of(world, shard_name("a", "x")), 60.0)
 
     play_moves(world, script)
 
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -23,10 +23,10 @@
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.shares.timing import MoveTimes
 from dapplewick.storage.records import JobRecord
-from dapplewick.types import NOTHING, Size
+from dapplewick.types import NO_RESOURCES, Resources
 from test_operators import settings_file
 
-MACHINE = Size(8.0, 0.0, 32.0)
+MACHINE = Resources(8.0, 0.0, 32.0)
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -46,7 +46,8 @@
     minute: int = 0,
 ) -> Problem:
     wanted = {
-        name: ShareDemand(NOTHING, Size(cpus, 0.0, 0.0)) for name, cpus in (demand or {}).items()
+        name: ShareDemand(NO_RESOURCES, Resources(cpus, 0.0, 0.0))
+        for name, cpus in (demand or {}).items()
     }
     cells = {Cell(name, "a", "m"): count for name, count in (have or {}).items()}
     return Problem(plan, minute, {("a", "m"): Supply(MACHINE, machines)}, wanted, cells)
@@ -65,7 +66,8 @@
         ("shares = {'x': {'teams': [], 'rules': [{'types': ['m']}]}}", "shares['x'].teams"),
         ("shares = {'x': {'teams': ['t'], 'rules': [{'types': []}]}}", "rules[0].types"),
         (
-            "shares = {'x': {'teams': ['t'], 'rules': [{'types': ['m'], 'least': 0.6, 'most': 0.5}]}}",
+            "shares = {'x': {'teams': ['t'], "
+            "'rules': [{'types': ['m'], 'least': 0.6, 'most': 0.5}]}}",
             "shares['x'].rules[0].least",
         ),
         (
@@ -156,8 +158,8 @@
     plan = plan_of(x=[rule()], y=[rule()])
     asked = problem(plan, 4)._replace(
         demand={
-            "x": ShareDemand(Size(24.0, 0.0, 0.0), NOTHING),
-            "y": ShareDemand(NOTHING, Size(800.0, 0.0, 0.0)),
+            "x": ShareDemand(Resources(24.0, 0.0, 0.0), NO_RESOURCES),
+            "y": ShareDemand(NO_RESOURCES, Resources(800.0, 0.0, 0.0)),
         }
     )
     solution = solve(asked)
@@ -248,7 +250,7 @@
         tasks=tasks,
         cpus=cpus,
         gpus=0.0,
-        ram=1.0,
+        ram_gb=1.0,
         image="i",
         image_gb=1.0,
         types=None,
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -14,7 +14,7 @@
 from dapplewick.shares.timing import MoveTimes
 from dapplewick.storage.records import FORMAT, MACHINES, PARTS, SHARES_FORMAT, Mirror
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
-from dapplewick.types import MachineId, PartName, Revision, TransferId, part_name, share_of
+from dapplewick.types import MachineId, Revision, ShardName, TransferId, partition_of, shard_name
 from share_history import ShareHistory
 from standins import World
 from test_days import run_script
@@ -41,14 +41,14 @@
         self.mirror = Mirror()
         self.revision = 0
         self.put(FORMAT, {"version": SHARES_FORMAT})
-        self.parts = [part_name("a", name) for name in ["", *SHARES]]
+        self.parts = [shard_name("a", name) for name in ["", *SHARES]]
         for part in self.parts:
             self.put(PARTS + part, {"owner": "n0", "boot": "x"})
         for first in range(0, machines, 100):
             names = [f"vm-{n:06d}" for n in range(first, first + 100)]
             value: dict[str, Any] = {"type": "c8", "zone": "a", "spot": False}
             value["machines"] = dict.fromkeys(names, "u")
-            share = share_of(self.parts[first // 100 % len(self.parts)])
+            share = partition_of(self.parts[first // 100 % len(self.parts)])
             self.put(f"{MACHINES}r-{first}", value | ({"share": share} if share else {}))
         self.book = MachineBook(self.mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
         index = MachineIndex(self.mirror)
@@ -73,7 +73,7 @@
             self.mirror.put(key, value, self.revision)
         self.mirror.revision = Revision(self.revision)
 
-    def view(self, part: PartName) -> PartView:
+    def view(self, part: ShardName) -> PartView:
         view = PartView(part, self.mirror.version(PARTS + part))
         body = {"heard": True, "leaving": False, "faulty": False, "ends": []}
         machines = {m: body for m, r in self.mirror.machines.items() if r.part == part}
@@ -168,7 +168,7 @@
         world.group.cancel_scope.cancel()
 
     def in_shares() -> list[int]:
-        return [len(machines_of(world, part_name("a", name))) for name in SHARES]
+        return [len(machines_of(world, shard_name("a", name))) for name in SHARES]
 
     run_script(world, 40.0, script)
     history = ShareHistory()
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -12,7 +12,7 @@
 
 import production
 from dapplewick.storage.records import FORMAT, FORMAT_NOW, PARTS, SHARES_FORMAT, TRANSFERS
-from dapplewick.types import share_of
+from dapplewick.types import partition_of
 from standins import World, now
 from test_shares_moves import (
     FIXED_PLAN,
@@ -35,7 +35,7 @@
     """What shares have left in the state service, ever."""
     found = []
     for _, key, value, _ in world.state.log:
-        if key.startswith(TRANSFERS) or (key.startswith(PARTS) and share_of(key)):
+        if key.startswith(TRANSFERS) or (key.startswith(PARTS) and partition_of(key)):
             found.append(key)
         if isinstance(value, dict) and ("floors" in value or "share" in value):
             found.append(key)
@@ -118,7 +118,7 @@
 
     history = play_moves(world, script, 260.0)
     assert history.open_transfers() == []
-    assert not any(share_of(part) for part in history.parts_in_grants())
+    assert not any(partition_of(part) for part in history.parts_in_grants())
     assert len(world.told) == 3
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -34,7 +34,7 @@
     size_of,
 )
 from dapplewick.transport.http import Request
-from dapplewick.types import JobId, Token
+from dapplewick.types import FencingToken, JobId
 from rolls import TROUBLES, Trouble, hand_in_large, lower_limits, nothing, play_roll
 from standins import NEXT, World, now, settings
 from test_days import (
@@ -327,7 +327,7 @@
     mirror.put(JOBS + "run-1", job.dump(), 2)
     room = int(float(NEXT["value_kb"]) * 1024)
     assert size_of(job.dump()) > room
-    leader = LeaderCore(mirror, settings("n0"), Estimates(), Token(1), 0.0)
+    leader = LeaderCore(mirror, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
     assert changes[-1].key == JOBS + "run-1" and len(changes) > 2
     for version, change in enumerate(changes, start=3):
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -14,12 +14,12 @@
 from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, PartReservation
 from dapplewick.protocol.wire import MachineType, Report, types_value
 from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, Mirror
-from dapplewick.types import JobId, MachineId, PartName, Size, Token, TypeName, zone_of
+from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
 from test_four_points import KIND, group, spec
 
-ZONE = PartName("a")
+ZONE = ShardName("a")
 IN_ZONE = zone_of(ZONE)
-LARGE, SMALL = Size(16.0, 0.0, 64.0), Size(8.0, 0.0, 16.0)
+LARGE, SMALL = Resources(16.0, 0.0, 64.0), Resources(8.0, 0.0, 16.0)
 GANG = spec(4, 15.0, 60.0, gang=True)
 SINGLES = spec(40, 1.0, 60.0)
 
@@ -28,8 +28,8 @@
     """A gang that waits at the leader, and an array."""
     mirror = Mirror()
     kinds = [
-        MachineType(name="large", cpus=16.0, ram=64.0, zones=["a"]),
-        MachineType(name="small", cpus=8.0, ram=16.0, zones=["a"]),
+        MachineType(name="large", cpus=16.0, ram_gb=64.0, zones=["a"]),
+        MachineType(name="small", cpus=8.0, ram_gb=16.0, zones=["a"]),
     ]
     mirror.put(TYPES, types_value(kinds), 1)
     mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
@@ -47,7 +47,7 @@
     return made
 
 
-def view(name: str, size: Size) -> View:
+def view(name: str, size: Resources) -> View:
     none_wanted = AcceleratorDemand(Mirror())
     return View(MachineId(name), TypeName(name), ZONE, False, size, size, [], 0, none_wanted)
 
@@ -62,7 +62,7 @@
     ],
 )
 def test_the_leader_keeps_slots_for_waiting_gangs_where_singles_have_smaller_machines(
-    machines: dict[str, Size], taken: int
+    machines: dict[str, Resources], taken: int
 ) -> None:
     mirror = records()
     rooms = PartRooms(ZONE, [view(name, size) for name, size in machines.items()])
@@ -81,7 +81,7 @@
     for n, (name, kind) in enumerate(machines.items()):
         value = {"type": kind, "zone": "a", "spot": False, "machines": {name: "u"}}
         mirror.put(MACHINES + name, value, 10 + n)
-    core = PartCore(ZONE, Token(50), mirror, Estimates(), 0.0, seed=1)
+    core = PartCore(ZONE, FencingToken(50), mirror, Estimates(), 0.0, seed=1)
     counts = dict.fromkeys(machines, 0)
     for turn in (1, 2):
         for name, kind in machines.items():
@@ -92,7 +92,7 @@
                 False,
                 1,
                 turn,
-                Token(50),
+                FencingToken(50),
                 None,
                 "",
                 [],
@@ -125,7 +125,7 @@
 
 def two_parts(machines: int) -> list[PartRooms]:
     return [
-        PartRooms(PartName(zone), [view(f"{zone}{n}", LARGE) for n in range(machines)])
+        PartRooms(ShardName(zone), [view(f"{zone}{n}", LARGE) for n in range(machines)])
         for zone in ("a", "b")
     ]
 
@@ -155,7 +155,7 @@
     # are not kept for ever.
     assert open_after(MOST_S - 1.0, OVERDUE_S) == 1
     reservation.begin()
-    reservation.placed(MOST_S, {PartName("a")})
+    reservation.placed(MOST_S, {ShardName("a")})
     reservation.ask(MOST_S, big, OVERDUE_S, rooms, 20.0)
     assert open_after(2 * MOST_S - 1.0, OVERDUE_S) == 1
     assert open_after(2 * MOST_S, OVERDUE_S) == 2
@@ -173,7 +173,7 @@
     mirror = Mirror()
     mirror.put(TYPES, types_value([KIND]), 1)
     mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    core = LeaderCore(mirror, standins.settings("n0"), Estimates(), Token(9), 0.0)
+    core = LeaderCore(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
     for n in range(6):
         mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
     gangs = {"run-big": (6, 0.0), "run-small0": (2, waited), "run-small1": (2, waited)}
