--- a/src/dapplewick/api.py
+++ b/src/dapplewick/api.py
@@ -47,7 +47,7 @@
 
     def limits_now(self) -> StateLimits: ...
 
-    def part_names(self) -> list[str]: ...
+    def shard_names(self) -> list[str]: ...
 
     def stored(self, key: str, value: object, version: int) -> None: ...
 
@@ -172,9 +172,9 @@
             known = sorted({t for t in spec.types if t in mirror.types})
             spec = msgspec.structs.replace(spec, types=known)
         job = JobRecord(spec, self.controller.wall())
-        parts, room = self.controller.part_names(), self.controller.limits_now().value_bytes
-        if mirror.format >= FORMAT_NOW and not spec.gang and job.outgrows(parts, room):
-            job.chunk = chunk_tasks(spec.tasks, parts, room)
+        shards, room = self.controller.shard_names(), self.controller.limits_now().value_bytes
+        if mirror.format >= FORMAT_NOW and not spec.gang and job.outgrows(shards, room):
+            job.chunk = chunk_tasks(spec.tasks, shards, room)
         return job
 
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Answer:
--- a/src/dapplewick/cli.py
+++ b/src/dapplewick/cli.py
@@ -129,8 +129,8 @@
         f"lease {said['lease_left_s']} s  records {said['records_age_s']} s old",
         f"leader {said['leader'] or 'none'}  epoch {said['epoch']}",
     ]
-    for zone, part in sorted(said["parts"].items()):
-        lines.append(f"part {zone}  owner {part['owner']}  token {part['token']}")
+    for zone, shard in sorted(said["parts"].items()):
+        lines.append(f"part {zone}  owner {shard['owner']}  token {shard['token']}")
     # A controller of the version before says nothing of these.
     versions = "  ".join(f"{node} {v}" for node, v in sorted(said.get("versions", {}).items()))
     if versions:
@@ -144,9 +144,9 @@
     lines.append("jobs " + "  ".join(f"{stage} {n}" for stage, n in sorted(jobs.items())))
     budgets = said["budgets"]
     lines.append("budgets " + "  ".join(f"{name} {left}" for name, left in budgets.items()))
-    for zone, part in sorted(said["owned"].items()):
-        lines.append(f"owned {zone}  unheard {part['unheard']}  loose singles {part['loose']}")
-        for name, machine in sorted(part["machines"].items()):
+    for zone, shard in sorted(said["owned"].items()):
+        lines.append(f"owned {zone}  unheard {shard['unheard']}  loose singles {shard['loose']}")
+        for name, machine in sorted(shard["machines"].items()):
             free = machine["free"]
             lines.append(
                 f"  machine {name}  {machine['type']}  tasks {machine['tasks']}  "
@@ -154,7 +154,7 @@
                 f"free {free[0]:g} CPUs {free[1]:g} GPUs {free[2]:g} GB  "
                 f"silent {machine['silent']} s"
             )
-        for job, hold in sorted(part["held"].items()):
+        for job, hold in sorted(shard["held"].items()):
             lines.append(f"  gang {job}  {hold['state']}  remaining wait {hold['wait_s']} s")
     for name, times in sorted(said["latencies_ms"].items()):
         lines.append(
--- a/src/dapplewick/cloud.py
+++ b/src/dapplewick/cloud.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from dapplewick.core.leader import LeaderCore
+from dapplewick.core.leader import LeaderPlanner
 from dapplewick.protocol import wire
 from dapplewick.storage.client import Budget
 from dapplewick.storage.records import Mirror
@@ -40,7 +40,7 @@
     """What the calls need of their controller."""
 
     @property
-    def leader(self) -> LeaderCore | None: ...
+    def leader(self) -> LeaderPlanner | None: ...
 
     @property
     def mirror(self) -> Mirror: ...
@@ -88,14 +88,14 @@
                     list_at = now
                     await self._list(leader)
 
-    def _start_rentals(self, group: TaskGroup, leader: LeaderCore) -> None:
+    def _start_rentals(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         for name in self._node.mirror.bookings:
             new = name not in self._renting and name not in leader.rented
             if new and self._node.cloud_budget.take():
                 self._renting.add(name)
                 group.start_soon(self._rent, leader, name)
 
-    def _start_deletion(self, group: TaskGroup, leader: LeaderCore) -> None:
+    def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         doomed = [
             machine
             for machine, record in self._node.mirror.machines.items()
@@ -113,7 +113,7 @@
         except HttpError as err:
             return 0, str(err).encode()
 
-    async def _rent(self, leader: LeaderCore, name: str) -> None:
+    async def _rent(self, leader: LeaderPlanner, name: str) -> None:
         try:
             booking = self._node.mirror.bookings[name]
             body = wire.rent_body(name, booking.type, booking.zone, booking.spot, booking.count)
@@ -131,7 +131,7 @@
         finally:
             self._renting.discard(name)
 
-    async def _delete(self, leader: LeaderCore, machines: list[MachineId]) -> None:
+    async def _delete(self, leader: LeaderPlanner, machines: list[MachineId]) -> None:
         try:
             status, _ = await self._call("POST", "/hosts/delete", wire.delete_body(machines))
             if status == 200:
@@ -146,7 +146,7 @@
         finally:
             self._deleting.difference_update(machines)
 
-    async def _catalog(self, leader: LeaderCore) -> bool:
+    async def _catalog(self, leader: LeaderPlanner) -> bool:
         status, answer = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
@@ -157,7 +157,7 @@
             log.error("event=catalog_refused error=%s", err)
         return False
 
-    async def _list(self, leader: LeaderCore) -> None:
+    async def _list(self, leader: LeaderPlanner) -> None:
         machines: list[wire.Listed] = []
         since = ""
         try:
--- a/src/dapplewick/coordination/parts.py
+++ b/src/dapplewick/coordination/parts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dapplewick.storage.records import Mirror, PartRecord
+from dapplewick.storage.records import Mirror, ShardRecord
 from dapplewick.types import ControllerName, Seconds, ShardName, partition_of, zone_of
 
 DEAF_PAUSE_S = 20.0  # a part changes hands for silent workers at most this often
@@ -11,7 +11,7 @@
 LEADING = 1  # leading is as much work as a part
 
 
-class PartAssigner:
+class ShardAssigner:
     """The leader's choice of owners; a part changes hands only for a reason."""
 
     def __init__(self, mirror: Mirror, zones: list[str], me: ControllerName) -> None:
@@ -22,12 +22,12 @@
         self._uneven_since: Seconds | None = None
         self._moved_at: dict[ShardName, Seconds] = {}
 
-    def parts(self) -> list[ShardName]:
+    def shards(self) -> list[ShardName]:
         """Every part that has or needs an owner: the zones, and the shares of them."""
-        shares = [part for part in self.mirror.parts if partition_of(part)]
+        shares = [shard for shard in self.mirror.shards if partition_of(shard)]
         return list(dict.fromkeys([*self._zones, *self.wanted, *shares]))
 
-    def changes(self, now: Seconds, deaf: set[ShardName]) -> dict[ShardName, PartRecord]:
+    def changes(self, now: Seconds, deaf: set[ShardName]) -> dict[ShardName, ShardRecord]:
         """The parts that get a new owner now. `deaf` are those whose owner hears none of its
         machines: it may have lost the way to them alone, and another may hear them."""
         nodes = self.mirror.nodes
@@ -35,60 +35,60 @@
         if self.me in load:
             load[self.me] = LEADING
         orphans: list[ShardName] = []
-        for name in self.parts():
-            part = self.mirror.parts.get(name)
-            node = nodes.get(ControllerName(part.owner)) if part is not None else None
+        for name in self.shards():
+            shard = self.mirror.shards.get(name)
+            node = nodes.get(ControllerName(shard.owner)) if shard is not None else None
             # A controller that was started again knows nothing of its earlier life: its part
             # is given out anew, under a new token.
-            if part is None or node is None or node.boot != part.boot:
+            if shard is None or node is None or node.boot != shard.boot:
                 orphans.append(name)
             else:
-                load[ControllerName(part.owner)] += 1
-        out: dict[ShardName, PartRecord] = {}
+                load[ControllerName(shard.owner)] += 1
+        out: dict[ShardName, ShardRecord] = {}
         for name in orphans:
             if not load:
                 return out
             node_name = min(load, key=lambda n: self._key(n, name, load))
             load[node_name] += 1
-            out[name] = PartRecord(owner=node_name, boot=nodes[node_name].boot)
+            out[name] = ShardRecord(owner=node_name, boot=nodes[node_name].boot)
         if not out:
             out = self._move_deaf(now, load, deaf) or self._even_out(now, load)
         return out
 
     def _move_deaf(
         self, now: Seconds, load: dict[ControllerName, int], deaf: set[ShardName]
-    ) -> dict[ShardName, PartRecord]:
-        for name in sorted(deaf & self.mirror.parts.keys()):
-            owner = ControllerName(self.mirror.parts[name].owner)
+    ) -> dict[ShardName, ShardRecord]:
+        for name in sorted(deaf & self.mirror.shards.keys()):
+            owner = ControllerName(self.mirror.shards[name].owner)
             others = {n: count for n, count in load.items() if n != owner}
             if others and now - self._moved_at.get(name, -1e9) >= DEAF_PAUSE_S:
                 self._moved_at[name] = now
                 node = min(others, key=lambda n: self._key(n, name, others))
-                return {name: PartRecord(owner=node, boot=self.mirror.nodes[node].boot)}
+                return {name: ShardRecord(owner=node, boot=self.mirror.nodes[node].boot)}
         return {}
 
     def _key(
-        self, node: ControllerName, part: ShardName, load: dict[ControllerName, int]
+        self, node: ControllerName, shard: ShardName, load: dict[ControllerName, int]
     ) -> tuple[object, ...]:
         """The least loaded, preferably not the leader, preferably in the zone itself."""
-        return (load[node], node == self.me, self.mirror.nodes[node].zone != zone_of(part), node)
+        return (load[node], node == self.me, self.mirror.nodes[node].zone != zone_of(shard), node)
 
     def _even_out(
         self, now: Seconds, load: dict[ControllerName, int]
-    ) -> dict[ShardName, PartRecord]:
+    ) -> dict[ShardName, ShardRecord]:
         if not load or max(load.values()) - min(load.values()) < 2:
             self._uneven_since = None
             return {}
         if self._uneven_since is None:
             self._uneven_since = now
         most = max(load, key=lambda n: (load[n], n))
-        owned = [p for p in self.parts() if self.mirror.parts[p].owner == most]
+        owned = [p for p in self.shards() if self.mirror.shards[p].owner == most]
         if not owned:
             return {}
-        part = owned[-1]
-        full = any(m.up and m.part == part for m in self.mirror.machines.values())
+        shard = owned[-1]
+        full = any(m.up and m.shard == shard for m in self.mirror.machines.values())
         if now - self._uneven_since < (STEADY_S if full else EMPTY_STEADY_S):
             return {}
         self._uneven_since = None
-        least = min(load, key=lambda n: self._key(n, part, load))
-        return {part: PartRecord(owner=least, boot=self.mirror.nodes[least].boot)}
+        least = min(load, key=lambda n: self._key(n, shard, load))
+        return {shard: ShardRecord(owner=least, boot=self.mirror.nodes[least].boot)}
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -7,7 +7,7 @@
 import random
 from typing import NamedTuple
 
-from dapplewick.core.model import PartRooms, View, take_times
+from dapplewick.core.model import ShardCapacity, View, take_times
 from dapplewick.protocol.wire import JobSpec, MachineType
 from dapplewick.storage.records import BookingRecord, Mirror
 from dapplewick.tuning import Tuning
@@ -125,7 +125,7 @@
         return offers
 
     def rent(
-        self, now: Seconds, wall: Seconds, needs: list[Need], rooms: list[PartRooms]
+        self, now: Seconds, wall: Seconds, needs: list[Need], rooms: list[ShardCapacity]
     ) -> tuple[list[BookingRecord], list[Need]]:
         """What to ask for, beyond the rooms that there are and what is already coming; and
         the needs for which nothing is left to be asked.
@@ -135,7 +135,7 @@
         """
         pool = _rooms_by_zone(rooms)
         for zone in self.zones:
-            pool.setdefault(Zone(zone), PartRooms(ShardName(zone), []))
+            pool.setdefault(Zone(zone), ShardCapacity(ShardName(zone), []))
         for view in self.coming(wall):
             if view.zone in pool:
                 pool[view.zone].add(view)
@@ -170,7 +170,7 @@
         count: int,
         cap: int,
         zones: list[str],
-        pool: dict[Zone, PartRooms],
+        pool: dict[Zone, ShardCapacity],
         asked: dict[tuple[str, str, bool], int],
         caps: dict[str, int] | None = None,
     ) -> bool:
@@ -180,9 +180,9 @@
         if caps is not None:
             left = {zone: caps.get(zone, 0) for zone in zones}
         for zone in zones:
-            part = pool[Zone(zone)]
+            shard = pool[Zone(zone)]
             taken = False
-            for view in part.candidates(spec):
+            for view in shard.candidates(spec):
                 if count <= 0 or left[zone] <= 0:
                     break
                 # Singles that need no accelerators don't count on machines that are rented
@@ -196,7 +196,7 @@
                     count -= fit
                     taken = True
             if taken:
-                part.changed()
+                shard.changed()
         while count > 0 and sum(asked.values()) < self._machines_per_pass:
             open_zones = [z for z in zones if left[z] > 0]
             offer = self._best(now, spec, count, asked, open_zones)
@@ -261,18 +261,18 @@
         return max(BOOT_LEAST_S, BOOT_TIMES * (kind.boot if kind is not None else 60.0))
 
 
-def _rooms_by_zone(rooms: list[PartRooms]) -> dict[Zone, PartRooms]:
+def _rooms_by_zone(rooms: list[ShardCapacity]) -> dict[Zone, ShardCapacity]:
     """The rooms of each zone, whose machines may be in several parts."""
-    parts: dict[Zone, list[PartRooms]] = {}
+    shards: dict[Zone, list[ShardCapacity]] = {}
     for room in rooms:
-        parts.setdefault(room.zone, []).append(room)
-    return {zone: _joined(zone, some) for zone, some in parts.items()}
+        shards.setdefault(room.zone, []).append(room)
+    return {zone: _joined(zone, some) for zone, some in shards.items()}
 
 
-def _joined(zone: Zone, rooms: list[PartRooms]) -> PartRooms:
+def _joined(zone: Zone, rooms: list[ShardCapacity]) -> ShardCapacity:
     if len(rooms) == 1:
         return rooms[0]
-    return PartRooms(ShardName(zone), [view for room in rooms for view in room.views])
+    return ShardCapacity(ShardName(zone), [view for room in rooms for view in room.views])
 
 
 def wanted_slots(work: Seconds, running: int, horizon: Seconds) -> int:
--- a/src/dapplewick/core/job_writes.py
+++ b/src/dapplewick/core/job_writes.py
@@ -40,9 +40,9 @@
 class JobWrites:
     """The writes for drafts of job records, within the lower of all limits."""
 
-    def __init__(self, mirror: Mirror, part_names: list[str], value_bytes: int) -> None:
+    def __init__(self, mirror: Mirror, shard_names: list[str], value_bytes: int) -> None:
         self._mirror = mirror
-        self._part_names = part_names
+        self._shard_names = shard_names
         self._value_bytes = value_bytes
         self._converting: set[JobId] = set()
         self._outgrows: dict[JobId, bool] = {}
@@ -152,7 +152,7 @@
     def _conversion(self, job_id: JobId, job: JobRecord, most: int) -> list[Change]:
         """The next writes, at most so many, that cut one job's record into chunks."""
         target = job.copy()
-        target.chunk = chunk_tasks(job.spec.tasks, self._part_names, self._value_bytes)
+        target.chunk = chunk_tasks(job.spec.tasks, self._shard_names, self._value_bytes)
         wanted = target.chunk_values()
         stored = {n: chunk.value for n, chunk in self._mirror.chunks.get(job_id, {}).items()}
         differ = [n for n in sorted(wanted | stored) if wanted.get(n) != stored.get(n)]
@@ -170,7 +170,7 @@
     def _may_outgrow(self, job_id: JobId, job: JobRecord) -> bool:
         known = self._outgrows.get(job_id)
         if known is None:
-            known = self._outgrows[job_id] = job.outgrows(self._part_names, self._value_bytes)
+            known = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
         return known
 
     def leftovers(self, drafted: Collection[JobId]) -> list[Change]:
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -25,11 +25,11 @@
     JobWrites,
 )
 from dapplewick.core.machines import Change, MachineBook, Silence
-from dapplewick.core.model import GANG_RANK, PartRooms, view_of
+from dapplewick.core.model import GANG_RANK, ShardCapacity, view_of
 from dapplewick.core.needs import NeedPlanner, Waiting
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.core.placing import LONG_HOLD_S, place_gang
-from dapplewick.core.reservation import PartReservation
+from dapplewick.core.reservation import ShardReservation
 from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, types_value
 from dapplewick.storage.records import (
     BOOKINGS,
@@ -38,7 +38,7 @@
     FORMAT,
     FORMAT_NOW,
     MACHINES,
-    PARTS,
+    SHARDS,
     TYPE_KEYS,
     TYPES,
     GangPlace,
@@ -81,21 +81,21 @@
     def note_waiting(self, wall: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Jobs of which nothing has started may wait for room that is kept for other teams."""
 
-    def served_teams(self, part: ShardName) -> frozenset[str] | None:
+    def served_teams(self, shard: ShardName) -> frozenset[str] | None:
         """The teams whose work may come to a part; None: all teams."""
 
     def changes(
         self,
         now: Seconds,
         wall: Seconds,
-        parts: list[PartView],
+        shards: list[ObservedShard],
         placed: Set[MachineId],
         book: MachineBook,
     ) -> list[Change]:
         """The writes that move machines between shares."""
 
 
-class LeaderCore:
+class LeaderPlanner:
     """Plans of one term of leadership."""
 
     def __init__(
@@ -106,7 +106,7 @@
         epoch: FencingToken,
         now: Seconds,
         tuning: Tuning | None = None,
-        part_names: list[str] | None = None,
+        shard_names: list[str] | None = None,
     ) -> None:
         self.tuning = tuning or Tuning()
         self.mirror = mirror
@@ -131,10 +131,10 @@
             limits.txn_ops,
             self.settings.workers.report_s,
         )
-        self._job_writes = JobWrites(mirror, part_names or self.settings.zones, limits.value_bytes)
-        self.parts: dict[ShardName, PartView] = {}
+        self._job_writes = JobWrites(mirror, shard_names or self.settings.zones, limits.value_bytes)
+        self.shards: dict[ShardName, ObservedShard] = {}
         self._need_planner = NeedPlanner(
-            mirror, self.settings.zones, estimates, self.tuning, self.gangs, self.parts, self._job
+            mirror, self.settings.zones, estimates, self.tuning, self.gangs, self.shards, self._job
         )
         self.rented: dict[str, list[MachineId] | None] = {}
         self.types: list[MachineType] = []
@@ -144,30 +144,32 @@
         self._teams = {t.name: t for t in self.settings.teams}
         self._load_at = now
         self._fleet_at = -1e9
-        self._reservation = PartReservation()
+        self._reservation = ShardReservation()
         self._held_since: dict[JobId, Seconds] = {}  # gangs that stop nothing for their slots
         self.shares: ShareKeeper | None = None  # where zones have shares
 
     # Inputs
 
-    def part_status(self, now: Seconds, body: dict[str, Any]) -> int:
+    def shard_status(self, now: Seconds, body: dict[str, Any]) -> int:
         """A part's status; gives the number up to which this part is known here."""
         name = ShardName(body["zone"])
-        token = self.mirror.version(PARTS + name)
+        token = self.mirror.version(SHARDS + name)
         if body["token"] != token:
             return 0
-        part = self.parts.get(name)
-        if part is None or part.token != token:
-            part = self.parts[name] = PartView(name, token)
-        if part.apply(now, body):
+        shard = self.shards.get(name)
+        if shard is None or shard.token != token:
+            shard = self.shards[name] = ObservedShard(name, token)
+        if shard.apply(now, body):
             self.estimates.adopt({k: (v[0], v[1]) for k, v in body["estimates"].items()})
-        return part.number
+        return shard.number
 
-    def _owned(self) -> list[PartView]:
+    def _owned(self) -> list[ObservedShard]:
         """Parts whose owner has told of them."""
         version = self.mirror.version
         return [
-            p for name, p in self.parts.items() if p.number > 0 and p.token == version(PARTS + name)
+            p
+            for name, p in self.shards.items()
+            if p.number > 0 and p.token == version(SHARDS + name)
         ]
 
     def booking_answered(self, name: str, machines: list[MachineId] | None) -> None:
@@ -183,20 +185,20 @@
         self.types = types
         self.fleet.catalog(types)
 
-    def deaf_parts(self) -> set[ShardName]:
+    def unreachable_shards(self) -> set[ShardName]:
         """Parts whose owner has not heard any of its machines for a while, though they are up.
 
         Deleting them all as silent would cost a part its work for one node's broken network.
         """
         deaf = set()
-        for part in self._owned():
+        for shard in self._owned():
             up = sum(
                 record.up and not record.doomed
-                for m in part.machines
+                for m in shard.machines
                 if (record := self.mirror.machines.get(m)) is not None
             )
-            if up >= DEAF_LEAST and part.fresh["heard_ago"] > DEAF_S:
-                deaf.add(part.part)
+            if up >= DEAF_LEAST and shard.fresh["heard_ago"] > DEAF_S:
+                deaf.add(shard.shard)
         return deaf
 
     # Drafts of job records
@@ -289,12 +291,12 @@
     def _log_load(
         self,
         wall: Seconds,
-        rooms: list[PartRooms],
+        rooms: list[ShardCapacity],
         ordered: list[Waiting],
     ) -> None:
         """What there is and what waits, for those who look for a cause."""
         kinds: dict[str, list[float]] = {}
-        for view in (v for part in rooms for v in part.views):
+        for view in (v for shard in rooms for v in shard.views):
             row = kinds.setdefault(view.type + ("/spot" if view.spot else ""), [0, 0.0, 0.0])
             row[0] += 1
             row[1] += view.free.cpus
@@ -319,17 +321,17 @@
 
     def _absorb(self, now: Seconds) -> None:
         """Take over what the parts report of their jobs."""
-        for part in self._owned():
-            self._absorb_singles(part)
-            for job_id in part.fresh["clear"]:
+        for shard in self._owned():
+            self._absorb_singles(shard)
+            for job_id in shard.fresh["clear"]:
                 old = self.mirror.jobs.get(job_id)
-                if old is not None and not old.open and part.part in old.grants:
-                    self._edit(job_id, RANK_CLEARED).grants.pop(part.part, None)
+                if old is not None and not old.open and shard.shard in old.grants:
+                    self._edit(job_id, RANK_CLEARED).grants.pop(shard.shard, None)
         self._absorb_gangs(now)
 
-    def _absorb_singles(self, part: PartView) -> None:
-        name = part.part
-        for job_id, body in part.jobs.items():
+    def _absorb_singles(self, shard: ObservedShard) -> None:
+        name = shard.shard
+        for job_id, body in shard.jobs.items():
             if not body["done"] and not body["returned"]:
                 continue
             old = self.mirror.jobs.get(job_id)
@@ -356,7 +358,7 @@
                 log.info("event=job_done job=%s", job_id)
 
     def _absorb_gangs(self, now: Seconds) -> None:
-        owned = {p.part: p for p in self._owned()}
+        owned = {p.shard: p for p in self._owned()}
         lowest = min(
             (
                 j.spec.rank
@@ -371,11 +373,11 @@
             if gang is None:
                 continue
             states = []
-            for name in gang.parts():
-                part = owned.get(ShardName(name))
+            for name in gang.shards():
+                shard = owned.get(ShardName(name))
                 state = "unknown"
-                if part is not None and part.seen >= old.version:
-                    attempt, said, _ = part.gangs.get(job_id, (0, "unknown", 0.0))
+                if shard is not None and shard.seen >= old.version:
+                    attempt, said, _ = shard.gangs.get(job_id, (0, "unknown", 0.0))
                     state = said if attempt == gang.attempt else "unknown"
                 states.append(state)
             if old.open and "done" in states:
@@ -427,65 +429,65 @@
     def _spend(self, spec: JobSpec, count: int, usage: dict[str, Resources]) -> None:
         usage[spec.team] = usage[spec.team].plus(spec.resources.times(count))
 
-    def _rooms(self, now: Seconds) -> list[PartRooms]:
+    def _rooms(self, now: Seconds) -> list[ShardCapacity]:
         """The parts' rooms, less what was given to them that their statuses don't show."""
-        rooms: list[PartRooms] = []
-        by_part: dict[str, PartRooms] = {}
-        for part in self._owned():
-            if now - part.at > STATUS_S:
+        rooms: list[ShardCapacity] = []
+        by_shard: dict[str, ShardCapacity] = {}
+        for shard in self._owned():
+            if now - shard.at > STATUS_S:
                 continue
             views = []
-            for machine_id, body in part.machines.items():
+            for machine_id, body in shard.machines.items():
                 record = self.mirror.machines.get(machine_id)
                 if record is None or record.doomed or not body["usable"]:
                     continue
-                if record.part != part.part or self.mirror.transfers.drains(machine_id):
+                if record.shard != shard.shard or self.mirror.transfers.drains(machine_id):
                     continue  # handed over, or chosen to be, since its status
-                view = part.views.get(machine_id)
+                view = shard.views.get(machine_id)
                 if view is None:
                     kind = self.mirror.types.get(record.type)
                     if kind is None:
                         continue
-                    view = part.views[machine_id] = view_of(
+                    view = shard.views[machine_id] = view_of(
                         machine_id,
                         record.type,
-                        part.part,
+                        shard.shard,
                         record.spot,
                         kind.resources,
                         body,
                         self.demand,
-                        part.clock,
+                        shard.clock,
                     )
                 view.begin(now)
                 view.kept = None
                 views.append(view)
-            room = PartRooms(part.part, views)
+            room = ShardCapacity(shard.shard, views)
             if self.shares is not None:
-                room.reserve(self.shares.served_teams(part.part))
+                room.reserve(self.shares.served_teams(shard.shard))
             rooms.append(room)
-            by_part[part.part] = room
+            by_shard[shard.shard] = room
         for job_id in self.mirror.live_jobs:
             job = self._job(job_id)
             if job.gang is not None:
                 for name, machine in job.gang.places:
-                    said = self.parts.get(ShardName(name))
-                    if name not in by_part or said is None or said.seen >= job.version:
+                    said = self.shards.get(ShardName(name))
+                    if name not in by_shard or said is None or said.seen >= job.version:
                         continue
                     taken = said.views.get(MachineId(machine))
                     if taken is not None:
-                        by_part[name].take([taken], job.resources)
+                        by_shard[name].take([taken], job.resources)
             for name, tasks in job.grants.items():
-                if name not in by_part:
+                if name not in by_shard:
                     continue
-                backlog = len(tasks) - self.parts[ShardName(name)].placed(job_id)
+                backlog = len(tasks) - self.shards[ShardName(name)].placed(job_id)
                 if backlog > 0:
-                    by_part[name].take_most(job.spec, backlog)
+                    by_shard[name].take_most(job.spec, backlog)
         return rooms
 
     # Gangs
 
     def _place_gangs(
-        self, now: Seconds, wall: Seconds, rooms: list[PartRooms], usage: dict[str, Resources]
+        self, now: Seconds, wall: Seconds, rooms: list[ShardCapacity], usage: dict[str, Resources]
     ) -> None:
         """The largest fitting gang first, the oldest among equals, until none fits."""
         waiting = [
@@ -512,20 +514,20 @@
     ) -> list[tuple[JobId, JobRecord]]:
         """Gangs for which no machines without accelerators are about to come up. At the start
         of a day all come up together, and those that were there first kept gangs for minutes."""
-        coming = {Zone(z): PartRooms(ShardName(z), []) for z in self.settings.zones}
+        coming = {Zone(z): ShardCapacity(ShardName(z), []) for z in self.settings.zones}
         for view in self.fleet.coming(wall):
             if view.capacity.gpus == 0 and view.zone in coming:
                 coming[view.zone].add(view)
         out = []
         for job_id, job in gangs:
             spec, shape = job.spec, job.spec.shape
-            parts = sorted(coming.values(), key=lambda p: -p.idle(spec, shape))
-            if not spec.one_zone and sum(p.idle(spec, shape) for p in parts) >= spec.tasks:
+            shards = sorted(coming.values(), key=lambda p: -p.idle(spec, shape))
+            if not spec.one_zone and sum(p.idle(spec, shape) for p in shards) >= spec.tasks:
                 left = spec.tasks
-                for part in parts:
-                    left -= part.take_most(spec, left)
-            elif parts and parts[0].idle(spec, shape) >= spec.tasks:
-                parts[0].take_most(spec, spec.tasks)
+                for shard in shards:
+                    left -= shard.take_most(spec, left)
+            elif shards and shards[0].idle(spec, shape) >= spec.tasks:
+                shards[0].take_most(spec, spec.tasks)
             else:
                 out.append((job_id, job))
         return out
@@ -534,19 +536,19 @@
         self,
         waiting: list[tuple[JobId, JobRecord]],
         wall: Seconds,
-        rooms: list[PartRooms],
+        rooms: list[ShardCapacity],
         usage: dict[str, Resources],
     ) -> list[tuple[JobId, JobRecord]]:
         """Place gangs in this order; gives those for which there was no room."""
         left = []
-        by_part = {room.part: room for room in rooms}
+        by_shard = {room.shard: room for room in rooms}
         for job_id, job in waiting:
             spec = job.spec
             if self._within_limit(spec, usage) < spec.tasks:
                 continue
             waited = wall - job.at
             limit = max(LONG_HOLD_S, HOLD_SHARE * max(waited, self.estimates.run_time(spec)))
-            open_rooms = self._reservation.open_parts(rooms)
+            open_rooms = self._reservation.open_shards(rooms)
             found = place_gang(spec, open_rooms, limit, self.tuning.patience_s)
             if found is None:
                 left.append((job_id, job))
@@ -554,12 +556,12 @@
                 continue
             chosen, preempt = found
             for view in chosen:
-                by_part[view.part].take([view], job.resources)
-            self._reservation.placed(wall, {view.part for view in chosen})
+                by_shard[view.shard].take([view], job.resources)
+            self._reservation.placed(wall, {view.shard for view in chosen})
             self._spend(spec, spec.tasks, usage)
             self._counter += 1
             attempt = self.epoch * IDS_PER_TOKEN + self._counter
-            places = [(str(v.part), str(v.id)) for v in chosen]
+            places = [(str(v.shard), str(v.id)) for v in chosen]
             self._edit(job_id, RANK_GRANTS).gang = GangPlace(attempt, places, preempt=preempt)
             log.info(
                 "event=gang_placed job=%s attempt=%d machines=%s preempt=%s",
@@ -652,7 +654,7 @@
 
     def _grant(
         self,
-        rooms: list[PartRooms],
+        rooms: list[ShardCapacity],
         usage: dict[str, Resources],
         ordered: list[Waiting],
     ) -> None:
@@ -705,56 +707,56 @@
             or wall - entry.job.at > UNAIMED_WAIT_S
         ]
 
-    def _queue_room(self, rooms: list[PartRooms]) -> dict[ShardName, int]:
+    def _queue_room(self, rooms: list[ShardCapacity]) -> dict[ShardName, int]:
         room = {}
-        for part in rooms:
-            said = self.parts[part.part]
-            running = sum(view.singles for view in part.views)
+        for shard in rooms:
+            said = self.shards[shard.shard]
+            running = sum(view.singles for view in shard.views)
             waiting = 0
             for job_id in self.mirror.live_jobs:
                 job = self._job(job_id)
-                granted = job.grants.get(part.part)
+                granted = job.grants.get(shard.shard)
                 if granted and not job.spec.daemon:
                     waiting += max(0, len(granted) - said.placed(job_id))
-            room[part.part] = max(0, int(QUEUE_LEAST + QUEUE_SHARE * running) - waiting)
+            room[shard.shard] = max(0, int(QUEUE_LEAST + QUEUE_SHARE * running) - waiting)
         return room
 
     def _shares(
         self,
         spec: JobSpec,
         job: JobRecord,
-        rooms: list[PartRooms],
+        rooms: list[ShardCapacity],
         queue_room: dict[ShardName, int],
         count: int,
         warm: bool,
     ) -> dict[ShardName, int]:
         shape = spec.shape
-        parts = [p for p in rooms if any(v.allows(spec) for v in p.views)]
+        shards = [p for p in rooms if any(v.allows(spec) for v in p.views)]
         if spec.one_zone:
             zones = {zone_of(name) for name, tasks in job.grants.items() if tasks}
-            if not zones and parts:
-                zones = {_widest_zone(parts, spec)}
-            parts = [p for p in parts if p.zone in zones]
+            if not zones and shards:
+                zones = {_widest_zone(shards, spec)}
+            shards = [p for p in shards if p.zone in zones]
         shares: dict[ShardName, int] = {}
-        left = {p.zone: spec.zone_cap - job.granted_in_zone(p.zone) for p in parts}
+        left = {p.zone: spec.zone_cap - job.granted_in_zone(p.zone) for p in shards}
         # A share kept for its team goes before what all use; by idle room else.
-        parts.sort(key=lambda p: (p.teams is None, -p.idle(spec, shape)))
-        for part in parts:
-            part.keep_for_gangs(self.gangs, 1.0 / len(rooms))
-            share = part.take_most(spec, min(count, left[part.zone]), warm)
-            shares[part.part] = share
-            left[part.zone] -= share
+        shards.sort(key=lambda p: (p.teams is None, -p.idle(spec, shape)))
+        for shard in shards:
+            shard.keep_for_gangs(self.gangs, 1.0 / len(rooms))
+            share = shard.take_most(spec, min(count, left[shard.zone]), warm)
+            shares[shard.shard] = share
+            left[shard.zone] -= share
             count -= share
-        for part in parts if not warm else ():
-            most = min(count, left[part.zone])
+        for shard in shards if not warm else ():
+            most = min(count, left[shard.zone])
             if spec.daemon:
                 # None waits in a queue; what gives way to it makes room.
-                extra = part.take_forced(spec, most)
+                extra = shard.take_forced(spec, most)
             else:
-                extra = max(0, min(most, queue_room[part.part]))
-                queue_room[part.part] -= extra
-            shares[part.part] += extra
-            left[part.zone] -= extra
+                extra = max(0, min(most, queue_room[shard.shard]))
+                queue_room[shard.shard] -= extra
+            shares[shard.shard] += extra
+            left[shard.zone] -= extra
             count -= extra
         return {name: share for name, share in shares.items() if share}
 
@@ -764,27 +766,27 @@
         """Machines that came up, turned out unknown, or have to go."""
         heard: dict[MachineId, dict[str, Any]] = {}
         silent: dict[MachineId, Silence] = {}
-        for part in self._owned():
-            heard.update(part.machines)
-            others_heard = part.fresh["heard_ago"] < self.settings.workers.report_s
+        for shard in self._owned():
+            heard.update(shard.machines)
+            others_heard = shard.fresh["heard_ago"] < self.settings.workers.report_s
             # What a part has not heard for long is told in full each time; a status that is
             # itself old says less than its age.
-            for machine_id, (seconds, urgent) in part.fresh["silent"].items():
-                if self._handed_over(machine_id, part):
+            for machine_id, (seconds, urgent) in shard.fresh["silent"].items():
+                if self._handed_over(machine_id, shard):
                     continue
                 silent[machine_id] = Silence(seconds, urgent, others_heard)
         self.book.review(now, wall, heard, silent, self.settings.zones)
 
-    def _handed_over(self, machine_id: MachineId, part: PartView) -> bool:
+    def _handed_over(self, machine_id: MachineId, shard: ObservedShard) -> bool:
         """Whether a machine has gone to another part since that part's status."""
         record = self.mirror.machines.get(machine_id)
-        return record is not None and record.part != part.part
+        return record is not None and record.shard != shard.shard
 
     def _fleet_changes(
         self,
         now: Seconds,
         wall: Seconds,
-        rooms: list[PartRooms],
+        rooms: list[ShardCapacity],
         ordered: list[Waiting],
     ) -> list[Change]:
         changes: list[Change] = []
@@ -841,9 +843,9 @@
         """Whether enough is known to decide on machines: every owned part was heard."""
         if not self.mirror.types or now - self.started < 1.0:
             return False
-        parts = {name for name in self.mirror.parts if zone_of(name) in self.settings.zones}
-        fresh = {p.part for p in self._owned() if now - p.at < STATUS_S}
-        return bool(parts) and parts <= fresh
+        shards = {name for name in self.mirror.shards if zone_of(name) in self.settings.zones}
+        fresh = {p.shard for p in self._owned() if now - p.at < STATUS_S}
+        return bool(shards) and shards <= fresh
 
     def _returns(self, needs: list[Need], spare: int) -> None:
         """Machines that have been idle for a while go back, unless something waits for them."""
@@ -853,13 +855,13 @@
             if (gang := self._job(job_id).gang) is not None
             for _, machine in gang.places
         }
-        for part in self._owned():
-            for machine_id, idle in part.fresh["idle"].items():
+        for shard in self._owned():
+            for machine_id, idle in shard.fresh["idle"].items():
                 record = self.mirror.machines.get(machine_id)
-                body = part.machines.get(machine_id)
+                body = shard.machines.get(machine_id)
                 if record is None or body is None or record.doomed or not record.up:
                     continue
-                if self._handed_over(machine_id, part):
+                if self._handed_over(machine_id, shard):
                     continue
                 if self.mirror.transfers.drains(machine_id) is not None:
                     continue
@@ -872,7 +874,7 @@
                 spare -= slots
                 self.book.doom(machine_id, "idle", 2)
 
-    def _spare_slots(self, rooms: list[PartRooms]) -> int:
+    def _spare_slots(self, rooms: list[ShardCapacity]) -> int:
         """How many idle slots of the gangs' size there are beyond those to be kept."""
         idle = sum(self.gangs.resources.count_in(v.free) for p in rooms for v in p.open)
         return idle - math.ceil(self.gangs.slots)
@@ -893,11 +895,11 @@
         )
 
 
-def _widest_zone(parts: list[PartRooms], spec: JobSpec) -> Zone:
+def _widest_zone(shards: list[ShardCapacity], spec: JobSpec) -> Zone:
     """The zone with most idle room for this work."""
     idle: dict[Zone, int] = {}
-    for part in parts:
-        idle[part.zone] = idle.get(part.zone, 0) + part.idle(spec, spec.shape)
+    for shard in shards:
+        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, spec.shape)
     return max(idle, key=idle.__getitem__)
 
 
--- a/src/dapplewick/core/model.py
+++ b/src/dapplewick/core/model.py
@@ -46,8 +46,8 @@
         "kept",
         "memo",
         "now",
-        "part",
         "queued",
+        "shard",
         "singles",
         "spot",
         "teams",
@@ -61,7 +61,7 @@
         self,
         machine: MachineId,
         type_: TypeName,
-        part: ShardName,
+        shard: ShardName,
         spot: bool,
         capacity: Resources,
         free: Resources,
@@ -72,8 +72,8 @@
     ) -> None:
         self.id = machine
         self.type = type_
-        self.part = part
-        self.zone = zone_of(part)
+        self.shard = shard
+        self.zone = zone_of(shard)
         self.teams: frozenset[str] | None = None  # whose work it takes; None: everybody's
         self.spot = spot
         self.capacity = capacity
@@ -267,7 +267,7 @@
 def view_of(
     machine: MachineId,
     type_: str,
-    part: ShardName,
+    shard: ShardName,
     spot: bool,
     capacity: Resources,
     status: dict[str, Any],
@@ -282,7 +282,7 @@
     view = View(
         machine,
         TypeName(type_),
-        part,
+        shard,
         spot,
         capacity,
         Resources(*status["free"]),
@@ -323,12 +323,12 @@
     return chosen if len(chosen) == count else None
 
 
-class PartRooms:
+class ShardCapacity:
     """One part's rooms within a pass."""
 
-    def __init__(self, part: ShardName, views: list[View]) -> None:
-        self.part = part
-        self.zone = zone_of(part)
+    def __init__(self, shard: ShardName, views: list[View]) -> None:
+        self.shard = shard
+        self.zone = zone_of(shard)
         self.teams: frozenset[str] | None = None  # whose work may come here; None: everybody's
         self.views = views
         self.open = [v for v in views if v.free.cpus > 1e-6]
--- a/src/dapplewick/core/needs.py
+++ b/src/dapplewick/core/needs.py
@@ -9,7 +9,7 @@
 from dapplewick.core.demand import GangDemand
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.fleet import Need, wanted_slots
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.core.placing import LONG_HOLD_S
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.storage.records import GangPlace, JobRecord, Mirror
@@ -49,7 +49,7 @@
         estimates: Estimates,
         tuning: Tuning,
         gangs: GangDemand,
-        parts: Mapping[ShardName, PartView],
+        shards: Mapping[ShardName, ObservedShard],
         drafted: Callable[[JobId], JobRecord],
     ) -> None:
         self._mirror = mirror
@@ -57,7 +57,7 @@
         self._estimates = estimates
         self._tuning = tuning
         self._gangs = gangs
-        self._parts = parts
+        self._shards = shards
         self._drafted = drafted
 
     def needs(self, wall: Seconds, ordered: Iterable[Waiting]) -> list[Need]:
@@ -105,10 +105,10 @@
 
     def _long_held(self, job_id: JobId, gang: GangPlace) -> bool:
         """Whether a gang's slots will still be busy for long: more room is wanted then."""
-        for name in gang.parts():
-            part = self._parts.get(ShardName(name))
-            if part is not None:
-                attempt, state, wait = part.gangs.get(job_id, (0, "", 0.0))
+        for name in gang.shards():
+            shard = self._shards.get(ShardName(name))
+            if shard is not None:
+                attempt, state, wait = shard.gangs.get(job_id, (0, "", 0.0))
                 if attempt == gang.attempt and state == "held" and wait > LONG_HOLD_S:
                     return True
         return False
@@ -134,7 +134,7 @@
         """How many more of its tasks may be in each zone; None if it is bound to none."""
         spec = job.spec
         if spec.one_zone:
-            holders = [zone_of(part) for part, tasks in job.grants.items() if tasks]
+            holders = [zone_of(shard) for shard, tasks in job.grants.items() if tasks]
             return dict.fromkeys(holders, spec.tasks) if holders else None
         if not spec.spread:
             return None
@@ -172,4 +172,4 @@
         return work
 
     def _placed(self, job_id: JobId) -> int:
-        return sum(part.placed(job_id) for part in self._parts.values())
+        return sum(shard.placed(job_id) for shard in self._shards.values())
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -75,12 +75,12 @@
 SLOW_TICK_S = 1.0  # what looks at all machines, holds and waiting singles is done this often
 
 
-class PartCore:
+class ShardScheduler:
     """The owner's view of one part."""
 
     def __init__(
         self,
-        part: ShardName,
+        shard: ShardName,
         token: FencingToken,
         mirror: Mirror,
         estimates: Estimates,
@@ -92,8 +92,8 @@
         lease_s: Seconds = 15.0,
         report_s: Seconds = 2.5,
     ) -> None:
-        self.part = part
-        self.zone = zone_of(part)
+        self.shard = shard
+        self.zone = zone_of(shard)
         self.token = token
         self.mirror = mirror
         self.estimates = estimates
@@ -126,7 +126,7 @@
         # Tasks granted before this ownership may be on any machine the old owner could use:
         # until each of those was heard under our token, or is deleted, they wait.
         self.unheard: set[MachineId] = {
-            m for m, r in mirror.machines.items() if r.part == part and r.up
+            m for m, r in mirror.machines.items() if r.shard == shard and r.up
         }
         for machine in mirror.machines:
             if machine in self.unheard:
@@ -140,7 +140,7 @@
     def job_changed(self, now: Seconds, job_id: JobId, takeover: bool = False) -> None:
         """A job's record has changed."""
         job = self.mirror.jobs.get(job_id)
-        granted = job.granted(self.part) - job.done if job is not None and job.open else set()
+        granted = job.granted(self.shard) - job.done if job is not None and job.open else set()
         singles = self.singles.get(job_id)
         replicas = False
         if granted or singles:
@@ -179,14 +179,14 @@
     ) -> None:
         hold = self.holds.get(job_id)
         gang = job.gang if job is not None else None
-        if gang is None or self.part not in gang.parts():
+        if gang is None or self.shard not in gang.shards():
             if hold is not None:
                 self._remove_hold(job_id, hold)
             self.done_gangs.pop(job_id, None)
             return
         if hold is None or hold.attempt != gang.attempt:
             places = {
-                i: MachineId(m) for i, (part, m) in enumerate(gang.places) if part == self.part
+                i: MachineId(m) for i, (shard, m) in enumerate(gang.places) if shard == self.shard
             }
             hold = Hold(gang.attempt, places, now)
             if takeover:
@@ -223,11 +223,11 @@
         self.touched.machine(machine_id)
         if record is not None:
             machine = self.machines.get(machine_id)
-            if machine is not None and record.part != self.part:
+            if machine is not None and record.shard != self.shard:
                 self._handed_over(machine)
             elif machine is not None:
                 self._note_usable(now, machine)
-            elif record.part == self.part and record.up and record.floor:
+            elif record.shard == self.shard and record.up and record.floor:
                 # Handed over to us: if it never reports, it is to be seen as silent.
                 self._machine(machine_id, now)
             return
@@ -292,7 +292,7 @@
     def report(self, now: Seconds, report: Report, may_launch: bool) -> list[Order]:
         """Handle a worker's report; gives the orders for its machine."""
         record = self.mirror.machines.get(report.machine)
-        if record is None or record.part != self.part:
+        if record is None or record.shard != self.shard:
             # Another part's. Or nothing was ever launched on a machine without a record, or it is
             # gone: a late copy of a report would otherwise bring it back with its tasks.
             return []
@@ -451,7 +451,7 @@
         record = self.mirror.machines.get(machine.id)
         return (
             record is not None
-            and record.part == self.part
+            and record.shard == self.shard
             and record.up
             and not record.doomed
             and machine.heard
@@ -498,7 +498,7 @@
         if kept < 0.5:
             return False
         idle = sum(resources.count_in(m.free()) for m in self.machines.values())
-        return idle <= math.ceil(kept / max(1, len(self.mirror.parts)))
+        return idle <= math.ceil(kept / max(1, len(self.mirror.shards)))
 
     def _held_on(self, machine_id: MachineId) -> list[tuple[JobId, Hold, int]]:
         """Held slots of this machine whose start has not gone out."""
@@ -1164,7 +1164,7 @@
         return (
             record is None
             or record.doomed
-            or record.part != self.part
+            or record.shard != self.shard
             or self.mirror.transfers.drains(machine_id) is not None
             or (machine is not None and machine.notice is not None)
         )
@@ -1256,7 +1256,7 @@
         over = [
             job_id
             for job_id, job in self.mirror.each_live()
-            if not job.open and self.part in job.grants
+            if not job.open and self.shard in job.grants
         ]
         if not over or self.unheard:
             return []
@@ -1306,7 +1306,7 @@
         if machine.id not in self.unheard:
             return False
         return any(
-            not job.open and (self.part in job.grants or job.gang is not None)
+            not job.open and (self.shard in job.grants or job.gang is not None)
             for _, job in self.mirror.each_live()
         )
 
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/part_status.py
@@ -9,7 +9,7 @@
 from dapplewick.types import JobId, MachineId, Seconds
 
 if TYPE_CHECKING:
-    from dapplewick.core.part import PartCore
+    from dapplewick.core.part import ShardScheduler
 
 QUIET_S = 4.0  # a machine that was silent for longer is named in each status
 WAIT_S = 1.0  # the remaining wait of a held gang is counted anew after this time
@@ -51,69 +51,74 @@
         del numbers[key]
 
 
-def full_status(core: PartCore, now: Seconds, base: int) -> dict[str, Any]:
+def full_status(scheduler: ShardScheduler, now: Seconds, base: int) -> dict[str, Any]:
     """All that changed after the status with number `base`; everything if that is 0."""
-    touched = core.touched
-    _touch_gangs(core, now)
-    known = core.mirror.machines
+    touched = scheduler.touched
+    _touch_gangs(scheduler, now)
+    known = scheduler.mirror.machines
     machines = {
-        m: _machine(core, now, core.machines[m]) if m in core.machines and m in known else None
+        m: _machine(scheduler, now, scheduler.machines[m])
+        if m in scheduler.machines and m in known
+        else None
         for m in _since(touched.machines, base)
     }
-    jobs = {j: _job(core, j) if j in core.singles else None for j in _since(touched.jobs, base)}
+    jobs = {
+        j: _job(scheduler, j) if j in scheduler.singles else None
+        for j in _since(touched.jobs, base)
+    }
     gangs = {j: touched.gang_said.get(j) for j in _since(touched.gangs, base)}
-    _forget(touched.machines, core.machines, base)
-    _forget(touched.jobs, core.singles, base)
-    _forget(touched.gangs, core.holds, base)
+    _forget(touched.machines, scheduler.machines, base)
+    _forget(touched.jobs, scheduler.singles, base)
+    _forget(touched.gangs, scheduler.holds, base)
     number = touched.number
     touched.number += 1
     silent: dict[MachineId, tuple[float, bool]] = {}
     idle: dict[MachineId, float] = {}
     heard_ago = -1.0
-    for m in core.machines.values():
+    for m in scheduler.machines.values():
         record = known.get(m.id)
         if record is None:
             continue
         # What never learns our token hears nothing of what we say, however often it reports.
         # While reports are not heard here, as in a long outage, no machine is silent for that: all
         # of them were deleted when the state service was back.
-        quiet = now - max(m.settled, core.listening_since)
+        quiet = now - max(m.settled, scheduler.listening_since)
         if quiet > QUIET_S:
             # Replicas can start elsewhere only once it is gone: it is waited for less.
-            hasty = core.cancelled_there(m) or m.has_replicas()
+            hasty = scheduler.cancelled_there(m) or m.has_replicas()
             silent[m.id] = (round(quiet, 1), hasty)
         if record.up and not record.doomed and (heard_ago < 0.0 or quiet < heard_ago):
             heard_ago = quiet
         if not m.live and not m.slots and now - m.idle_since > 1.0:
             idle[m.id] = round(now - m.idle_since, 1)
     transfers: dict[str, Any] = {}
-    if core.mirror.transfers:
-        transfers = {"drained": core.drained()}
+    if scheduler.mirror.transfers:
+        transfers = {"drained": scheduler.drained()}
     return {
         "kind": "part",
-        "zone": core.part,
-        "token": core.token,
+        "zone": scheduler.shard,
+        "token": scheduler.token,
         "number": number,
         "base": base,
         "at": now,
-        "seen": core.mirror.revision,
+        "seen": scheduler.mirror.revision,
         "machines": machines,
         "jobs": jobs,
         "gangs": gangs,
         "silent": silent,
         "idle": idle,
         "heard_ago": round(heard_ago, 1),
-        "clear": core.clear_jobs(),
-        "unheard": len(core.unheard),
-        "estimates": core.estimates.dump(),
+        "clear": scheduler.clear_jobs(),
+        "unheard": len(scheduler.unheard),
+        "estimates": scheduler.estimates.dump(),
         **transfers,
     }
 
 
-def _machine(core: PartCore, now: Seconds, machine: Machine) -> dict[str, Any]:
+def _machine(scheduler: ShardScheduler, now: Seconds, machine: Machine) -> dict[str, Any]:
     ends = [
         (
-            round(now + core.expected_left(now, live), 1),
+            round(now + scheduler.expected_left(now, live), 1),
             *live.resources,
             GANG_RANK if live.spec.gang or live.spec.daemon else live.spec.rank,
             task.job if live.spec.gang else "",
@@ -123,21 +128,21 @@
     ]
     ends.sort()
     return {
-        "free": tuple(machine.free().minus(core.reserved_resources(machine.id))),
+        "free": tuple(machine.free().minus(scheduler.reserved_resources(machine.id))),
         "ends": ends,
         "images": list(machine.images),
         "queued": sum(len(s.queue) for s in machine.slots),
         "usable": machine.was_usable,
         "heard": machine.heard,
         "leaving": machine.notice is not None or machine.slow or machine.deaf or machine.drain,
-        "faulty": core.faulty(now, machine),
+        "faulty": scheduler.faulty(now, machine),
     }
 
 
-def _job(core: PartCore, job_id: JobId) -> dict[str, Any]:
+def _job(scheduler: ShardScheduler, job_id: JobId) -> dict[str, Any]:
     placed = running = 0
     done, returned = [], []
-    for index, single in core.singles[job_id].items():
+    for index, single in scheduler.singles[job_id].items():
         state = single.state
         if state == ON_MACHINE:
             placed += 1
@@ -153,28 +158,28 @@
         "running": running,
         "done": done,
         "returned": returned,
-        "version": core.mirror.jobs[job_id].version,
+        "version": scheduler.mirror.jobs[job_id].version,
     }
 
 
-def _touch_gangs(core: PartCore, now: Seconds) -> None:
+def _touch_gangs(scheduler: ShardScheduler, now: Seconds) -> None:
     """Gangs change with much that happens elsewhere; there are few, so all are compared."""
-    touched = core.touched
-    for job_id in [j for j in touched.gang_said if j not in core.holds]:
+    touched = scheduler.touched
+    for job_id in [j for j in touched.gang_said if j not in scheduler.holds]:
         del touched.gang_said[job_id]
         touched.gang(job_id)
-    for job_id, hold in core.holds.items():
-        state = core.gang_state(job_id, hold)
-        said = (hold.attempt, state, _wait(core, now, job_id, hold, state))
+    for job_id, hold in scheduler.holds.items():
+        state = scheduler.gang_state(job_id, hold)
+        said = (hold.attempt, state, _wait(scheduler, now, job_id, hold, state))
         if touched.gang_said.get(job_id) != said:
             touched.gang_said[job_id] = said
             touched.gang(job_id)
 
 
-def _wait(core: PartCore, now: Seconds, job_id: JobId, hold: Hold, state: str) -> float:
+def _wait(scheduler: ShardScheduler, now: Seconds, job_id: JobId, hold: Hold, state: str) -> float:
     if state != "held" or hold.ready:
         return 0.0
     at, wait = hold.wait
     if now - at > WAIT_S:
-        wait = core.remaining_wait(now, job_id, hold)
+        wait = scheduler.remaining_wait(now, job_id, hold)
     return round(wait)
--- a/src/dapplewick/core/part_view.py
+++ b/src/dapplewick/core/part_view.py
@@ -8,12 +8,12 @@
 from dapplewick.types import JobId, MachineId, Revision, Seconds, ShardName, zone_of
 
 
-class PartView:
+class ObservedShard:
     """What a part has told, put together from its statuses."""
 
-    def __init__(self, part: ShardName, token: int) -> None:
-        self.part = part
-        self.zone = zone_of(part)
+    def __init__(self, shard: ShardName, token: int) -> None:
+        self.shard = shard
+        self.zone = zone_of(shard)
         self.token = token
         self.number = 0  # of the newest status
         self.at = -1e9
--- a/src/dapplewick/core/placing.py
+++ b/src/dapplewick/core/placing.py
@@ -6,7 +6,7 @@
 
 from dapplewick.core.model import (
     ONE_GROUP_TIMES,
-    PartRooms,
+    ShardCapacity,
     View,
     fit_all,
     fit_behind,
@@ -19,7 +19,7 @@
 
 
 def place_gang(
-    spec: JobSpec, parts: Iterable[PartRooms], limit: Seconds, patience: Seconds
+    spec: JobSpec, shards: Iterable[ShardCapacity], limit: Seconds, patience: Seconds
 ) -> tuple[list[View], bool] | None:
     """Machines for a gang's tasks, and whether singles of lower priority stop for it: one
     part's idle slots, else slots of one part to be held, else idle slots of several parts.
@@ -27,48 +27,48 @@
     Counts come first, and they are kept for gangs that are alike; machines are chosen only
     once it is known that there are enough.
     """
-    parts, count, shape = list(parts), spec.tasks, spec.shape
-    one_part = spec.zone_cap >= count
-    if one_part:
+    shards, count, shape = list(shards), spec.tasks, spec.shape
+    one_shard = spec.zone_cap >= count
+    if one_shard:
         best: tuple[float, list[View]] | None = None
-        for part in parts:
-            if part.idle(spec, shape) < count:
+        for shard in shards:
+            if shard.idle(spec, shape) < count:
                 continue
-            chosen = fit_all(part.candidates(spec), spec, count)
+            chosen = fit_all(shard.candidates(spec), spec, count)
             if chosen is not None:
                 spare = sum(v.capacity.gpus for v in chosen) if spec.gpus == 0 else 0.0
                 if best is None or spare < best[0]:
                     best = (spare, chosen)
         if best is not None:
             return best[1], False
-        held = _held(spec, parts, limit, patience)
+        held = _held(spec, shards, limit, patience)
         if held is not None:
             return held
     if not spec.one_zone:
-        spanning = _spanning(spec, parts)
+        spanning = _spanning(spec, shards)
         return (spanning, False) if spanning is not None else None
-    for zone in dict.fromkeys(part.zone for part in parts):
-        spanning = _spanning(spec, [part for part in parts if part.zone == zone])
+    for zone in dict.fromkeys(shard.zone for shard in shards):
+        spanning = _spanning(spec, [shard for shard in shards if shard.zone == zone])
         if spanning is not None:
             return spanning, False
     return None
 
 
-def _spanning(spec: JobSpec, parts: list[PartRooms]) -> list[View] | None:
+def _spanning(spec: JobSpec, shards: list[ShardCapacity]) -> list[View] | None:
     """Idle slots of several parts, in each zone no more than the gang may have there."""
     shape = spec.shape
     idle: dict[Zone, int] = {}
-    for part in parts:
-        idle[part.zone] = idle.get(part.zone, 0) + part.idle(spec, shape)
+    for shard in shards:
+        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, shape)
     if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.tasks:
         return None
     chosen: list[View] = []
     left = dict.fromkeys(idle, spec.zone_cap)
-    for part in sorted(parts, key=lambda p: -p.idle(spec, shape)):
-        most = min(spec.tasks - len(chosen), left[part.zone], part.idle(spec, shape))
+    for shard in sorted(shards, key=lambda p: -p.idle(spec, shape)):
+        most = min(spec.tasks - len(chosen), left[shard.zone], shard.idle(spec, shape))
         if most > 0:
-            found = fit_all(part.candidates(spec), spec, most) or []
-            left[part.zone] -= len(found)
+            found = fit_all(shard.candidates(spec), spec, most) or []
+            left[shard.zone] -= len(found)
             chosen += found
         if len(chosen) == spec.tasks:
             return chosen
@@ -76,24 +76,24 @@
 
 
 def _held(
-    spec: JobSpec, parts: list[PartRooms], limit: Seconds, patience: Seconds
+    spec: JobSpec, shards: list[ShardCapacity], limit: Seconds, patience: Seconds
 ) -> tuple[list[View], bool] | None:
     # Slots behind long work are no place to wait: those that are idle already would stay so.
     shape = spec.shape
     best: tuple[float, list[View], bool] | None = None
-    for part in parts:
-        if not part.preemptable(spec.rank):
-            if part.held(spec, shape, ONE_GROUP_TIMES * limit) < spec.tasks:
+    for shard in shards:
+        if not shard.preemptable(spec.rank):
+            if shard.held(spec, shape, ONE_GROUP_TIMES * limit) < spec.tasks:
                 continue
-            behind = fit_behind(*part.groups(spec, shape), spec.tasks, limit)
+            behind = fit_behind(*shard.groups(spec, shape), spec.tasks, limit)
             if behind is not None:
                 wait = _wait(spec, behind)
                 if best is None or wait < best[0]:
                     best = (wait, behind, False)
             continue
-        if part.held(spec, shape, limit) < spec.tasks:
+        if shard.held(spec, shape, limit) < spec.tasks:
             continue
-        option = fit_held(part.views, spec, spec.tasks, patience, limit)
+        option = fit_held(shard.views, spec, spec.tasks, patience, limit)
         if option is None:
             continue
         wait = _wait(spec, option[0], option[1])
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/replicas.py
@@ -31,7 +31,7 @@
 LEAST_FETCH_RATE = 0.01
 
 
-class Part(Protocol):
+class ShardState(Protocol):
     """What is to be known of the part that the replicas are in."""
 
     machines: dict[MachineId, Machine]
@@ -45,8 +45,8 @@
 class ReplicaPlacement:
     """Chooses places for replicas among a part's machines."""
 
-    def __init__(self, part: Part, report_s: Seconds) -> None:
-        self._part = part
+    def __init__(self, shard: ShardState, report_s: Seconds) -> None:
+        self._shard = shard
         self._report_s = report_s
 
     def best_machine(
@@ -57,7 +57,7 @@
         best: tuple[Seconds, Machine] | None = None
         for machine in able:
             room = machine.free()
-            held = self._part.reserved_resources(machine.id)
+            held = self._shard.reserved_resources(machine.id)
             if held is not NO_RESOURCES:
                 room = room.minus(held)
             forced = not spec.resources.fits_in(room)
@@ -86,7 +86,7 @@
         cost = SAME_SERVICE_COST_S * same + SPOT_COST_S * machine.spot
         cost += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
         if spec.image not in machine.images:
-            kind = self._part.mirror.types.get(machine.type)
+            kind = self._shard.mirror.types.get(machine.type)
             rate = kind.fetch_rate if kind is not None else 0.1
             cost += spec.image_gb / max(LEAST_FETCH_RATE, rate)
             cost += machine.fetches()
@@ -99,10 +99,10 @@
         soon as another with its image has room, or at the last moment."""
         if machine.notice is not None and machine.notice < EVICTION_LEAD_S:
             return True
-        drained = machine.drain or self._part.mirror.transfers.drains(machine.id) is not None
+        drained = machine.drain or self._shard.mirror.transfers.drains(machine.id) is not None
         if machine.notice is None and not machine.slow and not drained:
             return False
-        able = (m for m in self._others(machine) if self._part.allowed(spec, m))
+        able = (m for m in self._others(machine) if self._shard.allowed(spec, m))
         place = self.best_machine(now, spec, job_id, able)
         if place is None or not spec.resources.fits_in(place.free()):
             return False
@@ -111,13 +111,13 @@
         return spec.image in place.images or machine.notice is not None or waited
 
     def _others(self, machine: Machine) -> list[Machine]:
-        return [m for m in self._part.machines.values() if m is not machine and m.was_usable]
+        return [m for m in self._shard.machines.values() if m is not machine and m.was_usable]
 
     def drain_dear(self, now: Seconds, work_waits: bool) -> Iterator[Machine]:
         """Mark dear machines on which nothing but replicas has been for long, if what is there
         has room on others: they move, and it is returned. Gives those that are newly marked.
         Work that could use a machine brings it back once it is empty."""
-        for machine in self._part.machines.values():
+        for machine in self._shard.machines.values():
             lives = [live for live in machine.live.values() if live.stage != "exited"]
             if machine.drain:
                 machine.drain = bool(lives) or not work_waits
@@ -134,14 +134,14 @@
 
     def _is_dear(self, machine: Machine, specs: list[JobSpec]) -> bool:
         """Whether a machine costs much more than the cheapest on which all of this fits."""
-        types = self._part.mirror.types
+        types = self._shard.mirror.types
         kind = types.get(machine.type)
         prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         return kind is not None and bool(prices) and kind.price > DRAIN_PRICE * min(prices)
 
     def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
-            any(self._part.allowed(s, m) and s.resources.fits_in(m.free()) for m in machines)
+            any(self._shard.allowed(s, m) and s.resources.fits_in(m.free()) for m in machines)
             for s in specs
         )
 
--- a/src/dapplewick/core/reservation.py
+++ b/src/dapplewick/core/reservation.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from dapplewick.core.model import PartRooms
+from dapplewick.core.model import ShardCapacity
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.types import Seconds, ShardName
 
@@ -18,44 +18,49 @@
 PAUSE_S = 10.0  # and for this time there is none, so that nothing waits long beside idle slots
 
 
-class PartReservation:
+class ShardReservation:
     """At most one part, chosen anew in each pass."""
 
     def __init__(self) -> None:
-        self._part: ShardName | None = None  # in this pass
+        self._shard: ShardName | None = None  # in this pass
         self._last: ShardName | None = None  # in the pass before
         self._since: Seconds = 0.0  # when it was reserved first, or a gang was placed there
         self._paused_until: Seconds = 0.0
 
     def begin(self) -> None:
         """A new pass over the gangs that wait."""
-        self._last, self._part = self._part, None
+        self._last, self._shard = self._shard, None
 
-    def open_parts(self, rooms: list[PartRooms]) -> list[PartRooms]:
+    def open_shards(self, rooms: list[ShardCapacity]) -> list[ShardCapacity]:
         """The parts in which the next gang may be placed."""
-        return [room for room in rooms if room.part != self._part]
+        return [room for room in rooms if room.shard != self._shard]
 
-    def placed(self, wall: Seconds, parts: set[ShardName]) -> None:
+    def placed(self, wall: Seconds, shards: set[ShardName]) -> None:
         """A gang was placed in these parts."""
-        if self._last in parts:
+        if self._last in shards:
             self._since = wall
 
     def ask(
-        self, wall: Seconds, spec: JobSpec, waited: Seconds, rooms: list[PartRooms], limit: Seconds
+        self,
+        wall: Seconds,
+        spec: JobSpec,
+        waited: Seconds,
+        rooms: list[ShardCapacity],
+        limit: Seconds,
     ) -> None:
         """A gang found no room: reserve the part in which it will find some soonest, counting
         slots that become idle within `limit`."""
-        if self._part is not None or wall < self._paused_until:
+        if self._shard is not None or wall < self._paused_until:
             return
         if not OVERDUE_S <= waited < HOPELESS_S:
             return
         able = [room for room in rooms if room.could_hold(spec)]
         if not able:
             return
-        part = max(able, key=lambda room: room.held(spec, spec.shape, limit)).part
-        if part != self._last:
+        shard = max(able, key=lambda room: room.held(spec, spec.shape, limit)).shard
+        if shard != self._last:
             self._since = wall
         if wall - self._since >= MOST_S:
             self._paused_until = wall + PAUSE_S
             return
-        self._part = part
+        self._shard = shard
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -16,12 +16,12 @@
 from dapplewick.cloud import CloudCalls
 from dapplewick.config import Settings, StateLimits, host_port
 from dapplewick.coordination.cancellations import CancellationWatch
-from dapplewick.coordination.parts import PartAssigner
+from dapplewick.coordination.parts import ShardAssigner
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.job_writes import RANK_PROGRESS
-from dapplewick.core.leader import LeaderCore
+from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.machines import Change
-from dapplewick.core.part import PartCore
+from dapplewick.core.part import ShardScheduler
 from dapplewick.metrics import Latencies
 from dapplewick.protocol import wire
 from dapplewick.status import node_status
@@ -45,8 +45,8 @@
     JOBS,
     LEADER,
     NODES,
-    PARTS,
     ROOT,
+    SHARDS,
     SHARES_FORMAT,
     Mirror,
     job_of,
@@ -148,10 +148,10 @@
         self._due = 1e18  # and when the next thing is due
         self.lease: int | None = None
         self.lease_until = -1e9
-        self.cores: dict[ShardName, PartCore] = {}
+        self.shard_schedulers: dict[ShardName, ShardScheduler] = {}
         self.estimates = Estimates()
-        self.leader: LeaderCore | None = None
-        self.assigner = PartAssigner(self.mirror, deployment.zones, self.me)
+        self.leader: LeaderPlanner | None = None
+        self.assigner = ShardAssigner(self.mirror, deployment.zones, self.me)
         self.api = Api(self, deployment)
         self.links: dict[ControllerName, PeerLink] = {}
         for peer in settings.peers:
@@ -159,7 +159,7 @@
                 *host_port(peer.peer_addr, "peers.peer_addr")
             )
         self._peer_state: dict[ControllerName, tuple[Seconds, bool]] = {}
-        self._heard_parts: dict[ShardName, tuple[FencingToken, ControllerName]] = {}
+        self._peer_shards: dict[ShardName, tuple[FencingToken, ControllerName]] = {}
         self._running: dict[ControllerName, dict[JobId, int]] = {}
         self.cancellations = CancellationWatch(self.boot, self.links, deployment.count)
         self._gossip_wake = anyio.Event()
@@ -189,7 +189,7 @@
         before, one without a plan brings all machines back to the zones' own parts."""
         if self.shares is not None:
             return self.shares
-        if not self.mirror.transfers and not any(map(partition_of, self.mirror.parts)):
+        if not self.mirror.transfers and not any(map(partition_of, self.mirror.shards)):
             self._dissolver = None
         elif self._dissolver is None:
             from dapplewick.shares.service import ShareService
@@ -198,10 +198,10 @@
             self._dissolver.attach(self)
         return self._dissolver
 
-    def part_names(self) -> list[str]:
+    def shard_names(self) -> list[str]:
         """The parts that records of jobs may have to name."""
         zones = self.settings.deployment.zones
-        return zones if self.shares is None else self.shares.part_names(zones)
+        return zones if self.shares is None else self.shares.shard_names(zones)
 
     # Time
 
@@ -224,16 +224,16 @@
         keys, self._changed = dict.fromkeys(self._changed), []
         machines, self.mirror.changed_machines = dict.fromkeys(self.mirror.changed_machines), []
         now = self.now()
-        if any(k.startswith(PARTS) for k in keys):
-            self._check_parts(now)
+        if any(k.startswith(SHARDS) for k in keys):
+            self._update_owned_shards(now)
         jobs = dict.fromkeys(job for key in keys if (job := job_of(key)) is not None)
         if self.leader is not None and any(self._is_new_service(job) for job in jobs):
             self._hurry.set()
-        for core in self.cores.values():
+        for scheduler in self.shard_schedulers.values():
             for job_id in jobs:
-                core.job_changed(now, job_id)
+                scheduler.job_changed(now, job_id)
             for machine in machines:
-                core.machine_changed(now, machine)
+                scheduler.machine_changed(now, machine)
         self._leader_wake.set()
 
     def _is_new_service(self, job_id: JobId) -> bool:
@@ -241,17 +241,17 @@
         job = self.mirror.jobs.get(job_id)
         return job is not None and job.spec.daemon and job.open and not job.grants
 
-    def _check_parts(self, now: Seconds) -> None:
-        for name in dict.fromkeys([*self.cores, *self.assigner.parts()]):
-            part = self.mirror.parts.get(name)
-            token = FencingToken(self.mirror.version(PARTS + name))
-            mine = part is not None and part.owner == self.me and part.boot == self.boot
-            core = self.cores.get(name)
-            if core is not None and (not mine or core.token != token):
-                del self.cores[name]
-                log.info("event=part_lost zone=%s token=%d", name, core.token)
-            if mine and (core is None or core.token != token):
-                self.cores[name] = PartCore(
+    def _update_owned_shards(self, now: Seconds) -> None:
+        for name in dict.fromkeys([*self.shard_schedulers, *self.assigner.shards()]):
+            shard = self.mirror.shards.get(name)
+            token = FencingToken(self.mirror.version(SHARDS + name))
+            mine = shard is not None and shard.owner == self.me and shard.boot == self.boot
+            scheduler = self.shard_schedulers.get(name)
+            if scheduler is not None and (not mine or scheduler.token != token):
+                del self.shard_schedulers[name]
+                log.info("event=part_lost zone=%s token=%d", name, scheduler.token)
+            if mine and (scheduler is None or scheduler.token != token):
+                self.shard_schedulers[name] = ShardScheduler(
                     name,
                     token,
                     self.mirror,
@@ -302,7 +302,9 @@
                     await self._load()
                 await self._follow(WATCH_MS)
                 # What changes meanwhile comes with the next answer, in one request.
-                busy = self.cores or self.leader is not None or self.mirror.leader is None
+                busy = (
+                    self.shard_schedulers or self.leader is not None or self.mirror.leader is None
+                )
                 await anyio.sleep(self._watch_gap if busy else STANDBY_WATCH_S)
             except (Refused, Unknown) as err:
                 log.debug("event=watch_failed error=%s", err)
@@ -379,7 +381,7 @@
         mine = record is not None and record.node == self.me and record.boot != self.boot
         if (record is not None and not mine) or self.lease is None or not self.lease_valid():
             return
-        if self.cores:
+        if self.shard_schedulers:
             # Controllers without a part lead by preference.
             await anyio.sleep(0.3 + self.random.random() * 0.2)
             if self.mirror.leader is not record:
@@ -457,14 +459,14 @@
         self._planned_epoch = max(self._planned_epoch, epoch)
         now = self.now()
         if self.leader is None:
-            self.leader = LeaderCore(
+            self.leader = LeaderPlanner(
                 self.mirror,
                 self.settings,
                 self.estimates,
                 epoch,
                 now,
                 self.tuning,
-                self.part_names(),
+                self.shard_names(),
             )
             self.state.writes.rate = self._many_writes
             log.info("event=leader_won node=%s epoch=%d", self.me, epoch)
@@ -473,14 +475,16 @@
         if service is not None:
             service.lead(self.leader)
         self.leader.shares = service.keeper if service is not None else None
-        self.assigner.wanted = service.wanted_parts() if service is not None else []
-        for name, part in self.assigner.changes(now, self.leader.deaf_parts()).items():
-            key = PARTS + name
-            value = {"owner": part.owner, "boot": part.boot}
+        self.assigner.wanted = service.wanted_shards() if service is not None else []
+        for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
+            key = SHARDS + name
+            value = {"owner": shard.owner, "boot": shard.boot}
             await self._write(epoch, [Change(key, value, self.mirror.version(key), 0)])
-        for name, core in self.cores.items():
-            number = self.leader.part_status(now, core.status(now, self._base(name, core)))
-            self._confirm(name, core.token, self.boot, number)
+        for name, scheduler in self.shard_schedulers.items():
+            number = self.leader.shard_status(
+                now, scheduler.status(now, self._base(name, scheduler))
+            )
+            self._confirm(name, scheduler.token, self.boot, number)
         changes = self.leader.plan(now, self.wall())
         self._pass_took = self.now() - now
         # What the budget does not allow is found again by the next pass, or overtaken by more.
@@ -563,23 +567,23 @@
 
     # Parts and peers
 
-    async def _part_loop(self) -> None:
+    async def _shard_loop(self) -> None:
         gap = TICK_S
         while True:
-            await anyio.sleep(gap if self.cores else IDLE_S)
+            await anyio.sleep(gap if self.shard_schedulers else IDLE_S)
             now = self.now()
-            for name, core in list(self.cores.items()):
+            for name, scheduler in list(self.shard_schedulers.items()):
                 try:
-                    core.tick(now, self.wall(), now - self.current_at < FOLLOWED_S)
-                    due = gap if core.dirty else STATUS_IDLE_S
+                    scheduler.tick(now, self.wall(), now - self.current_at < FOLLOWED_S)
+                    due = gap if scheduler.dirty else STATUS_IDLE_S
                     if now - self._status_at.get(name, -1e9) >= due * 0.9:
                         self._status_at[name] = now
-                        self._send_status(now, core)
+                        self._send_status(now, scheduler)
                 except Exception:
                     log.exception("event=part_broken zone=%s", name)
             gap = max(TICK_S, min(TICK_MOST_S, TICK_REST * (self.now() - now)))
 
-    def _send_status(self, now: Seconds, core: PartCore) -> None:
+    def _send_status(self, now: Seconds, scheduler: ShardScheduler) -> None:
         if self.leader is not None:
             # The leader's pass takes the status of its own parts itself.
             self._leader_wake.set()
@@ -587,19 +591,19 @@
         record = self.mirror.leader
         link = self.links.get(ControllerName(record.node)) if record is not None else None
         if link is not None:
-            status = core.status(now, self._base(core.part, core))
-            link.post(f"part:{core.part}", {**status, "node": self.me, "version": FORMAT_NOW})
+            status = scheduler.status(now, self._base(scheduler.shard, scheduler))
+            link.post(f"part:{scheduler.shard}", {**status, "node": self.me, "version": FORMAT_NOW})
 
-    def _base(self, part: ShardName, core: PartCore) -> int:
+    def _base(self, shard: ShardName, scheduler: ShardScheduler) -> int:
         """The newest of a part's statuses that the present leader has confirmed."""
-        token, boot, number = self._confirmed.get(part, (FencingToken(0), "", 0))
+        token, boot, number = self._confirmed.get(shard, (FencingToken(0), "", 0))
         leader = self.mirror.leader
-        same = token == core.token and leader is not None and leader.boot == boot
+        same = token == scheduler.token and leader is not None and leader.boot == boot
         return number if same else 0
 
-    def _confirm(self, part: ShardName, token: FencingToken, boot: str, number: int) -> None:
+    def _confirm(self, shard: ShardName, token: FencingToken, boot: str, number: int) -> None:
         """A leader has this part's statuses up to a number; another life of it has none."""
-        self._confirmed[part] = (token, boot, number)
+        self._confirmed[shard] = (token, boot, number)
 
     async def _pulse_loop(self) -> None:
         while True:
@@ -619,20 +623,20 @@
                 await anyio.sleep(GOSSIP_LEAST_S)
             self._gossip_wake = anyio.Event()
             running: dict[JobId, int] = {}
-            for core in self.cores.values():
-                for job, count in core.running():
+            for scheduler in self.shard_schedulers.values():
+                for job, count in scheduler.running():
                     running[job] = running.get(job, 0) + count
             self._running[self.me] = running
-            parts = {
-                name: (self.mirror.version(PARTS + name), part.owner)
-                for name, part in self.mirror.parts.items()
+            shards = {
+                name: (self.mirror.version(SHARDS + name), shard.owner)
+                for name, shard in self.mirror.shards.items()
             }
             message = {
                 "kind": "node",
                 "node": self.me,
                 "version": FORMAT_NOW,
                 "running": running,
-                "parts": parts,
+                "parts": shards,
                 "state": self.now() - self.contact_at < CONTACT_S,
                 **self.cancellations.message(self.now(), self.mirror, self.ready),
             }
@@ -685,7 +689,7 @@
             return node_status(self)
         if kind == "part":
             if self.leader is not None:
-                number = self.leader.part_status(self.now(), message)
+                number = self.leader.shard_status(self.now(), message)
                 self._leader_wake.set()
                 link = self.links.get(ControllerName(str(message["node"])))
                 if link is not None:
@@ -712,9 +716,9 @@
             node = ControllerName(message["node"])
             self._peer_state[node] = (self.now(), bool(message["state"]))
             self._running[node] = {JobId(j): int(n) for j, n in message["running"].items()}
-            for part, (token, owner) in message["parts"].items():
-                if token > self._heard_parts.get(part, (0, ""))[0]:
-                    self._heard_parts[part] = (FencingToken(token), ControllerName(owner))
+            for shard, (token, owner) in message["parts"].items():
+                if token > self._peer_shards.get(shard, (0, ""))[0]:
+                    self._peer_shards[shard] = (FencingToken(token), ControllerName(owner))
             self.cancellations.hear(self.now(), self.me, node, message, self.mirror)
             self._apply_changed()
         return None
@@ -745,15 +749,15 @@
             log.error("event=report_refused error=%s", err)
             return Answer(400, b'{"error":"malformed report"}')
         now = self.now()
-        name = self.mirror.part_of(report.machine, report.zone)
-        core = self.cores.get(name)
-        heard_token, heard_owner = self._heard_parts.get(
+        name = self.mirror.shard_of(report.machine, report.zone)
+        scheduler = self.shard_schedulers.get(name)
+        heard_token, heard_owner = self._peer_shards.get(
             name, (FencingToken(0), ControllerName(""))
         )
         if (
-            core is not None
-            and core.token >= heard_token
-            and core.token_for(report.machine) >= report.token
+            scheduler is not None
+            and scheduler.token >= heard_token
+            and scheduler.token_for(report.machine) >= report.token
         ):
             workers = self.settings.deployment.workers
             # A cancellation that we can't see ends its tasks through the workers' leases: we
@@ -769,15 +773,15 @@
                 # long as no cancellation can have been missed.
                 followed = self.lease_valid() and now - self.current_at < CURRENT_S
                 may_launch = followed or now - told_at < CURRENT_S
-                orders = core.report(now, report, may_launch)
-                if core.dirty:
+                orders = scheduler.report(now, report, may_launch)
+                if scheduler.dirty:
                     self._leader_wake.set()
-                return Answer(200, wire.report_answer(core.token_for(report.machine), orders))
-            core.refuse(now)
+                return Answer(200, wire.report_answer(scheduler.token_for(report.machine), orders))
+            scheduler.refuse(now)
             return Answer(503, b'{"error":"cut off"}', 1)
-        part = self.mirror.parts.get(name)
-        owner = part.owner if part is not None else ""
-        if heard_token > self.mirror.version(PARTS + name):
+        shard = self.mirror.shards.get(name)
+        owner = shard.owner if shard is not None else ""
+        if heard_token > self.mirror.version(SHARDS + name):
             owner = heard_owner
         if owner and owner != self.me and (self.ready and owner in self.mirror.nodes):
             return Answer(421, wire.redirect(owner))
@@ -836,7 +840,7 @@
                 self._check_loop,
                 self._leader_loop,
                 self._cloud_loop,
-                self._part_loop,
+                self._shard_loop,
                 self._gossip_loop,
                 self._pulse_loop,
             ):
--- a/src/dapplewick/shares/index.py
+++ b/src/dapplewick/shares/index.py
@@ -16,7 +16,7 @@
 class Kind(NamedTuple):
     """Machines of a type that one part schedules."""
 
-    part: ShardName
+    shard: ShardName
     type: str
 
 
@@ -26,8 +26,8 @@
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
         self._machines: dict[Kind, dict[MachineId, None]] = {}
-        self._part_of: dict[MachineId, ShardName] = {}  # of those to be deleted, too
-        self._in_part: Counter[ShardName] = Counter()
+        self._shard_of: dict[MachineId, ShardName] = {}  # of those to be deleted, too
+        self._in_shard: Counter[ShardName] = Counter()
         self._kind_of: dict[MachineId, Kind] = {}
         self._in_group: dict[str, set[MachineId]] = {}
         self._changed: dict[str, None] = dict.fromkeys(mirror.groups)
@@ -51,10 +51,10 @@
 
     def _place(self, machine: MachineId) -> None:
         record = self._mirror.machines.get(machine)
-        self._count(machine, record.part if record is not None else None)
+        self._count(machine, record.shard if record is not None else None)
         kind = None
         if record is not None and not record.doomed:
-            kind = Kind(record.part, record.type)
+            kind = Kind(record.shard, record.type)
         old = self._kind_of.get(machine)
         if old == kind:
             return
@@ -67,28 +67,28 @@
             self._machines.setdefault(kind, {})[machine] = None
             self._kind_of[machine] = kind
 
-    def _count(self, machine: MachineId, part: ShardName | None) -> None:
-        old = self._part_of.pop(machine, None)
+    def _count(self, machine: MachineId, shard: ShardName | None) -> None:
+        old = self._shard_of.pop(machine, None)
         if old is not None:
-            self._in_part[old] -= 1
-        if part is not None:
-            self._part_of[machine] = part
-            self._in_part[part] += 1
+            self._in_shard[old] -= 1
+        if shard is not None:
+            self._shard_of[machine] = shard
+            self._in_shard[shard] += 1
 
-    def has_any(self, part: ShardName) -> bool:
+    def has_any(self, shard: ShardName) -> bool:
         """Whether any machine is recorded in a part, also one that is to be deleted."""
-        return self._in_part[part] > 0
+        return self._in_shard[shard] > 0
 
     def kinds(self) -> Iterator[tuple[Kind, int]]:
         """Every kind of which there are machines, and how many."""
         for kind, machines in self._machines.items():
             yield kind, len(machines)
 
-    def count(self, part: str, type_: str) -> int:
+    def count(self, shard: str, type_: str) -> int:
         """How many machines of a type a part has."""
-        return len(self._machines.get(Kind(ShardName(part), type_), ()))
+        return len(self._machines.get(Kind(ShardName(shard), type_), ()))
 
-    def machines(self, part: str, type_: str) -> KeysView[MachineId]:
+    def machines(self, shard: str, type_: str) -> KeysView[MachineId]:
         """The machines of a type that a part has."""
         empty: dict[MachineId, None] = {}
-        return self._machines.get(Kind(ShardName(part), type_), empty).keys()
+        return self._machines.get(Kind(ShardName(shard), type_), empty).keys()
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -14,14 +14,14 @@
 import msgspec
 
 from dapplewick.core.machines import RANK_LOW, RANK_NORMAL, Change, MachineBook
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.plan import SharePlan
 from dapplewick.shares.selection import MachineSelection
 from dapplewick.shares.solver import Cell
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import PARTS, SHARES_FORMAT, TRANSFERS, JobRecord, Mirror
+from dapplewick.storage.records import SHARDS, SHARES_FORMAT, TRANSFERS, JobRecord, Mirror
 from dapplewick.storage.transfers import (
     CANCELLED,
     COMPLETE,
@@ -102,15 +102,15 @@
             and wall - job.at > LEND_S
         )
 
-    def served_teams(self, part: ShardName) -> frozenset[str] | None:
+    def served_teams(self, shard: ShardName) -> frozenset[str] | None:
         """The teams whose work may come to a part; None for a zone's own part: all teams."""
-        name = partition_of(part)
+        name = partition_of(shard)
         if not name:
             return None
         share = self.plan.shares.get(name)
         return frozenset(share.teams) | self._starving if share is not None else frozenset()
 
-    def wanted_parts(self) -> list[ShardName]:
+    def wanted_shards(self) -> list[ShardName]:
         """The parts of shares that are to get machines, or have some."""
         if self._mirror.format < SHARES_FORMAT:
             return []
@@ -128,7 +128,7 @@
         self,
         now: Seconds,
         wall: Seconds,
-        parts: list[PartView],
+        shards: list[ObservedShard],
         placed: Set[MachineId],
         book: MachineBook,
     ) -> list[Change]:
@@ -141,7 +141,7 @@
         self._note_generation()
         self._avoid = {m: until for m, until in self._avoid.items() if until > now}
         self._index.refresh()
-        selection = MachineSelection(now, self._mirror, self._index, parts, placed)
+        selection = MachineSelection(now, self._mirror, self._index, shards, placed)
         self._take_orders()
         self._follow_targets(wall)
         tied: list[Change] = []
@@ -152,13 +152,13 @@
             self._prune(transfer)
             if self._end_overdue(now, wall, transfer):
                 continue
-            handover = self._hand_over(now, transfer, selection, parts, book)
+            handover = self._hand_over(now, transfer, selection, shards, book)
             if handover:
                 tied += handover
                 self._handed_over.add(transfer)  # more is drained in the next pass
             else:
                 self._drain_more(now, transfer, selection)
-        return tied + self._transfer_changes(now, wall) + self._part_removals()
+        return tied + self._transfer_changes(now, wall) + self._shard_removals()
 
     # Transfers as drafted in this pass
 
@@ -258,7 +258,7 @@
             for record in {**self._mirror.transfers.records, **self._drafts}.values()
             if record.origin != PLAN and (record.open or self._holds(record, wall))
         }
-        kinds = {(zone_of(kind.part), kind.type) for kind, _ in self._index.kinds()}
+        kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.kinds()}
         for zone, type_ in sorted(kinds - held):
             if zone in self._zones:
                 self._balance(wall, zone, type_)
@@ -270,7 +270,7 @@
 
     def _balance(self, wall: Seconds, zone: str, type_: str) -> None:
         """Pair shares that have too many machines of a kind with those that have too few."""
-        shares = {partition_of(k.part) for k, _ in self._index.kinds() if zone_of(k.part) == zone}
+        shares = {partition_of(k.shard) for k, _ in self._index.kinds() if zone_of(k.shard) == zone}
         shares |= {cell.share for cell, _ in self.targets.items() if cell.zone == zone}
         coming, going = self._in_flight(zone, type_)
         spare: dict[str, int] = {}
@@ -316,14 +316,14 @@
             going[record.source] = going.get(record.source, 0) + rest
         return coming, going
 
-    def _cancel_counter_moves(self, part: str, type_: str, most: int, outgoing: bool) -> int:
+    def _cancel_counter_moves(self, shard: str, type_: str, most: int, outgoing: bool) -> int:
         """End the plan's own moves from a part that is short, or to one that has too many; gives
         for how many machines."""
         ended = 0
         for transfer, record in list(self._open().items()):
             end = record.source if outgoing else record.target
             rest = record.count - record.moved
-            if end == part and record.type == type_ and ended + rest <= most:
+            if end == shard and record.type == type_ and ended + rest <= most:
                 self._cancel(transfer, "the targets have changed")
                 ended += rest
         return ended
@@ -355,7 +355,7 @@
         stays = []
         for machine in record.draining:
             known = self._mirror.machines.get(MachineId(machine))
-            if known is not None and not known.doomed and known.part == record.source:
+            if known is not None and not known.doomed and known.shard == record.source:
                 stays.append(machine)
         if len(stays) < len(record.draining):
             self._update(transfer, draining=stays)
@@ -440,7 +440,7 @@
         now: Seconds,
         transfer: TransferId,
         selection: MachineSelection,
-        parts: list[PartView],
+        shards: list[ObservedShard],
         book: MachineBook,
     ) -> list[Change]:
         """Hand over machines that are proven empty, in one transaction: the groups of both shares,
@@ -449,9 +449,9 @@
         if transfer in self._drafts or not record.draining:
             return []  # what is drafted is not stored: no owner has seen it
         source = ShardName(record.source)
-        if not self._owner_knows(transfer, source, parts):
+        if not self._owner_knows(transfer, source, shards):
             return []
-        if not self._mirror.version(PARTS + record.target):
+        if not self._mirror.version(SHARDS + record.target):
             return []  # it has no owner yet
         empty = [m for m in map(MachineId, record.draining) if selection.is_empty(record, m)]
         if not empty:
@@ -459,7 +459,7 @@
         # All of one transaction come from one group.
         group = self._mirror.group_of[empty[0]]
         going = [m for m in empty if self._mirror.group_of[m] == group][:HAND_OVER_MOST]
-        source_token = FencingToken(self._mirror.version(PARTS + source))
+        source_token = FencingToken(self._mirror.version(SHARDS + source))
         floors = {m: self._mirror.token_for(m, source_token) + 1 for m in going}
         tie = f"transfer/{transfer}"
         moved = book.move(floors, partition_of(record.target), tie)
@@ -483,39 +483,39 @@
         if state == COMPLETE and transfer in self._begun_at:
             self._times.transfer(now - self._begun_at.pop(transfer))
         needs = tuple(
-            (PARTS + name, self._mirror.version(PARTS + name))
+            (SHARDS + name, self._mirror.version(SHARDS + name))
             for name in (record.source, record.target)
         )
         write = self._write(transfer, changed, tie)._replace(needs=needs)
         return [*book.moves(tie), write]
 
     def _owner_knows(
-        self, transfer: TransferId, source: ShardName, parts: Iterable[PartView]
+        self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
     ) -> bool:
         """Whether the giving part's owner has seen the transfer as it is stored. What it told
         before says nothing of what it has started since, as after a transfer was cancelled."""
         stored = self._mirror.version(TRANSFERS + transfer)
-        return any(part.part == source and part.seen >= stored for part in parts)
+        return any(shard.shard == source and shard.seen >= stored for shard in shards)
 
     # Parts of shares
 
-    def _part_removals(self) -> list[Change]:
+    def _shard_removals(self) -> list[Change]:
         """Parts of shares that are not wanted, and that no record names any more."""
         if not self.targets.known:
             return []
-        wanted = set(self.wanted_parts())
-        unwanted = {p for p in self._mirror.parts if partition_of(p)} - wanted
+        wanted = set(self.wanted_shards())
+        unwanted = {p for p in self._mirror.shards if partition_of(p)} - wanted
         if not unwanted:
             return []
         unwanted -= {ShardName(r.target) for r in self._open().values()}
-        unwanted = {part for part in unwanted if not self._index.has_any(part)}
+        unwanted = {shard for shard in unwanted if not self._index.has_any(shard)}
         for _, job in self._mirror.each_live():
             unwanted -= job.grants.keys()
             if job.gang is not None:
-                unwanted -= job.gang.parts()
+                unwanted -= job.gang.shards()
         out = []
-        for part in sorted(unwanted):
-            key = PARTS + part
-            log.info("event=share_part_removed part=%s", part)
+        for shard in sorted(unwanted):
+            key = SHARDS + shard
+            log.info("event=share_part_removed part=%s", shard)
             out.append(Change(key, None, self._mirror.version(key), RANK_LOW))
         return out
--- a/src/dapplewick/shares/orders.py
+++ b/src/dapplewick/shares/orders.py
@@ -45,7 +45,7 @@
         raise OrderRefused(f"type: unknown type {type_!r}")
     source, target = _text(message, "source"), _text(message, "target")
     for field, share in (("source", source), ("target", target)):
-        known = not share or share in plan.shares or shard_name(zone, share) in mirror.parts
+        known = not share or share in plan.shares or shard_name(zone, share) in mirror.shards
         if not known or (field == "target" and share and share not in plan.shares):
             raise OrderRefused(f"{field}: unknown share {share!r}")
     if source == target:
@@ -76,7 +76,7 @@
 def _available(mirror: Mirror, record: TransferRecord) -> int:
     """The machines that a share has, and those that are on their way to it."""
     there = sum(
-        machine.part == record.source and machine.type == record.type and not machine.doomed
+        machine.shard == record.source and machine.type == record.type and not machine.doomed
         for machine in mirror.machines.values()
     )
     coming = sum(
--- a/src/dapplewick/shares/selection.py
+++ b/src/dapplewick/shares/selection.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from dapplewick.core.estimates import NEVER
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.index import MachineIndex
 from dapplewick.storage.records import MachineRecord, Mirror
 from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
@@ -35,13 +35,13 @@
         now: Seconds,
         mirror: Mirror,
         index: MachineIndex,
-        parts: Iterable[PartView],
+        shards: Iterable[ObservedShard],
         placed: Set[MachineId],
     ) -> None:
         self._now = now
         self._mirror = mirror
         self._index = index
-        self._parts = {part.part: part for part in parts}
+        self._shards = {shard.shard: shard for shard in shards}
         self._placed = placed  # by gangs: their tasks are there, or slots are held for them
 
     def choose(
@@ -84,8 +84,8 @@
         there = self._index.machines(transfer.source, transfer.type)
         if len(there) <= SAMPLE:
             return there
-        part = self._parts.get(ShardName(transfer.source))
-        idle = part.fresh["idle"] if part is not None else {}
+        shard = self._shards.get(ShardName(transfer.source))
+        idle = shard.fresh["idle"] if shard is not None else {}
         known_idle = [machine for machine in idle if machine in there][:MACHINES_MOST]
         draw = random.Random(transfer.generation * COUNT_MOST + transfer.moved)
         return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE)])
@@ -100,34 +100,34 @@
     def is_empty(self, transfer: TransferRecord, machine_id: MachineId) -> bool:
         """Whether the part has proven that nothing is on a machine, nor may come to it."""
         record = self._mirror.machines.get(machine_id)
-        if record is None or record.doomed or record.part != transfer.source:
+        if record is None or record.doomed or record.shard != transfer.source:
             return False
         if machine_id in self._placed:
             return False
         if not record.up:
             return True  # nothing was ever started there
-        part = self._parts.get(ShardName(transfer.source))
-        return part is not None and machine_id in part.fresh.get("drained", ())
+        shard = self._shards.get(ShardName(transfer.source))
+        return shard is not None and machine_id in shard.fresh.get("drained", ())
 
     def _expected_wait(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
         """In how many seconds a machine is expected to be empty; None if that can't be said, or
         never comes."""
         if not record.up:
             return None if machine_id in self._placed else 0.0
-        part = self._parts.get(record.part)
-        body = part.machines.get(machine_id) if part is not None else None
-        if part is None or body is None or not body["heard"]:
+        shard = self._shards.get(record.shard)
+        body = shard.machines.get(machine_id) if shard is not None else None
+        if shard is None or body is None or not body["heard"]:
             return UNHEARD_WAIT_S
         if body["leaving"] or body["faulty"]:
             return None  # it is about to go anyway
-        wait = self._last_end(part, body)
+        wait = self._last_end(shard, body)
         if machine_id in self._placed:
             wait = max(wait, UNHEARD_WAIT_S)
         return wait
 
-    def _last_end(self, part: PartView, body: dict[str, Any]) -> Seconds:
+    def _last_end(self, shard: ObservedShard, body: dict[str, Any]) -> Seconds:
         if not body["ends"]:
             return 0.0
         # Services never end: their machines go last, when the replicas have moved.
         last = max(float(end[0]) for end in body["ends"])
-        return min(NEVER, max(1.0, last + part.clock - self._now))
+        return min(NEVER, max(1.0, last + shard.clock - self._now))
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/shares/service.py
@@ -25,7 +25,7 @@
 from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
 
 if TYPE_CHECKING:
-    from dapplewick.core.leader import LeaderCore
+    from dapplewick.core.leader import LeaderPlanner
     from dapplewick.node import Node
 
 log = logging.getLogger("dapplewick.shares")
@@ -54,7 +54,7 @@
         self._plan = plan or SharePlan()
         self._plan_version = 0
         self._complained_at: dict[str, Seconds] = {}
-        self._leader: LeaderCore | None = None
+        self._leader: LeaderPlanner | None = None
         self._times = MoveTimes()
         self.keeper: ShareKeeper | None = None
 
@@ -65,16 +65,16 @@
 
     # What the controller asks
 
-    def part_names(self, zones: list[str]) -> list[str]:
+    def shard_names(self, zones: list[str]) -> list[str]:
         """The parts that records of jobs may have to name: those of all shares, in all zones."""
         shares = self._plan.shares
         return [*zones, *(shard_name(zone, share) for zone in zones for share in shares)]
 
-    def wanted_parts(self) -> list[ShardName]:
+    def wanted_shards(self) -> list[ShardName]:
         """The parts of shares that are to have an owner."""
-        return self.keeper.wanted_parts() if self.keeper is not None else []
+        return self.keeper.wanted_shards() if self.keeper is not None else []
 
-    def lead(self, leader: LeaderCore) -> None:
+    def lead(self, leader: LeaderPlanner) -> None:
         """Keep the shares as this leader; each term begins anew from the records."""
         if self._leader is not leader:
             self._leader = leader
@@ -190,7 +190,7 @@
     def _show(self) -> dict[str, Any]:
         node, keeper = self._node, self.keeper
         assert keeper is not None and node.leader is not None
-        view = ShareView(node.now(), node.wall(), node.mirror, node.leader.parts.values())
+        view = ShareView(node.now(), node.wall(), node.mirror, node.leader.shards.values())
         said = view.describe(self._plan, keeper.targets)
         return {
             "status": 200,
--- a/src/dapplewick/shares/targets.py
+++ b/src/dapplewick/shares/targets.py
@@ -26,7 +26,7 @@
     """The machines that there are of each type in each zone."""
     counts: Counter[Kind] = Counter()
     for kind, count in index.kinds():
-        counts[zone_of(kind.part), kind.type] += count
+        counts[zone_of(kind.shard), kind.type] += count
     return {
         (zone, type_): Supply(mirror.types[type_].resources, count)
         for (zone, type_), count in counts.items()
@@ -37,9 +37,9 @@
 def holdings(index: MachineIndex) -> dict[Cell, int]:
     """How many machines of each kind each share has; those of no share are left out."""
     return {
-        Cell(partition_of(kind.part), zone_of(kind.part), kind.type): count
+        Cell(partition_of(kind.shard), zone_of(kind.shard), kind.type): count
         for kind, count in index.kinds()
-        if partition_of(kind.part)
+        if partition_of(kind.shard)
     }
 
 
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/shares/view.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from dapplewick.core.estimates import NEVER
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.plan import SharePlan
 from dapplewick.shares.targets import TargetsInForce
-from dapplewick.storage.records import PARTS, TRANSFERS, Mirror
+from dapplewick.storage.records import SHARDS, TRANSFERS, Mirror
 from dapplewick.storage.transfers import TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
 
@@ -21,12 +21,12 @@
     """Reads the records and the parts' statuses; changes nothing."""
 
     def __init__(
-        self, now: Seconds, wall: Seconds, mirror: Mirror, parts: Iterable[PartView]
+        self, now: Seconds, wall: Seconds, mirror: Mirror, shards: Iterable[ObservedShard]
     ) -> None:
         self._now = now
         self._wall = wall
         self._mirror = mirror
-        self._parts = {part.part: part for part in parts}
+        self._shards = {shard.shard: shard for shard in shards}
 
     def describe(self, plan: SharePlan, targets: TargetsInForce) -> dict[str, Any]:
         """All shares, their machines and targets, and the transfers, as plain values."""
@@ -51,7 +51,7 @@
             "targets_known": targets.known,
             "teams": {name: share.teams for name, share in plan.shares.items()},
             "machines": rows,
-            "owners": {part: record.owner for part, record in self._mirror.parts.items()},
+            "owners": {shard: record.owner for shard, record in self._mirror.shards.items()},
             "transfers": [
                 self._transfer(name, record)
                 for name, record in sorted(
@@ -85,30 +85,30 @@
         known = self._mirror.machines.get(machine_id)
         if known is None or known.doomed:
             return "it is gone or about to go; another will be chosen"
-        if not self._mirror.version(PARTS + record.target):
+        if not self._mirror.version(SHARDS + record.target):
             return "the receiving share has no owner yet"
         if not known.up:
             return "it is still coming up and goes over with the next writes"
-        part = self._parts.get(ShardName(record.source))
-        if part is None:
+        shard = self._shards.get(ShardName(record.source))
+        if shard is None:
             return "the owner of the giving share has not been heard yet"
-        if part.seen < self._mirror.version(TRANSFERS + name):
-            return f"the owner of the giving share was last heard {self._age(part)} ago"
-        silence = part.fresh["silent"].get(machine_id)
+        if shard.seen < self._mirror.version(TRANSFERS + name):
+            return f"the owner of the giving share was last heard {self._age(shard)} ago"
+        silence = shard.fresh["silent"].get(machine_id)
         if silence is not None and silence[0] > SILENT_S:
             return f"it has been silent for {silence[0]:.0f} s, so that nothing is proven of it"
-        body = part.machines.get(machine_id)
+        body = shard.machines.get(machine_id)
         if body is None or not body["heard"]:
             return "it has not reported to its present owner yet"
-        return self._work(part, machine_id, body)
+        return self._work(shard, machine_id, body)
 
-    def _age(self, part: PartView) -> str:
-        return f"{max(0.0, self._now - part.at):.0f} s"
+    def _age(self, shard: ObservedShard) -> str:
+        return f"{max(0.0, self._now - shard.at):.0f} s"
 
-    def _work(self, part: PartView, machine_id: MachineId, body: dict[str, Any]) -> str:
+    def _work(self, shard: ObservedShard, machine_id: MachineId, body: dict[str, Any]) -> str:
         ends = body["ends"]
         if ends:
-            last = max(float(end[0]) for end in ends) + part.clock - self._now
+            last = max(float(end[0]) for end in ends) + shard.clock - self._now
             tasks = f"{len(ends)} task{'s' if len(ends) > 1 else ''} on it"
             if last >= NEVER / 2:
                 return f"{tasks}, a replica of a service among them, which moves first"
@@ -120,6 +120,6 @@
         ]
         if gangs:
             return f"the gang {gangs[0]} has slots on it that are not released yet"
-        if machine_id in part.fresh.get("drained", ()):
+        if machine_id in shard.fresh.get("drained", ()):
             return "it is empty and goes over with the next writes"
         return "results on it are not stored yet, or it was told to start a task a moment ago"
--- a/src/dapplewick/status.py
+++ b/src/dapplewick/status.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any
 
 from dapplewick import __version__
-from dapplewick.core.part import PartCore
-from dapplewick.storage.records import LEADER, PARTS
+from dapplewick.core.part import ShardScheduler
+from dapplewick.storage.records import LEADER, SHARDS
 from dapplewick.types import Seconds
 
 if TYPE_CHECKING:
@@ -31,8 +31,8 @@
         "format": mirror.format,
         "versions": {name: record.version for name, record in mirror.nodes.items()},
         "parts": {
-            zone: {"owner": part.owner, "token": mirror.version(PARTS + zone)}
-            for zone, part in mirror.parts.items()
+            zone: {"owner": shard.owner, "token": mirror.version(SHARDS + zone)}
+            for zone, shard in mirror.shards.items()
         },
         "jobs": jobs,
         "services": {
@@ -54,27 +54,29 @@
             "state_writes": round(node.state.writes.level(), 1),
             "cloud_calls": round(node.cloud_budget.level(), 1),
         },
-        "owned": {zone: _part(now, core) for zone, core in node.cores.items()},
+        "owned": {
+            zone: _shard(now, scheduler) for zone, scheduler in node.shard_schedulers.items()
+        },
         "latencies_ms": node.latencies.view(),
     }
 
 
-def _part(now: Seconds, core: PartCore) -> dict[str, Any]:
-    status = core.status(now)
-    core.dirty = True
-    loose = len(core.queues.loose)
+def _shard(now: Seconds, scheduler: ShardScheduler) -> dict[str, Any]:
+    status = scheduler.status(now)
+    scheduler.dirty = True
+    loose = len(scheduler.queues.loose)
     return {
-        "token": core.token,
+        "token": scheduler.token,
         "unheard": status["unheard"],
         "loose": loose,
         "machines": {
             name: {
-                "type": core.machines[name].type,
-                "tasks": len(core.machines[name].live),
-                "slots": len(core.machines[name].slots),
+                "type": scheduler.machines[name].type,
+                "tasks": len(scheduler.machines[name].live),
+                "slots": len(scheduler.machines[name].slots),
                 "queued": body["queued"],
                 "free": body["free"],
-                "silent": round(now - core.machines[name].last, 1),
+                "silent": round(now - scheduler.machines[name].last, 1),
             }
             for name, body in status["machines"].items()
             if body is not None
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -35,7 +35,7 @@
 TYPES = ROOT + "types"
 JOBS = ROOT + "j/"
 MACHINES = ROOT + "m/"
-PARTS = ROOT + "p/"
+SHARDS = ROOT + "p/"
 NODES = ROOT + "n/"
 BOOKINGS = ROOT + "b/"
 SHARE_PLAN = ROOT + "shares"  # the operators' plan of shares, if they have stored one
@@ -62,8 +62,8 @@
     # Of how many keys the places are to be read, if they are not here.
     shares: int = msgspec.field(name="shares", default=0)
 
-    def parts(self) -> set[str]:
-        return {part for part, _ in self.places}
+    def shards(self) -> set[str]:
+        return {shard for shard, _ in self.places}
 
 
 class _RawJob(msgspec.Struct, omit_defaults=True):
@@ -104,9 +104,9 @@
     return len(str(max(1, tasks - 1))) + 1
 
 
-def chunk_tasks(tasks: int, part_names: list[str], value_bytes: int) -> int:
+def chunk_tasks(tasks: int, shard_names: list[str], value_bytes: int) -> int:
     """How many tasks a chunk may hold, in the worst order in which they can be done."""
-    rest = value_bytes - 40 - sum(len(name.encode()) + 8 for name in part_names)
+    rest = value_bytes - 40 - sum(len(name.encode()) + 8 for name in shard_names)
     return max(1, rest // number_bytes(tasks))
 
 
@@ -170,12 +170,12 @@
             return self.gang
         return msgspec.structs.replace(self.gang, places=[])
 
-    def outgrows(self, part_names: list[str], value_bytes: int) -> bool:
+    def outgrows(self, shard_names: list[str], value_bytes: int) -> bool:
         """Whether its record, as one value, may come to be larger than this."""
         most = size_of(msgspec.to_builtins(_RawJob(spec=self.spec, stage=CANCELLED, at=self.at)))
         if not self.spec.gang:
             most += self.spec.tasks * number_bytes(self.spec.tasks) + 40
-            most += sum(len(name.encode()) + 8 for name in part_names)
+            most += sum(len(name.encode()) + 8 for name in shard_names)
         return most > value_bytes
 
     def chunk_value(self, number: int) -> Any:
@@ -241,13 +241,13 @@
             return self.version
         return self.chunk_versions.get(index // self.chunk, 0)
 
-    def granted(self, part: str) -> set[int]:
+    def granted(self, shard: str) -> set[int]:
         """The tasks that a part may run."""
-        return self.grants.get(part, set())
+        return self.grants.get(shard, set())
 
     def granted_in_zone(self, zone: str) -> int:
         """How many tasks the parts of a zone may run together."""
-        return sum(len(tasks) for part, tasks in self.grants.items() if zone_of(part) == zone)
+        return sum(len(tasks) for shard, tasks in self.grants.items() if zone_of(shard) == zone)
 
 
 def size_of(value: Any) -> int:
@@ -270,7 +270,7 @@
     floor: int = 0  # commands to its worker carry at least this token
 
     @property
-    def part(self) -> ShardName:
+    def shard(self) -> ShardName:
         """The part that schedules this machine."""
         return shard_name(self.zone, self.share)
 
@@ -316,7 +316,7 @@
         )
 
 
-class PartRecord(msgspec.Struct):
+class ShardRecord(msgspec.Struct):
     owner: str
     boot: str = msgspec.field(name="boot")
 
@@ -374,7 +374,7 @@
         self.group_of: dict[MachineId, str] = {}
         self._groups_listing: dict[MachineId, set[str]] = {}
         self._group_versions: dict[str, int] = {}
-        self.parts: dict[ShardName, PartRecord] = {}
+        self.shards: dict[ShardName, ShardRecord] = {}
         self.transfers = Transfers()
         self.share_plan: Any = None  # as it was stored: the shares' package reads it
         self.nodes: dict[ControllerName, NodeRecord] = {}
@@ -479,8 +479,8 @@
             self._join(job_id)
         elif key.startswith(MACHINES):
             self._set_group(name, msgspec.convert(value, type=GroupRecord), version)
-        elif key.startswith(PARTS):
-            self.parts[ShardName(name)] = msgspec.convert(value, type=PartRecord)
+        elif key.startswith(SHARDS):
+            self.shards[ShardName(name)] = msgspec.convert(value, type=ShardRecord)
         elif key.startswith(NODES):
             node = self.nodes[ControllerName(name)] = msgspec.convert(value, type=NodeRecord)
             self.understood[ControllerName(name)] = node.version
@@ -609,8 +609,8 @@
             self.types = self._main_types | self._key_types
         elif key.startswith(MACHINES):
             self._set_group(name, None)
-        elif key.startswith(PARTS):
-            self.parts.pop(ShardName(name), None)
+        elif key.startswith(SHARDS):
+            self.shards.pop(ShardName(name), None)
         elif key.startswith(NODES):
             self.nodes.pop(ControllerName(name), None)
         elif key.startswith(BOOKINGS):
@@ -662,15 +662,15 @@
         """Whether just one group lists a machine: two do while an oversized one is copied."""
         return len(self._groups_listing.get(machine, ())) == 1
 
-    def part_of(self, machine: MachineId, zone: str) -> ShardName:
+    def shard_of(self, machine: MachineId, zone: str) -> ShardName:
         """The part that schedules a machine; the zone's own for one that is not known here."""
         record = self.machines.get(machine)
-        return record.part if record is not None else ShardName(zone)
+        return record.shard if record is not None else ShardName(zone)
 
-    def token_for(self, machine: MachineId, part_token: FencingToken) -> FencingToken:
+    def token_for(self, machine: MachineId, shard_token: FencingToken) -> FencingToken:
         """The token that commands to a machine's worker carry, from the owner of its part."""
         record = self.machines.get(machine)
-        return FencingToken(max(part_token, record.floor)) if record is not None else part_token
+        return FencingToken(max(shard_token, record.floor)) if record is not None else shard_token
 
     def each_live(self) -> Iterator[tuple[JobId, JobRecord]]:
         for job_id in self.live_jobs:
--- a/src/dapplewick/types.py
+++ b/src/dapplewick/types.py
@@ -30,14 +30,14 @@
     return ShardName(f"{zone}{PARTITION_SEPARATOR}{share}" if share else zone)
 
 
-def zone_of(part: str) -> Zone:
+def zone_of(shard: str) -> Zone:
     """The zone whose machines a part schedules."""
-    return Zone(part.partition(PARTITION_SEPARATOR)[0])
+    return Zone(shard.partition(PARTITION_SEPARATOR)[0])
 
 
-def partition_of(part: str) -> str:
+def partition_of(shard: str) -> str:
     """The share that a part is of; empty for a zone's own part."""
-    return part.partition(PARTITION_SEPARATOR)[2]
+    return shard.partition(PARTITION_SEPARATOR)[2]
 
 
 class TaskRef(NamedTuple):
--- a/tests/behaviour_days.py
+++ b/tests/behaviour_days.py
@@ -83,14 +83,14 @@
     leader = leader_of(bench, 2.6)
     for step in range(12):
         at = 3.0 + step
-        status = bench.core.status(at)
+        status = bench.scheduler.status(at)
         recorder.record("part_status", part="a", message=status)
-        leader.part_status(at, status)
+        leader.shard_status(at, status)
         leader.plan(at, at)
         for name in bench.names[step::4]:
             orders = bench.report(name, at, set(list(bench.on[name])[: step % 3]))
             recorder.record("orders", machine=name, body=report_answer(TOKEN, orders))
-        bench.core.tick(at + 0.5)
+        bench.scheduler.tick(at + 0.5)
 
 
 DAYS: dict[str, Play] = {
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -24,7 +24,7 @@
 from dapplewick.cloud import CloudCalls
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.job_writes import RANK_GRANTS, JobWrites
-from dapplewick.core.leader import LeaderCore
+from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.machines import Change, MachineBook
 from dapplewick.node import Node
 from dapplewick.protocol import wire
@@ -48,8 +48,8 @@
     LEADER,
     MACHINES,
     NODES,
-    PARTS,
     PLACES,
+    SHARDS,
     SHARE_PLAN,
     TRANSFERS,
     TYPE_KEYS,
@@ -130,7 +130,7 @@
         return msgspec.to_builtins(mirror.leader)
     tables: list[tuple[str, Any]] = [
         (MACHINES, mirror.groups),
-        (PARTS, mirror.parts),
+        (SHARDS, mirror.shards),
         (NODES, mirror.nodes),
         (BOOKINGS, mirror.bookings),
         (TRANSFERS, mirror.transfers.records),
@@ -278,15 +278,15 @@
     return node, service, link
 
 
-def _leads(node: Node) -> LeaderCore:
-    leader = LeaderCore(
+def _leads(node: Node) -> LeaderPlanner:
+    leader = LeaderPlanner(
         node.mirror,
         node.settings,
         node.estimates,
         FencingToken(3),
         now(),
         node.tuning,
-        node.part_names(),
+        node.shard_names(),
     )
     node.leader = leader
     return leader
@@ -302,36 +302,36 @@
         node._gossip_wake.set()
         with anyio.move_on_after(0.2):
             await node._gossip_loop()
-        parts: list[Any] = []
+        shards: list[Any] = []
         if leader is not None:
             leader.catalog(list(node.mirror.types.values()))
-            deaf = leader.deaf_parts()
-            parts = neutral(
+            deaf = leader.unreachable_shards()
+            shards = neutral(
                 [
                     [
-                        part.part,
-                        part.zone,
-                        part.token,
-                        part.number,
-                        part.clock,
-                        part.seen,
-                        part.machines,
-                        part.jobs,
-                        part.gangs,
-                        part.fresh,
+                        shard.shard,
+                        shard.zone,
+                        shard.token,
+                        shard.number,
+                        shard.clock,
+                        shard.seen,
+                        shard.machines,
+                        shard.jobs,
+                        shard.gangs,
+                        shard.fresh,
                         deaf,
-                        [part.placed(job) for job in part.jobs],
+                        [shard.placed(job) for job in shard.jobs],
                     ]
-                    for part in leader.parts.values()
+                    for shard in leader.shards.values()
                 ]
             )
-            parts.append(_changes(leader.plan(now(), now())))
+            shards.append(_changes(leader.plan(now(), now())))
         cancelled = node.mirror.cancellations(0)
         read = neutral(
             [
                 node._peer_state,
                 node._running,
-                node._heard_parts,
+                node._peer_shards,
                 node._confirmed,
                 cancelled,
                 node.cancellations.known_at(now()),
@@ -339,7 +339,7 @@
             ]
         )
         frames = [None if answer is None else cbor2.dumps(answer).hex() for answer in answers]
-        return {"read": read, "parts": parts, "sent": link.posted, "answers": frames}
+        return {"read": read, "parts": shards, "sent": link.posted, "answers": frames}
 
     return _in_time(scene)
 
@@ -363,9 +363,9 @@
                 said = await node.on_request(through_frame(body))
                 out.append(cbor2.dumps(said).hex())
             elif kind == "tick":
-                for core in node.cores.values():
-                    core.tick(now(), now(), True)
-                    node._send_status(now(), core)
+                for scheduler in node.shard_schedulers.values():
+                    scheduler.tick(now(), now(), True)
+                    node._send_status(now(), scheduler)
             elif kind == "wait":
                 await anyio.sleep(body)
             elif kind == "too large":
--- a/tests/make_golden_data.py
+++ b/tests/make_golden_data.py
@@ -345,7 +345,7 @@
 IDLE = BUSY | {"free": [8.0, 0.0, 32.0], "ends": [], "queued": 0}
 
 
-def part_status(**more: Any) -> dict[str, Any]:
+def shard_status(**more: Any) -> dict[str, Any]:
     """A part's status, as a controller of the present version sends it."""
     one = {"placed": 2, "running": 1, "done": [0, 3], "returned": [4], "version": 11}
     return {
@@ -395,7 +395,7 @@
 def messages() -> dict[str, Any]:
     """Messages between controllers."""
     old = {k: v for k, v in gossip().items() if k not in ("heard", "complete", "cancelled")}
-    next_ = part_status(number=4, base=3, machines={"vm-9": None}, jobs={}, gangs={})
+    next_ = shard_status(number=4, base=3, machines={"vm-9": None}, jobs={}, gangs={})
     have = {
         "kind": "have",
         "zone": "a",
@@ -411,14 +411,14 @@
         "of itself, without what it knows of cancellations": {"messages": [old]},
         "of itself, twice": {"messages": [gossip(), gossip(at=996.5, state=False, running={})]},
         "of all peers": {"messages": [gossip(), gossip(node="n2", boot="n2-1")]},
-        "status of a part": {"messages": [part_status()], "leads": True},
+        "status of a part": {"messages": [shard_status()], "leads": True},
         "status of a part, followed by what changed": {
-            "messages": [part_status(), next_],
+            "messages": [shard_status(), next_],
             "leads": True,
         },
         "status of a part with machines that have to go": {
             "messages": [
-                part_status(
+                shard_status(
                     silent={"vm-11": [99.5, False]},
                     machines={
                         "vm-9": BUSY | {"faulty": True},
@@ -431,7 +431,7 @@
         },
         "status of a part with idle machines": {
             "messages": [
-                part_status(
+                shard_status(
                     idle={"vm-9": 900.0, "vm-11": 1.5},
                     silent={},
                     machines={
@@ -442,15 +442,18 @@
             ],
             "leads": True,
         },
-        "status of a part under another token": {"messages": [part_status(token=1)], "leads": True},
+        "status of a part under another token": {
+            "messages": [shard_status(token=1)],
+            "leads": True,
+        },
         "status of a part of a deaf owner": {
-            "messages": [part_status(heard_ago=60.0)],
+            "messages": [shard_status(heard_ago=60.0)],
             "leads": True,
         },
         "what the leader has": {"messages": [have]},
         "status of a gang that is clear": {
             "records": [*OWNED, ["dw/j/run-2", job(GANG, gang={**in_a, "over": True}), 12]],
-            "messages": [part_status(**part_a, gangs={"run-2": [7, "clear", 0.0]})],
+            "messages": [shard_status(**part_a, gangs={"run-2": [7, "clear", 0.0]})],
             "leads": True,
         },
         "an operator's question": {"messages": [{"kind": "status"}]},
@@ -458,7 +461,7 @@
     }
     for state in ("bad", "done", "held", "on", "busy"):
         many[f"status of a gang that is {state}"] = {
-            "messages": [part_status(**part_a, gangs={"run-2": [7, state, 3.0]})],
+            "messages": [shard_status(**part_a, gangs={"run-2": [7, state, 3.0]})],
             "leads": True,
         }
     return {label: {"records": OWNED, **given} for label, given in many.items()}
@@ -749,7 +752,7 @@
             for status, retry in ((200, None), (404, 2), (503, 1))
         },
         "frame": {
-            "status": part_status(),
+            "status": shard_status(),
             "of itself": gossip(),
             "question": {"kind": "shares", "verb": "show", "forwarded": True},
         },
--- a/tests/share_history.py
+++ b/tests/share_history.py
@@ -10,7 +10,7 @@
 from itertools import groupby
 from typing import Any
 
-from dapplewick.storage.records import CHUNKS, JOBS, LEADER, MACHINES, PARTS, TRANSFERS
+from dapplewick.storage.records import CHUNKS, JOBS, LEADER, MACHINES, SHARDS, TRANSFERS
 from dapplewick.types import shard_name
 
 Entry = tuple[int, str, Any, bool]  # revision, key, value, whether it was removed
@@ -24,7 +24,7 @@
         self.handovers: list[tuple[int, str, str, str]] = []  # revision, machine, from, to
         self._records: dict[str, Any] = {}
         self._versions: dict[str, int] = {}
-        self._part_of: dict[str, str] = {}
+        self._shard_of: dict[str, str] = {}
         self._floor_of: dict[str, int] = {}
 
     def check(self, log: Iterable[Entry]) -> list[str]:
@@ -64,13 +64,13 @@
     def _check_machines(self, revision: int, keys: list[str], before: dict[str, Any]) -> None:
         listed = self._listed()
         for machine, groups in listed.items():
-            parts = {self._part(self._records[key]) for key in groups}
-            if len(parts) > 1:
-                self._fail(revision, f"{machine} counts in {sorted(parts)}")
+            shards = {self._shard(self._records[key]) for key in groups}
+            if len(shards) > 1:
+                self._fail(revision, f"{machine} counts in {sorted(shards)}")
                 continue
             newest = max(groups, key=lambda key: self._versions[key])
-            self._check_move(revision, machine, parts.pop(), self._records[newest], keys, before)
-        for machine in self._part_of.keys() - listed.keys():
+            self._check_move(revision, machine, shards.pop(), self._records[newest], keys, before)
+        for machine in self._shard_of.keys() - listed.keys():
             text = next(
                 (
                     group["machines"][machine]
@@ -81,33 +81,33 @@
             )
             if text[:1] != "d":
                 self._fail(revision, f"{machine} counts nowhere, and was not to be deleted")
-            del self._part_of[machine]
+            del self._shard_of[machine]
 
     @staticmethod
-    def _part(group: dict[str, Any]) -> str:
+    def _shard(group: dict[str, Any]) -> str:
         return str(shard_name(group["zone"], group.get("share", "")))
 
     def _check_move(
         self,
         revision: int,
         machine: str,
-        part: str,
+        shard: str,
         group: dict[str, Any],
         keys: list[str],
         before: dict[str, Any],
     ) -> None:
-        old = self._part_of.get(machine)
+        old = self._shard_of.get(machine)
         floor = group.get("floors", {}).get(machine, 0)
-        if old is not None and old != part:
-            self.handovers.append((revision, machine, old, part))
-            self._check_handover(revision, machine, old, part, floor, before)
+        if old is not None and old != shard:
+            self.handovers.append((revision, machine, old, shard))
+            self._check_handover(revision, machine, old, shard, floor, before)
         elif floor < self._floor_of.get(machine, 0):
             self._fail(revision, f"{machine}'s least token went back")
-        self._part_of[machine] = part
+        self._shard_of[machine] = shard
         self._floor_of[machine] = max(floor, self._floor_of.get(machine, 0))
 
     def _check_handover(
-        self, revision: int, machine: str, old: str, part: str, floor: int, before: dict[str, Any]
+        self, revision: int, machine: str, old: str, shard: str, floor: int, before: dict[str, Any]
     ) -> None:
         transfers = [
             (value, self._records.get(key))
@@ -116,14 +116,14 @@
         ]
         if not any(
             machine in was.get("draining", [])
-            and (was["source"], was["target"]) == (old, part)
+            and (was["source"], was["target"]) == (old, shard)
             and now is not None
             and machine not in now.get("draining", [])
             and now.get("moved", 0) > was.get("moved", 0)
             for was, now in transfers
         ):
-            self._fail(revision, f"{machine} went from {old} to {part} without a transfer")
-        if floor <= max(self._versions.get(PARTS + old, 0), self._floor_of.get(machine, 0)):
+            self._fail(revision, f"{machine} went from {old} to {shard} without a transfer")
+        if floor <= max(self._versions.get(SHARDS + old, 0), self._floor_of.get(machine, 0)):
             self._fail(revision, f"{machine}'s least token does not shut {old} out")
         for key, job in self._records.items():
             gang = job.get("gang") if key.startswith(JOBS) else None
@@ -165,7 +165,7 @@
             if key.startswith(MACHINES):
                 live = sum(not text.startswith("d") for text in group["machines"].values())
                 if live:
-                    name = (self._part(group), group["type"])
+                    name = (self._shard(group), group["type"])
                     out[name] = out.get(name, 0) + live
         return out
 
@@ -175,7 +175,7 @@
         for key, value in self._records.items():
             if key.startswith((JOBS, CHUNKS)):
                 named |= set(value.get("grants", {}))
-                named |= {part for part, _ in (value.get("gang") or {}).get("places", [])}
+                named |= {shard for shard, _ in (value.get("gang") or {}).get("places", [])}
         return named
 
     def leader(self) -> str:
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -314,9 +314,9 @@
     @staticmethod
     def _asked(request: Request) -> tuple[str, str]:
         """The job that a request is about, and what it asks of it."""
-        parts = request.target.split("/")
-        if len(parts) > 3:
-            return parts[3], "abort" if parts[-1] == "abort" else "poll"
+        shards = request.target.split("/")
+        if len(shards) > 3:
+            return shards[3], "abort" if shards[-1] == "abort" else "poll"
         body = json.loads(request.body)
         return str(body.get("name_id", "")) if isinstance(body, dict) else "", "submit"
 
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dapplewick.core.leader import LeaderCore
-from dapplewick.core.part import PartCore
+from dapplewick.core.leader import LeaderPlanner
+from dapplewick.core.part import ShardScheduler
 from dapplewick.node import Node
 from dapplewick.types import Seconds
 from standins import World
@@ -17,21 +17,21 @@
 
 
 def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
-    settle = PartCore._settle_unsure
+    settle = ShardScheduler._settle_unsure
 
-    def hasty(self: PartCore, now: float) -> None:
+    def hasty(self: ShardScheduler, now: float) -> None:
         self.unheard.clear()
         settle(self, now)
 
-    patch.setattr(PartCore, "_release_unconfirmed", hasty)
+    patch.setattr(ShardScheduler, "_release_unconfirmed", hasty)
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaderCore, "_within_limit", lambda self, spec, usage: spec.tasks)
+    patch.setattr(LeaderPlanner, "_within_limit", lambda self, spec, usage: spec.tasks)
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PartCore, "_stops", lambda self, now, machine: [])
+    patch.setattr(ShardScheduler, "_stops", lambda self, now, machine: [])
 
 
 def no_check_that_the_mirror_is_current(patch: pytest.MonkeyPatch) -> None:
@@ -42,7 +42,7 @@
 
 
 def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PartCore, "allowed", lambda self, spec, machine: True)
+    patch.setattr(ShardScheduler, "allowed", lambda self, spec, machine: True)
 
 
 CASES: list[tuple[Patch, Fault, str]] = [
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -18,7 +18,7 @@
 
 def owners(world: World) -> list[str]:
     """The controllers that own a part now; any one if none does."""
-    return sorted(n for n, node in world.nodes.items() if node.cores) or world.names[:1]
+    return sorted(n for n, node in world.nodes.items() if node.shard_schedulers) or world.names[:1]
 
 
 async def quiet(world: World) -> None:
@@ -467,14 +467,14 @@
         hand_in(world, 3, pieces=12, true_s=60.0, cpus=4.0, crew="red")
         await anyio.sleep(27)
         node = world.nodes["n0"]
-        heard = {z: sum(w.zone == z for w in world.workers.values()) for z in node.mirror.parts}
+        heard = {z: sum(w.zone == z for w in world.workers.values()) for z in node.mirror.shards}
         zone = max(heard, key=lambda z: heard[z])
-        owner = node.mirror.parts[zone].owner
+        owner = node.mirror.shards[zone].owner
         seen["before"] = (heard[zone] >= 2, owner)
         machines = {w.name for w in world.workers.values() if w.zone == zone}
         world.cut_workers.add(owner)
         await anyio.sleep(25)
-        seen["after"] = world.nodes["n0"].mirror.parts[zone].owner
+        seen["after"] = world.nodes["n0"].mirror.shards[zone].owner
         seen["kept"] = len(machines & world.workers.keys()) / len(machines)
 
     run_script(world, 60.0, script)
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -10,8 +10,8 @@
 
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.fleet import Fleet, Need
-from dapplewick.core.model import PartRooms, View, fit_all
-from dapplewick.core.part import PartCore
+from dapplewick.core.model import ShardCapacity, View, fit_all
+from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import IMAGES_MOST
 from dapplewick.protocol.wire import JobSpec, MachineType, Order, Report, TaskReport, types_value
 from dapplewick.storage.ranges import pack, unpack
@@ -78,7 +78,7 @@
         self.names = [MachineId(f"vm-{i}") for i in range(machines)]
         for name in self.names:
             self.put(MACHINES + name, group(name))
-        self.core = PartCore(
+        self.scheduler = ShardScheduler(
             ZONE, TOKEN, self.mirror, Estimates(), 0.0, tuning=Tuning(threshold_s=threshold), seed=1
         )
         self.seq = 0
@@ -92,13 +92,13 @@
         record = JobRecord(asked, at)
         record.grants = {"a": set(range(asked.tasks))}
         self.put(JOBS + job, record.dump())
-        self.core.job_changed(at, JobId(job))
+        self.scheduler.job_changed(at, JobId(job))
 
     def hold(self, job: str, asked: JobSpec, places: list[MachineId], at: Seconds) -> None:
         record = JobRecord(asked, at)
         record.gang = GangPlace(7, [("a", m) for m in places])
         self.put(JOBS + job, record.dump())
-        self.core.job_changed(at, JobId(job))
+        self.scheduler.job_changed(at, JobId(job))
 
     def report(self, name: MachineId, at: Seconds, done: set[TaskRef] = frozenset()) -> list[Order]:  # type: ignore[assignment]
         self.seq += 1
@@ -113,7 +113,7 @@
             for task, attempt in self.on[name].items()
         ]
         report = Report(name, TypeName("k"), IN_ZONE, False, 1, self.seq, TOKEN, None, "", tasks)
-        orders = self.core.report(at, report, True)
+        orders = self.scheduler.report(at, report, True)
         for task in done:
             self.on[name].pop(task, None)
         for order in orders:
@@ -129,7 +129,7 @@
             record.done |= numbers
             record.grants = {"a": record.granted("a") - numbers}
             self.put(JOBS + job, record.dump())
-            self.core.job_changed(at, job)
+            self.scheduler.job_changed(at, job)
 
 
 def starts(orders: list[Order]) -> list[TaskRef]:
@@ -210,7 +210,7 @@
             assert used <= KIND.cpus
             assigned = {
                 t
-                for m in bench.core.machines.values()
+                for m in bench.scheduler.machines.values()
                 for s in m.slots
                 if (t := s.current) is not None and m.id != name
             }
@@ -241,12 +241,12 @@
 def test_the_largest_fitting_gang_is_placed_first(sizes: list[int], idle: int) -> None:
     """Point three, against the leader's real pass."""
     import standins
-    from dapplewick.core.leader import LeaderCore
+    from dapplewick.core.leader import LeaderPlanner
 
     mirror = Mirror()
     mirror.put(TYPES, types_value([KIND]), 1)
     mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    core = LeaderCore(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
+    scheduler = LeaderPlanner(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
     machines = {}
     for n in range(idle):
         mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
@@ -263,7 +263,7 @@
     gangs = [(tasks, float(n)) for n, tasks in enumerate(sizes)]
     for n, (tasks, at) in enumerate(gangs):
         mirror.put(f"dw/j/run-{n}", JobRecord(spec(tasks, 4.0, 10.0, True), at).dump(), 100 + n)
-    core.part_status(
+    scheduler.shard_status(
         1.0,
         {
             "zone": "a",
@@ -285,7 +285,7 @@
     )
     placed = {
         int(change.key.rpartition("-")[2])
-        for change in core.plan(1.0, 1.0)
+        for change in scheduler.plan(1.0, 1.0)
         if change.key.startswith(JOBS) and change.value.get("gang")
     }
     assert placed == set(plain_largest_first(gangs, idle))
@@ -327,8 +327,8 @@
     gang = spec(2, 4.0, 10.0, True)
     needs = [Need(gang, 2, True)]
 
-    def rooms(*names: str) -> list[PartRooms]:
-        return [PartRooms(ZONE, [view(name, 4.0) for name in names])]
+    def rooms(*names: str) -> list[ShardCapacity]:
+        return [ShardCapacity(ZONE, [view(name, 4.0) for name in names])]
 
     assert fleet.rent(0.0, 0.0, needs, rooms("x", "y")) == ([], [])
     bookings, unmet = fleet.rent(0.0, 0.0, needs, rooms("x"))
@@ -380,7 +380,7 @@
         report = Report(
             machine, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", [item]
         )
-        return bench.core.report(at, report, False)
+        return bench.scheduler.report(at, report, False)
 
     assert [o.op for o in failed(1.0)] == ["forget"]
     # The forget was lost: the same exit is reported once more, after the task was assigned.
@@ -392,10 +392,10 @@
 def test_what_was_given_back_and_granted_again_runs() -> None:
     bench = Bench(0)
     bench.grant("run-1", spec(1, 1.0, 10.0), 0.0)
-    bench.core.tick(100.0)
-    assert bench.core.status(100.0)["jobs"]["run-1"]["returned"] == [0]
+    bench.scheduler.tick(100.0)
+    assert bench.scheduler.status(100.0)["jobs"]["run-1"]["returned"] == [0]
     bench.grant("run-1", spec(1, 1.0, 10.0), 101.0)
-    assert bench.core.status(101.0)["jobs"]["run-1"]["returned"] == []
+    assert bench.scheduler.status(101.0)["jobs"]["run-1"]["returned"] == []
 
 
 def test_a_new_owner_does_not_start_again_what_may_be_on_an_unheard_machine() -> None:
@@ -404,14 +404,14 @@
         old.report(name, 0.0)
     old.grant("run-1", spec(2, 4.0, 10.0), 0.0)
     assert len(starts(old.report(old.names[0], 1.0))) == 1
-    core = PartCore(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
 
     def report(name: MachineId, seq: int, token: int, on: dict[TaskRef, Attempt]) -> list[Order]:
         tasks = [TaskReport(t, a, "running", None, False) for t, a in on.items()]
         said = Report(
             name, TypeName("k"), IN_ZONE, False, 1, seq, FencingToken(token), None, "", tasks
         )
-        return core.report(3.0, said, True)
+        return scheduler.report(3.0, said, True)
 
     # The second machine reports under the old token, then under the new one: still nothing
     # may start, for the first has not been heard.
@@ -426,14 +426,14 @@
 def test_a_deleted_machine_counts_as_heard() -> None:
     old = Bench(2)
     old.grant("run-1", spec(1, 4.0, 10.0), 0.0)
-    core = PartCore(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
     name, silent = old.names
     said = Report(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
-    assert starts(core.report(3.0, said, True)) == []
+    assert starts(scheduler.report(3.0, said, True)) == []
     old.mirror.remove(MACHINES + silent, 10_000)
-    core.machine_changed(4.0, silent)
+    scheduler.machine_changed(4.0, silent)
     said = Report(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
-    assert len(starts(core.report(5.0, said, True))) == 1
+    assert len(starts(scheduler.report(5.0, said, True))) == 1
 
 
 def test_a_gang_cancelled_before_its_result_was_stored_is_cleared() -> None:
@@ -443,13 +443,13 @@
     bench.hold("run-1", spec(1, 2.0, 10.0, gang=True), [machine], 0.0)
     (task,) = starts(bench.report(machine, 1.0))
     bench.report(machine, 2.0, {task})
-    assert bench.core.status(2.0)["gangs"]["run-1"][1] == "done"
+    assert bench.scheduler.status(2.0)["gangs"]["run-1"][1] == "done"
     record = JobRecord.load(bench.mirror.jobs[JobId("run-1")].dump(), 0)
     record.stage = CANCELLED
     bench.put(JOBS + "run-1", record.dump())
-    bench.core.job_changed(3.0, JobId("run-1"))
+    bench.scheduler.job_changed(3.0, JobId("run-1"))
     bench.report(machine, 3.0)
-    assert bench.core.status(3.0)["gangs"]["run-1"][1] == "clear"
+    assert bench.scheduler.status(3.0)["gangs"]["run-1"][1] == "clear"
 
 
 def test_a_machine_on_which_tasks_take_twice_as_long_gets_no_more_of_them() -> None:
@@ -459,7 +459,7 @@
         bench.report(name, 0.0)
     at = 0.0
     for n in range(60):
-        if bench.core.machines[slow].slow:
+        if bench.scheduler.machines[slow].slow:
             break
         bench.grant(f"run-{n}", spec(4, 4.0, 10.0), at)
         order = bench.names[n % 4 :] + bench.names[: n % 4]
@@ -471,10 +471,10 @@
             bench.report(name, at + late, done)
             bench.store(done, at + late)
         at += 30.0
-        bench.core.tick(at)
-    assert bench.core.machines[slow].slow
-    assert sum(m.slow for m in bench.core.machines.values()) == 1
-    assert bench.core.status(at)["machines"][slow]["usable"] is False
+        bench.scheduler.tick(at)
+    assert bench.scheduler.machines[slow].slow
+    assert sum(m.slow for m in bench.scheduler.machines.values()) == 1
+    assert bench.scheduler.status(at)["machines"][slow]["usable"] is False
 
 
 def test_a_gang_taken_over_after_its_machine_was_deleted_is_placed_anew() -> None:
@@ -484,8 +484,8 @@
     record.gang = GangPlace(7, [("a", old.names[0]), ("a", old.names[1])])
     old.put(JOBS + "run-1", record.dump())
     old.mirror.remove(MACHINES + old.names[0], 10_000)
-    core = PartCore(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
-    assert core.status(3.0)["gangs"]["run-1"][1] == "bad"
+    scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
+    assert scheduler.status(3.0)["gangs"]["run-1"][1] == "bad"
 
 
 def test_no_single_passes_a_gang_for_which_singles_are_stopped() -> None:
@@ -495,13 +495,13 @@
         bench.report(name, 0.0)
     bench.grant("run-long", spec(1, 4.0, 500.0), 0.0)
     bench.grant("run-s", spec(8, 1.0, 5.0), 0.0)
-    bench.core.tick(0.0)
+    bench.scheduler.tick(0.0)
     for name in bench.names:
         bench.report(name, 1.0)
     record = JobRecord(replace(spec(2, 4.0, 30.0, gang=True), rank=2), 1.0)
     record.gang = GangPlace(7, [("a", m) for m in bench.names], preempt=True)
     bench.put(JOBS + "run-g", record.dump())
-    bench.core.job_changed(1.0, JobId("run-g"))
+    bench.scheduler.job_changed(1.0, JobId("run-g"))
     short = next(n for n in bench.names if len(bench.on[n]) == 4)
     stops = [o.task for o in bench.report(short, 2.0) if o.op == "stop"]
     assert len(stops) == 4
@@ -509,7 +509,7 @@
     bench.seq += 1
     tasks = [TaskReport(t, a, "exited", "halted", False) for t, a in halted.items()]
     said = Report(short, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", tasks)
-    assert starts(bench.core.report(3.0, said, True)) == []
+    assert starts(bench.scheduler.report(3.0, said, True)) == []
 
 
 def test_among_equally_short_queues_a_single_joins_where_its_image_is() -> None:
@@ -522,8 +522,8 @@
         bench.report(name, 1.0)
         bench.report(name, 1.5)
     bench.grant("run-w", replace(spec(1, 4.0, 30.0), image="img-4"), 2.0)
-    bench.core.tick(2.0)
-    (queued,) = [m for m in bench.core.machines.values() if any(s.queue for s in m.slots)]
+    bench.scheduler.tick(2.0)
+    (queued,) = [m for m in bench.scheduler.machines.values() if any(s.queue for s in m.slots)]
     assert "img-4" in queued.images
 
 
@@ -535,19 +535,21 @@
         bench.report(name, 0.0)
     for n in range(5):
         bench.grant(f"run-{n}", replace(spec(3, 1.0, 30.0), image=f"img-{n}"), 0.0)
-    bench.core.tick(0.0)
+    bench.scheduler.tick(0.0)
     for name in bench.names:
         bench.report(name, 1.0)
-    used = [m for m in bench.core.machines.values() if m.live]
+    used = [m for m in bench.scheduler.machines.values() if m.live]
     assert [len(m.images) for m in used] == [1] * len(used)
     assert len(used) < 10
     # What is known of a machine's images is bounded, and gone with its session.
     first = used[0]
     for n in range(IMAGES_MOST + 5):
-        bench.core.images.add(first, f"more-{n}")
+        bench.scheduler.images.add(first, f"more-{n}")
     assert len(first.images) == IMAGES_MOST
-    bench.core.images.clear(first)
-    assert all(first.id not in bench.core.images.where(i) for i in ("more-60", "img-0", "img-1"))
+    bench.scheduler.images.clear(first)
+    assert all(
+        first.id not in bench.scheduler.images.where(i) for i in ("more-60", "img-0", "img-1")
+    )
 
 
 def test_a_gang_held_on_a_machine_that_gets_no_more_work_is_placed_anew() -> None:
@@ -557,6 +559,6 @@
         for name in bench.names:
             bench.report(name, 0.0)
         bench.hold("run-g", spec(2, 4.0, 30.0, gang=True), bench.names, 1.0)
-        assert bench.core.status(1.0)["gangs"]["run-g"][1] == "held"
-        setattr(bench.core.machines[bench.names[0]], trouble, True)
-        assert bench.core.status(2.0)["gangs"]["run-g"][1] == "bad"
+        assert bench.scheduler.status(1.0)["gangs"]["run-g"][1] == "held"
+        setattr(bench.scheduler.machines[bench.names[0]], trouble, True)
+        assert bench.scheduler.status(2.0)["gangs"]["run-g"][1] == "bad"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,8 +16,8 @@
 import standins
 from dapplewick.config import Objective
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader import LeaderCore
-from dapplewick.core.part import PartCore
+from dapplewick.core.leader import LeaderPlanner
+from dapplewick.core.part import ShardScheduler
 from dapplewick.protocol.wire import MachineType, Report, types_value
 from dapplewick.storage.client import batches
 from dapplewick.storage.records import TYPES, GangPlace, JobRecord, Mirror
@@ -51,11 +51,11 @@
     for _ in range(2):
         for name in bench.names:
             bench.report(name, 1.0)
-        bench.core.tick(1.0)
+        bench.scheduler.tick(1.0)
     for n in range(machines // 20):
         places = bench.names[n * 10 : n * 10 + 5]
         bench.hold(f"run-g{n}", spec(5, 4.0, 30.0, gang=True), places, 1.5)
-    bench.core.tick(2.5)
+    bench.scheduler.tick(2.5)
     return bench
 
 
@@ -63,7 +63,7 @@
     # A slot with a queue, at both sizes: stealing looks at the jobs that wait.
     name, task = next(
         (m.id, slot.current)
-        for m in reversed(bench.core.machines.values())
+        for m in reversed(bench.scheduler.machines.values())
         for slot in m.slots
         if slot.queue and slot.current in bench.on[m.id]
     )
@@ -78,10 +78,10 @@
 def test_a_status_tells_only_what_changed_since_the_confirmed_one() -> None:
     def size(machines: int) -> tuple[int, int]:
         bench = busy_part(machines)
-        first = bench.core.status(3.0)
+        first = bench.scheduler.status(3.0)
         name = bench.names[-1]
         bench.report(name, 3.5, {next(iter(bench.on[name]))})
-        second = bench.core.status(4.0, first["number"])
+        second = bench.scheduler.status(4.0, first["number"])
         assert set(second["machines"]) == {name}
         return len(cbor2.dumps(first)), len(cbor2.dumps(second))
 
@@ -94,28 +94,28 @@
     """Only a confirmed status is a base, so what a lost one told is told again."""
     bench = busy_part(20)
     leader = leader_of(bench, 1.0)
-    confirmed = leader.part_status(3.0, bench.core.status(3.0))
+    confirmed = leader.shard_status(3.0, bench.scheduler.status(3.0))
     one, two = bench.names[-1], bench.names[-2]
     bench.report(one, 3.5, {next(iter(bench.on[one]))})
-    bench.core.status(3.6, confirmed)  # never arrives
+    bench.scheduler.status(3.6, confirmed)  # never arrives
     bench.report(two, 3.7, {next(iter(bench.on[two]))})
-    leader.part_status(3.8, bench.core.status(3.8, confirmed))
-    part = next(iter(leader.parts.values()))
+    leader.shard_status(3.8, bench.scheduler.status(3.8, confirmed))
+    shard = next(iter(leader.shards.values()))
 
     def rooms(machines: dict[Any, Any]) -> dict[Any, Any]:
         return {m: (body["free"], len(body["ends"])) for m, body in machines.items()}
 
-    assert rooms(part.machines) == rooms(bench.core.status(3.8)["machines"])
+    assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8)["machines"])
     # A leader that has nothing can't use a part of the picture, and says that it has none.
     fresh = leader_of(bench, 4.0)
-    assert fresh.part_status(4.0, bench.core.status(4.0, confirmed)) == 0
-    assert fresh.part_status(4.1, bench.core.status(4.1)) > 0
-    assert rooms(next(iter(fresh.parts.values())).machines) == rooms(part.machines)
+    assert fresh.shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
+    assert fresh.shard_status(4.1, bench.scheduler.status(4.1)) > 0
+    assert rooms(next(iter(fresh.shards.values())).machines) == rooms(shard.machines)
 
 
-def leader_of(bench: Bench, now: float) -> LeaderCore:
-    bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.core.token))
-    return LeaderCore(bench.mirror, standins.settings("n0"), Estimates(), FencingToken(9), now)
+def leader_of(bench: Bench, now: float) -> LeaderPlanner:
+    bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
+    return LeaderPlanner(bench.mirror, standins.settings("n0"), Estimates(), FencingToken(9), now)
 
 
 def test_a_pass_costs_little_more_for_each_gang_that_waits() -> None:
@@ -124,7 +124,7 @@
     def cost(machines: int, gangs: int) -> int:
         bench = busy_part(machines)
         leader = leader_of(bench, 3.0)
-        leader.part_status(3.0, bench.core.status(3.0))
+        leader.shard_status(3.0, bench.scheduler.status(3.0))
         for n in range(gangs):
             asked = JobRecord(spec(machines * 4, 4.0, 30.0, gang=True), 3.0)
             bench.put(f"dw/j/run-w{n}", asked.dump())
@@ -181,22 +181,22 @@
     for name in bench.names:
         bench.report(name, 0.0)
     bench.grant("run-s", spec(8, 1.0, 3.0), 0.0)
-    bench.core.tick(0.0)
+    bench.scheduler.tick(0.0)
     for _ in range(2):
         for name in bench.names:
             bench.report(name, 1.0)
     gang = replace(spec(2, 4.0, 30.0, gang=True), rank=2)
     bench.put("dw/j/run-g", JobRecord(gang, 1.0).dump())
-    bench.core.job_changed(1.0, JobId("run-g"))
+    bench.scheduler.job_changed(1.0, JobId("run-g"))
     leader = leader_of(bench, 1.0)
 
     def placed(now: float) -> GangPlace | None:
         bench.mirror.revision = Revision(bench.version)
-        leader.part_status(now, bench.core.status(now))
+        leader.shard_status(now, bench.scheduler.status(now))
         for change in leader.plan(now, now):
             if change.key == "dw/j/run-g":
                 bench.put(change.key, change.value)
-                bench.core.job_changed(now, JobId("run-g"))
+                bench.scheduler.job_changed(now, JobId("run-g"))
         return bench.mirror.jobs[JobId("run-g")].gang
 
     first = placed(2.0)
@@ -229,14 +229,14 @@
         bench.report(name, 0.0)
     told = standins.settings("n0")
     told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
-    bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.core.token))
-    leader = LeaderCore(bench.mirror, told, Estimates(), FencingToken(9), 0.0)
+    bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
+    leader = LeaderPlanner(bench.mirror, told, Estimates(), FencingToken(9), 0.0)
     waits = replace(spec(9, 4.0, 30.0, gang=True), bundle="gangs")
     bench.put("dw/j/run-g", JobRecord(waits, 0.0).dump())
     bench.put("dw/j/run-s", JobRecord(spec(2, 1.0, 100.0), 0.0).dump())
 
     def granted(now: float) -> bool:
-        leader.part_status(now, bench.core.status(now))
+        leader.shard_status(now, bench.scheduler.status(now))
         return any(c.key == "dw/j/run-s" for c in leader.plan(now, now))
 
     assert not granted(10.0)
@@ -251,11 +251,11 @@
     bench.put(TYPES, types_value(kinds))
     bench.put("dw/m/r-1", {"type": "g", "zone": "a", "spot": False, "machines": {"vm-1": "u"}})
     bench.put("dw/m/r-2", {"type": "k", "zone": "a", "spot": False, "machines": {"vm-2": "b9"}})
-    bench.core = PartCore(ZONE, bench.core.token, bench.mirror, Estimates(), 0.0)
+    bench.scheduler = ShardScheduler(ZONE, bench.scheduler.token, bench.mirror, Estimates(), 0.0)
     said = Report(
-        MachineId("vm-1"), TypeName("g"), IN_ZONE, False, 1, 1, bench.core.token, None, "", []
+        MachineId("vm-1"), TypeName("g"), IN_ZONE, False, 1, 1, bench.scheduler.token, None, "", []
     )
-    bench.core.report(9.0, said, True)
+    bench.scheduler.report(9.0, said, True)
     scans = replace(spec(9, 2.0, 30.0), gpus=1.0, types=["g"])
     bench.put("dw/j/run-s", JobRecord(scans, 9.0).dump())
     gang = replace(spec(1, 3.0, 30.0, gang=True), rank=2)
@@ -263,8 +263,8 @@
     leader = leader_of(bench, 9.0)
 
     def placed(now: float) -> bool:
-        bench.core.tick(now)
-        leader.part_status(now, bench.core.status(now))
+        bench.scheduler.tick(now)
+        leader.shard_status(now, bench.scheduler.status(now))
         return any(c.key == "dw/j/run-g" for c in leader.plan(now, now))
 
     assert not placed(10.0)
@@ -287,10 +287,10 @@
             items[f"dw/j/run-{n}"] = (record.dump(), 3)
         mirror = Mirror()
         read = calls(lambda: mirror.reload(items, 4))
-        cores: list[PartCore] = []
+        shard_schedulers: list[ShardScheduler] = []
 
         def rebuild() -> None:
-            cores.append(PartCore(ZONE, FencingToken(5), mirror, Estimates(), 0.0))
+            shard_schedulers.append(ShardScheduler(ZONE, FencingToken(5), mirror, Estimates(), 0.0))
 
         rebuilt = calls(rebuild)
 
@@ -299,10 +299,10 @@
                 said = Report(
                     name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(5), None, "", []
                 )
-                cores[0].report(1.0, said, True)
+                shard_schedulers[0].report(1.0, said, True)
 
         heard = calls(hear)
-        assert not cores[0].unheard and len(cores[0].queues.loose) > 0
+        assert not shard_schedulers[0].unheard and len(shard_schedulers[0].queues.loose) > 0
         return [count / size for count in (read, rebuilt, heard)]
 
     for small, large in zip(cost(100), cost(800), strict=True):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,7 @@
 import pytest
 
 from dapplewick.coordination.cancellations import CancellationWatch
-from dapplewick.core.part import PartCore
+from dapplewick.core.part import ShardScheduler
 from dapplewick.node import Node
 from dapplewick.storage.records import LEADER
 from dapplewick.transport.http import Request
@@ -254,7 +254,7 @@
     assert len(bench.report(machine, 1.0)) == 1
     version = bench.mirror.jobs["run-1"].version  # type: ignore[index]
     bench.mirror.told_cancelled("run-1", version + 5)  # type: ignore[arg-type]
-    bench.core.job_changed(2.0, "run-1")  # type: ignore[arg-type]
+    bench.scheduler.job_changed(2.0, "run-1")  # type: ignore[arg-type]
     assert [o.op for o in bench.report(machine, 2.0)] == ["stop"]
     # A record that is older than what the peer told changes nothing.
     old = bench.mirror.jobs["run-1"].copy()  # type: ignore[index]
@@ -373,7 +373,7 @@
     bench = Bench(2)
     first, second = bench.names
     bench.grant("run-1", spec(1, 1.0, 100.0), 0.0)
-    core = PartCore(ZONE, FencingToken(60), bench.mirror, Estimates(), 2.0)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), bench.mirror, Estimates(), 2.0)
     task = TaskRef("run-1", TaskIndex(0))  # type: ignore[arg-type]
 
     def report(name: str, seq: int, token: int, attempt: int, at: float) -> list[Any]:
@@ -382,7 +382,7 @@
         said = Report(
             machine, TypeName("k"), zone, False, 1, seq, FencingToken(token), None, "", tasks
         )
-        return core.report(at, said, True)
+        return scheduler.report(at, said, True)
 
     copy_says = report(first, 5, TOKEN, 1, 3.0)
     assert copy_says == []  # neither stopped nor settled
@@ -390,7 +390,7 @@
     assert report(second, 7, TOKEN, 2, 5.0) == []
     assert report(second, 8, 60, 2, 6.0) == []
     for seq in range(10, 14):
-        core.tick(float(seq))
+        scheduler.tick(float(seq))
         assert starts(report(first, seq, 60, 0, float(seq))) == []
         assert report(second, seq, 60, 2, float(seq)) == []
 
@@ -934,10 +934,10 @@
 
 
 def old_reports_place_tasks(patch: pytest.MonkeyPatch) -> None:
-    take = PartCore._take_tasks
+    take = ShardScheduler._take_tasks
 
     def trusting(
-        self: PartCore, at: float, machine: Any, report: Any, settles: bool, new: bool
+        self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
     ) -> Any:
         orders = take(self, at, machine, report, settles, new)
         for item in report.tasks:
@@ -945,11 +945,11 @@
                 self._present(at, machine, item)
         return orders
 
-    patch.setattr(PartCore, "_take_tasks", trusting)
+    patch.setattr(ShardScheduler, "_take_tasks", trusting)
 
 
 def refused_machines_are_silent(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PartCore, "refuse", lambda self, at: None)
+    patch.setattr(ShardScheduler, "refuse", lambda self, at: None)
 
 
 def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -13,7 +13,7 @@
 
 from dapplewick.core.fleet import Fleet
 from dapplewick.core.machines import MachineBook, Silence
-from dapplewick.core.part import PartCore
+from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import Machine
 from dapplewick.protocol.wire import JobSpec, Order, Report, TaskReport
 from dapplewick.storage.records import MACHINES, JobRecord
@@ -178,7 +178,7 @@
     tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[machine].items()]
     tasks.append(TaskReport(task, attempt, "exited", cause, False))
     report = Report(machine, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, notice, "", tasks)
-    return bench.core.report(at, report, False)
+    return bench.scheduler.report(at, report, False)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "full", "halted", "no_such"])
@@ -191,10 +191,10 @@
     first = bench.on[machine][task]
     bench.report(machine, 2.0)
     assert [o.op for o in ended(bench, machine, task, cause, 40.0)] == ["forget"]
-    bench.core.tick(40.3)
+    bench.scheduler.tick(40.3)
     assert starts(bench.report(machine, 41.0)) == [task]
     assert bench.on[machine][task] != first
-    assert bench.core.status(41.0)["jobs"]["run-1"]["done"] == []
+    assert bench.scheduler.status(41.0)["jobs"]["run-1"]["done"] == []
 
 
 def test_one_that_fails_everywhere_is_paused_for_longer_and_longer() -> None:
@@ -206,8 +206,8 @@
     task = TaskRef(JobId("run-1"), TaskIndex(0))
     while at < 200.0:
         at += 0.5
-        bench.core.machines[machine].failures.clear()  # it is not the machine's fault
-        bench.core.tick(at)
+        bench.scheduler.machines[machine].failures.clear()  # it is not the machine's fault
+        bench.scheduler.tick(at)
         if starts(bench.report(machine, at)):
             begun.append(at)
             ended(bench, machine, task, "error", at + 0.2)
@@ -222,20 +222,20 @@
     bench.grant("run-1", service(3), 0.0)
     assert len(starts(bench.report(machine, 1.0))) == 3
     bench.grant("run-2", spec(8, 1.0, 10.0), 2.0)
-    bench.core.tick(2.0)
+    bench.scheduler.tick(2.0)
     assert len(starts(bench.report(machine, 2.5))) == 1
-    core = bench.core
+    scheduler = bench.scheduler
     # One CPU is a single's; the others' tasks wait behind it alone.
-    assert all(not s.queue for s in core.machines[machine].slots if s.endless)
+    assert all(not s.queue for s in scheduler.machines[machine].slots if s.endless)
     # A gang held here waits for slots that are never free again.
     bench.hold("run-3", spec(1, 2.0, 10.0, gang=True), [machine], 3.0)
-    hold = core.holds[JobId("run-3")]
-    assert core.remaining_wait(4.0, JobId("run-3"), hold) > 1e6
+    hold = scheduler.holds[JobId("run-3")]
+    assert scheduler.remaining_wait(4.0, JobId("run-3"), hold) > 1e6
     # And a replica never passes it, however short its estimate of 0 looks.
-    assert not core._passes(4.0, service(1), core.machines[machine])
-    assert core._passes(4.0, spec(1, 1.0, 10.0), core.machines[machine])
-    core.estimates.learn("x", 0.0, 50.0)
-    assert core.estimates.dump() == {}
+    assert not scheduler._passes(4.0, service(1), scheduler.machines[machine])
+    assert scheduler._passes(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
+    scheduler.estimates.learn("x", 0.0, 50.0)
+    assert scheduler.estimates.dump() == {}
 
 
 def test_critical_replicas_stop_lower_work_and_start_once_it_is_gone() -> None:
@@ -254,10 +254,10 @@
     assert starts(bench.report(machine, 4.0)) == [TaskRef(JobId("run-2"), TaskIndex(0))]
     # Work of the same priority, and services, are not stopped.
     bench.grant("run-3", service(1, cpus=3.0), 5.0)
-    bench.core.tick(5.0)
+    bench.scheduler.tick(5.0)
     assert all(o.op != "stop" or o.task.job == "run-1" for o in bench.report(machine, 5.5))
     bench.grant("run-4", service(1, cpus=2.0, rank=1), 6.0)
-    bench.core.tick(6.0)
+    bench.scheduler.tick(6.0)
     assert not [o for o in bench.report(machine, 6.5) if o.op == "stop"]
 
 
@@ -266,7 +266,7 @@
     for name in bench.names:
         bench.report(name, 0.0)
     bench.grant("run-1", service(4), 1.0)
-    bench.core.tick(1.0)
+    bench.scheduler.tick(1.0)
     assert [len(starts(bench.report(name, 1.5))) for name in bench.names] == [1, 1, 1, 1]
 
 
@@ -286,15 +286,15 @@
         bench.seq += 1
         tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[on].items()]
         said = Report(on, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, left, "", tasks)
-        return bench.core.report(at, said, True)
+        return bench.scheduler.report(at, said, True)
 
     bench.report(on, 2.0)
     bench.report(other, 2.0)
     assert [o.op for o in notice(3.0, 12.0)] == ["stop"]
-    bench.core.tick(3.2)
+    bench.scheduler.tick(3.2)
     assert starts(bench.report(other, 3.5)) == []
     ended(bench, on, task, "halted", 4.0, 11.0)
-    bench.core.tick(4.2)
+    bench.scheduler.tick(4.2)
     assert starts(bench.report(other, 4.5)) == [task]
 
 
@@ -321,7 +321,7 @@
         bench.seq += 1
         tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[large].items()]
         said = Report(large, TypeName("dear"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", tasks)
-        orders = bench.core.report(at, said, True)
+        orders = bench.scheduler.report(at, said, True)
         bench.on[large] |= {o.task: o.attempt for o in orders if o.op == "start"}
         return orders
 
@@ -334,12 +334,12 @@
         bench.report(small, at, {other} if step == 5 else set())
         if step == 5:
             bench.store({other}, at)
-        bench.core.tick(at)
+        bench.scheduler.tick(at)
         if any(o.op == "stop" for o in report(at + 0.5)):
             stopped = at
             break
     assert 60.0 < stopped < 110.0
-    assert bench.core.status(stopped)["machines"][large]["leaving"] is True
+    assert bench.scheduler.status(stopped)["machines"][large]["leaving"] is True
 
 
 # The checker can fail, and guards taken out are noticed
@@ -361,7 +361,7 @@
 
 
 def lower_work_is_not_stopped(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PartCore, "_make_room", lambda self, machine, stop: None)
+    patch.setattr(ShardScheduler, "_make_room", lambda self, machine, stop: None)
 
 
 GUARDS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], None]]] = [
@@ -391,23 +391,23 @@
     for name in bench.names:
         bench.report(name, 0.0)
     bench.grant("run-s", service(2), 0.0)
-    bench.core.tick(0.5)
+    bench.scheduler.tick(0.5)
     for name in bench.names:
         bench.report(name, 0.5)
     assert all(bench.on[name] for name in bench.names)
     at = 0.5
     while at < 6.0:
         at += 0.25
-        bench.core.tick(at)
-    heard_nothing = bench.core.status(at)["silent"]
+        bench.scheduler.tick(at)
+    heard_nothing = bench.scheduler.status(at)["silent"]
     assert {seconds for seconds, _ in heard_nothing.values()} == {5.5}
     assert all(urgent for _, urgent in heard_nothing.values())
-    bench.core.tick(at + 5.0)
-    assert bench.core.status(at + 5.0)["silent"] == {}
+    bench.scheduler.tick(at + 5.0)
+    assert bench.scheduler.status(at + 5.0)["silent"] == {}
     while at < 13.0:
         at += 0.25
-        bench.core.tick(at + 5.0)
-    assert bench.core.status(at + 5.0)["silent"].keys() == set(bench.names)
+        bench.scheduler.tick(at + 5.0)
+    assert bench.scheduler.status(at + 5.0)["silent"].keys() == set(bench.names)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -19,14 +19,14 @@
 
 from dapplewick.core.fleet import Fleet
 from dapplewick.core.machines import Change, MachineBook
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.protocol.wire import Event
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.keeper import OPERATOR, Order, ShareKeeper
 from dapplewick.shares.plan import Share, SharePlan, ShareRule
 from dapplewick.shares.selection import MachineSelection
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import FORMAT, MACHINES, PARTS, SHARES_FORMAT, Mirror
+from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, Mirror
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import (
     FencingToken,
@@ -101,8 +101,8 @@
 class Owner:
     """One life of a part's owner; earlier ones may go on for as long as they like."""
 
-    def __init__(self, part: ShardName, token: int) -> None:
-        self.part = part
+    def __init__(self, shard: ShardName, token: int) -> None:
+        self.shard = shard
         self.token = FencingToken(token)
         self.mirror = Mirror()
         self.heard: dict[MachineId, set[str]] = {}  # what each worker reported under our token
@@ -110,7 +110,7 @@
     def command(self, machine: MachineId, worker: Worker, start: bool) -> None:
         """A worker reports to this owner, which may start work in its answer."""
         record = self.mirror.machines.get(machine)
-        if record is None or record.part != self.part:
+        if record is None or record.shard != self.shard:
             self.heard.pop(machine, None)
             return
         token = self.mirror.token_for(machine, self.token)
@@ -122,12 +122,12 @@
             return
         free = self.mirror.transfers.drains(machine) is None
         if start and free and record.up and not record.doomed:
-            worker.running.add(self.part)
+            worker.running.add(self.shard)
         self.heard[machine] = set(worker.running)
 
-    def status(self, number: int) -> PartView:
+    def status(self, number: int) -> ObservedShard:
         """What the leader knows of the part after this owner's newest status."""
-        view = PartView(self.part, self.token)
+        view = ObservedShard(self.shard, self.token)
         machines = {
             machine: {
                 "heard": True,
@@ -176,12 +176,12 @@
             self.store.put(f"{MACHINES}r-{first}", group)
         self.owners: dict[ShardName, Owner] = {}
         self.former: list[Owner] = []
-        for part in PARTS_OF_ZONE:
-            self.new_owner(part)
+        for shard in PARTS_OF_ZONE:
+            self.new_owner(shard)
         self.late: list[list[Change]] = []  # transactions without an answer
         self.orders = 0
         self.statuses = 0
-        self.views: dict[ShardName, PartView] = {}
+        self.views: dict[ShardName, ObservedShard] = {}
         self.new_leader()
 
     def new_leader(self) -> None:
@@ -197,11 +197,11 @@
         self.keeper.targets.known = True
         self.views.clear()
 
-    def new_owner(self, part: ShardName) -> None:
-        if part in self.owners:
-            self.former.append(self.owners[part])  # it may go on for as long as it likes
-        self.store.put(PARTS + part, {"owner": f"n{self.store.revision}", "boot": "x"})
-        owner = self.owners[part] = Owner(part, self.store.revision)
+    def new_owner(self, shard: ShardName) -> None:
+        if shard in self.owners:
+            self.former.append(self.owners[shard])  # it may go on for as long as it likes
+        self.store.put(SHARDS + shard, {"owner": f"n{self.store.revision}", "boot": "x"})
+        owner = self.owners[shard] = Owner(shard, self.store.revision)
         self.store.follow(owner.mirror)
 
     def order(self, source: ShardName, target: ShardName, count: int) -> None:
@@ -229,12 +229,12 @@
                 Order(name, None) for name, r in self.mirror.transfers.records.items() if r.open
             ]
         self.book.begin()
-        views = [v for p, v in self.views.items() if v.token == self.mirror.version(PARTS + p)]
+        views = [v for p, v in self.views.items() if v.token == self.mirror.version(SHARDS + p)]
         changes = self.keeper.changes(self.now, self.now, views, set(), self.book)
         self.keeper.orders = []
-        for part in self.keeper.wanted_parts():
-            if PARTS + part not in self.store.keys:
-                self.new_owner(part)  # as the leader's choice of owners does
+        for shard in self.keeper.wanted_shards():
+            if SHARDS + shard not in self.store.keys:
+                self.new_owner(shard)  # as the leader's choice of owners does
         for batch in self.transactions(changes):
             if not trouble or self.random.random() < 0.7:
                 self.store.write(batch)
@@ -267,7 +267,7 @@
             owner = self.random.choice(list(self.owners.values()))
             if not trouble or self.random.random() < 0.8:
                 self.statuses += 1
-                self.views[owner.part] = owner.status(self.statuses)
+                self.views[owner.shard] = owner.status(self.statuses)
         elif pick < 0.88:
             lives = [*self.owners.values(), *self.former] if trouble else [*self.owners.values()]
             self.random.choice(lives).command(machine, worker, self.random.random() < 0.5)
@@ -296,16 +296,16 @@
                 for name, worker in self.workers.items():
                     owner.command(name, worker, start=False)
                 self.statuses += 1
-                self.views[owner.part] = owner.status(self.statuses)
+                self.views[owner.shard] = owner.status(self.statuses)
             for worker in self.workers.values():
                 if self.random.random() < 0.3:
                     worker.running.clear()
             self.lead(trouble=False)
             self.check()
         for name, worker in self.workers.items():
-            holder = self.owners[self.mirror.machines[name].part]
+            holder = self.owners[self.mirror.machines[name].shard]
             token = holder.mirror.token_for(name, holder.token)
-            assert worker.token == token, f"{name} does not listen to {holder.part}"
+            assert worker.token == token, f"{name} does not listen to {holder.shard}"
 
 
 @settings(max_examples=60, deadline=None)
@@ -415,7 +415,7 @@
     for _ in range(3):
         play.lead(trouble=False)
     play.store.follow(play.mirror)
-    assert (play.mirror.machines[machine].part == OWN) is guarded
+    assert (play.mirror.machines[machine].shard == OWN) is guarded
 
 
 def test_the_model_notices_a_start_by_a_former_holder() -> None:
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dapplewick.shares import plan as plans
-from dapplewick.storage.records import FORMAT, PARTS, SHARES_FORMAT
+from dapplewick.storage.records import FORMAT, SHARDS, SHARES_FORMAT
 from dapplewick.types import shard_name
 from share_history import ShareHistory
 from standins import World, now, run_day
@@ -80,12 +80,12 @@
         await anyio.sleep(0.1)
 
 
-def machines_of(world: World, part: str) -> set[str]:
+def machines_of(world: World, shard: str) -> set[str]:
     """The machines that the stored records count in a part."""
     return {
         machine
         for key, (group, _, _) in world.state.keys.items()
-        if key.startswith("dw/m/") and shard_name(group["zone"], group.get("share", "")) == part
+        if key.startswith("dw/m/") and shard_name(group["zone"], group.get("share", "")) == shard
         for machine, text in group["machines"].items()
         if not text.startswith("d")
     }
@@ -145,7 +145,7 @@
     history = play_moves(world, script)
     assert seen["after"] < seen["before"]
     assert len(history.handovers) >= 2
-    assert NIGHT in {part for _, _, _, part in history.handovers}
+    assert NIGHT in {shard for _, _, _, shard in history.handovers}
 
 
 def test_running_tasks_end_where_they_are_and_each_machine_goes_when_it_is_empty() -> None:
@@ -233,7 +233,7 @@
         assert not machines_of(world, NIGHT)
 
     history = play_moves(world, script)
-    each = {machine for _, machine, _, part in history.handovers if part == DAY}
+    each = {machine for _, machine, _, shard in history.handovers if shard == DAY}
     assert len(each) == 3
 
 
@@ -314,18 +314,18 @@
     world.start_node(name)
 
 
-def owner(world: World, part: str) -> str:
-    record = world.state.keys.get(PARTS + part)
+def owner(world: World, shard: str) -> str:
+    record = world.state.keys.get(SHARDS + shard)
     return str(record[0]["owner"]) if record is not None else ""
 
 
 def who(world: World, role: str) -> str:
     """The controller that plays a role in a move now."""
-    part = {"giver": "a", "receiver": str(NIGHT)}.get(role)
-    if part is None:
+    shard = {"giver": "a", "receiver": str(NIGHT)}.get(role)
+    if shard is None:
         record = world.state.keys.get("dw/leader")
         return str(record[0]["node"]) if record is not None else world.names[0]
-    return owner(world, part) or world.names[0]
+    return owner(world, shard) or world.names[0]
 
 
 async def trouble(world: World, kind: str, names: list[str]) -> None:
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -7,12 +7,12 @@
 import anyio
 
 from dapplewick.core.machines import Change, MachineBook
-from dapplewick.core.part_view import PartView
+from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares import plan as plans
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.keeper import OPERATOR, Order, ShareKeeper
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import FORMAT, MACHINES, PARTS, SHARES_FORMAT, Mirror
+from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, Mirror
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import MachineId, Revision, ShardName, TransferId, partition_of, shard_name
 from share_history import ShareHistory
@@ -41,14 +41,14 @@
         self.mirror = Mirror()
         self.revision = 0
         self.put(FORMAT, {"version": SHARES_FORMAT})
-        self.parts = [shard_name("a", name) for name in ["", *SHARES]]
-        for part in self.parts:
-            self.put(PARTS + part, {"owner": "n0", "boot": "x"})
+        self.shards = [shard_name("a", name) for name in ["", *SHARES]]
+        for shard in self.shards:
+            self.put(SHARDS + shard, {"owner": "n0", "boot": "x"})
         for first in range(0, machines, 100):
             names = [f"vm-{n:06d}" for n in range(first, first + 100)]
             value: dict[str, Any] = {"type": "c8", "zone": "a", "spot": False}
             value["machines"] = dict.fromkeys(names, "u")
-            share = partition_of(self.parts[first // 100 % len(self.parts)])
+            share = partition_of(self.shards[first // 100 % len(self.shards)])
             self.put(f"{MACHINES}r-{first}", value | ({"share": share} if share else {}))
         self.book = MachineBook(self.mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
         index = MachineIndex(self.mirror)
@@ -62,7 +62,7 @@
                 "hold_orders_s": 600000.0,
             }
         )
-        self.views = [self.view(part) for part in self.parts]
+        self.views = [self.view(shard) for shard in self.shards]
         index.refresh()
 
     def put(self, key: str, value: Any) -> None:
@@ -73,10 +73,10 @@
             self.mirror.put(key, value, self.revision)
         self.mirror.revision = Revision(self.revision)
 
-    def view(self, part: ShardName) -> PartView:
-        view = PartView(part, self.mirror.version(PARTS + part))
+    def view(self, shard: ShardName) -> ObservedShard:
+        view = ObservedShard(shard, self.mirror.version(SHARDS + shard))
         body = {"heard": True, "leaving": False, "faulty": False, "ends": []}
-        machines = {m: body for m, r in self.mirror.machines.items() if r.part == part}
+        machines = {m: body for m, r in self.mirror.machines.items() if r.shard == shard}
         view.apply(
             0.0,
             {
@@ -96,7 +96,7 @@
 
     def order(self) -> None:
         record = TransferRecord(
-            0, "a", self.parts[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
+            0, "a", self.shards[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
         )
         self.keeper.orders = [Order(TransferId("o-00000001"), record)]
 
@@ -115,7 +115,7 @@
                 view.fresh["drained"] = [
                     m
                     for m in self.mirror.transfers.drained()
-                    if self.mirror.machines[m].part == view.part
+                    if self.mirror.machines[m].shard == view.shard
                 ]
             self.book.begin()
             made += calls(plan)
@@ -131,7 +131,7 @@
         before = fleet.mirror.machines.copy()
         fleet.order()
         spent = fleet.passes()
-        there = [m for m, r in fleet.mirror.machines.items() if r.part != before[m].part]
+        there = [m for m, r in fleet.mirror.machines.items() if r.shard != before[m].shard]
         assert len(there) == MOVED
         return spent
 
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -11,7 +11,7 @@
 import pytest
 
 import production
-from dapplewick.storage.records import FORMAT, FORMAT_NOW, PARTS, SHARES_FORMAT, TRANSFERS
+from dapplewick.storage.records import FORMAT, FORMAT_NOW, SHARDS, SHARES_FORMAT, TRANSFERS
 from dapplewick.types import partition_of
 from standins import World, now
 from test_shares_moves import (
@@ -35,7 +35,7 @@
     """What shares have left in the state service, ever."""
     found = []
     for _, key, value, _ in world.state.log:
-        if key.startswith(TRANSFERS) or (key.startswith(PARTS) and partition_of(key)):
+        if key.startswith(TRANSFERS) or (key.startswith(SHARDS) and partition_of(key)):
             found.append(key)
         if isinstance(value, dict) and ("floors" in value or "share" in value):
             found.append(key)
@@ -111,14 +111,14 @@
             world.start_node(name)
             await anyio.sleep(4.0)
         await until(lambda: not machines_of(world, NIGHT), 60.0)
-        await until(lambda: PARTS + NIGHT not in world.state.keys, 20.0)
+        await until(lambda: SHARDS + NIGHT not in world.state.keys, 20.0)
         pinned(world, "run-000003", 8, 4.0)
         world.calm_at = now()
         await until(lambda: {"done"} == set(world.told.values()), 90.0)
 
     history = play_moves(world, script, 260.0)
     assert history.open_transfers() == []
-    assert not any(partition_of(part) for part in history.parts_in_grants())
+    assert not any(partition_of(shard) for shard in history.parts_in_grants())
     assert len(world.told) == 3
 
 
@@ -132,8 +132,8 @@
         await anyio.sleep(20.0)
         said.append(await command(world, "show"))
         for node in world.nodes.values():
-            for core in node.cores.values():
-                assert "drained" not in core.status(now())
+            for scheduler in node.shard_schedulers.values():
+                assert "drained" not in scheduler.status(now())
 
     play_moves(world, script, 60.0)
     assert traces(world) == []
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 import production
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader import LeaderCore
+from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.machines import MachineBook
 from dapplewick.storage.ranges import unpack
 from dapplewick.storage.records import (
@@ -68,7 +68,7 @@
     mirror.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
     assert "record_refused" not in caplog.text
     assert mirror.format == FIRST_FORMAT and mirror.new_nodes == set()
-    assert len(mirror.jobs) > 10 and len(mirror.machines) > 3 and len(mirror.parts) == 2
+    assert len(mirror.jobs) > 10 and len(mirror.machines) > 3 and len(mirror.shards) == 2
     assert any(job.grants for job in mirror.jobs.values())
     assert any(job.done for job in mirror.jobs.values())
     assert any(job.gang for job in mirror.jobs.values())
@@ -290,19 +290,19 @@
     for number in (0, 1):
         bench.put(f"{CHUNKS}run-1/{number}", {"grants": {"a": f"{2 * number}"}})
     job_id = JobId("run-1")
-    bench.core.job_changed(0.0, job_id)
-    bench.core.tick(100.0)
+    bench.scheduler.job_changed(0.0, job_id)
+    bench.scheduler.tick(100.0)
 
     def returned(at: float) -> list[int]:
-        return sorted(bench.core.status(at)["jobs"]["run-1"]["returned"])
+        return sorted(bench.scheduler.status(at)["jobs"]["run-1"]["returned"])
 
     assert returned(100.0) == [0, 2]
     bench.put(f"{CHUNKS}run-1/0", {"grants": {"b": "0"}})
-    bench.core.job_changed(101.0, job_id)
+    bench.scheduler.job_changed(101.0, job_id)
     assert returned(101.0) == [2]
     # Granted anew, or changed without being taken back: it may run here.
     bench.put(f"{CHUNKS}run-1/1", {"grants": {"a": "2", "b": "3"}})
-    bench.core.job_changed(102.0, job_id)
+    bench.scheduler.job_changed(102.0, job_id)
     assert returned(102.0) == []
 
 
@@ -327,7 +327,7 @@
     mirror.put(JOBS + "run-1", job.dump(), 2)
     room = int(float(NEXT["value_kb"]) * 1024)
     assert size_of(job.dump()) > room
-    leader = LeaderCore(mirror, settings("n0"), Estimates(), FencingToken(1), 0.0)
+    leader = LeaderPlanner(mirror, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
     assert changes[-1].key == JOBS + "run-1" and len(changes) > 2
     for version, change in enumerate(changes, start=3):
@@ -424,15 +424,15 @@
 
 
 def the_format_is_raised_by_guess(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.leader import LeaderCore
+    from dapplewick.core.leader import LeaderPlanner
 
-    raised = LeaderCore._raise_format
+    raised = LeaderPlanner._raise_format
 
-    def hasty(self: LeaderCore) -> Any:
+    def hasty(self: LeaderPlanner) -> Any:
         self._names = set()
         return raised(self)
 
-    patch.setattr(LeaderCore, "_raise_format", hasty)
+    patch.setattr(LeaderPlanner, "_raise_format", hasty)
 
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
