--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -8,10 +8,10 @@
 import standins
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader import LeaderCore
-from dapplewick.core.model import ONE_GROUP_TIMES, EndGroup, PartRooms, View, fit_behind
-from dapplewick.core.part import PartCore
-from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, PartReservation
+from dapplewick.core.leader import LeaderPlanner
+from dapplewick.core.model import ONE_GROUP_TIMES, EndGroup, ShardCapacity, View, fit_behind
+from dapplewick.core.part import ShardScheduler
+from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, ShardReservation
 from dapplewick.protocol.wire import MachineType, Report, types_value
 from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, Mirror
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
@@ -65,7 +65,7 @@
     machines: dict[str, Resources], taken: int
 ) -> None:
     mirror = records()
-    rooms = PartRooms(ZONE, [view(name, size) for name, size in machines.items()])
+    rooms = ShardCapacity(ZONE, [view(name, size) for name, size in machines.items()])
     rooms.keep_for_gangs(demand(mirror), 1.0)
     assert rooms.take_most(SINGLES, SINGLES.tasks) == taken
 
@@ -81,7 +81,7 @@
     for n, (name, kind) in enumerate(machines.items()):
         value = {"type": kind, "zone": "a", "spot": False, "machines": {name: "u"}}
         mirror.put(MACHINES + name, value, 10 + n)
-    core = PartCore(ZONE, FencingToken(50), mirror, Estimates(), 0.0, seed=1)
+    scheduler = ShardScheduler(ZONE, FencingToken(50), mirror, Estimates(), 0.0, seed=1)
     counts = dict.fromkeys(machines, 0)
     for turn in (1, 2):
         for name, kind in machines.items():
@@ -97,10 +97,10 @@
                 "",
                 [],
             )
-            orders = core.report(float(turn), report, may_launch=turn == 2)
+            orders = scheduler.report(float(turn), report, may_launch=turn == 2)
             counts[name] += sum(order.op == "start" for order in orders)
-        core.job_changed(float(turn), JobId("run-array"))
-        core.tick(float(turn))
+        scheduler.job_changed(float(turn), JobId("run-array"))
+        scheduler.tick(float(turn))
     return counts
 
 
@@ -123,29 +123,29 @@
     assert fit_behind([], [sixteen, late], 8, 20.0) == sixteen.views[:8]
 
 
-def two_parts(machines: int) -> list[PartRooms]:
+def two_parts(machines: int) -> list[ShardCapacity]:
     return [
-        PartRooms(ShardName(zone), [view(f"{zone}{n}", LARGE) for n in range(machines)])
+        ShardCapacity(ShardName(zone), [view(f"{zone}{n}", LARGE) for n in range(machines)])
         for zone in ("a", "b")
     ]
 
 
 def test_one_part_is_reserved_for_an_overdue_gang_for_a_bounded_time() -> None:
-    rooms, reservation = two_parts(8), PartReservation()
+    rooms, reservation = two_parts(8), ShardReservation()
     big = spec(6, 15.0, 60.0, gang=True)
 
-    def open_after(wall: float, waited: float, of: list[PartRooms] = rooms) -> int:
+    def open_after(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
         """How many parts are open to the gangs after one that found no room, in a new pass."""
         reservation.begin()
-        assert reservation.open_parts(rooms) == rooms  # to the gangs before it, all
+        assert reservation.open_shards(rooms) == rooms  # to the gangs before it, all
         reservation.ask(wall, big, waited, of, 20.0)
         reservation.ask(wall, big, OVERDUE_S, of[::-1], 20.0)  # one part at a time
-        return len(reservation.open_parts(rooms))
+        return len(reservation.open_shards(rooms))
 
-    def alone(wall: float, waited: float, of: list[PartRooms] = rooms) -> int:
+    def alone(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
         reservation.begin()
         reservation.ask(wall, big, waited, of, 20.0)
-        return len(reservation.open_parts(rooms))
+        return len(reservation.open_shards(rooms))
 
     assert alone(0.0, OVERDUE_S - 1.0) == 2
     assert alone(0.0, HOPELESS_S) == 2  # so late that others go first
@@ -173,7 +173,7 @@
     mirror = Mirror()
     mirror.put(TYPES, types_value([KIND]), 1)
     mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    core = LeaderCore(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
+    scheduler = LeaderPlanner(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
     for n in range(6):
         mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
     gangs = {"run-big": (6, 0.0), "run-small0": (2, waited), "run-small1": (2, waited)}
@@ -215,9 +215,9 @@
             "estimates": {},
             "unheard": 0,
         }
-        core.part_status(now, status)
+        scheduler.shard_status(now, status)
         found = set()
-        for change in core.plan(now, now):
+        for change in scheduler.plan(now, now):
             if change.key.startswith(JOBS) and change.value.get("gang"):
                 found.add(change.key.removeprefix(JOBS))
                 mirror.put(change.key, change.value, 200 + number)
