--- a/src/dapplewick/api.py
+++ b/src/dapplewick/api.py
@@ -37,7 +37,7 @@
 NO_METHOD = Answer(405, b'{"error":"method not allowed"}')
 
 
-class Controller(Records, Protocol):
+class UserApiHost(Records, Protocol):
     """What the interface needs of its controller."""
 
     state: StateClient
@@ -63,7 +63,7 @@
 class Api:
     """Answers users. Nothing is promised before it is stored."""
 
-    def __init__(self, controller: Controller, deployment: Deployment) -> None:
+    def __init__(self, controller: UserApiHost, deployment: Deployment) -> None:
         self.controller = controller
         self.states = JobStates(controller)
         self.deployment = deployment
--- a/src/dapplewick/cli.py
+++ b/src/dapplewick/cli.py
@@ -132,7 +132,9 @@
     for zone, shard in sorted(said["parts"].items()):
         lines.append(f"part {zone}  owner {shard['owner']}  token {shard['token']}")
     # A controller of the version before says nothing of these.
-    versions = "  ".join(f"{node} {v}" for node, v in sorted(said.get("versions", {}).items()))
+    versions = "  ".join(
+        f"{controller} {v}" for controller, v in sorted(said.get("versions", {}).items())
+    )
     if versions:
         lines.append(f"format {said['format']}  versions {versions}")
     for job, service in sorted(said.get("services", {}).items()):
--- a/src/dapplewick/cloud.py
+++ b/src/dapplewick/cloud.py
@@ -36,7 +36,7 @@
     ) -> tuple[int, bytes]: ...
 
 
-class LeaderNode(Protocol):
+class CloudCallHost(Protocol):
     """What the calls need of their controller."""
 
     @property
@@ -61,8 +61,8 @@
 class CloudCalls:
     """Carries out what the leader's records say is to be rented or deleted."""
 
-    def __init__(self, node: LeaderNode) -> None:
-        self._node = node
+    def __init__(self, controller: CloudCallHost) -> None:
+        self._controller = controller
         self._renting: set[str] = set()
         self._deleting: set[MachineId] = set()
 
@@ -72,50 +72,50 @@
         async with anyio.create_task_group() as group:
             while True:
                 await anyio.sleep(STEP_S)
-                leader = self._node.leader
-                if leader is None or not self._node.lease_valid():
+                leader = self._controller.leader
+                if leader is None or not self._controller.lease_valid():
                     catalog_at = list_at = -1e9
                     await anyio.sleep(NO_LEADER_STEP_S)
                     continue
-                now = self._node.now()
+                now = self._controller.now()
                 self._start_rentals(group, leader)
                 self._start_deletion(group, leader)
-                if now - catalog_at > CATALOG_S and self._node.cloud_budget.take():
+                if now - catalog_at > CATALOG_S and self._controller.cloud_budget.take():
                     catalog_at = now
                     if not await self._catalog(leader):
                         catalog_at = now - CATALOG_S + FAILURE_PAUSE_S
-                if now - list_at > LIST_S and self._node.cloud_budget.take():
+                if now - list_at > LIST_S and self._controller.cloud_budget.take():
                     list_at = now
                     await self._list(leader)
 
     def _start_rentals(self, group: TaskGroup, leader: LeaderPlanner) -> None:
-        for name in self._node.mirror.bookings:
+        for name in self._controller.mirror.bookings:
             new = name not in self._renting and name not in leader.rented
-            if new and self._node.cloud_budget.take():
+            if new and self._controller.cloud_budget.take():
                 self._renting.add(name)
                 group.start_soon(self._rent, leader, name)
 
     def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         doomed = [
             machine
-            for machine, record in self._node.mirror.machines.items()
+            for machine, record in self._controller.mirror.machines.items()
             if record.doomed
             and machine not in leader.book.deleted
             and machine not in self._deleting
         ][:MAX_DELETIONS]
-        if doomed and self._node.cloud_budget.take():
+        if doomed and self._controller.cloud_budget.take():
             self._deleting.update(doomed)
             group.start_soon(self._delete, leader, doomed)
 
     async def _call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         try:
-            return await self._node.cloud.request(method, target, body, CALL_S)
+            return await self._controller.cloud.request(method, target, body, CALL_S)
         except HttpError as err:
             return 0, str(err).encode()
 
     async def _rent(self, leader: LeaderPlanner, name: str) -> None:
         try:
-            booking = self._node.mirror.bookings[name]
+            booking = self._controller.mirror.bookings[name]
             body = wire.rent_body(name, booking.type, booking.zone, booking.spot, booking.count)
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
@@ -125,7 +125,7 @@
             else:
                 log.info("event=rent_failed booking=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_PAUSE_S)
-            self._node.wake_leader()
+            self._controller.wake_leader()
         except Exception:
             log.exception("event=rent_broken booking=%s", name)
         finally:
@@ -137,7 +137,7 @@
             if status == 200:
                 leader.machines_deleted(machines)
                 # What was on them can start elsewhere once the records say that they are gone.
-                self._node.wake_leader(at_once=True)
+                self._controller.wake_leader(at_once=True)
             else:
                 log.info("event=delete_failed count=%d status=%d", len(machines), status)
                 await anyio.sleep(FAILURE_PAUSE_S)
@@ -151,7 +151,7 @@
         try:
             if status == 200:
                 leader.catalog(wire.parse_catalog(answer))
-                self._node.wake_leader()
+                self._controller.wake_leader()
                 return True
         except Exception as err:
             log.error("event=catalog_refused error=%s", err)
@@ -171,6 +171,6 @@
                 if not page.more or not page.machines or len(machines) > MAX_LISTED:
                     break
                 since = page.machines[-1].machine
-            leader.machines_listed(self._node.now(), wire.MachineList(machines))
+            leader.machines_listed(self._controller.now(), wire.MachineList(machines))
         except Exception as err:
             log.error("event=list_refused error=%s", err)
--- a/src/dapplewick/coordination/cancellations.py
+++ b/src/dapplewick/coordination/cancellations.py
@@ -29,7 +29,7 @@
     """What a peer's message says of cancellations; `CancellationWatch.message` makes it."""
 
     at: float = msgspec.field(name="at")
-    boot: str = msgspec.field(name="boot")
+    incarnation: str = msgspec.field(name="boot")
     revision: int
     heard: dict[str, tuple[str, float]]
     complete: bool
@@ -49,8 +49,8 @@
 class CancellationWatch:
     """One controller's side of the exchange; a state machine without I/O."""
 
-    def __init__(self, boot: str, peers: Iterable[ControllerName], count: int) -> None:
-        self._boot = boot
+    def __init__(self, incarnation: str, peers: Iterable[ControllerName], count: int) -> None:
+        self._incarnation = incarnation
         self._peers = frozenset(peers)
         # Who is not named among the peers can't be asked, and may tell users of cancellations.
         self._all_named = len(self._peers) + 1 >= count
@@ -67,9 +67,11 @@
             ready = False
         return {
             "at": now,
-            "boot": self._boot,
+            "boot": self._incarnation,
             "revision": mirror.revision,
-            "heard": {node: list(question) for node, question in self._questions.items()},
+            "heard": {
+                controller: list(question) for controller, question in self._questions.items()
+            },
             # Whether the list is all that is known here and is newer than `since`.
             "complete": ready,
             "since": since,
@@ -79,7 +81,7 @@
     def hear(
         self,
         now: Seconds,
-        me: ControllerName,
+        own_name: ControllerName,
         peer: ControllerName,
         said: dict[str, Any],
         mirror: Mirror,
@@ -89,13 +91,17 @@
             return  # not of this deployment, or of a version that knows nothing of this
         message = msgspec.convert(said, type=CancellationMessage)
         message.check()
-        boot, at = message.heard.get(me, ("", 0.0))
-        self._questions[peer] = (message.boot, message.at)
+        incarnation, at = message.heard.get(own_name, ("", 0.0))
+        self._questions[peer] = (message.incarnation, message.at)
         self._revisions[peer] = (now, Revision(message.revision))
         for version, job in message.cancelled:
             mirror.told_cancelled(JobId(job), version)
         # A list that begins after what we have read may lack some.
-        if message.complete and boot == self._boot and message.since <= mirror.revision:
+        if (
+            message.complete
+            and incarnation == self._incarnation
+            and message.since <= mirror.revision
+        ):
             self._answered[peer] = max(at, self._answered.get(peer, at))
 
     def known_at(self, now: Seconds) -> Seconds:
--- a/src/dapplewick/coordination/parts.py
+++ b/src/dapplewick/coordination/parts.py
@@ -14,11 +14,11 @@
 class ShardAssigner:
     """The leader's choice of owners; a part changes hands only for a reason."""
 
-    def __init__(self, mirror: Mirror, zones: list[str], me: ControllerName) -> None:
+    def __init__(self, mirror: Mirror, zones: list[str], own_name: ControllerName) -> None:
         self.mirror = mirror
         self._zones = [ShardName(zone) for zone in zones]
         self.wanted: list[ShardName] = []  # parts of shares that are to be there
-        self.me = me
+        self.own_name = own_name
         self._uneven_since: Seconds | None = None
         self._moved_at: dict[ShardName, Seconds] = {}
 
@@ -30,17 +30,17 @@
     def changes(self, now: Seconds, deaf: set[ShardName]) -> dict[ShardName, ShardRecord]:
         """The parts that get a new owner now. `deaf` are those whose owner hears none of its
         machines: it may have lost the way to them alone, and another may hear them."""
-        nodes = self.mirror.nodes
-        load: dict[ControllerName, int] = dict.fromkeys(nodes, 0)
-        if self.me in load:
-            load[self.me] = LEADING
+        controllers = self.mirror.controllers
+        load: dict[ControllerName, int] = dict.fromkeys(controllers, 0)
+        if self.own_name in load:
+            load[self.own_name] = LEADING
         orphans: list[ShardName] = []
         for name in self.shards():
             shard = self.mirror.shards.get(name)
-            node = nodes.get(ControllerName(shard.owner)) if shard is not None else None
+            controller = controllers.get(ControllerName(shard.owner)) if shard is not None else None
             # A controller that was started again knows nothing of its earlier life: its part
             # is given out anew, under a new token.
-            if shard is None or node is None or node.boot != shard.boot:
+            if shard is None or controller is None or controller.incarnation != shard.incarnation:
                 orphans.append(name)
             else:
                 load[ControllerName(shard.owner)] += 1
@@ -48,9 +48,11 @@
         for name in orphans:
             if not load:
                 return out
-            node_name = min(load, key=lambda n: self._key(n, name, load))
-            load[node_name] += 1
-            out[name] = ShardRecord(owner=node_name, boot=nodes[node_name].boot)
+            controller_name = min(load, key=lambda n: self._key(n, name, load))
+            load[controller_name] += 1
+            out[name] = ShardRecord(
+                owner=controller_name, incarnation=controllers[controller_name].incarnation
+            )
         if not out:
             out = self._move_deaf(now, load, deaf) or self._even_out(now, load)
         return out
@@ -63,15 +65,25 @@
             others = {n: count for n, count in load.items() if n != owner}
             if others and now - self._moved_at.get(name, -1e9) >= DEAF_PAUSE_S:
                 self._moved_at[name] = now
-                node = min(others, key=lambda n: self._key(n, name, others))
-                return {name: ShardRecord(owner=node, boot=self.mirror.nodes[node].boot)}
+                controller = min(others, key=lambda n: self._key(n, name, others))
+                return {
+                    name: ShardRecord(
+                        owner=controller,
+                        incarnation=self.mirror.controllers[controller].incarnation,
+                    )
+                }
         return {}
 
     def _key(
-        self, node: ControllerName, shard: ShardName, load: dict[ControllerName, int]
+        self, controller: ControllerName, shard: ShardName, load: dict[ControllerName, int]
     ) -> tuple[object, ...]:
         """The least loaded, preferably not the leader, preferably in the zone itself."""
-        return (load[node], node == self.me, self.mirror.nodes[node].zone != zone_of(shard), node)
+        return (
+            load[controller],
+            controller == self.own_name,
+            self.mirror.controllers[controller].zone != zone_of(shard),
+            controller,
+        )
 
     def _even_out(
         self, now: Seconds, load: dict[ControllerName, int]
@@ -91,4 +103,6 @@
             return {}
         self._uneven_since = None
         least = min(load, key=lambda n: self._key(n, shard, load))
-        return {shard: ShardRecord(owner=least, boot=self.mirror.nodes[least].boot)}
+        return {
+            shard: ShardRecord(owner=least, incarnation=self.mirror.controllers[least].incarnation)
+        }
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -74,7 +74,7 @@
             kind = self.mirror.types.get(record.type)
             if kind is None or record.up or record.doomed:
                 continue
-            if wall - record.at < OVERDUE_TIMES * kind.boot:
+            if wall - record.at < OVERDUE_TIMES * kind.boot_s:
                 views.append(self._empty(machine_id, kind, record.zone, record.spot))
         for name, booking in self.mirror.bookings.items():
             kind = self.mirror.types.get(booking.type)
@@ -258,7 +258,7 @@
 
     def boot_limit(self, type_: str) -> Seconds:
         kind = self.mirror.types.get(type_)
-        return max(BOOT_LEAST_S, BOOT_TIMES * (kind.boot if kind is not None else 60.0))
+        return max(BOOT_LEAST_S, BOOT_TIMES * (kind.boot_s if kind is not None else 60.0))
 
 
 def _rooms_by_zone(rooms: list[ShardCapacity]) -> dict[Zone, ShardCapacity]:
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -904,4 +904,4 @@
 
 
 def _shape(kind: MachineType) -> tuple[Any, ...]:
-    return (kind.name, kind.cpus, kind.gpus, kind.ram_gb, kind.boot, tuple(kind.zones))
+    return (kind.name, kind.cpus, kind.gpus, kind.ram_gb, kind.boot_s, tuple(kind.zones))
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -24,7 +24,7 @@
 from dapplewick.core.part import ShardScheduler
 from dapplewick.metrics import Latencies
 from dapplewick.protocol import wire
-from dapplewick.status import node_status
+from dapplewick.status import controller_status
 from dapplewick.storage.client import (
     CALL_S,
     Budget,
@@ -41,10 +41,10 @@
 from dapplewick.storage.read_checks import ReadChecks
 from dapplewick.storage.records import (
     CANCELLED,
+    CONTROLLERS,
     FORMAT_NOW,
     JOBS,
     LEADER,
-    NODES,
     ROOT,
     SHARDS,
     SHARES_FORMAT,
@@ -100,7 +100,7 @@
 BEHIND = Answer(503, b'{"error":"overloaded"}', 2)
 
 
-class Node:
+class Controller:
     """One controller process."""
 
     def __init__(
@@ -117,10 +117,10 @@
         self.tuning = tuning or Tuning()
         self.latencies = Latencies()
         self.settings = settings
-        self.me = ControllerName(settings.host_name)
+        self.own_name = ControllerName(settings.host_name)
         self.now = clock
         self.random = random.Random(seed)
-        self.boot = f"{time.time_ns():x}-{self.random.getrandbits(32):x}"
+        self.incarnation = f"{time.time_ns():x}-{self.random.getrandbits(32):x}"
         deployment = settings.deployment
         host, port = host_port(settings.outside.state, "outside.state")
         # The lower of the limits of now and of later, from the start: both are kept to before
@@ -151,7 +151,7 @@
         self.shard_schedulers: dict[ShardName, ShardScheduler] = {}
         self.estimates = Estimates()
         self.leader: LeaderPlanner | None = None
-        self.assigner = ShardAssigner(self.mirror, deployment.zones, self.me)
+        self.assigner = ShardAssigner(self.mirror, deployment.zones, self.own_name)
         self.api = Api(self, deployment)
         self.links: dict[ControllerName, PeerLink] = {}
         for peer in settings.peers:
@@ -161,7 +161,7 @@
         self._peer_state: dict[ControllerName, tuple[Seconds, bool]] = {}
         self._peer_shards: dict[ShardName, tuple[FencingToken, ControllerName]] = {}
         self._running: dict[ControllerName, dict[JobId, int]] = {}
-        self.cancellations = CancellationWatch(self.boot, self.links, deployment.count)
+        self.cancellations = CancellationWatch(self.incarnation, self.links, deployment.count)
         self._gossip_wake = anyio.Event()
         self._read_epoch = FencingToken(0)  # the epoch after whose beginning the records were read
         self._planned_epoch = FencingToken(0)  # the newest under which this process planned
@@ -245,7 +245,11 @@
         for name in dict.fromkeys([*self.shard_schedulers, *self.assigner.shards()]):
             shard = self.mirror.shards.get(name)
             token = FencingToken(self.mirror.version(SHARDS + name))
-            mine = shard is not None and shard.owner == self.me and shard.boot == self.boot
+            mine = (
+                shard is not None
+                and shard.owner == self.own_name
+                and shard.incarnation == self.incarnation
+            )
             scheduler = self.shard_schedulers.get(name)
             if scheduler is not None and (not mine or scheduler.token != token):
                 del self.shard_schedulers[name]
@@ -280,7 +284,7 @@
         self._apply_changed()
         if not self.ready:
             self.ready = True
-            log.info("event=ready node=%s revision=%d", self.me, revision)
+            log.info("event=ready node=%s revision=%d", self.own_name, revision)
 
     async def _follow(self, wait_ms: int) -> None:
         """Bring the mirror up to the newest changes."""
@@ -325,16 +329,16 @@
             sent = self.now()
             try:
                 if self.lease is not None and self._record_lost():
-                    log.info("event=presence_lost node=%s", self.me)
+                    log.info("event=presence_lost node=%s", self.own_name)
                     self.lease = None
                 if self.lease is None:
                     lease = await self.state.new_lease(int(TTL_S * 1000))
-                    key = NODES + self.me
+                    key = CONTROLLERS + self.own_name
                     # A late write of an earlier boot, or of ours without an answer, replaces
                     # only what it knew of: without the condition it took a controller out.
                     _, before = await self.state.get(key)
                     value = {
-                        "boot": self.boot,
+                        "boot": self.incarnation,
                         "zone": self.settings.zone,
                         "version": self._format(),
                     }
@@ -349,7 +353,7 @@
                 self.lease_until = sent + TTL_S * 0.998 - 0.1
                 self.contact_at = self.now()
             except NoLease:
-                log.info("event=lease_lost node=%s", self.me)
+                log.info("event=lease_lost node=%s", self.own_name)
                 self.lease = None
                 continue
             except Conflict:
@@ -363,22 +367,26 @@
 
     def _record_lost(self) -> bool:
         """Whether another life of this controller has overwritten its presence."""
-        record = self.mirror.nodes.get(self.me)
-        return self.ready and (record is None or record.boot != self.boot)
+        record = self.mirror.controllers.get(self.own_name)
+        return self.ready and (record is None or record.incarnation != self.incarnation)
 
     def _leads(self) -> bool:
         record = self.mirror.leader
         return (
             record is not None
-            and record.node == self.me
-            and record.boot == self.boot
+            and record.controller == self.own_name
+            and record.incarnation == self.incarnation
             and self.lease_valid()
         )
 
     async def _stand(self) -> None:
         """Try to become leader: the key must not exist, or be of an earlier life of ours."""
         record = self.mirror.leader
-        mine = record is not None and record.node == self.me and record.boot != self.boot
+        mine = (
+            record is not None
+            and record.controller == self.own_name
+            and record.incarnation != self.incarnation
+        )
         if (record is not None and not mine) or self.lease is None or not self.lease_valid():
             return
         if self.shard_schedulers:
@@ -390,7 +398,7 @@
 
     async def _write_leader(self) -> None:
         assert self.lease is not None
-        value = {"node": self.me, "boot": self.boot}
+        value = {"node": self.own_name, "boot": self.incarnation}
         version = await self.state.txn(
             {LEADER: self.mirror.version(LEADER)},
             {LEADER: value},
@@ -429,7 +437,7 @@
             self._hurry = anyio.Event()
 
     def _step_down(self) -> None:
-        log.info("event=leader_lost node=%s", self.me)
+        log.info("event=leader_lost node=%s", self.own_name)
         self.leader = None
         self.state.writes.rate = self._few_writes
 
@@ -469,7 +477,7 @@
                 self.shard_names(),
             )
             self.state.writes.rate = self._many_writes
-            log.info("event=leader_won node=%s epoch=%d", self.me, epoch)
+            log.info("event=leader_won node=%s epoch=%d", self.own_name, epoch)
         self.leader.epoch = epoch
         service = self._share_service()
         if service is not None:
@@ -478,13 +486,13 @@
         self.assigner.wanted = service.wanted_shards() if service is not None else []
         for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
             key = SHARDS + name
-            value = {"owner": shard.owner, "boot": shard.boot}
+            value = {"owner": shard.owner, "boot": shard.incarnation}
             await self._write(epoch, [Change(key, value, self.mirror.version(key), 0)])
         for name, scheduler in self.shard_schedulers.items():
             number = self.leader.shard_status(
                 now, scheduler.status(now, self._base(name, scheduler))
             )
-            self._confirm(name, scheduler.token, self.boot, number)
+            self._confirm(name, scheduler.token, self.incarnation, number)
         changes = self.leader.plan(now, self.wall())
         self._pass_took = self.now() - now
         # What the budget does not allow is found again by the next pass, or overtaken by more.
@@ -589,21 +597,25 @@
             self._leader_wake.set()
             return
         record = self.mirror.leader
-        link = self.links.get(ControllerName(record.node)) if record is not None else None
+        link = self.links.get(ControllerName(record.controller)) if record is not None else None
         if link is not None:
             status = scheduler.status(now, self._base(scheduler.shard, scheduler))
-            link.post(f"part:{scheduler.shard}", {**status, "node": self.me, "version": FORMAT_NOW})
+            link.post(
+                f"part:{scheduler.shard}", {**status, "node": self.own_name, "version": FORMAT_NOW}
+            )
 
     def _base(self, shard: ShardName, scheduler: ShardScheduler) -> int:
         """The newest of a part's statuses that the present leader has confirmed."""
-        token, boot, number = self._confirmed.get(shard, (FencingToken(0), "", 0))
+        token, incarnation, number = self._confirmed.get(shard, (FencingToken(0), "", 0))
         leader = self.mirror.leader
-        same = token == scheduler.token and leader is not None and leader.boot == boot
+        same = token == scheduler.token and leader is not None and leader.incarnation == incarnation
         return number if same else 0
 
-    def _confirm(self, shard: ShardName, token: FencingToken, boot: str, number: int) -> None:
+    def _confirm(
+        self, shard: ShardName, token: FencingToken, incarnation: str, number: int
+    ) -> None:
         """A leader has this part's statuses up to a number; another life of it has none."""
-        self._confirmed[shard] = (token, boot, number)
+        self._confirmed[shard] = (token, incarnation, number)
 
     async def _pulse_loop(self) -> None:
         while True:
@@ -626,14 +638,14 @@
             for scheduler in self.shard_schedulers.values():
                 for job, count in scheduler.running():
                     running[job] = running.get(job, 0) + count
-            self._running[self.me] = running
+            self._running[self.own_name] = running
             shards = {
                 name: (self.mirror.version(SHARDS + name), shard.owner)
                 for name, shard in self.mirror.shards.items()
             }
             message = {
                 "kind": "node",
-                "node": self.me,
+                "node": self.own_name,
                 "version": FORMAT_NOW,
                 "running": running,
                 "parts": shards,
@@ -666,9 +678,9 @@
         """Put a user's request to a peer that reaches the state service; None if none does."""
         now = self.now()
         able = [
-            node
-            for node, (at, ok) in self._peer_state.items()
-            if ok and now - at < 2.5 and node in self.links
+            controller
+            for controller, (at, ok) in self._peer_state.items()
+            if ok and now - at < 2.5 and controller in self.links
         ]
         if not able:
             return None
@@ -686,7 +698,7 @@
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
         kind = message.get("kind")
         if kind == "status":
-            return node_status(self)
+            return controller_status(self)
         if kind == "part":
             if self.leader is not None:
                 number = self.leader.shard_status(self.now(), message)
@@ -700,7 +712,7 @@
                             "kind": "have",
                             "zone": zone,
                             "token": message["token"],
-                            "boot": self.boot,
+                            "boot": self.incarnation,
                             "number": number,
                             "version": FORMAT_NOW,
                         },
@@ -713,13 +725,13 @@
                 int(message["number"]),
             )
         elif kind == "node":
-            node = ControllerName(message["node"])
-            self._peer_state[node] = (self.now(), bool(message["state"]))
-            self._running[node] = {JobId(j): int(n) for j, n in message["running"].items()}
+            controller = ControllerName(message["node"])
+            self._peer_state[controller] = (self.now(), bool(message["state"]))
+            self._running[controller] = {JobId(j): int(n) for j, n in message["running"].items()}
             for shard, (token, owner) in message["parts"].items():
                 if token > self._peer_shards.get(shard, (0, ""))[0]:
                     self._peer_shards[shard] = (FencingToken(token), ControllerName(owner))
-            self.cancellations.hear(self.now(), self.me, node, message, self.mirror)
+            self.cancellations.hear(self.now(), self.own_name, controller, message, self.mirror)
             self._apply_changed()
         return None
 
@@ -783,7 +795,7 @@
         owner = shard.owner if shard is not None else ""
         if heard_token > self.mirror.version(SHARDS + name):
             owner = heard_owner
-        if owner and owner != self.me and (self.ready and owner in self.mirror.nodes):
+        if owner and owner != self.own_name and (self.ready and owner in self.mirror.controllers):
             return Answer(421, wire.redirect(owner))
         return Answer(503, b'{"error":"no owner"}', 1)
 
--- a/src/dapplewick/protocol/wire.py
+++ b/src/dapplewick/protocol/wire.py
@@ -300,7 +300,7 @@
     fetch_rate: float = msgspec.field(name="fetch_gb_per_s", default=0.1)
     price: float = msgspec.field(name="hourly", default=1.0)
     spot_price: float = msgspec.field(name="low_price", default=1.0)
-    boot: float = msgspec.field(name="ready_s", default=60.0)
+    boot_s: float = msgspec.field(name="ready_s", default=60.0)
     zones: list[str] = msgspec.field(name="yards", default_factory=list)
 
     @property
--- a/src/dapplewick/service.py
+++ b/src/dapplewick/service.py
@@ -12,7 +12,7 @@
 import anyio
 
 from dapplewick.config import Settings, SettingsError, load
-from dapplewick.node import Node
+from dapplewick.node import Controller
 from dapplewick.tuning import Tuning
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
 
 
 async def _run(settings: Settings, tuning: Tuning, shares: ShareService | None) -> None:
-    await Node(settings, tuning=tuning, shares=shares).run()
+    await Controller(settings, tuning=tuning, shares=shares).run()
 
 
 def _load_shares(path: str, settings: Settings) -> ShareService:
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/shares/service.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from dapplewick.core.leader import LeaderPlanner
-    from dapplewick.node import Node
+    from dapplewick.node import Controller
 
 log = logging.getLogger("dapplewick.shares")
 
@@ -58,10 +58,10 @@
         self._times = MoveTimes()
         self.keeper: ShareKeeper | None = None
 
-    def attach(self, node: Node) -> None:
+    def attach(self, controller: Controller) -> None:
         """Belong to a controller."""
-        self._node = node
-        self._index = MachineIndex(node.mirror)
+        self._controller = controller
+        self._index = MachineIndex(controller.mirror)
 
     # What the controller asks
 
@@ -78,8 +78,8 @@
         """Keep the shares as this leader; each term begins anew from the records."""
         if self._leader is not leader:
             self._leader = leader
-            zones = self._node.settings.deployment.zones
-            self.keeper = ShareKeeper(self._node.mirror, self._index, zones, self._times)
+            zones = self._controller.settings.deployment.zones
+            self.keeper = ShareKeeper(self._controller.mirror, self._index, zones, self._times)
         self._read_plan()
         assert self.keeper is not None
         self.keeper.plan = self._plan
@@ -92,7 +92,7 @@
         """Take over the plan that operators have stored; a bad one changes nothing."""
         if self._initial is None:
             return
-        mirror = self._node.mirror
+        mirror = self._controller.mirror
         version = mirror.version(SHARE_PLAN)
         if version == self._plan_version:
             return
@@ -109,13 +109,13 @@
         log.info("event=plan_in_force version=%d shares=%s", version, ",".join(plan.shares))
 
     def _unknown_names(self, plan: SharePlan) -> str:
-        deployment = self._node.settings.deployment
-        types = self._node.mirror.types or None
+        deployment = self._controller.settings.deployment
+        types = self._controller.mirror.types or None
         return unknown_names(plan, (t.name for t in deployment.teams), deployment.zones, types)
 
     def _complain(self, event: str, reason: str) -> None:
         """Log a complaint, but not again and again."""
-        now = self._node.now()
+        now = self._controller.now()
         if now - self._complained_at.get(event, -1e9) >= LOG_PAUSE_S:
             self._complained_at[event] = now
             log.error("event=%s reason=%r", event, reason)
@@ -123,26 +123,32 @@
     async def run(self) -> None:
         """Solve the plan again and again while this controller leads."""
         while True:
-            begun = self._node.now()
-            if self.keeper is not None and self._node.leader is self._leader:
+            begun = self._controller.now()
+            if self.keeper is not None and self._controller.leader is self._leader:
                 await self._solve(self.keeper)
-            await anyio.sleep(max(PLAN_S, PLAN_REST * (self._node.now() - begun)))
+            await anyio.sleep(max(PLAN_S, PLAN_REST * (self._controller.now() - begun)))
 
     async def _solve(self, keeper: ShareKeeper) -> None:
-        node = self._node
-        if node.mirror.format < SHARES_FORMAT or not node.mirror.types:
+        controller = self._controller
+        if controller.mirror.format < SHARES_FORMAT or not controller.mirror.types:
             return
         complaint = self._unknown_names(self._plan)
         if complaint:
             self._complain("plan_names_unknown", complaint)
             return
         self._index.refresh()
-        wall = node.wall()
-        jobs = [job for _, job in node.mirror.each_live()]
-        demand = measure(self._plan, node.settings.deployment.teams, jobs, node.estimates, wall)
+        wall = controller.wall()
+        jobs = [job for _, job in controller.mirror.each_live()]
+        demand = measure(
+            self._plan, controller.settings.deployment.teams, jobs, controller.estimates, wall
+        )
         minute = int(wall // 60) % (24 * 60)
         problem = Problem(
-            self._plan, minute, supply(node.mirror, self._index), demand, holdings(self._index)
+            self._plan,
+            minute,
+            supply(controller.mirror, self._index),
+            demand,
+            holdings(self._index),
         )
         try:
             solution = await self._solver(problem)
@@ -155,14 +161,18 @@
                 "event=targets targets=%s",
                 ",".join(f"{c.zone}/{c.share}/{c.type}:{n}" for c, n in keeper.targets.items()),
             )
-            node.wake_leader()
+            controller.wake_leader()
 
     # Operators
 
     async def answer(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer an operator's command; a controller that does not lead asks the leader."""
-        node = self._node
-        if node.leader is None or self.keeper is None or node.leader is not self._leader:
+        controller = self._controller
+        if (
+            controller.leader is None
+            or self.keeper is None
+            or controller.leader is not self._leader
+        ):
             return await self._ask_leader(message)
         verb = message.get("verb")
         try:
@@ -179,22 +189,29 @@
         return {"status": 400, "error": "verb: show, plan, move or cancel is needed"}
 
     async def _ask_leader(self, message: dict[str, Any]) -> dict[str, Any]:
-        node = self._node
-        record = node.mirror.leader
-        link = node.links.get(ControllerName(record.node)) if record is not None else None
+        controller = self._controller
+        record = controller.mirror.leader
+        link = (
+            controller.links.get(ControllerName(record.controller)) if record is not None else None
+        )
         if link is None or message.get("forwarded"):
             return _unavailable("no controller leads now")
         said = await link.ask({**message, "forwarded": True}, ASK_WITHIN_S)
         return said if said is not None else _unavailable("the leader does not answer")
 
     def _show(self) -> dict[str, Any]:
-        node, keeper = self._node, self.keeper
-        assert keeper is not None and node.leader is not None
-        view = ShareView(node.now(), node.wall(), node.mirror, node.leader.shards.values())
+        controller, keeper = self._controller, self.keeper
+        assert keeper is not None and controller.leader is not None
+        view = ShareView(
+            controller.now(),
+            controller.wall(),
+            controller.mirror,
+            controller.leader.shards.values(),
+        )
         said = view.describe(self._plan, keeper.targets)
         return {
             "status": 200,
-            "leader": node.me,
+            "leader": controller.own_name,
             "plan": msgspec.to_builtins(self._plan),
             "times": self._times.view(),
             **said,
@@ -202,18 +219,18 @@
 
     async def _store_plan(self, message: dict[str, Any]) -> dict[str, Any]:
         """Store a plan for all controllers, or go back to the one that they started with."""
-        node = self._node
+        controller = self._controller
         given = message.get("plan")
         changes: dict[str, Any] = {}
         if given is not None:
             changes[SHARE_PLAN] = self._checked_plan(given)
-        version = node.mirror.version(SHARE_PLAN)
-        conditions = {SHARE_PLAN: version, LEADER: node.mirror.version(LEADER)}
+        version = controller.mirror.version(SHARE_PLAN)
+        conditions = {SHARE_PLAN: version, LEADER: controller.mirror.version(LEADER)}
         deletes = [] if changes or not version else [SHARE_PLAN]
         if not changes and not deletes:
             return {"status": 200}
         try:
-            revision = await node.state.txn(conditions, changes, deletes)
+            revision = await controller.state.txn(conditions, changes, deletes)
         except Conflict:
             return _unavailable("the plan or the leader has changed meanwhile")
         except TooLarge:
@@ -221,16 +238,16 @@
         except (Refused, Unknown):
             return _unavailable("the state service did not confirm it; look with `shares show`")
         for key, value in changes.items():
-            node.stored(key, value, revision)
+            controller.stored(key, value, revision)
         if deletes:
-            node.mirror.remove(SHARE_PLAN, revision)
+            controller.mirror.remove(SHARE_PLAN, revision)
         return {"status": 200, "revision": revision}
 
     def _checked_plan(self, given: Any) -> Any:
         """A plan that an operator gives, as it is stored. The command has run its script: what
         that may take of a processor is not taken from the controller's."""
         try:
-            if size_of(given) > self._node.limits_now().value_bytes:
+            if size_of(given) > self._controller.limits_now().value_bytes:
                 raise PlanError("plan: it is larger than a value of the state service")
             plan = convert(given)
             complaint = self._unknown_names(plan)
@@ -241,19 +258,25 @@
         return msgspec.to_builtins(plan)
 
     async def _order_move(self, message: dict[str, Any]) -> dict[str, Any]:
-        node, keeper = self._node, self.keeper
+        controller, keeper = self._controller, self.keeper
         assert keeper is not None
-        if node.mirror.format < SHARES_FORMAT:
+        if controller.mirror.format < SHARES_FORMAT:
             return _unavailable("some controllers do not understand shares yet")
-        order = move_order(message, node.mirror, self._plan, node.settings.deployment, node.wall())
-        if order.transfer not in node.mirror.transfers.records:
+        order = move_order(
+            message,
+            controller.mirror,
+            self._plan,
+            controller.settings.deployment,
+            controller.wall(),
+        )
+        if order.transfer not in controller.mirror.transfers.records:
             return await self._carry_out(keeper, order)
         return self._said(order)
 
     async def _order_cancel(self, message: dict[str, Any]) -> dict[str, Any]:
         keeper = self.keeper
         assert keeper is not None
-        return await self._carry_out(keeper, cancellation(message, self._node.mirror))
+        return await self._carry_out(keeper, cancellation(message, self._controller.mirror))
 
     async def _carry_out(self, keeper: ShareKeeper, order: Order) -> dict[str, Any]:
         """Have an order written, and answer once its record is known to be stored."""
@@ -261,7 +284,7 @@
         try:
             with anyio.move_on_after(KNOWN_WITHIN_S):
                 while not self._is_known(order):
-                    self._node.wake_leader(at_once=True)
+                    self._controller.wake_leader(at_once=True)
                     await anyio.sleep(LOOK_S)
                 return self._said(order)
         finally:
@@ -270,11 +293,11 @@
         return _unavailable("it is not known to be stored yet; look with `shares show`")
 
     def _is_known(self, order: Order) -> bool:
-        record = self._node.mirror.transfers.records.get(order.transfer)
+        record = self._controller.mirror.transfers.records.get(order.transfer)
         return record is not None and (order.record is not None or record.state == CANCELLED)
 
     def _said(self, order: Order) -> dict[str, Any]:
-        record = self._node.mirror.transfers.records[order.transfer]
+        record = self._controller.mirror.transfers.records[order.transfer]
         return {"status": 200, "id": order.transfer, "state": record.state}
 
 
--- a/src/dapplewick/status.py
+++ b/src/dapplewick/status.py
@@ -10,26 +10,26 @@
 from dapplewick.types import Seconds
 
 if TYPE_CHECKING:
-    from dapplewick.node import Node
+    from dapplewick.node import Controller
 
 
-def node_status(node: Node) -> dict[str, Any]:
+def controller_status(controller: Controller) -> dict[str, Any]:
     """A status as plain values, for the command line and later consoles."""
-    now = node.now()
-    mirror = node.mirror
+    now = controller.now()
+    mirror = controller.mirror
     jobs: dict[str, int] = {}
     for job in mirror.jobs.values():
         jobs[job.stage] = jobs.get(job.stage, 0) + 1
     return {
-        "node": node.me,
+        "node": controller.own_name,
         "version": __version__,
-        "ready": node.ready,
-        "lease_left_s": round(max(0.0, node.lease_until - now), 1),
-        "records_age_s": round(now - node.current_at, 1),
-        "leader": mirror.leader.node if mirror.leader is not None else None,
+        "ready": controller.ready,
+        "lease_left_s": round(max(0.0, controller.lease_until - now), 1),
+        "records_age_s": round(now - controller.current_at, 1),
+        "leader": mirror.leader.controller if mirror.leader is not None else None,
         "epoch": mirror.version(LEADER),
         "format": mirror.format,
-        "versions": {name: record.version for name, record in mirror.nodes.items()},
+        "versions": {name: record.version for name, record in mirror.controllers.items()},
         "parts": {
             zone: {"owner": shard.owner, "token": mirror.version(SHARDS + zone)}
             for zone, shard in mirror.shards.items()
@@ -39,7 +39,7 @@
             job_id: {
                 "replicas": job.spec.tasks,
                 "granted": sum(len(tasks) for tasks in job.grants.values()),
-                "running": node.running_tasks(job_id),
+                "running": controller.running_tasks(job_id),
             }
             for job_id, job in mirror.each_live()
             if job.spec.daemon and job.open
@@ -50,14 +50,14 @@
         },
         "bookings": len(mirror.bookings),
         "budgets": {
-            "state_calls": round(node.state.calls.level(), 1),
-            "state_writes": round(node.state.writes.level(), 1),
-            "cloud_calls": round(node.cloud_budget.level(), 1),
+            "state_calls": round(controller.state.calls.level(), 1),
+            "state_writes": round(controller.state.writes.level(), 1),
+            "cloud_calls": round(controller.cloud_budget.level(), 1),
         },
         "owned": {
-            zone: _shard(now, scheduler) for zone, scheduler in node.shard_schedulers.items()
+            zone: _shard(now, scheduler) for zone, scheduler in controller.shard_schedulers.items()
         },
-        "latencies_ms": node.latencies.view(),
+        "latencies_ms": controller.latencies.view(),
     }
 
 
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -36,7 +36,7 @@
 JOBS = ROOT + "j/"
 MACHINES = ROOT + "m/"
 SHARDS = ROOT + "p/"
-NODES = ROOT + "n/"
+CONTROLLERS = ROOT + "n/"
 BOOKINGS = ROOT + "b/"
 SHARE_PLAN = ROOT + "shares"  # the operators' plan of shares, if they have stored one
 TRANSFERS = ROOT + "s/"  # machines that change from one share to another
@@ -318,11 +318,11 @@
 
 class ShardRecord(msgspec.Struct):
     owner: str
-    boot: str = msgspec.field(name="boot")
+    incarnation: str = msgspec.field(name="boot")
 
 
-class NodeRecord(msgspec.Struct):
-    boot: str = msgspec.field(name="boot")
+class ControllerRecord(msgspec.Struct):
+    incarnation: str = msgspec.field(name="boot")
     zone: str
     version: int = FIRST_FORMAT  # what this controller understands
 
@@ -334,8 +334,8 @@
 
 
 class LeaderRecord(msgspec.Struct):
-    node: str = msgspec.field(name="node")
-    boot: str = msgspec.field(name="boot")
+    controller: str = msgspec.field(name="node")
+    incarnation: str = msgspec.field(name="boot")
 
 
 class BookingRecord(msgspec.Struct):
@@ -377,7 +377,7 @@
         self.shards: dict[ShardName, ShardRecord] = {}
         self.transfers = Transfers()
         self.share_plan: Any = None  # as it was stored: the shares' package reads it
-        self.nodes: dict[ControllerName, NodeRecord] = {}
+        self.controllers: dict[ControllerName, ControllerRecord] = {}
         self.bookings: dict[str, BookingRecord] = {}
         self.format = FIRST_FORMAT
         # The format that each controller understood when it was last seen.
@@ -481,9 +481,11 @@
             self._set_group(name, msgspec.convert(value, type=GroupRecord), version)
         elif key.startswith(SHARDS):
             self.shards[ShardName(name)] = msgspec.convert(value, type=ShardRecord)
-        elif key.startswith(NODES):
-            node = self.nodes[ControllerName(name)] = msgspec.convert(value, type=NodeRecord)
-            self.understood[ControllerName(name)] = node.version
+        elif key.startswith(CONTROLLERS):
+            controller = self.controllers[ControllerName(name)] = msgspec.convert(
+                value, type=ControllerRecord
+            )
+            self.understood[ControllerName(name)] = controller.version
         elif key == FORMAT:
             self.format = max(self.format, msgspec.convert(value, type=FormatRecord).version)
         elif key.startswith(BOOKINGS):
@@ -611,8 +613,8 @@
             self._set_group(name, None)
         elif key.startswith(SHARDS):
             self.shards.pop(ShardName(name), None)
-        elif key.startswith(NODES):
-            self.nodes.pop(ControllerName(name), None)
+        elif key.startswith(CONTROLLERS):
+            self.controllers.pop(ControllerName(name), None)
         elif key.startswith(BOOKINGS):
             self.bookings.pop(name, None)
         elif key.startswith(TRANSFERS):
@@ -654,7 +656,7 @@
         return self.versions.get(key, 0)
 
     @property
-    def new_nodes(self) -> set[ControllerName]:
+    def upgraded_controllers(self) -> set[ControllerName]:
         """Controllers that were seen with a version that understands all of ours."""
         return {name for name, version in self.understood.items() if version >= FORMAT_NOW}
 
--- a/tests/answer_days.py
+++ b/tests/answer_days.py
@@ -40,7 +40,7 @@
     name = _leader_or(world, name)
     world.crash(name)
     await anyio.sleep(world.random.choice([0.05, 0.3, 3.0]))
-    world.start_node(name)
+    world.start_controller(name)
 
 
 async def _mode(world: World, name: str, mode: str) -> None:
@@ -160,7 +160,7 @@
     async def ask(self, request: Request, name: str | None = None) -> tuple[int, Any]:
         name = name or self.world.random.choice(self.world.names)
         wait = POLL_WAIT_S if request.method == "GET" else CHANGE_WAIT_S
-        status, said = await self.world.ask_node(name, request, wait)
+        status, said = await self.world.ask_controller(name, request, wait)
         stage = said.get("stage") if status in (200, 201) else None
         if status in (200, 201):
             self.world.accepted.add(self.job_id)
--- a/tests/day_checks.py
+++ b/tests/day_checks.py
@@ -72,11 +72,11 @@
         self.answers = 0
 
     async def request(self, name: str, request: Request, job_id: str) -> tuple[int, Any]:
-        node = self.world.nodes.get(name)
-        if node is None or not node.ready:
+        controller = self.world.controllers.get(name)
+        if controller is None or not controller.ready:
             return 0, {}
         before = self.known.get(job_id, 0)  # what was told when the question was put
-        answer = await node.handle(request)
+        answer = await controller.handle(request)
         said = json.loads(answer.body)
         if answer.status == 503 and not answer.retry_after:
             self.broken.append(f"no Retry-After {job_id}")
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -26,7 +26,7 @@
 from dapplewick.core.job_writes import RANK_GRANTS, JobWrites
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.machines import Change, MachineBook
-from dapplewick.node import Node
+from dapplewick.node import Controller
 from dapplewick.protocol import wire
 from dapplewick.shares import commands, plan
 from dapplewick.storage.client import (
@@ -43,11 +43,11 @@
 from dapplewick.storage.records import (
     BOOKINGS,
     CHUNKS,
+    CONTROLLERS,
     FORMAT,
     JOBS,
     LEADER,
     MACHINES,
-    NODES,
     PLACES,
     SHARDS,
     SHARE_PLAN,
@@ -131,7 +131,7 @@
     tables: list[tuple[str, Any]] = [
         (MACHINES, mirror.groups),
         (SHARDS, mirror.shards),
-        (NODES, mirror.nodes),
+        (CONTROLLERS, mirror.controllers),
         (BOOKINGS, mirror.bookings),
         (TRANSFERS, mirror.transfers.records),
     ]
@@ -253,9 +253,9 @@
     return out[0]
 
 
-def _node(
+def _controller(
     records: list[list[Any]], answers: list[list[Any]], answer: Any = None
-) -> tuple[Node, Service, Peer]:
+) -> tuple[Controller, Service, Peer]:
     service, link = Service(answers), Peer(answer)
 
     def connect(host: str, port: int) -> Any:
@@ -265,30 +265,30 @@
         return link
 
     with patch.object(time, "time_ns", lambda: 1):
-        node = Node(settings("n0"), connect=connect, link=linked, clock=now, seed=1)
-    node.boot = "n0-1"
-    node.wall = now  # type: ignore[method-assign]
-    node.ready = True
-    node.current_at = node.contact_at = now()
-    node.lease, node.lease_until = 7, now() + 5.0
+        controller = Controller(settings("n0"), connect=connect, link=linked, clock=now, seed=1)
+    controller.incarnation = "n0-1"
+    controller.wall = now  # type: ignore[method-assign]
+    controller.ready = True
+    controller.current_at = controller.contact_at = now()
+    controller.lease, controller.lease_until = 7, now() + 5.0
     revision = max((version for _, _, version in records), default=0)
-    node.mirror.reload({key: (value, version) for key, value, version in records}, revision)
-    assert not node.mirror.unreadable
-    node._apply_changed()
-    return node, service, link
+    controller.mirror.reload({key: (value, version) for key, value, version in records}, revision)
+    assert not controller.mirror.unreadable
+    controller._apply_changed()
+    return controller, service, link
 
 
-def _leads(node: Node) -> LeaderPlanner:
+def _leads(controller: Controller) -> LeaderPlanner:
     leader = LeaderPlanner(
-        node.mirror,
-        node.settings,
-        node.estimates,
+        controller.mirror,
+        controller.settings,
+        controller.estimates,
         FencingToken(3),
         now(),
-        node.tuning,
-        node.shard_names(),
+        controller.tuning,
+        controller.shard_names(),
     )
-    node.leader = leader
+    controller.leader = leader
     return leader
 
 
@@ -296,15 +296,15 @@
     """Messages of peers: what is read of them, and what is sent in answer."""
 
     async def scene() -> Any:
-        node, _, link = _node(given["records"], [])
-        leader = _leads(node) if given.get("leads") else None
-        answers = [node.on_message(through_frame(message)) for message in given["messages"]]
-        node._gossip_wake.set()
+        controller, _, link = _controller(given["records"], [])
+        leader = _leads(controller) if given.get("leads") else None
+        answers = [controller.on_message(through_frame(message)) for message in given["messages"]]
+        controller._gossip_wake.set()
         with anyio.move_on_after(0.2):
-            await node._gossip_loop()
+            await controller._gossip_loop()
         shards: list[Any] = []
         if leader is not None:
-            leader.catalog(list(node.mirror.types.values()))
+            leader.catalog(list(controller.mirror.types.values()))
             deaf = leader.unreachable_shards()
             shards = neutral(
                 [
@@ -326,16 +326,16 @@
                 ]
             )
             shards.append(_changes(leader.plan(now(), now())))
-        cancelled = node.mirror.cancellations(0)
+        cancelled = controller.mirror.cancellations(0)
         read = neutral(
             [
-                node._peer_state,
-                node._running,
-                node._peer_shards,
-                node._confirmed,
+                controller._peer_state,
+                controller._running,
+                controller._peer_shards,
+                controller._confirmed,
                 cancelled,
-                node.cancellations.known_at(now()),
-                [job.stage for job in node.mirror.jobs.values()],
+                controller.cancellations.known_at(now()),
+                [job.stage for job in controller.mirror.jobs.values()],
             ]
         )
         frames = [None if answer is None else cbor2.dumps(answer).hex() for answer in answers]
@@ -348,33 +348,33 @@
     """An owner of a part: its answers to workers, the status that it sends, and operators'."""
 
     async def scene() -> Any:
-        node, service, link = _node(given["records"], given.get("answers", []))
+        controller, service, link = _controller(given["records"], given.get("answers", []))
         out: list[Any] = []
         for kind, body in given["steps"]:
             if kind == "report":
                 request = Request("POST", "/checkin", text(body).encode(), False)
-                answer = await node.handle(request)
+                answer = await controller.handle(request)
                 out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "request":
                 method, target, sent = body
-                answer = await node.handle(Request(method, target, sent.encode(), False))
+                answer = await controller.handle(Request(method, target, sent.encode(), False))
                 out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "asked":
-                said = await node.on_request(through_frame(body))
+                said = await controller.on_request(through_frame(body))
                 out.append(cbor2.dumps(said).hex())
             elif kind == "tick":
-                for scheduler in node.shard_schedulers.values():
+                for scheduler in controller.shard_schedulers.values():
                     scheduler.tick(now(), now(), True)
-                    node._send_status(now(), scheduler)
+                    controller._send_status(now(), scheduler)
             elif kind == "wait":
                 await anyio.sleep(body)
             elif kind == "too large":
-                answer = await node.handle(Request("POST", "/checkin", b"", True))
+                answer = await controller.handle(Request("POST", "/checkin", b"", True))
                 out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "records are old":
-                node.current_at = -1e9
+                controller.current_at = -1e9
             elif kind == "falls behind":
-                node._late = 9.0
+                controller._late = 9.0
         return {"answers": out, "sent": link.posted, "asked": service.asked}
 
     return _in_time(scene)
@@ -384,11 +384,11 @@
     """A user's request that a peer answers: the frame to it, and what is made of the answer."""
 
     async def scene() -> Any:
-        node, _, link = _node([], [], given["answer"])
+        controller, _, link = _controller([], [], given["answer"])
         for name in ("n1", "n2"):
-            node._peer_state[ControllerName(name)] = (now(), True)
+            controller._peer_state[ControllerName(name)] = (now(), True)
         method, target, body = given["request"]
-        answer = await node.ask_peer(Request(method, target, body.encode(), False))
+        answer = await controller.ask_peer(Request(method, target, body.encode(), False))
         said = None
         if answer is not None:
             said = [answer.status, answer.body.decode(), answer.retry_after]
@@ -451,9 +451,9 @@
     """A call of the cloud, and what the leader takes over of its answers."""
 
     async def scene() -> Any:
-        node, service, _ = _node(given["records"], given["answers"])
-        leader = _leads(node)
-        calls = CloudCalls(node)
+        controller, service, _ = _controller(given["records"], given["answers"])
+        leader = _leads(controller)
+        calls = CloudCalls(controller)
         if given["call"] == "rent":
             await calls._rent(leader, given["name"])
         elif given["call"] == "delete":
@@ -661,7 +661,7 @@
 
 def _kept_day(world: World, kept: Kept, script: Any, length: float) -> None:
     """Play a day and keep what controllers send and answer."""
-    call, post, ask, handle = Wire.request, Link.post, Link.ask, Node.handle
+    call, post, ask, handle = Wire.request, Link.post, Link.ask, Controller.handle
 
     async def keep_call(
         self: Wire, method: str, target: str, body: bytes | None, within: float
@@ -691,7 +691,7 @@
         kept.add(f"question {message['kind']}", frame, {"keys": list(message)})
         return await ask(self, message, within)
 
-    async def keep_handle(self: Node, request: Request) -> Any:
+    async def keep_handle(self: Controller, request: Request) -> Any:
         answer = await handle(self, request)
         of = "worker" if request.target == "/checkin" else f"user {request.method}"
         sent = text([answer.status, answer.body.decode(), answer.retry_after])
@@ -705,7 +705,7 @@
         patch.object(Wire, call.__name__, keep_call),
         patch.object(Link, post.__name__, keep_post),
         patch.object(Link, ask.__name__, keep_ask),
-        patch.object(Node, handle.__name__, keep_handle),
+        patch.object(Controller, handle.__name__, keep_handle),
         patch.object(time, "time_ns", lambda: 1),
     ):
         run_day(main)
@@ -714,7 +714,7 @@
 
 async def _operator(world: World, kept: Kept, kind: str, message: dict[str, Any]) -> Any:
     """An operator's question to the leader or another controller."""
-    said = await world.nodes["n0"].on_request(through_frame(message))
+    said = await world.controllers["n0"].on_request(through_frame(message))
     frame = cbor2.dumps(said)
     kept.add(f"operator {kind}", frame.hex(), json.loads(json.dumps(cbor2.loads(frame))))
     return said
@@ -761,7 +761,7 @@
         )
         await anyio.sleep(4.0)
         for body in REFUSED:
-            await world.nodes["n0"].handle(Request("POST", "/v2/runs", body.encode(), False))
+            await world.controllers["n0"].handle(Request("POST", "/v2/runs", body.encode(), False))
         changes: list[dict[str, Any]] = [
             {"crew": "none"},
             {"yard": "none"},
@@ -783,17 +783,17 @@
             ("GET", "/v2/runs/run-0/abort"),
             ("GET", "/healthz"),
         ):
-            await world.nodes["n0"].handle(Request(method, path, b"", False))
+            await world.controllers["n0"].handle(Request(method, path, b"", False))
         await _operator(world, kept, "status", {"kind": "status"})
         world.modes["n1", "state"] = "refused"
         await anyio.sleep(0.5)
         for name in world.names:
-            await world.nodes[name].handle(Request("GET", "/v2/runs/run-000004", b"", False))
+            await world.controllers[name].handle(Request("GET", "/v2/runs/run-000004", b"", False))
         await anyio.sleep(1.5)
         del world.modes["n1", "state"]
         world.crash("n2")
         await anyio.sleep(1.0)
-        world.start_node("n2")
+        world.start_controller("n2")
 
     _kept_day(world, kept, script, 32.0)
     return kept.view()
--- a/tests/make_golden_data.py
+++ b/tests/make_golden_data.py
@@ -410,7 +410,7 @@
         "of itself": {"messages": [gossip()]},
         "of itself, without what it knows of cancellations": {"messages": [old]},
         "of itself, twice": {"messages": [gossip(), gossip(at=996.5, state=False, running={})]},
-        "of all peers": {"messages": [gossip(), gossip(node="n2", boot="n2-1")]},
+        "of all peers": {"messages": [gossip(), gossip(controller="n2", incarnation="n2-1")]},
         "status of a part": {"messages": [shard_status()], "leads": True},
         "status of a part, followed by what changed": {
             "messages": [shard_status(), next_],
--- a/tests/production.py
+++ b/tests/production.py
@@ -62,7 +62,7 @@
     client: Any = module("transport.http_client" if separate else "transport.http")
 
     return SimpleNamespace(
-        Node=module("node").Node,  # type: ignore[attr-defined]
+        Controller=module("node").Node,  # type: ignore[attr-defined]
         config=module("config"),
         http_client=SimpleNamespace(HttpError=client.HttpError, NotSent=client.NotSent),
         Mirror=module("storage.records").Mirror,  # type: ignore[attr-defined]
--- a/tests/rolls.py
+++ b/tests/rolls.py
@@ -25,7 +25,7 @@
     await anyio.sleep(14)
     world.crash("n2")
     await anyio.sleep(2)
-    world.start_node("n2")  # still with the old version
+    world.start_controller("n2")  # still with the old version
 
 
 async def outage(world: World) -> None:
@@ -41,7 +41,7 @@
         world.crash(name)
     await anyio.sleep(1)
     for name in world.names:
-        world.start_node(name)
+        world.start_controller(name)
 
 
 async def leaders_in_turn(world: World) -> None:
@@ -51,7 +51,7 @@
         name = leader(world)
         world.crash(name)
         await anyio.sleep(0.3)
-        world.start_node(name)
+        world.start_controller(name)
 
 
 async def cut(world: World) -> None:
@@ -166,7 +166,7 @@
             world.old_names.discard(name)
             world.crash(name)
             await anyio.sleep(world.random.choice([0.2, 3.0]))
-            world.start_node(name)
+            world.start_controller(name)
 
     async def script() -> None:
         await anyio.sleep(2)
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -71,7 +71,7 @@
 
 
 def settings(name: str, count: int = 3, zones: list[str] = ZONES, parse: Any = config) -> Any:
-    nodes = [f"n{i}" for i in range(count)]
+    controllers = [f"n{i}" for i in range(count)]
     value = {
         "host_name": name,
         "zone": zone_of(name, zones),
@@ -79,7 +79,7 @@
         "peer_listen": "127.0.0.1:1",
         "peers": [
             {"host_name": n, "zone": "a", "peer_addr": f"127.0.0.1:{100 + int(n[1:])}"}
-            for n in nodes
+            for n in controllers
             if n != name
         ],
         "outside": {"cloud": "127.0.0.1:2", "state": "127.0.0.1:3"},
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -18,9 +18,11 @@
 class Wire:
     """The way of one controller to a service. Mode: how the network treats it now."""
 
-    def __init__(self, world: World, node: str, service: Any, errors: Any = http_client) -> None:
+    def __init__(
+        self, world: World, controller: str, service: Any, errors: Any = http_client
+    ) -> None:
         self.world = world
-        self.node = node
+        self.controller = controller
         self.service = service
         self.errors = errors  # the version of the controller has its own
 
@@ -29,19 +31,19 @@
     ) -> tuple[int, bytes]:
         kind = "state" if self.service is self.world.state else "cloud"
         recorder.record(
-            "request", sender=self.node, service=kind, method=method, target=target, body=body
+            "request", sender=self.controller, service=kind, method=method, target=target, body=body
         )
-        await self.world.thawed(self.node)
+        await self.world.thawed(self.controller)
         try:
             return await self._request(method, target, body, within)
         finally:
             # What a controller that stands still was answered is found when it goes on.
-            await self.world.thawed(self.node)
+            await self.world.thawed(self.controller)
 
     async def _request(
         self, method: str, target: str, body: bytes | None, within: float
     ) -> tuple[int, bytes]:
-        mode = self.world.mode(self.node, self.service)
+        mode = self.world.mode(self.controller, self.service)
         random_ = self.world.random
         state = self.service is self.world.state
         await anyio.sleep((0.002 + random_.random() * 0.004) * (self.world.slow if state else 1.0))
@@ -50,7 +52,7 @@
         if mode == "held":
             # The network keeps the request and delivers it when the cut is over.
             async def later() -> None:
-                while self.world.mode(self.node, self.service) == "held":
+                while self.world.mode(self.controller, self.service) == "held":
                     await anyio.sleep(0.05)
                 await self.service.answer(method, target, body)
 
@@ -79,7 +81,7 @@
             await self.service.answer(method, target, body)
             await anyio.sleep(within)
             raise self.errors.HttpError("timeout")
-        if state and target == "/multi" and self.world.put_off(self.node, body):
+        if state and target == "/multi" and self.world.put_off(self.controller, body):
             # No answer, and carried out after newer ones of the same controller.
             async def put_off() -> None:
                 await anyio.sleep(random_.uniform(2.0, 12.0))
@@ -90,7 +92,7 @@
             raise self.errors.HttpError("timeout")
         with anyio.move_on_after(within):
             answer: tuple[int, bytes] = await self.service.answer(method, target, body)
-            if "/changes" in target and self.world.mode(self.node, self.service) == "refused":
+            if "/changes" in target and self.world.mode(self.controller, self.service) == "refused":
                 # The open watch of a node that alone is refused waits as in an outage.
                 await anyio.sleep(within)
             return answer
@@ -111,13 +113,13 @@
 
     async def ask(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
         recorder.record("ask", sender=self.sender, target=self.target, message=message)
-        node = self.world.nodes.get(self.target)
+        controller = self.world.controllers.get(self.target)
         with anyio.move_on_after(within):
-            if node is None or {self.sender, self.target} & self.world.cut_peers:
+            if controller is None or {self.sender, self.target} & self.world.cut_peers:
                 await anyio.sleep(within)
                 return None
             await anyio.sleep(0.005)
-            answer = await node.on_request(cbor2.loads(cbor2.dumps(message)))
+            answer = await controller.on_request(cbor2.loads(cbor2.dumps(message)))
             said: dict[str, Any] | None = cbor2.loads(cbor2.dumps(answer))
             return said
         return None
@@ -131,8 +133,8 @@
                 recorder.record(
                     "frame", sender=self.sender, target=self.target, message=cbor2.loads(frame)
                 )
-            node = self.world.nodes.get(self.target)
-            if node is None or {self.sender, self.target} & self.world.cut_peers:
+            controller = self.world.controllers.get(self.target)
+            if controller is None or {self.sender, self.target} & self.world.cut_peers:
                 continue
             for frame in batch:
                 if len(frame) > MAX_FRAME:
@@ -140,4 +142,4 @@
                 if self.target in self.world.frozen:
                     self.world.held.setdefault(self.target, []).append(frame)
                 else:
-                    node.on_message(cbor2.loads(frame))
+                    controller.on_message(cbor2.loads(frame))
--- a/tests/standins/recorder.py
+++ b/tests/standins/recorder.py
@@ -63,11 +63,11 @@
     _out.write(json.dumps(line, sort_keys=True, separators=(",", ":")) + "\n")
 
 
-def watch(name: str, node: Any) -> None:
+def watch(name: str, controller: Any) -> None:
     """Record what a controller answers to workers, users, operators and other controllers."""
     if _out is None:
         return
-    handle, on_request = node.handle, node.on_request
+    handle, on_request = controller.handle, controller.on_request
 
     async def handled(request: Any) -> Any:
         answer = await handle(request)
@@ -89,20 +89,20 @@
         record("reply", node=name, asked=asked, answer=answer)
         return answer
 
-    node.handle, node.on_request = handled, requested
+    controller.handle, controller.on_request = handled, requested
 
 
 async def ask_operators(world: World) -> None:
     """An operator asks every controller for its status and its shares, all day, if recorded."""
     while _out is not None:
         await anyio.sleep(ASK_S)
-        for name in sorted(world.nodes):
+        for name in sorted(world.controllers):
             for message in ({"kind": "status"}, {"kind": "shares", "verb": "show"}):
                 world.group.start_soon(_ask, world, name, message)
 
 
 async def _ask(world: World, name: str, message: dict[str, Any]) -> None:
-    node = world.nodes.get(name)
-    if node is not None and name not in world.frozen:
+    controller = world.controllers.get(name)
+    if controller is not None and name not in world.frozen:
         with anyio.move_on_after(ASK_S):
-            await node.on_request(message)
+            await controller.on_request(message)
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -88,7 +88,9 @@
         raw = json.dumps(body).encode()
         answer: Answer | None = None
         with anyio.move_on_after(4.0):
-            answer = await self.world.to_node(target, Request("POST", "/checkin", raw, False), self)
+            answer = await self.world.to_controller(
+                target, Request("POST", "/checkin", raw, False), self
+            )
         self.sent_elsewhere = answer is None or answer.status != 200
         names = sorted(self.world.names)
         following = names[(names.index(target) + 1) % len(names)]
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -10,7 +10,7 @@
 import cbor2
 
 from dapplewick import config
-from dapplewick.node import Node
+from dapplewick.node import Controller
 from dapplewick.shares.plan import SharePlan
 from dapplewick.shares.service import ShareService
 from dapplewick.shares.solver import Problem, Targets, solve
@@ -35,7 +35,7 @@
         self.zones = zones
         self.cut_zone = ""  # a zone whose controllers and workers reach only one another
         self.names = [f"n{i}" for i in range(count)]
-        self.nodes: dict[str, Node] = {}
+        self.controllers: dict[str, Controller] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.state = StateService()
         self.cloud = Cloud(self)
@@ -89,19 +89,19 @@
 
     # Network
 
-    def put_off(self, node: str, body: bytes | None) -> bool:
+    def put_off(self, controller: str, body: bytes | None) -> bool:
         """Whether a transaction gets no answer and is carried out late."""
         said = json.loads(body or b"{}")
-        self.writes.append((now(), node, said))
+        self.writes.append((now(), controller, said))
         if self.lose is not None:
-            return bool(self.lose(node, said))
+            return bool(self.lose(controller, said))
         return self.late_writes > 0.0 and self.random.random() < self.late_writes
 
-    def mode(self, node: str, service: Any) -> str:
+    def mode(self, controller: str, service: Any) -> str:
         kind = "state" if service is self.state else "cloud"
-        return self.modes.get((node, kind), "ok")
+        return self.modes.get((controller, kind), "ok")
 
-    async def to_node(
+    async def to_controller(
         self, name: str, request: Request, worker: Worker | None = None
     ) -> Answer | None:
         if worker is not None and (worker.cut or name in self.cut_workers):
@@ -113,25 +113,25 @@
                 await anyio.sleep(10.0)
                 return None
         await anyio.sleep(0.001 + self.random.random() * 0.004)
-        node = self.nodes.get(name)
+        controller = self.controllers.get(name)
         if name in self.frozen:
             self.held.setdefault(name, []).append(request)
             await anyio.sleep(10.0)
             return None
-        if node is None:
+        if controller is None:
             return None
         if worker is not None and self.random.random() < self.copies:
             self.group.start_soon(self._late_copy, request)
         if worker is not None and self.kept_reports is not None:
             self.kept_reports.append(request)
-        answer = await node.handle(request)
+        answer = await controller.handle(request)
         await self.thawed(name)
         if worker is not None and worker.deaf:
             await anyio.sleep(10.0)
             return None
         if worker is not None and self.random.random() < 0.01:
             await anyio.sleep(10.0)  # an answer that comes too late
-        return answer if self.nodes.get(name) is node else None
+        return answer if self.controllers.get(name) is controller else None
 
     async def thawed(self, name: str) -> None:
         while name in self.frozen:
@@ -140,36 +140,36 @@
     async def stand_still(self, name: str, length: float) -> None:
         """A controller stands still while its clock runs on: what it was answered, was about to
         send, or was sent meanwhile, it handles when it goes on."""
-        node = self.nodes.get(name)
+        controller = self.controllers.get(name)
         self.frozen.add(name)
         await anyio.sleep(length)
         self.frozen.discard(name)
         for item in self.held.pop(name, []):
-            if node is not None and self.nodes.get(name) is node:
+            if controller is not None and self.controllers.get(name) is controller:
                 if isinstance(item, Request):
-                    await node.handle(item)
+                    await controller.handle(item)
                 else:
-                    node.on_message(cbor2.loads(item))
+                    controller.on_message(cbor2.loads(item))
 
     async def _late_copy(self, request: Request) -> None:
         """A copy of a report, seconds to well over a lease late, at any controller."""
         await anyio.sleep(self.random.choice([1.0, 4.0, 12.0, 30.0]) * (0.5 + self.random.random()))
-        node = self.nodes.get(self.random.choice(self.names))
-        if node is not None:
+        controller = self.controllers.get(self.random.choice(self.names))
+        if controller is not None:
             self.copied += 1
-            await node.handle(request)
+            await controller.handle(request)
 
     async def deliver(self, copies: list[Request]) -> None:
         """Each controller gets copies of reports that were kept."""
         for request in copies:
-            for node in list(self.nodes.values()):
+            for controller in list(self.controllers.values()):
                 self.copied += 1
-                await node.handle(request)
+                await controller.handle(request)
 
     # Controllers
 
-    def start_node(self, name: str) -> None:
-        if name in self.nodes:
+    def start_controller(self, name: str) -> None:
+        if name in self.controllers:
             return  # another trouble's restart was quicker: a node runs once
 
         old = self.old if name in self.old_names else None
@@ -182,10 +182,10 @@
             return Link(self, name, port)
 
         seed = self.random.getrandbits(32)
-        made = old.Node if old is not None else Node
+        made = old.Controller if old is not None else Controller
         parse = old.config if old is not None else config
         more: Any = {} if old is not None else {"partitions": self._partitions(name)}
-        node = made(
+        controller = made(
             settings(name, self.count, self.zones, parse),
             connect=connect,
             link=link,
@@ -193,17 +193,18 @@
             seed=seed,
             **more,
         )
-        node.boot = f"{name}-{seed}"
-        node.wall = now  # type: ignore[method-assign]
-        recorder.watch(name, node)
-        self.nodes[name] = node
+        # The earlier versions have another name for it.
+        setattr(controller, "boot" if old is not None else "incarnation", f"{name}-{seed}")
+        controller.wall = now  # type: ignore[method-assign]
+        recorder.watch(name, controller)
+        self.controllers[name] = controller
 
         # Known before it runs: one that ends in the same moment must not run on.
         scope = self.scopes[name] = anyio.CancelScope()
 
         async def run() -> None:
             with scope:
-                await node.run_loops()
+                await controller.run_loops()
 
         self.group.start_soon(run)
 
@@ -218,7 +219,7 @@
         return ShareService(self.share_plan, solve_here)
 
     def crash(self, name: str) -> None:
-        self.nodes.pop(name, None)
+        self.controllers.pop(name, None)
         scope = self.scopes.pop(name, None)
         if scope is not None:
             scope.cancel()
@@ -285,18 +286,20 @@
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
         """A user's request to a controller that takes requests, any of them."""
-        alive = [n for n in sorted(self.nodes) if self.nodes[n].ready]
+        alive = [n for n in sorted(self.controllers) if self.controllers[n].ready]
         if not alive:
             return 0, {}
         request = Request(method, path, body, False)
-        return await self.ask_node(self.random.choice(alive), request)
+        return await self.ask_controller(self.random.choice(alive), request)
 
-    async def ask_node(self, name: str, request: Request, within: float = 5.0) -> tuple[int, Any]:
+    async def ask_controller(
+        self, name: str, request: Request, within: float = 5.0
+    ) -> tuple[int, Any]:
         """A user's request to one controller; what it answers is compared with all answers."""
         question = self.history.ask(*self._asked(request))
         answer: Answer | None = None
         with anyio.move_on_after(within):  # a controller that crashes answers nobody
-            answer = await self.to_node(name, request)
+            answer = await self.to_controller(name, request)
         if answer is None:
             return 0, {}
         return answer.status, self.note_answer(question, name, answer)
@@ -425,7 +428,7 @@
         async with anyio.create_task_group() as group:
             self.group = group
             for name in self.names:
-                self.start_node(name)
+                self.start_controller(name)
             group.start_soon(script)
             group.start_soon(recorder.ask_operators, self)
             end = now() + until
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,7 +15,7 @@
 
 from answer_days import play_answers
 from dapplewick.coordination.cancellations import CancellationWatch
-from dapplewick.node import Node
+from dapplewick.node import Controller
 from dapplewick.protocol.wire import Event, JobSpec
 from dapplewick.storage.client import Refused, StateClient
 from dapplewick.storage.records import (
@@ -53,13 +53,13 @@
     await anyio.sleep(4)
     world.modes[("n2", "state")] = "refused"
     await anyio.sleep(5)  # an open watch has ended too
-    assert (await world.ask_node("n0", request))[0] == 201
+    assert (await world.ask_controller("n0", request))[0] == 201
     if stage == "withdrawn":
-        assert (await world.ask_node("n0", CANCELLATION))[1]["stage"] == stage
-    while (await world.ask_node("n0", POLL))[1]["stage"] != stage:
+        assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == stage
+    while (await world.ask_controller("n0", POLL))[1]["stage"] != stage:
         await anyio.sleep(0.5)
     del world.modes[("n2", "state")]
-    assert JOB not in world.nodes["n2"].mirror.jobs
+    assert JOB not in world.controllers["n2"].mirror.jobs
 
 
 # A submission whose transaction gets no answer
@@ -79,10 +79,10 @@
         request = submission(world)
         await over_elsewhere(world, request, stage)
         if late:
-            world.lose = lambda node, said: node == "n2"
+            world.lose = lambda controller, said: controller == "n2"
         else:
             world.lost_answers = 1.0
-        answers.append(await world.ask_node("n2", request))
+        answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 80.0, script)
     assert world.broken == []
@@ -98,7 +98,7 @@
     async def script() -> None:
         await anyio.sleep(4)
         world.lost_answers = 1.0
-        answers.append(await world.ask_node("n2", submission(world)))
+        answers.append(await world.ask_controller("n2", submission(world)))
         world.lost_answers = 0.0
 
     run_script(world, 12.0, script)
@@ -114,10 +114,10 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        world.lose = lambda node, said: KEY in json.dumps(said)
-        statuses.append((await world.ask_node("n2", request))[0])
+        world.lose = lambda controller, said: KEY in json.dumps(said)
+        statuses.append((await world.ask_controller("n2", request))[0])
         world.lose = None
-        statuses.append((await world.ask_node("n1", request))[0])
+        statuses.append((await world.ask_controller("n1", request))[0])
 
     run_script(world, 30.0, script)
     assert world.broken == []
@@ -131,7 +131,7 @@
     world: World, name: str, change: Callable[[str, Reply], Awaitable[Reply]]
 ) -> None:
     """What a controller is answered by the state service goes through `change`."""
-    client = world.nodes[name].state._http
+    client = world.controllers[name].state._http
     put = client.request
 
     async def request(method: str, target: str, body: bytes | None, within: float) -> Reply:
@@ -150,7 +150,7 @@
         await anyio.sleep(4)
         request = submission(world)
         if verb == "abort":
-            assert (await world.ask_node("n0", request))[0] == 201
+            assert (await world.ask_controller("n0", request))[0] == 201
 
         async def late(target: str, reply: Reply) -> Reply:
             await anyio.sleep(1.2 if target == "/multi" else 0.0)
@@ -160,13 +160,13 @@
 
         async def first() -> None:
             answers.append(
-                await world.ask_node("n2", request if verb == "submit" else CANCELLATION)
+                await world.ask_controller("n2", request if verb == "submit" else CANCELLATION)
             )
 
         async with anyio.create_task_group() as group:
             group.start_soon(first)
             await anyio.sleep(0.4)
-            assert (await world.ask_node("n0", CANCELLATION))[1]["stage"] == "withdrawn"
+            assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
     assert world.broken == []
@@ -193,14 +193,14 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        assert (await world.ask_node("n0", request))[0] == 201
+        assert (await world.ask_controller("n0", request))[0] == 201
         await anyio.sleep(1)
         asked = {"poll": POLL, "submit": request, "abort": CANCELLATION}[request_]
         world.cut_peers.add("n2")
         answer_of_state(world, "n2", watch_is_late)
 
         async def ask_the_one_that_stands_still() -> None:
-            answers.append(await world.ask_node("n2", asked))
+            answers.append(await world.ask_controller("n2", asked))
 
         async with anyio.create_task_group() as group:
             world.slow = 200.0
@@ -209,7 +209,7 @@
             group.start_soon(world.stand_still, "n2", 3.0)
             await anyio.sleep(1.3)  # it was answered by now, and does not know it yet
             world.slow = 1.0
-            assert (await world.ask_node("n0", CANCELLATION))[1]["stage"] == "withdrawn"
+            assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
     assert world.broken == []
@@ -243,18 +243,18 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        assert (await world.ask_node("n0", request))[0] == 201
+        assert (await world.ask_controller("n0", request))[0] == 201
         world.cut_peers.add("n2")  # it answers by itself, and hears of no cancellation
         answer_of_state(world, "n2", spoilt(spoil))
         await anyio.sleep(5)
-        assert (await world.ask_node("n0", CANCELLATION))[1]["stage"] == "withdrawn"
+        assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
         for asked in (POLL, request, CANCELLATION, POLL):
             begun = now()
-            answers.append(await world.ask_node("n2", asked))
+            answers.append(await world.ask_controller("n2", asked))
             waited.append(now() - begun)
-        del world.nodes["n2"].state._http.request
+        del world.controllers["n2"].state._http.request
         await anyio.sleep(3)
-        answers.append(await world.ask_node("n2", POLL))
+        answers.append(await world.ask_controller("n2", POLL))
 
     run_script(world, 40.0, script)
     assert world.broken == []
@@ -275,15 +275,15 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        assert (await world.ask_node("n0", request))[0] == 201
+        assert (await world.ask_controller("n0", request))[0] == 201
         value = json.loads(json.dumps(world.state.keys[KEY][0]))
         await write({"stage": "of a later format", "spec": 7})
         for name in world.names:
             for asked in (POLL, request, CANCELLATION):
-                answers.append((await world.ask_node(name, asked))[0])
+                answers.append((await world.ask_controller(name, asked))[0])
         await write(value | {"stage": "cancelled"})
         for name in world.names:
-            assert (await world.ask_node(name, POLL))[1]["stage"] == "withdrawn"
+            assert (await world.ask_controller(name, POLL))[1]["stage"] == "withdrawn"
 
     run_script(world, 30.0, script)
     assert world.broken == []
@@ -300,7 +300,7 @@
         assert (await world.state.answer("POST", "/multi", json.dumps(body).encode()))[0] == 200
         await anyio.sleep(1)
         for fields in ({"cpus": 4000.0}, {"crew": "green"}, {}):
-            status, _ = await world.ask_node("n0", submission(world, **fields))
+            status, _ = await world.ask_controller("n0", submission(world, **fields))
             assert status == 503
 
     run_script(world, 12.0, script)
@@ -341,10 +341,11 @@
         request = submission(world)
         await over_elsewhere(world, request, "withdrawn")
         small = {
-            name: replace(kind, cpus=0.1) for name, kind in world.nodes["n2"].mirror.types.items()
+            name: replace(kind, cpus=0.1)
+            for name, kind in world.controllers["n2"].mirror.types.items()
         }
-        world.nodes["n2"].mirror.types = small
-        answers.append(await world.ask_node("n2", request))
+        world.controllers["n2"].mirror.types = small
+        answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 40.0, script)
     assert world.broken == []
@@ -372,7 +373,9 @@
         }
         for what, value in bodies.items():
             raw = Request("POST", "/v2/runs", json.dumps(value).encode(), False)
-            seen[what] = [answer_and_stage(await node.handle(raw)) for node in behind_first(world)]
+            seen[what] = [
+                answer_and_stage(await controller.handle(raw)) for controller in behind_first(world)
+            ]
 
     run_script(world, 60.0, script)
     assert world.broken == []
@@ -381,9 +384,9 @@
         assert set(seen[what]) == {(200, stage)}
 
 
-def behind_first(world: World) -> list[Node]:
+def behind_first(world: World) -> list[Controller]:
     """The controllers, first the one that `over_elsewhere` left behind."""
-    return [world.nodes[name] for name in ("n2", "n0", "n1")]
+    return [world.controllers[name] for name in ("n2", "n0", "n1")]
 
 
 def answer_and_stage(answer: Answer) -> tuple[int, Any]:
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -8,7 +8,7 @@
 
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.part import ShardScheduler
-from dapplewick.node import Node
+from dapplewick.node import Controller
 from dapplewick.types import Seconds
 from standins import World
 from test_days import Fault, all_crash, cut_from_state, lost_answers, play, quick_restarts, quiet
@@ -35,10 +35,10 @@
 
 
 def no_check_that_the_mirror_is_current(patch: pytest.MonkeyPatch) -> None:
-    async def unchecked(self: Node) -> Seconds:
+    async def unchecked(self: Controller) -> Seconds:
         return self.now()
 
-    patch.setattr(Node, "current", unchecked)
+    patch.setattr(Controller, "current", unchecked)
 
 
 def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -87,7 +87,7 @@
         for name in dict.fromkeys([leader(world), *owners(world)[:1]]):
             world.crash(name)
             await anyio.sleep(0.3)
-            world.start_node(name)
+            world.start_controller(name)
 
 
 def played_close_looks(seed: int, lost_answers: float) -> Onlooker:
@@ -135,7 +135,7 @@
             name = world.random.choice(world.names)
             world.crash(name)
             await anyio.sleep(0.3)
-            world.start_node(name)
+            world.start_controller(name)
         world.lost_answers = 0.0
         world.calm_at = now()
 
@@ -164,10 +164,10 @@
         for name in dict.fromkeys([leader(world), *owners(world)]):
             world.crash(name)
             await anyio.sleep(0.2)
-            world.start_node(name)
+            world.start_controller(name)
         for _ in range(30):
             await anyio.sleep(0.1)
-            if any(node.leader is not None for node in world.nodes.values()):
+            if any(controller.leader is not None for controller in world.controllers.values()):
                 break
         await world.deliver(copies)
         await anyio.sleep(8)
@@ -217,12 +217,12 @@
     """So none can be held up, come after a newer leader's, or act for one that was deposed: a
     controller connects to the state service, the cloud and its peers, to nobody else."""
     asked: set[tuple[str, str]] = set()
-    start = World.start_node
+    start = World.start_controller
 
     def spy(world: World, name: str) -> None:
         start(world, name)
-        node = world.nodes[name]
-        for wire, service in ((node.state._http, "state"), (node.cloud, "cloud")):
+        controller = world.controllers[name]
+        for wire, service in ((controller.state._http, "state"), (controller.cloud, "cloud")):
             put = wire.request
 
             async def request(
@@ -269,7 +269,7 @@
             for name in dict.fromkeys([leader(world), *owners(world)[:1]]):
                 world.crash(name)
                 await anyio.sleep(0.4)
-                world.start_node(name)
+                world.start_controller(name)
     world.slow, world.late_writes = 1.0, 0.0
     world.calm_at = now()
 
@@ -360,10 +360,12 @@
             worker.cut, worker.hanging = step % 2 == 0, step % 2 == 1
         world.crash(owner)
         for job_id in called_off:
-            name = next(n for n in world.names if n in world.nodes and world.nodes[n].ready)
+            name = next(
+                n for n in world.names if n in world.controllers and world.controllers[n].ready
+            )
             await cancel(world, name, [job_id])
             await anyio.sleep(0.3)
-        world.start_node(owner)
+        world.start_controller(owner)
         await anyio.sleep(10)
         for worker in lost:
             worker.cut = worker.hanging = False
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -18,7 +18,10 @@
 
 def owners(world: World) -> list[str]:
     """The controllers that own a part now; any one if none does."""
-    return sorted(n for n, node in world.nodes.items() if node.shard_schedulers) or world.names[:1]
+    return (
+        sorted(n for n, controller in world.controllers.items() if controller.shard_schedulers)
+        or world.names[:1]
+    )
 
 
 async def quiet(world: World) -> None:
@@ -30,7 +33,7 @@
     name = world.random.choice(world.names)
     world.crash(name)
     await anyio.sleep(3)
-    world.start_node(name)
+    world.start_controller(name)
 
 
 async def all_crash(world: World) -> None:
@@ -40,7 +43,7 @@
             world.crash(name)
         await anyio.sleep(world.random.choice([0.2, 3.0]))
         for name in world.names:
-            world.start_node(name)
+            world.start_controller(name)
 
 
 async def roll(world: World) -> None:
@@ -49,7 +52,7 @@
         await anyio.sleep(12)
         world.crash(name)
         await anyio.sleep(world.random.choice([0.1, 4.0]))
-        world.start_node(name)
+        world.start_controller(name)
 
 
 async def quick_restarts(world: World) -> None:
@@ -58,7 +61,7 @@
         name = world.random.choice(world.names)
         world.crash(name)
         await anyio.sleep(world.random.choice([0.05, 0.3]))
-        world.start_node(name)
+        world.start_controller(name)
 
 
 async def refused_by_state(world: World) -> None:
@@ -159,7 +162,7 @@
             worker.hanging = True
         await anyio.sleep(world.random.choice([0.03, 0.2, 0.6]))
         for name in names:
-            world.start_node(name)
+            world.start_controller(name)
         for worker in world.workers.values():
             worker.hanging = False
 
@@ -202,18 +205,18 @@
     world.state.set_down(False)
     await anyio.sleep(3)
     for name in world.names:
-        world.start_node(name)
+        world.start_controller(name)
     await anyio.sleep(20)
     for name in world.names[:2]:
         world.crash(name)
         await anyio.sleep(3)
-        world.start_node(name)
+        world.start_controller(name)
     for last in (0, 1):
         for name in world.names[last:]:
             world.crash(name)
         await anyio.sleep(world.random.choice([0.2, 3.0]))
         for name in world.names:
-            world.start_node(name)
+            world.start_controller(name)
         await anyio.sleep(20)
 
 
@@ -232,7 +235,7 @@
     other = next(n for n in world.names if n not in inside)
     world.crash(other)
     await anyio.sleep(3)
-    world.start_node(other)
+    world.start_controller(other)
     await anyio.sleep(25)
     world.modes.clear()
     world.cut_peers.clear()
@@ -421,7 +424,7 @@
         body = world.job(name_id="run-000001", pieces=1) | {"crew": "blue"}
         world.jobs["run-000001"] = body
         raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
-        node = world.nodes["n0"]
+        controller = world.controllers["n0"]
         for method, path, data in [
             ("POST", "/v2/runs", raw),
             ("POST", "/v2/runs", raw),
@@ -429,7 +432,7 @@
             ("GET", "/v2/runs/run-000002", b""),
             ("POST", "/v2/runs/run-000001/abort", b""),
         ]:
-            answer = await node.handle(Request(method, path, data, False))
+            answer = await controller.handle(Request(method, path, data, False))
             answers.append((answer.status, json.loads(answer.body).get("stage", "")))
 
     run_script(world, 8.0, script)
@@ -466,15 +469,17 @@
         await anyio.sleep(3)
         hand_in(world, 3, pieces=12, true_s=60.0, cpus=4.0, crew="red")
         await anyio.sleep(27)
-        node = world.nodes["n0"]
-        heard = {z: sum(w.zone == z for w in world.workers.values()) for z in node.mirror.shards}
+        controller = world.controllers["n0"]
+        heard = {
+            z: sum(w.zone == z for w in world.workers.values()) for z in controller.mirror.shards
+        }
         zone = max(heard, key=lambda z: heard[z])
-        owner = node.mirror.shards[zone].owner
+        owner = controller.mirror.shards[zone].owner
         seen["before"] = (heard[zone] >= 2, owner)
         machines = {w.name for w in world.workers.values() if w.zone == zone}
         world.cut_workers.add(owner)
         await anyio.sleep(25)
-        seen["after"] = world.nodes["n0"].mirror.shards[zone].owner
+        seen["after"] = world.controllers["n0"].mirror.shards[zone].owner
         seen["kept"] = len(machines & world.workers.keys()) / len(machines)
 
     run_script(world, 60.0, script)
@@ -497,15 +502,15 @@
             world.crash(name)
         await anyio.sleep(0.2)
         for name in world.names:
-            world.start_node(name)
+            world.start_controller(name)
         back = now()
         for job in sorted(world.accepted):
-            for node in world.names:
+            for controller in world.names:
                 request = Request("GET", f"/v2/runs/{job}", b"", False)
-                while (answer := await world.nodes[node].handle(request)).status != 200:
+                while (answer := await world.controllers[controller].handle(request)).status != 200:
                     assert answer.status == 503 and answer.retry_after
                     await anyio.sleep(0.5)
-                late[f"{job} {node}"] = now() - back
+                late[f"{job} {controller}"] = now() - back
 
     run_script(world, 90.0, script)
     assert world.broken == []
@@ -520,11 +525,11 @@
 
     async def script() -> None:
         await anyio.sleep(5)
-        node = world.nodes["n0"]
+        controller = world.controllers["n0"]
         for behind in (0.0, 3.0, 0.0):
-            node._late = behind
+            controller._late = behind
             answers = [
-                await node.handle(Request(method, path, b"", False))
+                await controller.handle(Request(method, path, b"", False))
                 for method, path in [("GET", "/healthz"), ("GET", "/v2/runs/run-000001")]
             ]
             seen.append([a.status for a in answers])
@@ -533,7 +538,7 @@
         loop = asyncio.get_running_loop()
         loop.at += 8.0  # type: ignore[attr-defined]
         await anyio.sleep(0.0)
-        seen.append([(await node.handle(Request("GET", "/healthz", b"", False))).status])
+        seen.append([(await controller.handle(Request("GET", "/healthz", b"", False))).status])
 
     run_script(world, 12.0, script)
     assert seen == [[200, 404], [503, 503], [200, 404], [503]]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,7 +14,7 @@
 
 from dapplewick.coordination.cancellations import CancellationWatch
 from dapplewick.core.part import ShardScheduler
-from dapplewick.node import Node
+from dapplewick.node import Controller
 from dapplewick.storage.records import LEADER
 from dapplewick.transport.http import Request
 from standins import WORKERS, World, now
@@ -55,7 +55,7 @@
     """A user's request to one controller."""
     path = f"/v2/runs/{job}" + (f"/{verb}" if verb else "")
     question = world.history.ask(job, verb or "poll")
-    answer = await world.nodes[name].handle(Request(method, path, b"", False))
+    answer = await world.controllers[name].handle(Request(method, path, b"", False))
     assert answer.status != 503 or answer.retry_after
     return answer.status, world.note_answer(question, name, answer)
 
@@ -274,7 +274,7 @@
     world = World(4)
     lost: list[tuple[float, int]] = []
 
-    def lose(node: str, body: dict[str, Any]) -> bool:
+    def lose(controller: str, body: dict[str, Any]) -> bool:
         keys = [op.get("write", "") for op in body.get("apply", [])]
         epoch = next((c["stamp"] for c in body.get("if", []) if c["key"] == LEADER), 0)
         grants = any(k.startswith("dw/j/") for k in keys) and LEADER not in keys and epoch
@@ -310,7 +310,7 @@
         await anyio.sleep(11)
         world.crash(name)
         await anyio.sleep(world.random.choice([0.1, 3.0]))
-        world.start_node(name)
+        world.start_controller(name)
     world.late_writes = 0.0
     world.calm_at = now()
 
@@ -325,7 +325,7 @@
     world = World(5)
     kept: list[dict[str, Any]] = []
 
-    def lose(node: str, body: dict[str, Any]) -> bool:
+    def lose(controller: str, body: dict[str, Any]) -> bool:
         mine = any(op.get("write") == "dw/n/n2" for op in body.get("apply", []))
         if mine and not kept:
             kept.append(body)
@@ -339,11 +339,13 @@
         await anyio.sleep(1.2)
         world.crash("n2")
         await anyio.sleep(0.1)
-        world.start_node("n2")
+        world.start_controller("n2")
         for _ in range(40):
             await anyio.sleep(1.0)
             record = world.state.keys.get("dw/n/n2")
-            seen.append(record is not None and record[0]["boot"] == world.nodes["n2"].boot)
+            seen.append(
+                record is not None and record[0]["boot"] == world.controllers["n2"].incarnation
+            )
 
     run_script(world, 45.0, script)
     assert kept and all(seen[3:])
@@ -360,7 +362,7 @@
         world.state.log.append((10**6, "dw/n/n1", {"boot": "earlier", "zone": "a"}, False))
 
     run_script(world, 25.0, script)
-    assert world.state.keys["dw/n/n1"][0]["boot"] == world.nodes["n1"].boot
+    assert world.state.keys["dw/n/n1"][0]["boot"] == world.controllers["n1"].incarnation
 
 
 def test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice() -> None:
@@ -427,7 +429,7 @@
             name = leader(world)
             world.crash(name)
             await anyio.sleep(world.random.choice([0.05, 0.6, 2.0]))
-            world.start_node(name)
+            world.start_controller(name)
             if outage and n % 3 == 2:
                 world.state.set_down(False)
         world.state.set_down(False)
@@ -478,15 +480,15 @@
     async def script() -> None:
         await anyio.sleep(5)
         name = leader(world)
-        node = world.nodes[name]
-        epoch = node.mirror.version(LEADER)
+        controller = world.controllers[name]
+        epoch = controller.mirror.version(LEADER)
         # Another leader's key, as the watch would bring it.
-        node.mirror.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
+        controller.mirror.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         try:
             from dapplewick.core.machines import Change
             from dapplewick.types import FencingToken
 
-            await node._write(FencingToken(epoch), [Change("dw/x", {}, 0, 0)])
+            await controller._write(FencingToken(epoch), [Change("dw/x", {}, 0, 0)])
         except Exception as err:
             seen.append(repr(err))
         last = world.writes[-1][2]["if"]
@@ -504,10 +506,10 @@
     for name in world.names:
         world.crash(name)
     await anyio.sleep(WORKERS["lease_s"] + 8.0)
-    world.start_node(world.names[-1])
+    world.start_controller(world.names[-1])
     await anyio.sleep(0.4)
     for name in world.names:
-        world.start_node(name)
+        world.start_controller(name)
     world.calm_at = now()
 
 
@@ -546,7 +548,7 @@
     for name in {leader(world), *owners(world)}:
         world.crash(name)
         await anyio.sleep(0.3)
-        world.start_node(name)
+        world.start_controller(name)
     await anyio.sleep(25)
     for worker in world.workers.values():
         worker.cut = worker.deaf = False
@@ -565,10 +567,10 @@
         worker.cut = True
     first = used[0].split("/")[0]
     world.crash(leader(world))
-    await cancel(world, next(n for n in world.names if n in world.nodes), [first])
+    await cancel(world, next(n for n in world.names if n in world.controllers), [first])
     await anyio.sleep(1)
     for name in world.names:
-        world.start_node(name)
+        world.start_controller(name)
     await anyio.sleep(30)
     for worker in world.workers.values():
         worker.cut = False
@@ -716,7 +718,7 @@
     await anyio.sleep(30)
     running = sorted({n.split("/")[0] for _, n in world.on_machines()} - world.cancelled_at.keys())
     hung = [w for w, n in world.on_machines() if n.split("/")[0] in running[:4]]
-    await cancel(world, next(iter(sorted(world.nodes))), running[:4])
+    await cancel(world, next(iter(sorted(world.controllers))), running[:4])
     for worker in hung:
         worker.hanging = True
     await anyio.sleep(12)
@@ -794,7 +796,7 @@
             world.crash(name)
         await anyio.sleep(0.2)
         for name in world.names:
-            world.start_node(name)
+            world.start_controller(name)
         await anyio.sleep(10)
         for job in sorted(world.accepted):
             for name in world.names:
@@ -854,7 +856,7 @@
     async def submit(body: dict[str, Any]) -> int:
         raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
         begun = now()
-        answer = await world.nodes["n1"].handle(Request("POST", "/v2/runs", raw, False))
+        answer = await world.controllers["n1"].handle(Request("POST", "/v2/runs", raw, False))
         assert answer.status != 503 or (
             answer.retry_after and now() - begun < 0.5
         )  # one shared look
@@ -927,10 +929,10 @@
 
 
 def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
-    async def settle(self: Node) -> Any:
+    async def settle(self: Controller) -> Any:
         return self.mirror.version(LEADER)
 
-    patch.setattr(Node, "_settle_epoch", settle)
+    patch.setattr(Controller, "_settle_epoch", settle)
 
 
 def old_reports_place_tasks(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 
 from dapplewick import client, script
 from dapplewick.cli import main, status_lines
-from dapplewick.status import node_status
+from dapplewick.status import controller_status
 from dapplewick.tuning import Tuning
 from standins import World, run_day
 from test_sockets import ROOT, RealWorld, until_healthy, world  # noqa: F401
@@ -149,10 +149,10 @@
             service = day.job(name_id="run-service", shape="daemon", pieces=2, expected_s=0.0)
             group.start_soon(day.user, "run-service", service, None)
             await anyio.sleep(25)
-            for node in day.nodes.values():
-                before = node.mirror.revision
-                seen.append(node_status(node))
-                assert node.mirror.revision == before
+            for controller in day.controllers.values():
+                before = controller.mirror.revision
+                seen.append(controller_status(controller))
+                assert controller.mirror.revision == before
 
     async def main_() -> None:
         await day.play(60.0, script_)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -134,7 +134,9 @@
         body = world.job(shape="daemon", **({"name_id": "run-x", "expected_s": 0.0} | fields))
         world.jobs[body["name_id"]] = body
         raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
-        return (await world.nodes["n0"].handle(Request("POST", "/v2/runs", raw, False))).status
+        return (
+            await world.controllers["n0"].handle(Request("POST", "/v2/runs", raw, False))
+        ).status
 
     async def script() -> None:
         await anyio.sleep(6)
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -48,10 +48,10 @@
 async def command(world: World, verb: str, **fields: Any) -> dict[str, Any]:
     """An operator's command, repeated until a controller has answered it finally."""
     for attempt in range(100):
-        names = sorted(world.nodes)
+        names = sorted(world.controllers)
         if names:
-            node = world.nodes[names[attempt % len(names)]]
-            said = await node.on_request({"kind": "shares", "verb": verb, **fields})
+            controller = world.controllers[names[attempt % len(names)]]
+            said = await controller.on_request({"kind": "shares", "verb": verb, **fields})
             if said is not None and said["status"] != 503:
                 return said
         await anyio.sleep(1.0)
@@ -311,7 +311,7 @@
 async def crash(world: World, name: str, pause: float = 3.0) -> None:
     world.crash(name)
     await anyio.sleep(pause)
-    world.start_node(name)
+    world.start_controller(name)
 
 
 def owner(world: World, shard: str) -> str:
@@ -455,7 +455,7 @@
         world.crash(name)
     await anyio.sleep(1.0)
     for name in list(world.names):
-        world.start_node(name)
+        world.start_controller(name)
 
 
 async def leaders_in_turn(world: World) -> None:
--- a/tests/test_shares_sockets.py
+++ b/tests/test_shares_sockets.py
@@ -86,7 +86,7 @@
             giver = owner(world, "a")
             world.crash(giver)  # its own process, by its id
             await anyio.sleep(2.0)
-            world.start_node(giver)
+            world.start_controller(giver)
             await until(lambda: len(machines_of(world, NIGHT)) == have, 60.0)
             took["there"] = now() - began
             pinned(world, "run-000002", 8, 3.0)
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -61,7 +61,7 @@
             world.old_names.discard(name)
             world.crash(name)
             await anyio.sleep(1.0)
-            world.start_node(name)
+            world.start_controller(name)
         await shares_begun(world)
         pinned(world, "run-000002", 16, 12.0)
         await until(lambda: bool(machines_of(world, NIGHT)), 60.0)
@@ -85,7 +85,7 @@
         seen.append(traces(world))
         world.without_shares = set()
         world.crash("n1")
-        world.start_node("n1")
+        world.start_controller("n1")
         pinned(world, "run-000002", 16, 10.0)
         await until(lambda: bool(machines_of(world, NIGHT)), 60.0)
 
@@ -108,7 +108,7 @@
         for name in list(world.names):
             world.crash(name)
             await anyio.sleep(2.0)
-            world.start_node(name)
+            world.start_controller(name)
             await anyio.sleep(4.0)
         await until(lambda: not machines_of(world, NIGHT), 60.0)
         await until(lambda: SHARDS + NIGHT not in world.state.keys, 20.0)
@@ -131,8 +131,8 @@
         pinned(world, "run-000001", 8, 5.0)
         await anyio.sleep(20.0)
         said.append(await command(world, "show"))
-        for node in world.nodes.values():
-            for scheduler in node.shard_schedulers.values():
+        for controller in world.controllers.values():
+            for scheduler in controller.shard_schedulers.values():
                 assert "drained" not in scheduler.status(now())
 
     play_moves(world, script, 60.0)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -45,10 +45,12 @@
         for job, cancel_after in ((endless, 8.0), (gang, None), (array, None)):
             world.group.start_soon(world.user, job["name_id"], job, cancel_after)
         await anyio.sleep(4.0)
-        leader = next(name for name, node in world.nodes.items() if node.leader is not None)
+        leader = next(
+            name for name, controller in world.controllers.items() if controller.leader is not None
+        )
         world.crash(leader)
         await anyio.sleep(3.0)
-        world.start_node(leader)
+        world.start_controller(leader)
 
     run_script(world, 22.0, script)
     assert world.broken == []
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -73,7 +73,7 @@
             self.files[name] = folder / f"{name}.json"
             self.files[name].write_text(json.dumps(value))
 
-    def start_node(self, name: str) -> None:
+    def start_controller(self, name: str) -> None:
         environment = os.environ | {"LOG_LEVEL": "error"}
         self.processes[name] = subprocess.Popen(
             [
@@ -98,7 +98,9 @@
             return 0, {}
         return status, json.loads(answer)
 
-    async def to_node(self, name: str, request: Request, worker: object = None) -> Answer | None:
+    async def to_controller(
+        self, name: str, request: Request, worker: object = None
+    ) -> Answer | None:
         status, said = await self.call(name, request.method, request.target, request.body)
         return Answer(status, json.dumps(said).encode()) if status else None
 
@@ -120,7 +122,7 @@
             group.start_soon(self.serve, self.cloud_port, self.cloud)
             await anyio.sleep(0.1)
             for name in self.names:
-                self.start_node(name)
+                self.start_controller(name)
 
             async def ticks() -> None:
                 while True:
@@ -190,7 +192,7 @@
             await anyio.sleep(1.5)
             world.crash("n1")
             await anyio.sleep(0.3)
-            world.start_node("n1")
+            world.start_controller("n1")
             for _ in range(500):
                 await anyio.sleep(0.1)
                 if [world.told.get(f"run-{n:06d}") for n in (1, 2, 3)] == [
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,12 +21,12 @@
 from dapplewick.storage.ranges import unpack
 from dapplewick.storage.records import (
     CHUNKS,
+    CONTROLLERS,
     FIRST_FORMAT,
     FORMAT,
     FORMAT_NOW,
     JOBS,
     MACHINES,
-    NODES,
     GangPlace,
     JobRecord,
     Mirror,
@@ -67,7 +67,7 @@
     mirror = Mirror()
     mirror.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
     assert "record_refused" not in caplog.text
-    assert mirror.format == FIRST_FORMAT and mirror.new_nodes == set()
+    assert mirror.format == FIRST_FORMAT and mirror.upgraded_controllers == set()
     assert len(mirror.jobs) > 10 and len(mirror.machines) > 3 and len(mirror.shards) == 2
     assert any(job.grants for job in mirror.jobs.values())
     assert any(job.done for job in mirror.jobs.values())
@@ -77,7 +77,7 @@
     async def script() -> None:
         await anyio.sleep(4)
         for message in data["messages"]:
-            world.nodes["n0"].on_message(message)
+            world.controllers["n0"].on_message(message)
 
     caplog.clear()
     run_script(world, 6.0, script)
@@ -99,7 +99,9 @@
         for n in range(8, 12):
             body = world.job(name_id=f"run-{n:06d}", shape="group", pieces=3, true_s=9.0)
             world.group.start_soon(world.user, body["name_id"], body, 12.0 if n == 9 else None)
-        answer = await world.nodes["n0"].handle(submission(world, "run-service", shape="daemon"))
+        answer = await world.controllers["n0"].handle(
+            submission(world, "run-service", shape="daemon")
+        )
         assert (answer.status, answer.retry_after) == (503, 5)
 
     run_script(world, 70.0, script)
@@ -135,8 +137,8 @@
         [("a", FORMAT_NOW), ("b", None), ("b", FORMAT_NOW), ("a", None)], start=1
     ):
         value = {"boot": str(version), "zone": "z"} | ({"version": says} if says else {})
-        mirror.put(NODES + name, value, version)
-    assert mirror.new_nodes == {"b"}  # one that came back old is old
+        mirror.put(CONTROLLERS + name, value, version)
+    assert mirror.upgraded_controllers == {"b"}  # one that came back old is old
     mirror.put(FORMAT, {"version": FORMAT_NOW}, 9)
     mirror.put(FORMAT, {"version": FIRST_FORMAT}, 10)
     mirror.remove(FORMAT, 11)
@@ -219,7 +221,7 @@
         for name in world.names:
             world.old_names.discard(name)
             world.crash(name)
-            world.start_node(name)
+            world.start_controller(name)
             await anyio.sleep(3)
         while FORMAT not in world.state.keys:
             await anyio.sleep(0.05)
@@ -230,7 +232,7 @@
             name = leader(world)
             world.crash(name)
             await anyio.sleep(0.5)
-            world.start_node(name)
+            world.start_controller(name)
         for _ in range(20):  # repeated like a user's request, which a new leader may refuse
             await cancel(world, world.names[0], ["run-large1"])
             if "run-large1" in world.cancelled_at:
