--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -31,7 +31,7 @@
 GROUP_BYTES = 200  # of a record, beside its machines
 STATE_BYTES = 18  # of each machine, beside its name
 FLOOR_BYTES = 18  # of the floor of each, beside its name
-SILENT_REPORTS = 2.2  # reports, at most a quarter late each, that a hanging machine has missed
+MISSED_HEARTBEATS = 2.2  # reports, at most a quarter late each, that a hanging machine has missed
 # A worker whose report got no answer waits 4 s for it, 1 s more, and is sent back to the owner by
 # the next controller: a machine that is silent for less may only have lost one answer.
 LOST_ANSWER_S = 6.2
@@ -366,7 +366,7 @@
         half = self.lease_s / 2
         if not others_heard:
             return half
-        return min(half, max(LOST_ANSWER_S, SILENT_REPORTS * self._report_s))
+        return min(half, max(LOST_ANSWER_S, MISSED_HEARTBEATS * self._report_s))
 
     def _why_go(
         self,
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -34,7 +34,7 @@
 from dapplewick.core.preemption import stop_until_fits
 from dapplewick.core.replicas import ReplicaPlacement
 from dapplewick.core.speed import SpeedComparison
-from dapplewick.protocol.wire import JobSpec, Order, Report, TaskReport
+from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
 from dapplewick.storage.records import JobRecord, Mirror
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
@@ -57,13 +57,13 @@
 SAMPLE = 12  # machines looked at when a single joins
 MAX_QUEUE = 8  # singles waiting behind one slot
 LONG_WAIT_S = 15.0  # a single that waited this long goes back to the leader
-MAX_REPORT_AGE_S = 6.0  # a machine silent for longer takes no new work
+MAX_HEARTBEAT_AGE_S = 6.0  # a machine silent for longer takes no new work
 GRACE_S = 5.0  # over a task's own saving time, when it is stopped in order
 RETRY_S = 2.0  # first pause after a failure, doubled with each further one
 OVERRUN = 0.2  # a task that ran on beyond its estimate is expected to go on for this share
 LOST_STARTS = 3  # reports in a row that miss what was sent, until no more is sent
 DEAF_SHARE = 0.95  # of a lease: a session that ends within this time of a report was not silent
-SECOND_SESSION_LEASES = (
+REPEATED_INCARNATION_LEASES = (
     4.0  # leases within which a second session ends on a machine that hears nothing
 )
 FORGET_S = 5.0  # a stored result is forgotten with the next orders, or after this time
@@ -289,63 +289,65 @@
         """Reports are refused now: that machines are not heard says nothing of them."""
         self.listening_since = now
 
-    def report(self, now: Seconds, report: Report, may_launch: bool) -> list[Order]:
+    def handle_heartbeat(
+        self, now: Seconds, heartbeat: Heartbeat, may_launch: bool
+    ) -> list[Command]:
         """Handle a worker's report; gives the orders for its machine."""
-        record = self.mirror.machines.get(report.machine)
+        record = self.mirror.machines.get(heartbeat.machine)
         if record is None or record.shard != self.shard:
             # Another part's. Or nothing was ever launched on a machine without a record, or it is
             # gone: a late copy of a report would otherwise bring it back with its tasks.
             return []
-        machine = self._machine(report.machine, now)
-        if (report.session, report.seq) <= machine.newest:
+        machine = self._machine(heartbeat.machine, now)
+        if (heartbeat.incarnation, heartbeat.sequence) <= machine.newest:
             return []
-        new_session = report.session > machine.newest[0]
-        if new_session and machine.heard and machine.settled > self.listening_since:
+        new_incarnation = heartbeat.incarnation > machine.newest[0]
+        if new_incarnation and machine.heard and machine.settled > self.listening_since:
             # A lease that ended while we answered its reports: the answers don't reach it. It
             # asks all controllers in turn, so its reports here may also be a lease apart; then
             # the second end soon after the first tells.
-            again = now - machine.renewed < self._lease_s * SECOND_SESSION_LEASES
+            again = now - machine.renewed < self._lease_s * REPEATED_INCARNATION_LEASES
             if again or now - machine.settled < self._lease_s * DEAF_SHARE:
                 machine.deaf = True
                 log.info("event=machine_deaf machine=%s", machine.id)
             machine.renewed = now
-        machine.newest = (report.session, report.seq)
+        machine.newest = (heartbeat.incarnation, heartbeat.sequence)
         machine.last = now
-        machine.type = report.type
-        machine.spot = report.spot
-        machine.address = report.address
-        machine.notice = report.notice
-        known = self.mirror.types.get(report.type)
+        machine.type = heartbeat.type
+        machine.spot = heartbeat.spot
+        machine.address = heartbeat.address
+        machine.spot_notice_s = heartbeat.spot_notice_s
+        known = self.mirror.types.get(heartbeat.type)
         if known is not None:
             machine.capacity = known.resources
         # A report from before our token was seen may miss starts of the old owner that are
         # still under way; only one that carries our token settles what is not there.
-        settles = report.token == self.token_for(report.machine)
+        settles = heartbeat.token == self.token_for(heartbeat.machine)
         if settles:
             machine.settled = now
         if settles and not machine.heard:
             machine.heard = True
             self.dirty = True
             self.touched.machine(machine.id)
-            self.unheard.discard(report.machine)
-        if new_session:
+            self.unheard.discard(heartbeat.machine)
+        if new_incarnation:
             self.images.clear(machine)
         had = bool(machine.live)
-        orders = self._take_tasks(now, machine, report, settles, new_session)
+        commands = self._take_tasks(now, machine, heartbeat, settles, new_incarnation)
         if settles:
             self._settle_unsure(now)
         for job_id, hold in self._holds_on.get(machine.id, {}).items():
             self._check_hold(now, job_id, hold)
-        orders += self._stops(now, machine)
+        commands += self._stops(now, machine)
         usable = self._note_usable(now, machine)
         if usable and may_launch and settles:
-            orders += self._launches(now, machine)
+            commands += self._launches(now, machine)
         elif may_launch and settles and self._is_drained_only(now, machine):
             # A gang that is about to start gets its slots before the machine goes.
-            orders += self._gang_launches(now, machine)
+            commands += self._gang_launches(now, machine)
         if machine.stored:
             drained = self.mirror.transfers.drains(machine.id) is not None
-            orders = self._forget_stored(now, machine, drained or bool(orders)) + orders
+            commands = self._forget_stored(now, machine, drained or bool(commands)) + commands
         # Replicas alone keep a machine, but its time without other work counts.
         busy = any(
             live.stage != "exited" and not (live.spec is not None and live.spec.daemon)
@@ -354,9 +356,9 @@
         # One that lost its tasks only now, as with its lease in an outage, is not idle yet.
         if busy or (had and not machine.live) or self._held_on(machine.id):
             machine.idle_since = now
-        return orders
+        return commands
 
-    def _forget_stored(self, now: Seconds, machine: Machine, now_anyway: bool) -> list[Order]:
+    def _forget_stored(self, now: Seconds, machine: Machine, now_anyway: bool) -> list[Command]:
         """Each change of its tasks makes a worker report, so what need not be forgotten at once
         waits for orders that change something anyway."""
         stored = machine.stored
@@ -365,11 +367,11 @@
         oldest = min(stored.values(), default=now)
         if not (now_anyway or len(stored) >= MAX_STORED_RESULTS or now - oldest > FORGET_S):
             return []
-        orders = [Order("forget", t, machine.live[t].attempt) for t in stored]
+        commands = [Command("forget", t, machine.live[t].attempt) for t in stored]
         for task in stored:
             self._remove_live(machine, task)
         machine.stored = {}
-        return orders
+        return commands
 
     def _note_usable(self, now: Seconds, machine: Machine) -> bool:
         usable = self._usable(now, machine)
@@ -455,8 +457,8 @@
             and record.up
             and not record.doomed
             and machine.heard
-            and machine.notice is None
-            and now - machine.last < MAX_REPORT_AGE_S
+            and machine.spot_notice_s is None
+            and now - machine.last < MAX_HEARTBEAT_AGE_S
             and not self.faulty(now, machine)
             and not machine.slow
             and not machine.drain
@@ -547,19 +549,24 @@
         self.dirty = True
 
     def _take_tasks(
-        self, now: Seconds, machine: Machine, report: Report, settles: bool, new_session: bool
-    ) -> list[Order]:
+        self,
+        now: Seconds,
+        machine: Machine,
+        heartbeat: Heartbeat,
+        settles: bool,
+        new_incarnation: bool,
+    ) -> list[Command]:
         """Take over what a report lists. One from before our token may be a late copy, and the
         task may long be elsewhere: it settles nothing, neither that a task is here nor that it
         is gone. What it shows counts as room taken until a newer one tells."""
-        orders: list[Order] = []
+        commands: list[Command] = []
         lives = machine.live
         if settles:
-            listed = {t.task for t in report.tasks}
+            listed = {t.task for t in heartbeat.tasks}
             self._count_lost_starts(now, machine, listed)
             for task in [t for t in lives if t not in listed]:
                 self._gone(now, machine, task, "not on its machine")
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             task = item.task
             live = lives.get(task)
             if live is None or live.attempt != item.attempt:
@@ -578,7 +585,7 @@
             if item.stage == "running" and live.running_at is None:
                 live.running_at = now
             if settles and item.stage == "exited":
-                orders += self._exited(now, machine, item, live)
+                commands += self._exited(now, machine, item, live)
             elif settles:
                 self._present(now, machine, item)
         if settles:
@@ -591,12 +598,12 @@
                     # A start that was never seen was dropped with its answer, unless the
                     # worker has begun a new session: then it may have run, and attempts
                     # are not repeated.
-                    if index in hold.seen or hold.inherited or new_session:
+                    if index in hold.seen or hold.inherited or new_incarnation:
                         hold.bad = "start lost"
                     else:
                         hold.launched.discard(index)
                     self._changed(machine)
-        return orders
+        return commands
 
     def _count_lost_starts(self, now: Seconds, machine: Machine, listed: set[TaskRef]) -> None:
         """A machine that reports but never shows what it is told to start hears nothing."""
@@ -610,7 +617,7 @@
             # Its lease would have ended by now if no answer had reached it.
             machine.lost_starts = 0
 
-    def _present(self, now: Seconds, machine: Machine, item: TaskReport) -> None:
+    def _present(self, now: Seconds, machine: Machine, item: TaskStatus) -> None:
         single = self._single(item.task)
         if single is not None:
             if single.state == ON_MACHINE:
@@ -633,12 +640,14 @@
             hold.launched.add(item.task.number)
             hold.seen.add(item.task.number)
 
-    def _exited(self, now: Seconds, machine: Machine, item: TaskReport, live: Live) -> list[Order]:
+    def _exited(
+        self, now: Seconds, machine: Machine, item: TaskStatus, live: Live
+    ) -> list[Command]:
         """An exited task: keep a result until it is stored, forget everything else."""
         task = item.task
         job = self.mirror.jobs.get(task.job)
         single = self._single(task)
-        forget = [Order("forget", task, item.attempt)]
+        forget = [Command("forget", task, item.attempt)]
         replica = job is not None and job.open and job.spec.daemon
         if item.cause == "done" and not replica:
             machine.failures.clear()
@@ -998,8 +1007,8 @@
             cold = cold or task
         return cold
 
-    def _launches(self, now: Seconds, machine: Machine) -> list[Order]:
-        orders = self._gang_launches(now, machine)
+    def _launches(self, now: Seconds, machine: Machine) -> list[Command]:
+        commands = self._gang_launches(now, machine)
         if machine.free().cpus > 1e-6:
             for slot in machine.slots:
                 if slot.current is None and slot.queue:
@@ -1018,7 +1027,7 @@
                     kept.append(slot)  # what is stopped for it is not gone yet
                     continue
                 if single is not None and single.state == ASSIGNED:
-                    orders.append(self._start(now, machine, task, self._new_attempt()))
+                    commands.append(self._start(now, machine, task, self._new_attempt()))
                     self._set(task, single, ON_MACHINE)
                     single.queue = None
                 else:
@@ -1030,7 +1039,7 @@
                 for queued in self.queues.empty(slot):
                     self._unqueue(queued)
         machine.slots = kept
-        return orders
+        return commands
 
     def _put_in(self, task: TaskRef, slot: Slot) -> None:
         single = self._single(task)
@@ -1094,7 +1103,7 @@
         self._attempts += 1
         return Attempt(self.token * IDS_PER_TOKEN + self._attempts)
 
-    def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Order:
+    def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
         spec = self._spec(task)
         machine.live[task] = Live(attempt, "fetching", now, True, spec)
         if spec is not None:
@@ -1108,7 +1117,7 @@
             attempt,
             machine.id,
         )
-        return Order("start", task, attempt)
+        return Command("start", task, attempt)
 
     def _return_long_waits(self, now: Seconds) -> None:
         """Singles that find no room here go back to the leader, which may know better."""
@@ -1166,29 +1175,29 @@
             or record.doomed
             or record.shard != self.shard
             or self.mirror.transfers.drains(machine_id) is not None
-            or (machine is not None and machine.notice is not None)
+            or (machine is not None and machine.spot_notice_s is not None)
         )
 
-    def _gang_launches(self, now: Seconds, machine: Machine) -> list[Order]:
-        orders = []
+    def _gang_launches(self, now: Seconds, machine: Machine) -> list[Command]:
+        commands = []
         for job_id, hold, index in self._held_on(machine.id):
             if hold.ready:
                 hold.launched.add(index)
                 task = TaskRef(job_id, TaskIndex(index))
-                orders.append(self._start(now, machine, task, Attempt(hold.attempt)))
-        return orders
+                commands.append(self._start(now, machine, task, Attempt(hold.attempt)))
+        return commands
 
     # Stops
 
-    def _stops(self, now: Seconds, machine: Machine) -> list[Order]:
-        orders = []
+    def _stops(self, now: Seconds, machine: Machine) -> list[Command]:
+        commands = []
         preempt = self._preempted(now, machine)
         for task, live in machine.live.items():
             if live.stage == "exited" or live.sent:
                 continue
             job = self.mirror.jobs.get(task.job)
             if job is None or not job.open:
-                orders.append(Order("stop", task, live.attempt, 0.0))
+                commands.append(Command("stop", task, live.attempt, 0.0))
                 continue
             spec = job.spec
             if spec.gang:
@@ -1207,16 +1216,18 @@
             if spec.daemon and wanted and self._replicas.must_leave(now, machine, task.job, spec):
                 wanted = False
             orderly = spec.checkpoint > 0 and live.stage == "running"
-            leaving = machine.notice is not None and orderly and not (spec.gang or spec.daemon)
+            leaving = (
+                machine.spot_notice_s is not None and orderly and not (spec.gang or spec.daemon)
+            )
             if wanted and not leaving and task not in preempt:
                 continue
             if live.stage == "flushing" or (live.stopped and orderly):
                 continue
             live.stopped = True
-            orders.append(
-                Order("stop", task, live.attempt, spec.save + GRACE_S if orderly else 0.0)
+            commands.append(
+                Command("stop", task, live.attempt, spec.save + GRACE_S if orderly else 0.0)
             )
-        return orders
+        return commands
 
     def _preempted(self, now: Seconds, machine: Machine) -> set[TaskRef]:
         """Lower-priority singles to stop for gangs that were granted this right."""
@@ -1284,7 +1295,7 @@
 
     def _leaving(self, machine_id: MachineId) -> bool:
         machine = self.machines.get(machine_id)
-        return machine is not None and (machine.notice is not None or machine.deaf)
+        return machine is not None and (machine.spot_notice_s is not None or machine.deaf)
 
     def _gang_there(self, job_id: JobId, hold: Hold) -> bool:
         for machine_id in hold.on:
--- a/src/dapplewick/core/part_state.py
+++ b/src/dapplewick/core/part_state.py
@@ -92,12 +92,12 @@
         "lost_at",
         "lost_starts",
         "newest",
-        "notice",
         "renewed",
         "settled",
         "slots",
         "slow",
         "spot",
+        "spot_notice_s",
         "stored",
         "type",
         "used",
@@ -118,7 +118,7 @@
         self.lost_at = now  # when there was the last of them
         self.renewed = -1e9  # when a session of it ended last, as far as we know
         self.deaf = False  # its lease ended although its reports were answered
-        self.notice: Seconds | None = None
+        self.spot_notice_s: Seconds | None = None
         self.live: dict[TaskRef, Live] = {}
         self.slots: list[Slot] = []
         self.stored: dict[TaskRef, Seconds] = {}  # results that may be forgotten, since when
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/part_status.py
@@ -134,7 +134,10 @@
         "queued": sum(len(s.queue) for s in machine.slots),
         "usable": machine.was_usable,
         "heard": machine.heard,
-        "leaving": machine.notice is not None or machine.slow or machine.deaf or machine.drain,
+        "leaving": machine.spot_notice_s is not None
+        or machine.slow
+        or machine.deaf
+        or machine.drain,
         "faulty": scheduler.faulty(now, machine),
     }
 
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/replicas.py
@@ -97,10 +97,10 @@
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
         """Whether a replica is to leave its machine now: one that goes, or is no good place, as
         soon as another with its image has room, or at the last moment."""
-        if machine.notice is not None and machine.notice < EVICTION_LEAD_S:
+        if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
         drained = machine.drain or self._shard.mirror.transfers.drains(machine.id) is not None
-        if machine.notice is None and not machine.slow and not drained:
+        if machine.spot_notice_s is None and not machine.slow and not drained:
             return False
         able = (m for m in self._others(machine) if self._shard.allowed(spec, m))
         place = self.best_machine(now, spec, job_id, able)
@@ -108,7 +108,7 @@
             return False
         # Without its image there it is away for longer: only for a notice, or in the end.
         waited = drained and now - machine.idle_since > 2.0 * DRAIN_S
-        return spec.image in place.images or machine.notice is not None or waited
+        return spec.image in place.images or machine.spot_notice_s is not None or waited
 
     def _others(self, machine: Machine) -> list[Machine]:
         return [m for m in self._shard.machines.values() if m is not machine and m.was_usable]
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -752,16 +752,16 @@
         # a renewal apart at most, so in an outage no peer still claims one by now.
         return not any(now - at < 1.5 and ok for at, ok in self._peer_state.values())
 
-    def _checkin(self, request: Request) -> Answer:
+    def _heartbeat(self, request: Request) -> Answer:
         if request.too_large:
             return Answer(400, b'{"error":"body over 64 KiB"}')
         try:
-            report = wire.parse_report(request.body)
+            heartbeat = wire.parse_heartbeat(request.body)
         except wire.Malformed as err:
             log.error("event=report_refused error=%s", err)
             return Answer(400, b'{"error":"malformed report"}')
         now = self.now()
-        name = self.mirror.shard_of(report.machine, report.zone)
+        name = self.mirror.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.shard_schedulers.get(name)
         heard_token, heard_owner = self._peer_shards.get(
             name, (FencingToken(0), ControllerName(""))
@@ -769,7 +769,7 @@
         if (
             scheduler is not None
             and scheduler.token >= heard_token
-            and scheduler.token_for(report.machine) >= report.token
+            and scheduler.token_for(heartbeat.machine) >= heartbeat.token
         ):
             workers = self.settings.deployment.workers
             # A cancellation that we can't see ends its tasks through the workers' leases: we
@@ -785,10 +785,15 @@
                 # long as no cancellation can have been missed.
                 followed = self.lease_valid() and now - self.current_at < CURRENT_S
                 may_launch = followed or now - told_at < CURRENT_S
-                orders = scheduler.report(now, report, may_launch)
+                commands = scheduler.handle_heartbeat(now, heartbeat, may_launch)
                 if scheduler.dirty:
                     self._leader_wake.set()
-                return Answer(200, wire.report_answer(scheduler.token_for(report.machine), orders))
+                return Answer(
+                    200,
+                    wire.encode_heartbeat_response(
+                        scheduler.token_for(heartbeat.machine), commands
+                    ),
+                )
             scheduler.refuse(now)
             return Answer(503, b'{"error":"cut off"}', 1)
         shard = self.mirror.shards.get(name)
@@ -802,7 +807,7 @@
     async def handle(self, request: Request) -> Answer:
         path = request.target.partition("?")[0]
         if path == "/checkin":
-            return self._checkin(request) if request.method == "POST" else NO_METHOD
+            return self._heartbeat(request) if request.method == "POST" else NO_METHOD
         if path == "/healthz":
             if request.method != "GET":
                 return NO_METHOD
--- a/src/dapplewick/protocol/wire.py
+++ b/src/dapplewick/protocol/wire.py
@@ -177,7 +177,7 @@
 # Workers
 
 
-class _Piece(msgspec.Struct):
+class _TaskStatusBody(msgspec.Struct):
     piece: str
     try_: int = msgspec.field(name="try")
     stage: str = ""
@@ -185,7 +185,7 @@
     saved: bool | None = None
 
 
-class _Checkin(msgspec.Struct):
+class _HeartbeatBody(msgspec.Struct):
     loom: str
     build: str
     yard: str
@@ -193,12 +193,12 @@
     shift: int
     tally: int
     baton: int
-    pieces: list[_Piece]
+    pieces: list[_TaskStatusBody]
     endpoint: str = ""
     recall_s: float | None = None
 
 
-class TaskReport(NamedTuple):
+class TaskStatus(NamedTuple):
     task: TaskRef
     attempt: Attempt
     stage: str
@@ -206,20 +206,20 @@
     saved: bool
 
 
-class Report(NamedTuple):
+class Heartbeat(NamedTuple):
     machine: MachineId
     type: TypeName
     zone: Zone
     spot: bool
-    session: int
-    seq: int
+    incarnation: int
+    sequence: int
     token: FencingToken
-    notice: Seconds | None
+    spot_notice_s: Seconds | None
     address: str
-    tasks: list[TaskReport]
+    tasks: list[TaskStatus]
 
 
-_checkin = msgspec.json.Decoder(_Checkin)
+_heartbeat = msgspec.json.Decoder(_HeartbeatBody)
 
 
 @lru_cache(maxsize=KNOWN_TASKS)
@@ -231,19 +231,19 @@
     return TaskRef(JobId(job), TaskIndex(int(index)))
 
 
-def parse_report(raw: bytes) -> Report:
+def parse_heartbeat(raw: bytes) -> Heartbeat:
     try:
-        body = _checkin.decode(raw)
+        body = _heartbeat.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
         raise Malformed(str(err)) from None
     for value in (body.shift, body.tally, body.baton):
         if not 0 <= value < MAX_COUNT:
             raise Malformed("shift, tally or baton: out of range")
     tasks = [
-        TaskReport(parse_task(p.piece), Attempt(p.try_), p.stage, p.cause, bool(p.saved))
+        TaskStatus(parse_task(p.piece), Attempt(p.try_), p.stage, p.cause, bool(p.saved))
         for p in body.pieces
     ]
-    return Report(
+    return Heartbeat(
         MachineId(body.loom),
         TypeName(body.build),
         Zone(body.yard),
@@ -257,7 +257,7 @@
     )
 
 
-class Order(NamedTuple):
+class Command(NamedTuple):
     """A command to a worker. `grace` is only for stops."""
 
     op: str
@@ -269,16 +269,16 @@
 _VERBS = {"start": "launch", "stop": "kill", "forget": "forget"}
 
 
-def report_answer(token: FencingToken, orders: list[Order]) -> bytes:
+def encode_heartbeat_response(token: FencingToken, commands: list[Command]) -> bytes:
     out = []
-    for order in orders:
+    for command in commands:
         item: dict[str, Any] = {
-            "verb": _VERBS[order.op],
-            "piece": f"{order.task.job}/{order.task.number}",
-            "try": order.attempt,
+            "verb": _VERBS[command.op],
+            "piece": f"{command.task.job}/{command.task.number}",
+            "try": command.attempt,
         }
-        if order.op == "stop":
-            item["wind_down_s"] = order.grace
+        if command.op == "stop":
+            item["wind_down_s"] = command.grace
         out.append(item)
     return msgspec.json.encode({"baton": token, "orders": out})
 
--- a/tests/behaviour_days.py
+++ b/tests/behaviour_days.py
@@ -15,7 +15,7 @@
 import test_shares_versions as versions
 import test_upgrade as upgrade
 from answer_days import play_answers
-from dapplewick.protocol.wire import report_answer
+from dapplewick.protocol.wire import encode_heartbeat_response
 from standins import World, recorder
 from test_four_points import TOKEN
 from test_growth import busy_part, leader_of
@@ -88,8 +88,8 @@
         leader.shard_status(at, status)
         leader.plan(at, at)
         for name in bench.names[step::4]:
-            orders = bench.report(name, at, set(list(bench.on[name])[: step % 3]))
-            recorder.record("orders", machine=name, body=report_answer(TOKEN, orders))
+            commands = bench.report(name, at, set(list(bench.on[name])[: step % 3]))
+            recorder.record("orders", machine=name, body=encode_heartbeat_response(TOKEN, commands))
         bench.scheduler.tick(at + 0.5)
 
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -482,16 +482,16 @@
 
 def report(given: Any) -> Any:
     """What is read of a worker's report."""
-    return neutral(wire.parse_report(given.encode()))
+    return neutral(wire.parse_heartbeat(given.encode()))
 
 
 def worker_answer(given: Any) -> Any:
     """The answer to a worker."""
-    orders = [
-        wire.Order(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
+    commands = [
+        wire.Command(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
         for op, job, number, attempt, grace in given["orders"]
     ]
-    return wire.report_answer(FencingToken(given["token"]), orders).decode()
+    return wire.encode_heartbeat_response(FencingToken(given["token"]), commands).decode()
 
 
 def redirection(given: Any) -> Any:
--- a/tests/make_golden_data.py
+++ b/tests/make_golden_data.py
@@ -315,7 +315,9 @@
 ]
 
 
-def checkin(machine: str, seq: int, pieces: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
+def checkin(
+    machine: str, sequence: int, pieces: list[dict[str, Any]], **more: Any
+) -> dict[str, Any]:
     """A worker's report."""
     return {
         "loom": machine,
@@ -324,7 +326,7 @@
         "yard": "a",
         "borrowed": False,
         "shift": 1,
-        "tally": seq,
+        "tally": sequence,
         "baton": 7,
         "recall_s": None,
         "pieces": pieces,
@@ -725,14 +727,14 @@
         "of a machine": json.dumps(checkin("vm-1", 3, pieces)),
         "of a machine that is recalled": json.dumps(checkin("vm-1", 3, [], recall_s=30.0)),
     }
-    orders = {
+    commands = {
         "start": ["start", "run-1", 0, 7340033, 0.0],
         "stop": ["stop", "run-1", 1, 5, 1.5],
         "forget": ["forget", "run-1", 2, 6, 0.0],
     }
-    workers: dict[str, Any] = {k: {"token": 7, "orders": [v]} for k, v in orders.items()}
+    workers: dict[str, Any] = {k: {"token": 7, "orders": [v]} for k, v in commands.items()}
     workers |= {"nothing": {"token": 7, "orders": []}}
-    workers |= {"all": {"token": 7, "orders": list(orders.values())}}
+    workers |= {"all": {"token": 7, "orders": list(commands.values())}}
     users: dict[str, Any] = {"short": ["run-1", "queued"]}
     for stage in ("queued", "running", "done", "withdrawn"):
         users[stage] = ["run-1", stage, 3, 2]
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -34,10 +34,10 @@
         self.zone = zone
         self.spot = spot
         self.born = now()
-        self.session = 1
-        self.seq = 0
+        self.incarnation = 1
+        self.sequence = 0
         self.token = 0
-        self.notice: float | None = None
+        self.spot_notice_s: float | None = None
         self.pieces: dict[str, Piece] = {}
         self.images: set[str] = set()
         self.renewed = now()
@@ -67,18 +67,18 @@
             target = await self._report(target)
 
     async def _report(self, target: str) -> str:
-        self.seq += 1
-        session, sent = self.session, now()
+        self.sequence += 1
+        incarnation, sent = self.incarnation, now()
         body = {
             "loom": self.name,
             "endpoint": "",
             "build": self.type,
             "yard": self.zone,
             "borrowed": self.spot,
-            "shift": session,
-            "tally": self.seq,
+            "shift": incarnation,
+            "tally": self.sequence,
             "baton": self.token,
-            "recall_s": self.notice,
+            "recall_s": self.spot_notice_s,
             "pieces": [
                 {"piece": n, "try": p.attempt, "stage": p.stage}
                 | ({"cause": p.cause, "saved": p.saved} if p.cause else {})
@@ -105,7 +105,7 @@
                 return owner
             await anyio.sleep(1.0)
             return following
-        if session != self.session or said["baton"] < self.token or self.gone:
+        if incarnation != self.incarnation or said["baton"] < self.token or self.gone:
             return target
         if said["baton"] > self.token:
             self.token = said["baton"]
@@ -153,7 +153,7 @@
             return
         if now() - self.renewed > WORKERS["lease_s"]:
             self.pieces.clear()
-            self.session += 1
+            self.incarnation += 1
             self.renewed = now()
             self.changed = True
             return
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -194,9 +194,9 @@
         self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
     ) -> Any:
         self.unheard.discard(machine.id)
-        orders = take(self, at, machine, report, True, new)
+        commands = take(self, at, machine, report, True, new)
         self._settle_unsure(at)
-        return orders
+        return commands
 
     patch.setattr(ShardScheduler, "_take_tasks", trusting)
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -121,7 +121,7 @@
         if trouble == "taken":
             world.remove_machine(worker.name)
         elif trouble == "notice":
-            worker.notice = 10.0
+            worker.spot_notice_s = 10.0
             worker.changed = True
         else:
             attribute = "hanging" if trouble == "hang" else "cut"
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Set
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,7 +14,14 @@
 from dapplewick.core.model import ShardCapacity, View, fit_all
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import IMAGES_MOST
-from dapplewick.protocol.wire import JobSpec, MachineType, Order, Report, TaskReport, types_value
+from dapplewick.protocol.wire import (
+    Command,
+    Heartbeat,
+    JobSpec,
+    MachineType,
+    TaskStatus,
+    types_value,
+)
 from dapplewick.storage.ranges import pack, unpack
 from dapplewick.storage.records import (
     CANCELLED,
@@ -81,7 +89,7 @@
         self.scheduler = ShardScheduler(
             ZONE, TOKEN, self.mirror, Estimates(), 0.0, tuning=Tuning(threshold_s=threshold), seed=1
         )
-        self.seq = 0
+        self.sequence = 0
         self.on: dict[MachineId, dict[TaskRef, Attempt]] = {n: {} for n in self.names}
 
     def put(self, key: str, value: object) -> None:
@@ -100,10 +108,12 @@
         self.put(JOBS + job, record.dump())
         self.scheduler.job_changed(at, JobId(job))
 
-    def report(self, name: MachineId, at: Seconds, done: set[TaskRef] = frozenset()) -> list[Order]:  # type: ignore[assignment]
-        self.seq += 1
+    def report(
+        self, name: MachineId, at: Seconds, done: Set[TaskRef] = frozenset()
+    ) -> list[Command]:
+        self.sequence += 1
         tasks = [
-            TaskReport(
+            TaskStatus(
                 task,
                 attempt,
                 "exited" if task in done else "running",
@@ -112,14 +122,16 @@
             )
             for task, attempt in self.on[name].items()
         ]
-        report = Report(name, TypeName("k"), IN_ZONE, False, 1, self.seq, TOKEN, None, "", tasks)
-        orders = self.scheduler.report(at, report, True)
+        report = Heartbeat(
+            name, TypeName("k"), IN_ZONE, False, 1, self.sequence, TOKEN, None, "", tasks
+        )
+        commands = self.scheduler.handle_heartbeat(at, report, True)
         for task in done:
             self.on[name].pop(task, None)
-        for order in orders:
+        for order in commands:
             if order.op == "start":
                 self.on[name][order.task] = order.attempt
-        return orders
+        return commands
 
     def store(self, done: set[TaskRef], at: Seconds) -> None:
         """What the leader does with results: they are stored, and the grants are over."""
@@ -132,8 +144,8 @@
             self.scheduler.job_changed(at, job)
 
 
-def starts(orders: list[Order]) -> list[TaskRef]:
-    return [o.task for o in orders if o.op == "start"]
+def starts(commands: list[Command]) -> list[TaskRef]:
+    return [o.task for o in commands if o.op == "start"]
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -165,10 +177,10 @@
     bench.hold("run-g", spec(1, 4.0, 30.0, gang=True), [machine], 0.0)
     bench.grant("run-b", spec(1, 1.0, backfill), 0.0)
     freed = {TaskRef(JobId("run-rest"), TaskIndex(0))} if rest else set()
-    orders = bench.report(machine, at, freed)
+    commands = bench.report(machine, at, freed)
     wait = max(0.0, max(running) - at)
     passes = bool(rest) and backfill <= wait + threshold
-    assert (TaskRef(JobId("run-b"), TaskIndex(0)) in starts(orders)) == passes
+    assert (TaskRef(JobId("run-b"), TaskIndex(0)) in starts(commands)) == passes
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -374,13 +386,13 @@
     task = TaskRef(JobId("run-1"), TaskIndex(0))
     assert starts(bench.report(machine, 0.5)) == [task]
 
-    def failed(at: Seconds) -> list[Order]:
-        bench.seq += 1
-        item = TaskReport(task, bench.on[machine][task], "exited", "full", False)
-        report = Report(
-            machine, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", [item]
+    def failed(at: Seconds) -> list[Command]:
+        bench.sequence += 1
+        item = TaskStatus(task, bench.on[machine][task], "exited", "full", False)
+        report = Heartbeat(
+            machine, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", [item]
         )
-        return bench.scheduler.report(at, report, False)
+        return bench.scheduler.handle_heartbeat(at, report, False)
 
     assert [o.op for o in failed(1.0)] == ["forget"]
     # The forget was lost: the same exit is reported once more, after the task was assigned.
@@ -406,12 +418,14 @@
     assert len(starts(old.report(old.names[0], 1.0))) == 1
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
 
-    def report(name: MachineId, seq: int, token: int, on: dict[TaskRef, Attempt]) -> list[Order]:
-        tasks = [TaskReport(t, a, "running", None, False) for t, a in on.items()]
-        said = Report(
-            name, TypeName("k"), IN_ZONE, False, 1, seq, FencingToken(token), None, "", tasks
+    def report(
+        name: MachineId, sequence: int, token: int, on: dict[TaskRef, Attempt]
+    ) -> list[Command]:
+        tasks = [TaskStatus(t, a, "running", None, False) for t, a in on.items()]
+        said = Heartbeat(
+            name, TypeName("k"), IN_ZONE, False, 1, sequence, FencingToken(token), None, "", tasks
         )
-        return scheduler.report(3.0, said, True)
+        return scheduler.handle_heartbeat(3.0, said, True)
 
     # The second machine reports under the old token, then under the new one: still nothing
     # may start, for the first has not been heard.
@@ -428,12 +442,12 @@
     old.grant("run-1", spec(1, 4.0, 10.0), 0.0)
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
     name, silent = old.names
-    said = Report(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
-    assert starts(scheduler.report(3.0, said, True)) == []
+    said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
+    assert starts(scheduler.handle_heartbeat(3.0, said, True)) == []
     old.mirror.remove(MACHINES + silent, 10_000)
     scheduler.machine_changed(4.0, silent)
-    said = Report(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
-    assert len(starts(scheduler.report(5.0, said, True))) == 1
+    said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
+    assert len(starts(scheduler.handle_heartbeat(5.0, said, True))) == 1
 
 
 def test_a_gang_cancelled_before_its_result_was_stored_is_cleared() -> None:
@@ -506,10 +520,12 @@
     stops = [o.task for o in bench.report(short, 2.0) if o.op == "stop"]
     assert len(stops) == 4
     halted = {t: bench.on[short].pop(t) for t in stops}
-    bench.seq += 1
-    tasks = [TaskReport(t, a, "exited", "halted", False) for t, a in halted.items()]
-    said = Report(short, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", tasks)
-    assert starts(bench.scheduler.report(3.0, said, True)) == []
+    bench.sequence += 1
+    tasks = [TaskStatus(t, a, "exited", "halted", False) for t, a in halted.items()]
+    said = Heartbeat(
+        short, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", tasks
+    )
+    assert starts(bench.scheduler.handle_heartbeat(3.0, said, True)) == []
 
 
 def test_among_equally_short_queues_a_single_joins_where_its_image_is() -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,7 +18,7 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.part import ShardScheduler
-from dapplewick.protocol.wire import MachineType, Report, types_value
+from dapplewick.protocol.wire import Heartbeat, MachineType, types_value
 from dapplewick.storage.client import batches
 from dapplewick.storage.records import TYPES, GangPlace, JobRecord, Mirror
 from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
@@ -252,10 +252,10 @@
     bench.put("dw/m/r-1", {"type": "g", "zone": "a", "spot": False, "machines": {"vm-1": "u"}})
     bench.put("dw/m/r-2", {"type": "k", "zone": "a", "spot": False, "machines": {"vm-2": "b9"}})
     bench.scheduler = ShardScheduler(ZONE, bench.scheduler.token, bench.mirror, Estimates(), 0.0)
-    said = Report(
+    said = Heartbeat(
         MachineId("vm-1"), TypeName("g"), IN_ZONE, False, 1, 1, bench.scheduler.token, None, "", []
     )
-    bench.scheduler.report(9.0, said, True)
+    bench.scheduler.handle_heartbeat(9.0, said, True)
     scans = replace(spec(9, 2.0, 30.0), gpus=1.0, types=["g"])
     bench.put("dw/j/run-s", JobRecord(scans, 9.0).dump())
     gang = replace(spec(1, 3.0, 30.0, gang=True), rank=2)
@@ -296,10 +296,10 @@
 
         def hear() -> None:
             for name in names:
-                said = Report(
+                said = Heartbeat(
                     name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(5), None, "", []
                 )
-                shard_schedulers[0].report(1.0, said, True)
+                shard_schedulers[0].handle_heartbeat(1.0, said, True)
 
         heard = calls(hear)
         assert not shard_schedulers[0].unheard and len(shard_schedulers[0].queues.loose) > 0
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -368,7 +368,7 @@
 def test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice() -> None:
     """The task had moved under the old owner; the copy said where it was before."""
     from dapplewick.core.estimates import Estimates
-    from dapplewick.protocol.wire import Report, TaskReport
+    from dapplewick.protocol.wire import Heartbeat, TaskStatus
     from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
     from test_four_points import TOKEN, ZONE, Bench, spec, starts
 
@@ -378,23 +378,23 @@
     scheduler = ShardScheduler(ZONE, FencingToken(60), bench.mirror, Estimates(), 2.0)
     task = TaskRef("run-1", TaskIndex(0))  # type: ignore[arg-type]
 
-    def report(name: str, seq: int, token: int, attempt: int, at: float) -> list[Any]:
-        tasks = [TaskReport(task, attempt, "running", None, False)] if attempt else []  # type: ignore[arg-type]
+    def report(name: str, sequence: int, token: int, attempt: int, at: float) -> list[Any]:
+        tasks = [TaskStatus(task, attempt, "running", None, False)] if attempt else []  # type: ignore[arg-type]
         machine, zone = MachineId(name), zone_of(ZONE)
-        said = Report(
-            machine, TypeName("k"), zone, False, 1, seq, FencingToken(token), None, "", tasks
+        said = Heartbeat(
+            machine, TypeName("k"), zone, False, 1, sequence, FencingToken(token), None, "", tasks
         )
-        return scheduler.report(at, said, True)
+        return scheduler.handle_heartbeat(at, said, True)
 
     copy_says = report(first, 5, TOKEN, 1, 3.0)
     assert copy_says == []  # neither stopped nor settled
     assert report(first, 9, 60, 0, 4.0) == []  # it is not there, and the other is not heard yet
     assert report(second, 7, TOKEN, 2, 5.0) == []
     assert report(second, 8, 60, 2, 6.0) == []
-    for seq in range(10, 14):
-        scheduler.tick(float(seq))
-        assert starts(report(first, seq, 60, 0, float(seq))) == []
-        assert report(second, seq, 60, 2, float(seq)) == []
+    for sequence in range(10, 14):
+        scheduler.tick(float(sequence))
+        assert starts(report(first, sequence, 60, 0, float(sequence))) == []
+        assert report(second, sequence, 60, 2, float(sequence)) == []
 
 
 @pytest.mark.parametrize("seed", [5, 6])
@@ -941,11 +941,11 @@
     def trusting(
         self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
     ) -> Any:
-        orders = take(self, at, machine, report, settles, new)
+        commands = take(self, at, machine, report, settles, new)
         for item in report.tasks:
             if item.stage != "exited":
                 self._present(at, machine, item)
-        return orders
+        return commands
 
     patch.setattr(ShardScheduler, "_take_tasks", trusting)
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -15,7 +15,7 @@
 from dapplewick.core.machines import MachineBook, Silence
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import Machine
-from dapplewick.protocol.wire import JobSpec, Order, Report, TaskReport
+from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
 from dapplewick.storage.records import MACHINES, JobRecord
 from dapplewick.transport.http import Request
 from dapplewick.types import JobId, MachineId, TaskIndex, TaskRef, TypeName
@@ -174,13 +174,15 @@
     cause: str,
     at: float,
     notice: float | None = None,
-) -> list[Order]:
-    bench.seq += 1
+) -> list[Command]:
+    bench.sequence += 1
     attempt = bench.on[machine].pop(task)
-    tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[machine].items()]
-    tasks.append(TaskReport(task, attempt, "exited", cause, False))
-    report = Report(machine, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, notice, "", tasks)
-    return bench.scheduler.report(at, report, False)
+    tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[machine].items()]
+    tasks.append(TaskStatus(task, attempt, "exited", cause, False))
+    report = Heartbeat(
+        machine, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, notice, "", tasks
+    )
+    return bench.scheduler.handle_heartbeat(at, report, False)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "full", "halted", "no_such"])
@@ -248,10 +250,10 @@
     assert len(starts(bench.report(machine, 1.0))) == 4
     bench.report(machine, 1.5)
     bench.grant("run-2", service(1, cpus=2.0), 2.0)
-    orders = bench.report(machine, 2.5)
-    assert [o.op for o in orders] == ["stop", "stop"]
+    commands = bench.report(machine, 2.5)
+    assert [o.op for o in commands] == ["stop", "stop"]
     assert starts(bench.report(machine, 3.0)) == []  # they are still there
-    for n, order in enumerate(orders):
+    for n, order in enumerate(commands):
         assert starts(ended(bench, machine, order.task, "halted", 3.5 + n / 10)) == []
     assert starts(bench.report(machine, 4.0)) == [TaskRef(JobId("run-2"), TaskIndex(0))]
     # Work of the same priority, and services, are not stopped.
@@ -284,11 +286,13 @@
     if on == second or task not in bench.on[on]:
         assert starts(bench.report(on, 1.6)) == [task]
 
-    def notice(at: float, left: float) -> list[Order]:
-        bench.seq += 1
-        tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[on].items()]
-        said = Report(on, TypeName("k"), IN_ZONE, False, 1, bench.seq, TOKEN, left, "", tasks)
-        return bench.scheduler.report(at, said, True)
+    def notice(at: float, left: float) -> list[Command]:
+        bench.sequence += 1
+        tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[on].items()]
+        said = Heartbeat(
+            on, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, left, "", tasks
+        )
+        return bench.scheduler.handle_heartbeat(at, said, True)
 
     bench.report(on, 2.0)
     bench.report(other, 2.0)
@@ -319,13 +323,15 @@
     bench.report(small, 0.2)
     bench.on[large] = {}
 
-    def report(at: float) -> list[Order]:
-        bench.seq += 1
-        tasks = [TaskReport(t, a, "running", None, False) for t, a in bench.on[large].items()]
-        said = Report(large, TypeName("dear"), IN_ZONE, False, 1, bench.seq, TOKEN, None, "", tasks)
-        orders = bench.scheduler.report(at, said, True)
-        bench.on[large] |= {o.task: o.attempt for o in orders if o.op == "start"}
-        return orders
+    def report(at: float) -> list[Command]:
+        bench.sequence += 1
+        tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[large].items()]
+        said = Heartbeat(
+            large, TypeName("dear"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", tasks
+        )
+        commands = bench.scheduler.handle_heartbeat(at, said, True)
+        bench.on[large] |= {o.task: o.attempt for o in commands if o.op == "start"}
+        return commands
 
     report(0.0)
     bench.grant("run-1", service(1), 0.5)
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -12,7 +12,7 @@
 from dapplewick.core.model import ONE_GROUP_TIMES, EndGroup, ShardCapacity, View, fit_behind
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, ShardReservation
-from dapplewick.protocol.wire import MachineType, Report, types_value
+from dapplewick.protocol.wire import Heartbeat, MachineType, types_value
 from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, Mirror
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
 from test_four_points import KIND, group, spec
@@ -85,7 +85,7 @@
     counts = dict.fromkeys(machines, 0)
     for turn in (1, 2):
         for name, kind in machines.items():
-            report = Report(
+            report = Heartbeat(
                 MachineId(name),
                 TypeName(kind),
                 IN_ZONE,
@@ -97,8 +97,8 @@
                 "",
                 [],
             )
-            orders = scheduler.report(float(turn), report, may_launch=turn == 2)
-            counts[name] += sum(order.op == "start" for order in orders)
+            commands = scheduler.handle_heartbeat(float(turn), report, may_launch=turn == 2)
+            counts[name] += sum(order.op == "start" for order in commands)
         scheduler.job_changed(float(turn), JobId("run-array"))
         scheduler.tick(float(turn))
     return counts
