--- a/src/dapplewick/cli.py
+++ b/src/dapplewick/cli.py
@@ -156,8 +156,10 @@
                 f"free {free[0]:g} CPUs {free[1]:g} GPUs {free[2]:g} GB  "
                 f"silent {machine['silent']} s"
             )
-        for job, hold in sorted(shard["held"].items()):
-            lines.append(f"  gang {job}  {hold['state']}  remaining wait {hold['wait_s']} s")
+        for job, reservation in sorted(shard["held"].items()):
+            lines.append(
+                f"  gang {job}  {reservation['state']}  remaining wait {reservation['wait_s']} s"
+            )
     for name, times in sorted(said["latencies_ms"].items()):
         lines.append(
             f"latency {name}  count {times['count']}  p50 {times['p50']:g} ms  "
--- a/src/dapplewick/cloud.py
+++ b/src/dapplewick/cloud.py
@@ -96,16 +96,16 @@
                 group.start_soon(self._rent, leader, name)
 
     def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
-        doomed = [
+        terminating = [
             machine
             for machine, record in self._controller.mirror.machines.items()
-            if record.doomed
+            if record.terminating
             and machine not in leader.book.deleted
             and machine not in self._deleting
         ][:MAX_DELETIONS]
-        if doomed and self._controller.cloud_budget.take():
-            self._deleting.update(doomed)
-            group.start_soon(self._delete, leader, doomed)
+        if terminating and self._controller.cloud_budget.take():
+            self._deleting.update(terminating)
+            group.start_soon(self._delete, leader, terminating)
 
     async def _call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         try:
--- a/src/dapplewick/coordination/parts.py
+++ b/src/dapplewick/coordination/parts.py
@@ -5,7 +5,7 @@
 from dapplewick.storage.records import Mirror, ShardRecord
 from dapplewick.types import ControllerName, Seconds, ShardName, partition_of, zone_of
 
-DEAF_PAUSE_S = 20.0  # a part changes hands for silent workers at most this often
+REASSIGNMENT_PAUSE_S = 20.0  # a part changes hands for silent workers at most this often
 STEADY_S = 20.0  # a controller that came back gets a part again after this time
 EMPTY_STEADY_S = 1.0  # and sooner one without machines, which loses nothing by a new owner
 LEADING = 1  # leading is as much work as a part
@@ -27,8 +27,8 @@
         shares = [shard for shard in self.mirror.shards if partition_of(shard)]
         return list(dict.fromkeys([*self._zones, *self.wanted, *shares]))
 
-    def changes(self, now: Seconds, deaf: set[ShardName]) -> dict[ShardName, ShardRecord]:
-        """The parts that get a new owner now. `deaf` are those whose owner hears none of its
+    def changes(self, now: Seconds, unreachable: set[ShardName]) -> dict[ShardName, ShardRecord]:
+        """The parts that get a new owner now. `unreachable` are those whose owner hears none of its
         machines: it may have lost the way to them alone, and another may hear them."""
         controllers = self.mirror.controllers
         load: dict[ControllerName, int] = dict.fromkeys(controllers, 0)
@@ -54,16 +54,16 @@
                 owner=controller_name, incarnation=controllers[controller_name].incarnation
             )
         if not out:
-            out = self._move_deaf(now, load, deaf) or self._even_out(now, load)
+            out = self._reassign_unreachable(now, load, unreachable) or self._even_out(now, load)
         return out
 
-    def _move_deaf(
-        self, now: Seconds, load: dict[ControllerName, int], deaf: set[ShardName]
+    def _reassign_unreachable(
+        self, now: Seconds, load: dict[ControllerName, int], unreachable: set[ShardName]
     ) -> dict[ShardName, ShardRecord]:
-        for name in sorted(deaf & self.mirror.shards.keys()):
+        for name in sorted(unreachable & self.mirror.shards.keys()):
             owner = ControllerName(self.mirror.shards[name].owner)
             others = {n: count for n, count in load.items() if n != owner}
-            if others and now - self._moved_at.get(name, -1e9) >= DEAF_PAUSE_S:
+            if others and now - self._moved_at.get(name, -1e9) >= REASSIGNMENT_PAUSE_S:
                 self._moved_at[name] = now
                 controller = min(others, key=lambda n: self._key(n, name, others))
                 return {
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -54,7 +54,7 @@
         have = 0.0
         for record in self.mirror.machines.values():
             kind = self.mirror.types.get(record.type)
-            if kind is not None and record.up and not record.doomed:
+            if kind is not None and record.up and not record.terminating:
                 have += kind.gpus
         self._share = min(1.0, self._wanted / have) if have else 0.0
 
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -72,7 +72,7 @@
         views = []
         for machine_id, record in self.mirror.machines.items():
             kind = self.mirror.types.get(record.type)
-            if kind is None or record.up or record.doomed:
+            if kind is None or record.up or record.terminating:
                 continue
             if wall - record.at < OVERDUE_TIMES * kind.boot_s:
                 views.append(self._empty(machine_id, kind, record.zone, record.spot))
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -28,7 +28,7 @@
 from dapplewick.core.model import GANG_RANK, ShardCapacity, view_of
 from dapplewick.core.needs import NeedPlanner, Waiting
 from dapplewick.core.part_view import ObservedShard
-from dapplewick.core.placing import LONG_HOLD_S, place_gang
+from dapplewick.core.placing import LONG_RESERVATION_S, place_gang
 from dapplewick.core.reservation import ShardReservation
 from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, types_value
 from dapplewick.storage.records import (
@@ -65,12 +65,12 @@
 log = logging.getLogger("dapplewick.leader")
 
 STATUS_S = 6.0  # a part silent for longer gets no new work
-DEAF_S = 6.0  # an owner that heard nothing for this long may be cut off from its workers
-DEAF_LEAST = 2  # of this many machines at least: one alone may be silent itself
+UNREACHABLE_S = 6.0  # an owner that heard nothing for this long may be cut off from its workers
+UNREACHABLE_MIN_MACHINES = 2  # of this many machines at least: one alone may be silent itself
 QUEUE_LEAST = 2
 LOAD_LOG_S = 10.0
 QUEUE_SHARE = 0.15  # singles queued in a part, beyond what fits, by running ones
-HOLD_SHARE = 0.25  # of its run time, or of its wait so far, a gang may hold idle slots
+RESERVATION_FRACTION = 0.25  # of its run time, or of its wait so far, a gang may hold idle slots
 UNAIMED_WAIT_S = 90.0  # work without aims lets gangs with some go first for this long
 FLEET_S = 1.0  # renting and returning is thought about this often
 
@@ -145,7 +145,7 @@
         self._load_at = now
         self._fleet_at = -1e9
         self._reservation = ShardReservation()
-        self._held_since: dict[JobId, Seconds] = {}  # gangs that stop nothing for their slots
+        self._reserved_since: dict[JobId, Seconds] = {}  # gangs that stop nothing for their slots
         self.shares: ShareKeeper | None = None  # where zones have shares
 
     # Inputs
@@ -190,16 +190,16 @@
 
         Deleting them all as silent would cost a part its work for one node's broken network.
         """
-        deaf = set()
+        unreachable = set()
         for shard in self._owned():
             up = sum(
-                record.up and not record.doomed
+                record.up and not record.terminating
                 for m in shard.machines
                 if (record := self.mirror.machines.get(m)) is not None
             )
-            if up >= DEAF_LEAST and shard.fresh["heard_ago"] > DEAF_S:
-                deaf.add(shard.shard)
-        return deaf
+            if up >= UNREACHABLE_MIN_MACHINES and shard.fresh["heard_ago"] > UNREACHABLE_S:
+                unreachable.add(shard.shard)
+        return unreachable
 
     # Drafts of job records
 
@@ -222,7 +222,7 @@
         """What to write now, what matters most first."""
         self._draft.clear()
         self.book.begin()
-        self._absorb(now)
+        self._reconcile_shards(now)
         self._review_machines(now, wall)
         self.demand.update(now, wall)
         self.gangs.update(now)
@@ -231,7 +231,7 @@
             self.shares.note_waiting(wall, map(self._job, self.mirror.live_jobs))
         rooms = self._rooms(now)
         self._place_gangs(now, wall, rooms, usage)
-        ordered = self._singles(wall)
+        ordered = self._pending_arrays(wall)
         self._grant(rooms, usage, self._let_gangs_first(wall, ordered))
         fleet = self._fleet_changes(now, wall, rooms, ordered)
         moves = self._share_changes(now, wall)
@@ -319,17 +319,17 @@
             held,
         )
 
-    def _absorb(self, now: Seconds) -> None:
+    def _reconcile_shards(self, now: Seconds) -> None:
         """Take over what the parts report of their jobs."""
         for shard in self._owned():
-            self._absorb_singles(shard)
+            self._reconcile_array_tasks(shard)
             for job_id in shard.fresh["clear"]:
                 old = self.mirror.jobs.get(job_id)
                 if old is not None and not old.open and shard.shard in old.grants:
                     self._edit(job_id, RANK_CLEARED).grants.pop(shard.shard, None)
-        self._absorb_gangs(now)
+        self._reconcile_gangs(now)
 
-    def _absorb_singles(self, shard: ObservedShard) -> None:
+    def _reconcile_array_tasks(self, shard: ObservedShard) -> None:
         name = shard.shard
         for job_id, body in shard.jobs.items():
             if not body["done"] and not body["returned"]:
@@ -343,12 +343,12 @@
                 done = []  # a service is never done, whatever its replicas report
             # What is given back counts only against the record that the part knew: a newer
             # one may have granted the same task anew.
-            returned = body["returned"] if body["version"] == old.version else []
-            if not done and not returned:
+            released = body["returned"] if body["version"] == old.version else []
+            if not done and not released:
                 continue
-            job = self._edit(job_id, RANK_GRANTS if returned else RANK_PROGRESS)
+            job = self._edit(job_id, RANK_GRANTS if released else RANK_PROGRESS)
             job.done.update(done)
-            job.grants[name] = job.granted(name).difference(done, returned)
+            job.grants[name] = job.granted(name).difference(done, released)
             if not job.grants[name]:
                 del job.grants[name]
             if len(job.done) == job.spec.tasks:
@@ -357,7 +357,7 @@
                 job.grants = {}
                 log.info("event=job_done job=%s", job_id)
 
-    def _absorb_gangs(self, now: Seconds) -> None:
+    def _reconcile_gangs(self, now: Seconds) -> None:
         owned = {p.shard: p for p in self._owned()}
         lowest = min(
             (
@@ -391,13 +391,13 @@
                 self._edit(job_id, RANK_GRANTS).gang = msgspec.structs.replace(gang, over=True)
             elif "held" in states and not gang.preempt and old.spec.rank > lowest:
                 # Its slots were to be idle soon by estimates that were too low.
-                held[job_id] = self._held_since.get(job_id, now)
+                held[job_id] = self._reserved_since.get(job_id, now)
                 if now - held[job_id] > self.tuning.patience_s:
                     log.info("event=gang_hurried job=%s attempt=%d", job_id, gang.attempt)
                     self._edit(job_id, RANK_GRANTS).gang = msgspec.structs.replace(
                         gang, preempt=True
                     )
-        self._held_since = held
+        self._reserved_since = held
 
     def _usage(self) -> dict[str, Resources]:
         """What each team's tasks use or may still use."""
@@ -439,7 +439,7 @@
             views = []
             for machine_id, body in shard.machines.items():
                 record = self.mirror.machines.get(machine_id)
-                if record is None or record.doomed or not body["usable"]:
+                if record is None or record.terminating or not body["usable"]:
                     continue
                 if record.shard != shard.shard or self.mirror.transfers.drains(machine_id):
                     continue  # handed over, or chosen to be, since its status
@@ -547,7 +547,10 @@
             if self._within_limit(spec, usage) < spec.tasks:
                 continue
             waited = wall - job.at
-            limit = max(LONG_HOLD_S, HOLD_SHARE * max(waited, self.estimates.run_time(spec)))
+            limit = max(
+                LONG_RESERVATION_S,
+                RESERVATION_FRACTION * max(waited, self.estimates.run_time(spec)),
+            )
             open_rooms = self._reservation.open_shards(rooms)
             found = place_gang(spec, open_rooms, limit, self.tuning.patience_s)
             if found is None:
@@ -614,7 +617,7 @@
                 within.add(job_id)
         return within
 
-    def _singles(self, wall: Seconds) -> list[Waiting]:
+    def _pending_arrays(self, wall: Seconds) -> list[Waiting]:
         """Open arrays with tasks that are not granted, in the order in which they are served."""
         jobs = [(j, self._job(j)) for j in self.mirror.live_jobs]
         jobs = [(j, job) for j, job in jobs if job.open and not job.spec.gang]
@@ -711,7 +714,7 @@
         room = {}
         for shard in rooms:
             said = self.shards[shard.shard]
-            running = sum(view.singles for view in shard.views)
+            running = sum(view.array_tasks for view in shard.views)
             waiting = 0
             for job_id in self.mirror.live_jobs:
                 job = self._job(job_id)
@@ -859,7 +862,7 @@
             for machine_id, idle in shard.fresh["idle"].items():
                 record = self.mirror.machines.get(machine_id)
                 body = shard.machines.get(machine_id)
-                if record is None or body is None or record.doomed or not record.up:
+                if record is None or body is None or record.terminating or not record.up:
                     continue
                 if self._handed_over(machine_id, shard):
                     continue
@@ -872,7 +875,7 @@
                 if slots and spare < slots:
                     continue
                 spare -= slots
-                self.book.doom(machine_id, "idle", 2)
+                self.book.terminate(machine_id, "idle", 2)
 
     def _spare_slots(self, rooms: list[ShardCapacity]) -> int:
         """How many idle slots of the gangs' size there are beyond those to be kept."""
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -12,9 +12,9 @@
 from dapplewick.protocol.wire import Listed, MachineList
 from dapplewick.storage.records import (
     BOOTING,
-    DOOMED,
     FORMAT_NOW,
     MACHINES,
+    TERMINATING,
     UP,
     BookingRecord,
     GroupRecord,
@@ -254,9 +254,9 @@
     def _set(self, machine_id: MachineId, state: str, rank: int) -> None:
         self._draft(self.mirror.group_of[machine_id], rank).machines[machine_id] = state
 
-    def doom(self, machine_id: MachineId, why: str, rank: int = RANK_URGENT) -> None:
+    def terminate(self, machine_id: MachineId, why: str, rank: int = RANK_URGENT) -> None:
         log.info("event=machine_doomed machine=%s reason=%s", machine_id, why)
-        self._set(machine_id, DOOMED, rank)
+        self._set(machine_id, TERMINATING, rank)
 
     def rented(
         self, name: str, booking: BookingRecord, machines: list[MachineId], wall: Seconds
@@ -322,15 +322,15 @@
         self,
         now: Seconds,
         wall: Seconds,
-        heard: dict[MachineId, Any],
+        reconciled: dict[MachineId, Any],
         silent: dict[MachineId, Silence],
         zones: list[str],
     ) -> None:
-        """Look at every machine: `heard` is what the parts say of each, `silent` names those
+        """Look at every machine: `reconciled` is what the parts say of each, `silent` names those
         they have not heard for a while."""
         came_up: dict[str, list[MachineId]] = {}
         for machine_id, record in self.mirror.machines.items():
-            if record.doomed:
+            if record.terminating:
                 if machine_id in self.deleted:
                     name = self.mirror.group_of[machine_id]
                     group = self._draft(name, RANK_URGENT)
@@ -338,10 +338,10 @@
                     group.floors.pop(machine_id, None)
                     self._up_since.pop(machine_id, None)
                 continue
-            body = heard.get(machine_id)
+            body = reconciled.get(machine_id)
             why = self._why_go(now, machine_id, record, body, silent.get(machine_id))
             if why:
-                self.doom(machine_id, why)
+                self.terminate(machine_id, why)
             elif body is not None and body["heard"] and not record.up:
                 came_up.setdefault(self.mirror.group_of[machine_id], []).append(machine_id)
         for name, machines in came_up.items():
--- a/src/dapplewick/core/model.py
+++ b/src/dapplewick/core/model.py
@@ -36,6 +36,7 @@
     """One machine as the leader plans with it."""
 
     __slots__ = (
+        "array_tasks",
         "capacity",
         "could_be",
         "demand",
@@ -48,7 +49,6 @@
         "now",
         "queued",
         "shard",
-        "singles",
         "spot",
         "teams",
         "told",
@@ -83,7 +83,7 @@
         self.now = 0.0
         self.queued = queued
         self.demand = demand
-        self.singles = sum(end.rank < GANG_RANK for end in ends)  # that run here
+        self.array_tasks = sum(end.rank < GANG_RANK for end in ends)  # that run here
         self.could_be = free.cpus + sum(end.resources.cpus for end in ends)
         self.images = frozenset(images)
         self.usable = True
@@ -224,7 +224,7 @@
     return None
 
 
-def fit_held(
+def fit_reserved(
     views: Iterable[View], spec: JobSpec, count: int, patience: Seconds, limit: Seconds
 ) -> tuple[list[View], bool] | None:
     """Slots to hold for `count` tasks until they are idle, and whether to stop work of lower
@@ -387,7 +387,7 @@
             )
         return bisect_right(waits, limit)
 
-    def could_hold(self, spec: JobSpec) -> bool:
+    def could_reserve(self, spec: JobSpec) -> bool:
         """Whether this part's machines, if they were empty, would take all of a gang."""
         slots = (spec.resources.count_in(v.capacity) for v in self.views if v.allows(spec))
         return sum(slots) >= spec.tasks
--- a/src/dapplewick/core/needs.py
+++ b/src/dapplewick/core/needs.py
@@ -10,7 +10,7 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.fleet import Need, wanted_slots
 from dapplewick.core.part_view import ObservedShard
-from dapplewick.core.placing import LONG_HOLD_S
+from dapplewick.core.placing import LONG_RESERVATION_S
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.storage.records import GangPlace, JobRecord, Mirror
 from dapplewick.tuning import Tuning
@@ -90,7 +90,7 @@
             spec = job.spec
             if not spec.gang or not job.open:
                 continue
-            if job.gang is not None and not self._long_held(job_id, job.gang):
+            if job.gang is not None and not self._long_reserved(job_id, job.gang):
                 continue
             if spec.one_zone or spec.spread:
                 needs.append(Need(spec, spec.tasks, True))
@@ -103,13 +103,13 @@
                 needs.append(Need(spec, spec.tasks, True))
         return needs
 
-    def _long_held(self, job_id: JobId, gang: GangPlace) -> bool:
+    def _long_reserved(self, job_id: JobId, gang: GangPlace) -> bool:
         """Whether a gang's slots will still be busy for long: more room is wanted then."""
         for name in gang.shards():
             shard = self._shards.get(ShardName(name))
             if shard is not None:
                 attempt, state, wait = shard.gangs.get(job_id, (0, "", 0.0))
-                if attempt == gang.attempt and state == "held" and wait > LONG_HOLD_S:
+                if attempt == gang.attempt and state == "held" and wait > LONG_RESERVATION_S:
                     return True
         return False
 
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -19,16 +19,16 @@
     ASSIGNED,
     FINISHED,
     ON_MACHINE,
-    RETURNED,
-    UNSURE,
+    RELEASED,
+    UNCONFIRMED,
     WAITING,
-    Hold,
+    ArrayTask,
+    GangReservation,
     Images,
-    Live,
     Machine,
     Queues,
-    Single,
     Slot,
+    TaskAttempt,
 )
 from dapplewick.core.part_status import Touched, full_status
 from dapplewick.core.preemption import stop_until_fits
@@ -62,7 +62,9 @@
 RETRY_S = 2.0  # first pause after a failure, doubled with each further one
 OVERRUN = 0.2  # a task that ran on beyond its estimate is expected to go on for this share
 LOST_STARTS = 3  # reports in a row that miss what was sent, until no more is sent
-DEAF_SHARE = 0.95  # of a lease: a session that ends within this time of a report was not silent
+UNREACHABLE_LEASE_FRACTION = (
+    0.95  # of a lease: a session that ends within this time of a report was not silent
+)
 REPEATED_INCARNATION_LEASES = (
     4.0  # leases within which a second session ends on a machine that hears nothing
 )
@@ -105,16 +107,16 @@
         self._ticked_at = now
         self.random = random.Random(seed ^ token)
         self.machines: dict[MachineId, Machine] = {}
-        self.singles: dict[JobId, dict[int, Single]] = {}
-        self.holds: dict[JobId, Hold] = {}
-        self._holds_on: dict[MachineId, dict[JobId, Hold]] = {}
+        self.array_tasks: dict[JobId, dict[int, ArrayTask]] = {}
+        self.reservations: dict[JobId, GangReservation] = {}
+        self._reservations_on: dict[MachineId, dict[JobId, GangReservation]] = {}
         self.queues = Queues()
         self.images = Images()
         self.later: list[TaskRef] = []
         self.done_gangs: dict[JobId, int] = {}
         self._speed = SpeedComparison()
         self._replicas = ReplicaPlacement(self, report_s)
-        self._unsure = False  # whether any single may be on a machine not yet heard
+        self._has_unconfirmed = False  # whether any single may be on a machine not yet heard
         self._slow_at = -1e9
         self._few = False  # whether few idle slots of the gangs' size are left
         self.touched = Touched()
@@ -125,96 +127,96 @@
         self._attempts = 0
         # Tasks granted before this ownership may be on any machine the old owner could use:
         # until each of those was heard under our token, or is deleted, they wait.
-        self.unheard: set[MachineId] = {
+        self.unreconciled: set[MachineId] = {
             m for m, r in mirror.machines.items() if r.shard == shard and r.up
         }
         for machine in mirror.machines:
-            if machine in self.unheard:
+            if machine in self.unreconciled:
                 self._machine(machine, now)
         for job_id in list(mirror.live_jobs):
-            self.job_changed(now, job_id, takeover=True)
-        self._settle_unsure(now)
+            self.job_changed(now, job_id, failover=True)
+        self._release_unconfirmed(now)
 
     # Inputs
 
-    def job_changed(self, now: Seconds, job_id: JobId, takeover: bool = False) -> None:
+    def job_changed(self, now: Seconds, job_id: JobId, failover: bool = False) -> None:
         """A job's record has changed."""
         job = self.mirror.jobs.get(job_id)
         granted = job.granted(self.shard) - job.done if job is not None and job.open else set()
-        singles = self.singles.get(job_id)
+        array_tasks = self.array_tasks.get(job_id)
         replicas = False
-        if granted or singles:
-            singles = self.singles.setdefault(job_id, {})
-            for index in [i for i in singles if i not in granted]:
-                self._drop(TaskRef(job_id, TaskIndex(index)), singles.pop(index))
-            self._unsure = self._unsure or (takeover and bool(granted))
-            for index, single in singles.items():
+        if granted or array_tasks:
+            array_tasks = self.array_tasks.setdefault(job_id, {})
+            for index in [i for i in array_tasks if i not in granted]:
+                self._drop(TaskRef(job_id, TaskIndex(index)), array_tasks.pop(index))
+            self._has_unconfirmed = self._has_unconfirmed or (failover and bool(granted))
+            for index, array_task in array_tasks.items():
                 # What was given back under an older version of the record and is granted in
                 # this one was granted anew, or was not yet heard: the leader only takes back
                 # what was said of the version that it changes. So it may run here again. That is
                 # the version of its own key: another chunk of the same job may be written in
                 # the same pass, before the one in which this task is taken back.
                 if (
-                    single.state == RETURNED
+                    array_task.state == RELEASED
                     and job is not None
-                    and job.task_version(index) != single.returned
+                    and job.task_version(index) != array_task.released
                 ):
-                    self._again(now, TaskRef(job_id, TaskIndex(index)), single, failed=False)
-            for index in sorted(granted - singles.keys()):
+                    self._requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
+            for index in sorted(granted - array_tasks.keys()):
                 task = TaskRef(job_id, TaskIndex(index))
-                singles[index] = Single(UNSURE if takeover else WAITING, now)
-                if not takeover:
-                    self.queues.loose.append(task)
+                array_tasks[index] = ArrayTask(UNCONFIRMED if failover else WAITING, now)
+                if not failover:
+                    self.queues.unqueued.append(task)
                     replicas = replicas or (job is not None and job.spec.daemon)
-            if not singles:
-                del self.singles[job_id]
+            if not array_tasks:
+                del self.array_tasks[job_id]
             self.touched.job(job_id)
-        self._gang_changed(now, job_id, job, takeover)
+        self._gang_changed(now, job_id, job, failover)
         self.dirty = True
         if replicas:
             self._join_all(now)  # not only with the next tick: users wait for them
 
     def _gang_changed(
-        self, now: Seconds, job_id: JobId, job: JobRecord | None, takeover: bool
+        self, now: Seconds, job_id: JobId, job: JobRecord | None, failover: bool
     ) -> None:
-        hold = self.holds.get(job_id)
+        reservation = self.reservations.get(job_id)
         gang = job.gang if job is not None else None
         if gang is None or self.shard not in gang.shards():
-            if hold is not None:
-                self._remove_hold(job_id, hold)
+            if reservation is not None:
+                self._remove_reservation(job_id, reservation)
             self.done_gangs.pop(job_id, None)
             return
-        if hold is None or hold.attempt != gang.attempt:
+        if reservation is None or reservation.attempt != gang.attempt:
             places = {
                 i: MachineId(m) for i, (shard, m) in enumerate(gang.places) if shard == self.shard
             }
-            hold = Hold(gang.attempt, places, now)
-            if takeover:
+            reservation = GangReservation(gang.attempt, places, now)
+            if failover:
                 # Whether the old owner has sent the starts is unknown. An attempt is never
                 # started twice, so what is not found on its machine ends this attempt.
-                hold.inherited = hold.ready = True
-                hold.launched = set(places)
-            if job_id in self.holds:
-                self._remove_hold(job_id, self.holds[job_id])
-            self.holds[job_id] = hold
-            if any(m not in self.mirror.machines for m in hold.on):
+                reservation.inherited = reservation.ready = True
+                reservation.launched = set(places)
+            if job_id in self.reservations:
+                self._remove_reservation(job_id, self.reservations[job_id])
+            self.reservations[job_id] = reservation
+            if any(m not in self.mirror.machines for m in reservation.on):
                 # Gone before this hold was known here: no change of its record will tell.
-                hold.bad = "machine gone"
-            for machine_id in hold.on:
-                self._holds_on.setdefault(machine_id, {})[job_id] = hold
+                reservation.bad = "machine gone"
+            for machine_id in reservation.on:
+                self._reservations_on.setdefault(machine_id, {})[job_id] = reservation
                 self.touched.machine(machine_id)
-        hold.preempt = gang.preempt
-        if not takeover:
-            self._check_hold(now, job_id, hold)
-
-    def _remove_hold(self, job_id: JobId, hold: Hold) -> None:
-        del self.holds[job_id]
-        for machine_id in hold.on:
-            there = self._holds_on.get(machine_id)
+        reservation.preempt = gang.preempt
+        if not failover:
+            self._check_reservation(now, job_id, reservation)
+
+    def _remove_reservation(self, job_id: JobId, reservation: GangReservation) -> None:
+        del self.reservations[job_id]
+        for machine_id in reservation.on:
+            there = self._reservations_on.get(machine_id)
             if there is not None:
                 there.pop(job_id, None)
                 if not there:
-                    del self._holds_on[machine_id]
+                    del self._reservations_on[machine_id]
             self.touched.machine(machine_id)
 
     def machine_changed(self, now: Seconds, machine_id: MachineId) -> None:
@@ -231,20 +233,20 @@
                 # Handed over to us: if it never reports, it is to be seen as silent.
                 self._machine(machine_id, now)
             return
-        self.unheard.discard(machine_id)
+        self.unreconciled.discard(machine_id)
         machine = self.machines.pop(machine_id, None)
         had_replicas = False
         if machine is not None:
             had_replicas = machine.has_replicas() or any(s.endless for s in machine.slots)
             self.images.clear(machine)
             self._requeue_slots(machine)
-            for task in list(machine.live):
+            for task in list(machine.task_attempts):
                 self._gone(now, machine, task, "machine gone")
-        for job_id, hold in self._holds_on.get(machine_id, {}).items():
-            if not hold.bad:
-                hold.bad = "machine gone"
+        for job_id, reservation in self._reservations_on.get(machine_id, {}).items():
+            if not reservation.bad:
+                reservation.bad = "machine gone"
                 log.info("event=gang_broken job=%s reason=machine_gone", job_id)
-        self._settle_unsure(now)
+        self._release_unconfirmed(now)
         self.dirty = True
         if had_replicas:
             self._join_all(now)  # not only with the next tick: users wait for them
@@ -254,9 +256,9 @@
         ours can be on it; it is forgotten, and nothing is started elsewhere for that."""
         self.images.clear(machine)
         self._requeue_slots(machine)
-        for task in machine.live:
+        for task in machine.task_attempts:
             log.error("event=handed_over_with_task task=%s/%d", task.job, task.number)
-        self.unheard.discard(machine.id)
+        self.unreconciled.discard(machine.id)
         del self.machines[machine.id]
         self.dirty = True
 
@@ -271,9 +273,9 @@
             machine_id
             for machine_id in self.mirror.transfers.drained()
             if (machine := self.machines.get(machine_id)) is not None
-            and machine.heard
-            and machine_id not in self.unheard
-            and not machine.live
+            and machine.reconciled
+            and machine_id not in self.unreconciled
+            and not machine.task_attempts
             and not machine.slots
             and not self._promised(machine_id)
         ]
@@ -282,7 +284,7 @@
         """Whether a gang that is not over names this machine: its start may still go out."""
         return any(
             (job := self.mirror.jobs.get(job_id)) is not None and job.gang is not None
-            for job_id in self._holds_on.get(machine_id, ())
+            for job_id in self._reservations_on.get(machine_id, ())
         )
 
     def refuse(self, now: Seconds) -> None:
@@ -302,17 +304,24 @@
         if (heartbeat.incarnation, heartbeat.sequence) <= machine.newest:
             return []
         new_incarnation = heartbeat.incarnation > machine.newest[0]
-        if new_incarnation and machine.heard and machine.settled > self.listening_since:
+        if (
+            new_incarnation
+            and machine.reconciled
+            and machine.last_confirmed_at > self.listening_since
+        ):
             # A lease that ended while we answered its reports: the answers don't reach it. It
             # asks all controllers in turn, so its reports here may also be a lease apart; then
             # the second end soon after the first tells.
             again = now - machine.renewed < self._lease_s * REPEATED_INCARNATION_LEASES
-            if again or now - machine.settled < self._lease_s * DEAF_SHARE:
-                machine.deaf = True
+            if (
+                again
+                or now - machine.last_confirmed_at < self._lease_s * UNREACHABLE_LEASE_FRACTION
+            ):
+                machine.unreachable = True
                 log.info("event=machine_deaf machine=%s", machine.id)
             machine.renewed = now
         machine.newest = (heartbeat.incarnation, heartbeat.sequence)
-        machine.last = now
+        machine.last_heartbeat_at = now
         machine.type = heartbeat.type
         machine.spot = heartbeat.spot
         machine.address = heartbeat.address
@@ -322,27 +331,27 @@
             machine.capacity = known.resources
         # A report from before our token was seen may miss starts of the old owner that are
         # still under way; only one that carries our token settles what is not there.
-        settles = heartbeat.token == self.token_for(heartbeat.machine)
-        if settles:
-            machine.settled = now
-        if settles and not machine.heard:
-            machine.heard = True
+        is_current = heartbeat.token == self.token_for(heartbeat.machine)
+        if is_current:
+            machine.last_confirmed_at = now
+        if is_current and not machine.reconciled:
+            machine.reconciled = True
             self.dirty = True
             self.touched.machine(machine.id)
-            self.unheard.discard(heartbeat.machine)
+            self.unreconciled.discard(heartbeat.machine)
         if new_incarnation:
             self.images.clear(machine)
-        had = bool(machine.live)
-        commands = self._take_tasks(now, machine, heartbeat, settles, new_incarnation)
-        if settles:
-            self._settle_unsure(now)
-        for job_id, hold in self._holds_on.get(machine.id, {}).items():
-            self._check_hold(now, job_id, hold)
+        had = bool(machine.task_attempts)
+        commands = self._take_tasks(now, machine, heartbeat, is_current, new_incarnation)
+        if is_current:
+            self._release_unconfirmed(now)
+        for job_id, reservation in self._reservations_on.get(machine.id, {}).items():
+            self._check_reservation(now, job_id, reservation)
         commands += self._stops(now, machine)
         usable = self._note_usable(now, machine)
-        if usable and may_launch and settles:
+        if usable and may_launch and is_current:
             commands += self._launches(now, machine)
-        elif may_launch and settles and self._is_drained_only(now, machine):
+        elif may_launch and is_current and self._is_drained_only(now, machine):
             # A gang that is about to start gets its slots before the machine goes.
             commands += self._gang_launches(now, machine)
         if machine.stored:
@@ -350,11 +359,12 @@
             commands = self._forget_stored(now, machine, drained or bool(commands)) + commands
         # Replicas alone keep a machine, but its time without other work counts.
         busy = any(
-            live.stage != "exited" and not (live.spec is not None and live.spec.daemon)
-            for live in machine.live.values()
+            task_attempt.stage != "exited"
+            and not (task_attempt.spec is not None and task_attempt.spec.daemon)
+            for task_attempt in machine.task_attempts.values()
         )
         # One that lost its tasks only now, as with its lease in an outage, is not idle yet.
-        if busy or (had and not machine.live) or self._held_on(machine.id):
+        if busy or (had and not machine.task_attempts) or self._reserved_slots_on(machine.id):
             machine.idle_since = now
         return commands
 
@@ -362,14 +372,14 @@
         """Each change of its tasks makes a worker report, so what need not be forgotten at once
         waits for orders that change something anyway."""
         stored = machine.stored
-        for task in [t for t in stored if t not in machine.live]:
+        for task in [t for t in stored if t not in machine.task_attempts]:
             del stored[task]
         oldest = min(stored.values(), default=now)
         if not (now_anyway or len(stored) >= MAX_STORED_RESULTS or now - oldest > FORGET_S):
             return []
-        commands = [Command("forget", t, machine.live[t].attempt) for t in stored]
+        commands = [Command("forget", t, machine.task_attempts[t].attempt) for t in stored]
         for task in stored:
-            self._remove_live(machine, task)
+            self._remove_task_attempt(machine, task)
         machine.stored = {}
         return commands
 
@@ -392,7 +402,7 @@
             ready = [t for t in self.later if self._not_before(t) <= now]
             if ready:
                 self.later = [t for t in self.later if self._not_before(t) > now]
-                self.queues.loose.extend(ready)
+                self.queues.unqueued.extend(ready)
         if now - self._slow_at >= SLOW_TICK_S:
             self._slow_at = now
             self._speed.update(self.machines.values())
@@ -402,13 +412,13 @@
             for machine in self.machines.values():
                 if not self._note_usable(now, machine) and machine.slots:
                     self._requeue_slots(machine)
-            for job_id, hold in self.holds.items():
-                self._check_hold(now, job_id, hold)
-            for machine in self._replicas.drain_dear(now, bool(self.queues.loose)):
+            for job_id, reservation in self.reservations.items():
+                self._check_reservation(now, job_id, reservation)
+            for machine in self._replicas.drain_dear(now, bool(self.queues.unqueued)):
                 self._note_usable(now, machine)
             if followed:
                 # In an outage nobody could give it to another part, and here it may still start.
-                self._return_long_waits(now)
+                self._release_long_waits(now)
         self._join_all(now)
 
     # Bookkeeping of what is where
@@ -425,13 +435,13 @@
                     machine.capacity = known.resources
         return machine
 
-    def _single(self, task: TaskRef) -> Single | None:
-        singles = self.singles.get(task.job)
-        return singles.get(task.number) if singles is not None else None
+    def _array_task(self, task: TaskRef) -> ArrayTask | None:
+        array_tasks = self.array_tasks.get(task.job)
+        return array_tasks.get(task.number) if array_tasks is not None else None
 
     def _not_before(self, task: TaskRef) -> Seconds:
-        single = self._single(task)
-        return single.not_before if single is not None else 0.0
+        array_task = self._array_task(task)
+        return array_task.not_before if array_task is not None else 0.0
 
     def _spec(self, task: TaskRef) -> JobSpec | None:
         job = self.mirror.jobs.get(task.job)
@@ -455,14 +465,14 @@
             record is not None
             and record.shard == self.shard
             and record.up
-            and not record.doomed
-            and machine.heard
+            and not record.terminating
+            and machine.reconciled
             and machine.spot_notice_s is None
-            and now - machine.last < MAX_HEARTBEAT_AGE_S
+            and now - machine.last_heartbeat_at < MAX_HEARTBEAT_AGE_S
             and not self.faulty(now, machine)
             and not machine.slow
             and not machine.drain
-            and not machine.deaf
+            and not machine.unreachable
             and machine.lost_starts < LOST_STARTS
         )
 
@@ -502,17 +512,17 @@
         idle = sum(resources.count_in(m.free()) for m in self.machines.values())
         return idle <= math.ceil(kept / max(1, len(self.mirror.shards)))
 
-    def _held_on(self, machine_id: MachineId) -> list[tuple[JobId, Hold, int]]:
+    def _reserved_slots_on(self, machine_id: MachineId) -> list[tuple[JobId, GangReservation, int]]:
         """Held slots of this machine whose start has not gone out."""
-        holds = self._holds_on.get(machine_id)
-        if not holds:
+        reservations = self._reservations_on.get(machine_id)
+        if not reservations:
             return []
         return [
-            (job_id, hold, index)
-            for job_id, hold in holds.items()
-            if not hold.bad and self._gang_wanted(job_id)
-            for index in hold.on[machine_id]
-            if index not in hold.launched
+            (job_id, reservation, index)
+            for job_id, reservation in reservations.items()
+            if not reservation.bad and self._gang_wanted(job_id)
+            for index in reservation.on[machine_id]
+            if index not in reservation.launched
         ]
 
     def _gang_wanted(self, job_id: JobId) -> bool:
@@ -520,31 +530,31 @@
         return job is not None and job.open and job.gang is not None and not job.gang.over
 
     def reserved_resources(self, machine_id: MachineId) -> Resources:
-        if machine_id not in self._holds_on:
+        if machine_id not in self._reservations_on:
             return NO_RESOURCES
         resources = NO_RESOURCES
-        for job_id, _, _ in self._held_on(machine_id):
+        for job_id, _, _ in self._reserved_slots_on(machine_id):
             resources = resources.plus(self.mirror.jobs[job_id].resources)
         return resources
 
-    def _drop(self, task: TaskRef, single: Single) -> None:
+    def _drop(self, task: TaskRef, array_task: ArrayTask) -> None:
         """The grant of a single is over: it is done, given back, or not wanted."""
-        if single.queue is not None:
-            slot = single.queue
-            if slot.current == task and single.state == ASSIGNED:
+        if array_task.queue is not None:
+            slot = array_task.queue
+            if slot.current == task and array_task.state == ASSIGNED:
                 slot.current = None
                 self._slot_changed(slot)
             elif task in slot.queue:
                 self.queues.leave(slot, task)
-            single.queue = None
+            array_task.queue = None
 
     def _slot_changed(self, slot: Slot) -> None:
         machine = self.machines.get(slot.machine)
         if machine is not None:
             self._changed(machine)
 
-    def _set(self, task: TaskRef, single: Single, state: int) -> None:
-        single.state = state
+    def _set(self, task: TaskRef, array_task: ArrayTask, state: int) -> None:
+        array_task.state = state
         self.touched.job(task.job)
         self.dirty = True
 
@@ -553,61 +563,66 @@
         now: Seconds,
         machine: Machine,
         heartbeat: Heartbeat,
-        settles: bool,
+        is_current: bool,
         new_incarnation: bool,
     ) -> list[Command]:
         """Take over what a report lists. One from before our token may be a late copy, and the
         task may long be elsewhere: it settles nothing, neither that a task is here nor that it
         is gone. What it shows counts as room taken until a newer one tells."""
         commands: list[Command] = []
-        lives = machine.live
-        if settles:
+        task_attempts = machine.task_attempts
+        if is_current:
             listed = {t.task for t in heartbeat.tasks}
             self._count_lost_starts(now, machine, listed)
-            for task in [t for t in lives if t not in listed]:
+            for task in [t for t in task_attempts if t not in listed]:
                 self._gone(now, machine, task, "not on its machine")
         for item in heartbeat.tasks:
             task = item.task
-            live = lives.get(task)
-            if live is None or live.attempt != item.attempt:
+            task_attempt = task_attempts.get(task)
+            if task_attempt is None or task_attempt.attempt != item.attempt:
                 spec = self._spec(task)
-                live = lives[task] = Live(item.attempt, item.stage, now, False, spec)
+                task_attempt = task_attempts[task] = TaskAttempt(
+                    item.attempt, item.stage, now, False, spec
+                )
                 self._changed(machine)
-            elif live.stage != item.stage or live.sent:
+            elif task_attempt.stage != item.stage or task_attempt.sent:
                 self._changed(machine)
-            if live.spec is None:
-                live.describe(self._spec(task))
+            if task_attempt.spec is None:
+                task_attempt.describe(self._spec(task))
                 machine.used = None
-            live.sent = False
-            live.stage = item.stage
-            if live.spec is not None and item.stage in ("fetching", "running", "gathering"):
-                self.images.add(machine, live.spec.image)
-            if item.stage == "running" and live.running_at is None:
-                live.running_at = now
-            if settles and item.stage == "exited":
-                commands += self._exited(now, machine, item, live)
-            elif settles:
+            task_attempt.sent = False
+            task_attempt.stage = item.stage
+            if task_attempt.spec is not None and item.stage in ("fetching", "running", "gathering"):
+                self.images.add(machine, task_attempt.spec.image)
+            if item.stage == "running" and task_attempt.running_at is None:
+                task_attempt.running_at = now
+            if is_current and item.stage == "exited":
+                commands += self._exited(now, machine, item, task_attempt)
+            elif is_current:
                 self._present(now, machine, item)
-        if settles:
-            for job_id, hold in self._holds_on.get(machine.id, {}).items():
-                if hold.bad or self.done_gangs.get(job_id) == hold.attempt:
+        if is_current:
+            for job_id, reservation in self._reservations_on.get(machine.id, {}).items():
+                if reservation.bad or self.done_gangs.get(job_id) == reservation.attempt:
                     continue
-                for index in hold.on[machine.id]:
-                    if index not in hold.launched or TaskRef(job_id, TaskIndex(index)) in lives:
+                for index in reservation.on[machine.id]:
+                    if (
+                        index not in reservation.launched
+                        or TaskRef(job_id, TaskIndex(index)) in task_attempts
+                    ):
                         continue
                     # A start that was never seen was dropped with its answer, unless the
                     # worker has begun a new session: then it may have run, and attempts
                     # are not repeated.
-                    if index in hold.seen or hold.inherited or new_incarnation:
-                        hold.bad = "start lost"
+                    if index in reservation.seen or reservation.inherited or new_incarnation:
+                        reservation.bad = "start lost"
                     else:
-                        hold.launched.discard(index)
+                        reservation.launched.discard(index)
                     self._changed(machine)
         return commands
 
     def _count_lost_starts(self, now: Seconds, machine: Machine, listed: set[TaskRef]) -> None:
         """A machine that reports but never shows what it is told to start hears nothing."""
-        sent = [task for task, live in machine.live.items() if live.sent]
+        sent = [task for task, task_attempt in machine.task_attempts.items() if task_attempt.sent]
         if any(task in listed for task in sent):
             machine.lost_starts = 0
         elif sent:
@@ -618,35 +633,35 @@
             machine.lost_starts = 0
 
     def _present(self, now: Seconds, machine: Machine, item: TaskStatus) -> None:
-        single = self._single(item.task)
-        if single is not None:
-            if single.state == ON_MACHINE:
-                if single.machine != machine.id:
+        array_task = self._array_task(item.task)
+        if array_task is not None:
+            if array_task.state == ON_MACHINE:
+                if array_task.machine != machine.id:
                     log.error("event=two_places task=%s/%d", item.task.job, item.task.number)
                 return
-            if single.state in (WAITING, ASSIGNED, RETURNED):
+            if array_task.state in (WAITING, ASSIGNED, RELEASED):
                 log.error("event=unexpected_task task=%s/%d", item.task.job, item.task.number)
-            if single.state != FINISHED:
-                self._drop(item.task, single)
-                self._set(item.task, single, ON_MACHINE)
-                single.machine = machine.id
+            if array_task.state != FINISHED:
+                self._drop(item.task, array_task)
+                self._set(item.task, array_task, ON_MACHINE)
+                array_task.machine = machine.id
             return
-        hold = self.holds.get(item.task.job)
+        reservation = self.reservations.get(item.task.job)
         if (
-            hold is not None
-            and hold.attempt == item.attempt
-            and hold.places.get(item.task.number) == machine.id
+            reservation is not None
+            and reservation.attempt == item.attempt
+            and reservation.places.get(item.task.number) == machine.id
         ):
-            hold.launched.add(item.task.number)
-            hold.seen.add(item.task.number)
+            reservation.launched.add(item.task.number)
+            reservation.seen.add(item.task.number)
 
     def _exited(
-        self, now: Seconds, machine: Machine, item: TaskStatus, live: Live
+        self, now: Seconds, machine: Machine, item: TaskStatus, task_attempt: TaskAttempt
     ) -> list[Command]:
         """An exited task: keep a result until it is stored, forget everything else."""
         task = item.task
         job = self.mirror.jobs.get(task.job)
-        single = self._single(task)
+        array_task = self._array_task(task)
         forget = [Command("forget", task, item.attempt)]
         replica = job is not None and job.open and job.spec.daemon
         if item.cause == "done" and not replica:
@@ -655,21 +670,21 @@
                 self._leave_slot(machine, task)
                 machine.stored.setdefault(task, now)
                 return []
-            hold = self.holds.get(task.job)
-            if single is not None:
-                if single.state != FINISHED:
-                    self._learn(now, machine, task, live, single)
+            reservation = self.reservations.get(task.job)
+            if array_task is not None:
+                if array_task.state != FINISHED:
+                    self._learn(now, machine, task, task_attempt, array_task)
                     self._leave_slot(machine, task)
-                    self._set(task, single, FINISHED)
-                    single.machine = machine.id
-            elif hold is not None and hold.attempt == item.attempt:
+                    self._set(task, array_task, FINISHED)
+                    array_task.machine = machine.id
+            elif reservation is not None and reservation.attempt == item.attempt:
                 if self.done_gangs.get(task.job) != item.attempt:
-                    self.done_gangs[task.job] = hold.attempt
-                    self._learn(now, machine, task, live, None)
+                    self.done_gangs[task.job] = reservation.attempt
+                    self._learn(now, machine, task, task_attempt, None)
                     self.dirty = True
             else:
                 # A result that nothing here accounts for: not used, and not kept.
-                self._remove_live(machine, task)
+                self._remove_task_attempt(machine, task)
                 return forget
             return []
         log.debug(
@@ -680,36 +695,55 @@
             machine.id,
             item.cause,
         )
-        hold = self.holds.get(task.job)
-        if hold is not None and hold.attempt == item.attempt and not hold.bad:
-            hold.bad = item.cause or "exited"
-            log.info("event=gang_broken job=%s reason=%s", task.job, hold.bad)
+        reservation = self.reservations.get(task.job)
+        if reservation is not None and reservation.attempt == item.attempt and not reservation.bad:
+            reservation.bad = item.cause or "exited"
+            log.info("event=gang_broken job=%s reason=%s", task.job, reservation.bad)
         if item.cause in ("error", "no_such"):
             machine.failures[task.job] = now
-        self._remove_live(machine, task)
-        if single is not None and single.machine == machine.id and single.state == ON_MACHINE:
-            if replica and live.running_at is not None and now - live.running_at > STEADY_S:
-                single.fails = 0
-            self._again(now, task, single, failed=item.cause not in ("halted", "full", "peers"))
+        self._remove_task_attempt(machine, task)
+        if (
+            array_task is not None
+            and array_task.machine == machine.id
+            and array_task.state == ON_MACHINE
+        ):
+            if (
+                replica
+                and task_attempt.running_at is not None
+                and now - task_attempt.running_at > STEADY_S
+            ):
+                array_task.fails = 0
+            self._requeue(
+                now, task, array_task, failed=item.cause not in ("halted", "full", "peers")
+            )
         self.dirty = True
         return forget
 
     def _learn(
-        self, now: Seconds, machine: Machine, task: TaskRef, live: Live, single: Single | None
+        self,
+        now: Seconds,
+        machine: Machine,
+        task: TaskRef,
+        task_attempt: TaskAttempt,
+        array_task: ArrayTask | None,
     ) -> None:
         spec = self._spec(task)
-        if spec is None or live.running_at is None or (single is not None and single.fails):
+        if (
+            spec is None
+            or task_attempt.running_at is None
+            or (array_task is not None and array_task.fails)
+        ):
             return
         if spec.daemon:
             return
-        ran = max(0.5, now - live.running_at)
+        ran = max(0.5, now - task_attempt.running_at)
         self.estimates.learn(spec.bundle, spec.estimate, ran)
-        if single is None or spec.estimate <= 0.0:
+        if array_task is None or spec.estimate <= 0.0:
             return
         self._speed.note(machine, task.job, ran, spec.estimate)
 
-    def _remove_live(self, machine: Machine, task: TaskRef) -> None:
-        if machine.live.pop(task, None) is not None:
+    def _remove_task_attempt(self, machine: Machine, task: TaskRef) -> None:
+        if machine.task_attempts.pop(task, None) is not None:
             self._changed(machine)
         self._leave_slot(machine, task)
 
@@ -719,60 +753,60 @@
             return
         # An old attempt whose `forget` was lost is reported again after its task was assigned
         # anew to the same machine: that slot stays the task's.
-        single = self._single(task)
-        if single is None or single.queue is not slot:
+        array_task = self._array_task(task)
+        if array_task is None or array_task.queue is not slot:
             slot.current = None
             self._changed(machine)
 
     def _gone(self, now: Seconds, machine: Machine, task: TaskRef, why: str) -> None:
         """A task is known not to be on its machine any more."""
-        live = machine.live.get(task)
-        self._remove_live(machine, task)
+        task_attempt = machine.task_attempts.get(task)
+        self._remove_task_attempt(machine, task)
         self.dirty = True
-        single = self._single(task)
-        if single is not None and single.machine == machine.id:
-            if single.state in (ON_MACHINE, FINISHED):
+        array_task = self._array_task(task)
+        if array_task is not None and array_task.machine == machine.id:
+            if array_task.state in (ON_MACHINE, FINISHED):
                 # A result that vanished before it was stored has to be made again.
-                self._again(now, task, single, failed=False)
+                self._requeue(now, task, array_task, failed=False)
             return
-        hold = self.holds.get(task.job)
+        reservation = self.reservations.get(task.job)
         if (
-            hold is not None
-            and live is not None
-            and hold.attempt == live.attempt
-            and not live.sent
-            and not hold.bad
-            and self.done_gangs.get(task.job) != hold.attempt
+            reservation is not None
+            and task_attempt is not None
+            and reservation.attempt == task_attempt.attempt
+            and not task_attempt.sent
+            and not reservation.bad
+            and self.done_gangs.get(task.job) != reservation.attempt
         ):
-            hold.bad = why
+            reservation.bad = why
 
-    def _again(self, now: Seconds, task: TaskRef, single: Single, failed: bool) -> None:
-        self._set(task, single, WAITING)
-        single.machine = None
-        single.since = now
-        single.queue = None
+    def _requeue(self, now: Seconds, task: TaskRef, array_task: ArrayTask, failed: bool) -> None:
+        self._set(task, array_task, WAITING)
+        array_task.machine = None
+        array_task.since = now
+        array_task.queue = None
         if failed:
-            single.fails += 1
+            array_task.fails += 1
             # A replica is wanted back at once; only one that fails again and again is paused.
             spec = self._spec(task)
-            power = single.fails - (2 if spec is not None and spec.daemon else 1)
+            power = array_task.fails - (2 if spec is not None and spec.daemon else 1)
             pause = min(60.0, RETRY_S * 2.0**power) if power >= 0 else 0.0
-            single.not_before = now + pause
+            array_task.not_before = now + pause
             self.later.append(task)
         else:
-            self.queues.loose.append(task)
+            self.queues.unqueued.append(task)
 
-    def _settle_unsure(self, now: Seconds) -> None:
-        if self.unheard or not self._unsure:
+    def _release_unconfirmed(self, now: Seconds) -> None:
+        if self.unreconciled or not self._has_unconfirmed:
             return
-        self._unsure = False
-        for job_id, singles in self.singles.items():
-            for index, single in singles.items():
-                if single.state == UNSURE:
+        self._has_unconfirmed = False
+        for job_id, array_tasks in self.array_tasks.items():
+            for index, array_task in array_tasks.items():
+                if array_task.state == UNCONFIRMED:
                     task = TaskRef(job_id, TaskIndex(index))
-                    self._set(task, single, WAITING)
-                    single.since = now
-                    self.queues.loose.append(task)
+                    self._set(task, array_task, WAITING)
+                    array_task.since = now
+                    self.queues.unqueued.append(task)
 
     # The design's first point: joining, queues and stealing
 
@@ -785,26 +819,26 @@
         )
 
     def _join_all(self, now: Seconds) -> None:
-        if not self.queues.loose:
+        if not self.queues.unqueued:
             return
         usable = [m for m in self.machines.values() if m.was_usable]
-        waiting = list(self.queues.loose)
-        loose = self.queues.loose
-        loose.clear()
+        waiting = list(self.queues.unqueued)
+        unqueued = self.queues.unqueued
+        unqueued.clear()
         stuck: set[Any] = set()
         able: dict[Any, list[Machine]] = {}
         for task in waiting:
-            single = self._single(task)
-            if single is None or single.state != WAITING or single.queue is not None:
+            array_task = self._array_task(task)
+            if array_task is None or array_task.state != WAITING or array_task.queue is not None:
                 continue
             spec = self._spec(task)
             if spec is None:
-                loose.append(task)
+                unqueued.append(task)
                 continue
             # Where one task finds no queue, the next that is alike finds none either.
             shape = spec.shape
             if shape in stuck:
-                loose.append(task)
+                unqueued.append(task)
                 continue
             machines = able.get(shape)
             if machines is None:
@@ -812,12 +846,12 @@
                 machines = able[shape] = [
                     m for m in usable if self.allowed(spec, m) and resources.fits_in(m.capacity)
                 ]
-            if not self._join(now, task, single, spec, machines):
+            if not self._join(now, task, array_task, spec, machines):
                 stuck.add(shape)
-                loose.append(task)
+                unqueued.append(task)
 
     def _join(
-        self, now: Seconds, task: TaskRef, single: Single, spec: JobSpec, able: list[Machine]
+        self, now: Seconds, task: TaskRef, array_task: ArrayTask, spec: JobSpec, able: list[Machine]
     ) -> bool:
         """A single joins an idle slot, else a held one that it passes, else the shortest queue."""
         if spec.daemon:
@@ -863,7 +897,7 @@
         # Of the shortest, one where the image is: fetching takes longer than many tasks run.
         shortest = min(queues, key=lambda q: q[:2])[2]
         self.queues.join(shortest, task)
-        single.queue = shortest
+        array_task.queue = shortest
         return True
 
     # Replicas of services: singles of their priority that are not expected to end
@@ -904,27 +938,29 @@
         """The test of the design's fourth point, against every gang held on this machine."""
         if spec.daemon:
             return False  # it does not end before any gang's start
-        holds = {job_id: hold for job_id, hold, _ in self._held_on(machine.id)}
+        reservations = {
+            job_id: reservation for job_id, reservation, _ in self._reserved_slots_on(machine.id)
+        }
         # Where singles are stopped for a gang, its wait ends with the last of them: one that
         # passed by its estimate was stopped with the next report, over and over.
-        if any(hold.ready or hold.preempt for hold in holds.values()):
+        if any(reservation.ready or reservation.preempt for reservation in reservations.values()):
             return False
         estimate = self.estimates.run_time(spec)
         return all(
-            estimate <= self.remaining_wait(now, job_id, hold) + self.threshold
-            for job_id, hold in holds.items()
+            estimate <= self.remaining_wait(now, job_id, reservation) + self.threshold
+            for job_id, reservation in reservations.items()
         )
 
-    def remaining_wait(self, now: Seconds, job_id: JobId, hold: Hold) -> Seconds:
+    def remaining_wait(self, now: Seconds, job_id: JobId, reservation: GangReservation) -> Seconds:
         """Time until the latest estimated end among the gang's held slots, at least zero."""
-        if hold.wait[0] != now:
+        if reservation.wait[0] != now:
             latest = 0.0
-            for machine_id in hold.on:
+            for machine_id in reservation.on:
                 machine = self.machines.get(machine_id)
                 if machine is not None:
                     latest = max(latest, self._room_in(now, machine))
-            hold.wait = (now, latest)
-        return hold.wait[1]
+            reservation.wait = (now, latest)
+        return reservation.wait[1]
 
     def _room_in(self, now: Seconds, machine: Machine) -> Seconds:
         """Estimated time until all that is held on a machine is idle."""
@@ -933,9 +969,9 @@
         if need.fits_in(room):
             return 0.0
         ends = sorted(
-            (self.left(now, live), live.resources)
-            for live in machine.live.values()
-            if live.stage != "exited"
+            (self.left(now, task_attempt), task_attempt.resources)
+            for task_attempt in machine.task_attempts.values()
+            if task_attempt.stage != "exited"
         )
         for left, resources in ends:
             room = room.plus(resources)
@@ -943,22 +979,22 @@
                 return left
         return ends[-1][0] if ends else 0.0
 
-    def left(self, now: Seconds, live: Live) -> Seconds:
+    def left(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
         """How much longer a task is estimated to run."""
-        if live.spec is None or live.stopped:
+        if task_attempt.spec is None or task_attempt.stopped:
             return 0.0
-        estimate = self.estimates.run_time(live.spec)
-        if live.running_at is None or estimate >= NEVER:
+        estimate = self.estimates.run_time(task_attempt.spec)
+        if task_attempt.running_at is None or estimate >= NEVER:
             return estimate
-        return max(0.0, estimate - (now - live.running_at))
+        return max(0.0, estimate - (now - task_attempt.running_at))
 
-    def expected_left(self, now: Seconds, live: Live) -> Seconds:
+    def expected_left(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
         """The same where slots are chosen: what runs for longer than estimated goes on for a
         while more often than it ends now."""
-        left = self.left(now, live)
-        if live.running_at is None or live.stopped:
+        left = self.left(now, task_attempt)
+        if task_attempt.running_at is None or task_attempt.stopped:
             return left
-        return max(left, OVERRUN * (now - live.running_at))
+        return max(left, OVERRUN * (now - task_attempt.running_at))
 
     def _fitting(self, now: Seconds, machine: Machine, jobs: Iterable[JobId]) -> dict[JobId, None]:
         """The jobs of which a single may start on this machine now, those first whose image
@@ -972,7 +1008,7 @@
             if job is None or not self.allowed(job.spec, machine):
                 continue
             spec = job.spec
-            if spec.daemon and any(t.job == job_id for t in machine.live):
+            if spec.daemon and any(t.job == job_id for t in machine.task_attempts):
                 continue  # away from the others of its service, where there is a choice
             kind = (spec.gpus > 0, spec.rank, spec.daemon)
             room = rooms.get(kind)
@@ -999,8 +1035,8 @@
             if task.job not in fitting:
                 continue
             spec = self._spec(task)
-            single = self._single(task)
-            if spec is None or single is None or single.not_before > now:
+            array_task = self._array_task(task)
+            if spec is None or array_task is None or array_task.not_before > now:
                 continue
             if spec.image in machine.images:
                 return task
@@ -1021,15 +1057,15 @@
         kept: list[Slot] = []
         for slot in machine.slots:
             task = slot.current
-            if task is not None and task not in machine.live:
-                single = self._single(task)
+            if task is not None and task not in machine.task_attempts:
+                array_task = self._array_task(task)
                 if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
                     kept.append(slot)  # what is stopped for it is not gone yet
                     continue
-                if single is not None and single.state == ASSIGNED:
+                if array_task is not None and array_task.state == ASSIGNED:
                     commands.append(self._start(now, machine, task, self._new_attempt()))
-                    self._set(task, single, ON_MACHINE)
-                    single.queue = None
+                    self._set(task, array_task, ON_MACHINE)
+                    array_task.queue = None
                 else:
                     slot.current = None
                     self._changed(machine)
@@ -1042,13 +1078,13 @@
         return commands
 
     def _put_in(self, task: TaskRef, slot: Slot) -> None:
-        single = self._single(task)
-        assert single is not None
+        array_task = self._array_task(task)
+        assert array_task is not None
         slot.current = task
         slot.resources = self._size(task)
-        self._set(task, single, ASSIGNED)
-        single.machine = slot.machine
-        single.queue = slot
+        self._set(task, array_task, ASSIGNED)
+        array_task.machine = slot.machine
+        array_task.queue = slot
         spec, machine = self._spec(task), self.machines.get(slot.machine)
         if spec is not None and machine is not None:
             slot.image = spec.image
@@ -1067,14 +1103,14 @@
             source: Slot | None = None
             task: TaskRef | None = None
             for source in queues.longest_first(fits):
-                queue = queues.loose if source is None else source.queue
+                queue = queues.unqueued if source is None else source.queue
                 task = self._next(now, machine, reversed(queue), fits)
                 if task is not None:
                     break
             if task is None:
                 return
             if source is None:
-                queues.loose.remove(task)
+                queues.unqueued.remove(task)
             else:
                 queues.leave(source, task)
             slot = Slot(machine.id)
@@ -1082,21 +1118,21 @@
             self._put_in(task, slot)
 
     def _unqueue(self, task: TaskRef) -> None:
-        single = self._single(task)
-        if single is not None and single.state in (WAITING, ASSIGNED):
-            self._set(task, single, WAITING)
-            single.queue = None
-            single.machine = None
-            self.queues.loose.append(task)
+        array_task = self._array_task(task)
+        if array_task is not None and array_task.state in (WAITING, ASSIGNED):
+            self._set(task, array_task, WAITING)
+            array_task.queue = None
+            array_task.machine = None
+            self.queues.unqueued.append(task)
 
     def _requeue_slots(self, machine: Machine) -> None:
         """A machine takes no new work: what was only meant for it joins anew."""
         for slot in machine.slots:
             for task in self.queues.empty(slot):
                 self._unqueue(task)
-            if slot.current is not None and slot.current not in machine.live:
+            if slot.current is not None and slot.current not in machine.task_attempts:
                 self._unqueue(slot.current)
-        machine.slots = [s for s in machine.slots if s.current in machine.live]
+        machine.slots = [s for s in machine.slots if s.current in machine.task_attempts]
         self._changed(machine)
 
     def _new_attempt(self) -> Attempt:
@@ -1105,7 +1141,7 @@
 
     def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
         spec = self._spec(task)
-        machine.live[task] = Live(attempt, "fetching", now, True, spec)
+        machine.task_attempts[task] = TaskAttempt(attempt, "fetching", now, True, spec)
         if spec is not None:
             self.images.add(machine, spec.image)
         machine.idle_since = now
@@ -1119,43 +1155,45 @@
         )
         return Command("start", task, attempt)
 
-    def _return_long_waits(self, now: Seconds) -> None:
+    def _release_long_waits(self, now: Seconds) -> None:
         """Singles that find no room here go back to the leader, which may know better."""
-        for job_id, singles in self.singles.items():
+        for job_id, array_tasks in self.array_tasks.items():
             job = self.mirror.jobs.get(job_id)
             replica = job is not None and job.spec.daemon
-            for index, single in singles.items():
-                if single.state not in (WAITING, ASSIGNED):
+            for index, array_task in array_tasks.items():
+                if array_task.state not in (WAITING, ASSIGNED):
                     continue
-                patience = REPLICA_WAIT_S if replica and single.state == WAITING else LONG_WAIT_S
-                if now - max(single.since, single.not_before) > patience:
-                    self._give_back(job, TaskRef(job_id, TaskIndex(index)), single)
+                patience = (
+                    REPLICA_WAIT_S if replica and array_task.state == WAITING else LONG_WAIT_S
+                )
+                if now - max(array_task.since, array_task.not_before) > patience:
+                    self._release(job, TaskRef(job_id, TaskIndex(index)), array_task)
 
-    def _give_back(self, job: JobRecord | None, task: TaskRef, single: Single) -> None:
-        self._drop(task, single)
-        single.returned = job.task_version(task.number) if job is not None else 0
-        self._set(task, single, RETURNED)
+    def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
+        self._drop(task, array_task)
+        array_task.released = job.task_version(task.number) if job is not None else 0
+        self._set(task, array_task, RELEASED)
 
     # Gangs
 
-    def _check_hold(self, now: Seconds, job_id: JobId, hold: Hold) -> None:
+    def _check_reservation(self, now: Seconds, job_id: JobId, reservation: GangReservation) -> None:
         """A gang whose held slots are all idle starts on all of them together."""
-        if hold.ready or hold.bad or not self._gang_wanted(job_id):
+        if reservation.ready or reservation.bad or not self._gang_wanted(job_id):
             return
-        if any(self._useless(m) for m in hold.on):
-            hold.bad = "machine leaves"
+        if any(self._useless(m) for m in reservation.on):
+            reservation.bad = "machine leaves"
             self.dirty = True
             return
         each = self.mirror.jobs[job_id].resources
-        for machine_id, indices in hold.on.items():
+        for machine_id, indices in reservation.on.items():
             machine = self.machines.get(machine_id)
             if machine is None:
                 return
             room = machine.free()
             # Slots are promised to gangs that are about to start, and to older holds.
             older = True
-            for other_id, other in self._holds_on[machine_id].items():
-                if other is hold:
+            for other_id, other in self._reservations_on[machine_id].items():
+                if other is reservation:
                     older = False
                 elif (older or other.ready) and not other.bad and self._gang_wanted(other_id):
                     resources = self.mirror.jobs[other_id].resources
@@ -1164,7 +1202,7 @@
                     )
             if not each.times(len(indices)).fits_in(room):
                 return
-        hold.ready = True
+        reservation.ready = True
         self.dirty = True
 
     def _useless(self, machine_id: MachineId) -> bool:
@@ -1172,7 +1210,7 @@
         machine = self.machines.get(machine_id)
         return (
             record is None
-            or record.doomed
+            or record.terminating
             or record.shard != self.shard
             or self.mirror.transfers.drains(machine_id) is not None
             or (machine is not None and machine.spot_notice_s is not None)
@@ -1180,11 +1218,11 @@
 
     def _gang_launches(self, now: Seconds, machine: Machine) -> list[Command]:
         commands = []
-        for job_id, hold, index in self._held_on(machine.id):
-            if hold.ready:
-                hold.launched.add(index)
+        for job_id, reservation, index in self._reserved_slots_on(machine.id):
+            if reservation.ready:
+                reservation.launched.add(index)
                 task = TaskRef(job_id, TaskIndex(index))
-                commands.append(self._start(now, machine, task, Attempt(hold.attempt)))
+                commands.append(self._start(now, machine, task, Attempt(reservation.attempt)))
         return commands
 
     # Stops
@@ -1192,49 +1230,49 @@
     def _stops(self, now: Seconds, machine: Machine) -> list[Command]:
         commands = []
         preempt = self._preempted(now, machine)
-        for task, live in machine.live.items():
-            if live.stage == "exited" or live.sent:
+        for task, task_attempt in machine.task_attempts.items():
+            if task_attempt.stage == "exited" or task_attempt.sent:
                 continue
             job = self.mirror.jobs.get(task.job)
             if job is None or not job.open:
-                commands.append(Command("stop", task, live.attempt, 0.0))
+                commands.append(Command("stop", task, task_attempt.attempt, 0.0))
                 continue
             spec = job.spec
             if spec.gang:
                 wanted = (
                     job.gang is not None
                     and not job.gang.over
-                    and job.gang.attempt == live.attempt
-                    and task.job in self.holds
+                    and job.gang.attempt == task_attempt.attempt
+                    and task.job in self.reservations
                 )
             else:
-                single = self._single(task)
+                array_task = self._array_task(task)
                 # What was granted before this ownership may be this one, until all are heard.
-                wanted = single is not None and (
-                    single.machine == machine.id or single.state == UNSURE
+                wanted = array_task is not None and (
+                    array_task.machine == machine.id or array_task.state == UNCONFIRMED
                 )
             if spec.daemon and wanted and self._replicas.must_leave(now, machine, task.job, spec):
                 wanted = False
-            orderly = spec.checkpoint > 0 and live.stage == "running"
+            orderly = spec.checkpoint > 0 and task_attempt.stage == "running"
             leaving = (
                 machine.spot_notice_s is not None and orderly and not (spec.gang or spec.daemon)
             )
             if wanted and not leaving and task not in preempt:
                 continue
-            if live.stage == "flushing" or (live.stopped and orderly):
+            if task_attempt.stage == "flushing" or (task_attempt.stopped and orderly):
                 continue
-            live.stopped = True
+            task_attempt.stopped = True
             commands.append(
-                Command("stop", task, live.attempt, spec.save + GRACE_S if orderly else 0.0)
+                Command("stop", task, task_attempt.attempt, spec.save + GRACE_S if orderly else 0.0)
             )
         return commands
 
     def _preempted(self, now: Seconds, machine: Machine) -> set[TaskRef]:
         """Lower-priority singles to stop for gangs that were granted this right."""
         stop: set[TaskRef] = set()
-        for job_id, hold, _ in self._held_on(machine.id):
+        for job_id, reservation, _ in self._reserved_slots_on(machine.id):
             job = self.mirror.jobs.get(job_id)
-            if not hold.preempt or hold.ready or job is None:
+            if not reservation.preempt or reservation.ready or job is None:
                 continue
             stop_until_fits(machine, self.reserved_resources(machine.id), job.spec.rank, stop)
         self._make_room(machine, stop)
@@ -1245,7 +1283,9 @@
         waiting = [
             spec
             for slot in machine.slots
-            if slot.endless and slot.current is not None and slot.current not in machine.live
+            if slot.endless
+            and slot.current is not None
+            and slot.current not in machine.task_attempts
             for spec in [self._spec(slot.current)]
             if spec is not None
         ]
@@ -1269,52 +1309,52 @@
             for job_id, job in self.mirror.each_live()
             if not job.open and self.shard in job.grants
         ]
-        if not over or self.unheard:
+        if not over or self.unreconciled:
             return []
-        there = {t.job for m in self.machines.values() for t in m.live}
+        there = {t.job for m in self.machines.values() for t in m.task_attempts}
         return [job_id for job_id in over if job_id not in there]
 
-    def gang_state(self, job_id: JobId, hold: Hold) -> str:
+    def gang_state(self, job_id: JobId, reservation: GangReservation) -> str:
         job = self.mirror.jobs.get(job_id)
         # Of a cancelled gang nobody wants the result; what counts is that it is gone. Else it
         # would count against its team's limit for ever.
-        if job is not None and job.open and self.done_gangs.get(job_id) == hold.attempt:
+        if job is not None and job.open and self.done_gangs.get(job_id) == reservation.attempt:
             return "done"
         if not self._gang_wanted(job_id):
-            return "busy" if self._gang_there(job_id, hold) else "clear"
-        if hold.bad:
+            return "busy" if self._gang_there(job_id, reservation) else "clear"
+        if reservation.bad:
             return "bad"
-        if any(self._leaving(m) for m in hold.on):
+        if any(self._leaving(m) for m in reservation.on):
             return "bad"
-        if hold.launched >= hold.places.keys():
+        if reservation.launched >= reservation.places.keys():
             return "on"
-        if any((m := self.machines.get(i)) is not None and m.slow for i in hold.on):
+        if any((m := self.machines.get(i)) is not None and m.slow for i in reservation.on):
             # Nothing more is started there, and it would be kept for this gang for ever.
             return "bad"
         return "held"
 
     def _leaving(self, machine_id: MachineId) -> bool:
         machine = self.machines.get(machine_id)
-        return machine is not None and (machine.spot_notice_s is not None or machine.deaf)
+        return machine is not None and (machine.spot_notice_s is not None or machine.unreachable)
 
-    def _gang_there(self, job_id: JobId, hold: Hold) -> bool:
-        for machine_id in hold.on:
+    def _gang_there(self, job_id: JobId, reservation: GangReservation) -> bool:
+        for machine_id in reservation.on:
             if machine_id not in self.mirror.machines:
                 continue
-            if machine_id in self.unheard:
+            if machine_id in self.unreconciled:
                 return True
             machine = self.machines.get(machine_id)
-            if machine is not None and any(t.job == job_id for t in machine.live):
+            if machine is not None and any(t.job == job_id for t in machine.task_attempts):
                 return True
         return False
 
     def cancelled_there(self, machine: Machine) -> bool:
         """Whether a task of a cancelled job is, or may be, on this machine."""
-        for task, live in machine.live.items():
+        for task, task_attempt in machine.task_attempts.items():
             job = self.mirror.jobs.get(task.job)
-            if live.stage != "exited" and (job is None or not job.open):
+            if task_attempt.stage != "exited" and (job is None or not job.open):
                 return True
-        if machine.id not in self.unheard:
+        if machine.id not in self.unreconciled:
             return False
         return any(
             not job.open and (self.shard in job.grants or job.gang is not None)
@@ -1325,7 +1365,7 @@
         """Jobs with tasks on machines here, for display."""
         counts: dict[JobId, int] = {}
         for machine in self.machines.values():
-            for task, live in machine.live.items():
-                if live.stage == "running":
+            for task, task_attempt in machine.task_attempts.items():
+                if task_attempt.stage == "running":
                     counts[task.job] = counts.get(task.job, 0) + 1
         yield from counts.items()
--- a/src/dapplewick/core/part_state.py
+++ b/src/dapplewick/core/part_state.py
@@ -19,13 +19,13 @@
 IMAGES_MOST = 64  # images remembered of a machine, the newest ones
 SLOW_SAMPLES = 12  # run times that are compared before a machine is called slow
 
-WAITING, ASSIGNED, ON_MACHINE, UNSURE, RETURNED, FINISHED = range(6)
+WAITING, ASSIGNED, ON_MACHINE, UNCONFIRMED, RELEASED, FINISHED = range(6)
 
 
-class Single:
+class ArrayTask:
     """A task of an array that is granted to this part."""
 
-    __slots__ = ("fails", "machine", "not_before", "queue", "returned", "since", "state")
+    __slots__ = ("fails", "machine", "not_before", "queue", "released", "since", "state")
 
     def __init__(self, state: int, now: Seconds) -> None:
         self.state = state
@@ -34,7 +34,7 @@
         self.since = now
         self.fails = 0
         self.not_before = 0.0
-        self.returned = 0  # the version of its record or chunk under which it was given back
+        self.released = 0  # the version of its record or chunk under which it was given back
 
 
 class Slot:
@@ -51,7 +51,7 @@
         self.queue: deque[TaskRef] = deque()
 
 
-class Live:
+class TaskAttempt:
     """A task that is, or may be, on a machine."""
 
     __slots__ = ("attempt", "resources", "running_at", "sent", "since", "spec", "stage", "stopped")
@@ -79,27 +79,27 @@
     __slots__ = (
         "address",
         "capacity",
-        "deaf",
         "drain",
         "failures",
-        "heard",
         "id",
         "idle_since",
         "images",
-        "last",
+        "last_confirmed_at",
+        "last_heartbeat_at",
         "lateness",
-        "live",
         "lost_at",
         "lost_starts",
         "newest",
+        "reconciled",
         "renewed",
-        "settled",
         "slots",
         "slow",
         "spot",
         "spot_notice_s",
         "stored",
+        "task_attempts",
         "type",
+        "unreachable",
         "used",
         "was_usable",
     )
@@ -110,16 +110,16 @@
         self.type = ""
         self.spot = False
         self.address = ""
-        self.heard = False  # has reported under this part's token
+        self.reconciled = False  # has reported under this part's token
         self.newest = (0, 0)
-        self.last = now  # when it reported last
-        self.settled = now  # and when it last did so under this part's token
+        self.last_heartbeat_at = now  # when it reported last
+        self.last_confirmed_at = now  # and when it last did so under this part's token
         self.lost_starts = 0  # reports in a row without the starts that were sent before
         self.lost_at = now  # when there was the last of them
         self.renewed = -1e9  # when a session of it ended last, as far as we know
-        self.deaf = False  # its lease ended although its reports were answered
+        self.unreachable = False  # its lease ended although its reports were answered
         self.spot_notice_s: Seconds | None = None
-        self.live: dict[TaskRef, Live] = {}
+        self.task_attempts: dict[TaskRef, TaskAttempt] = {}
         self.slots: list[Slot] = []
         self.stored: dict[TaskRef, Seconds] = {}  # results that may be forgotten, since when
         self.images: dict[str, None] = {}
@@ -139,14 +139,14 @@
 
     def _count_taken(self) -> Resources:
         cpus = gpus = ram_gb = 0.0
-        for live in self.live.values():
-            if live.stage != "exited":
-                resources = live.resources
+        for task_attempt in self.task_attempts.values():
+            if task_attempt.stage != "exited":
+                resources = task_attempt.resources
                 cpus += resources.cpus
                 gpus += resources.gpus
                 ram_gb += resources.ram_gb
         for slot in self.slots:
-            if slot.current is not None and slot.current not in self.live:
+            if slot.current is not None and slot.current not in self.task_attempts:
                 cpus += slot.resources.cpus
                 gpus += slot.resources.gpus
                 ram_gb += slot.resources.ram_gb
@@ -159,18 +159,20 @@
     def has_replicas(self) -> bool:
         """Whether replicas of services, which are wanted elsewhere, are here."""
         return any(
-            live.spec is not None and live.spec.daemon and live.stage != "exited"
-            for live in self.live.values()
+            task_attempt.spec is not None
+            and task_attempt.spec.daemon
+            and task_attempt.stage != "exited"
+            for task_attempt in self.task_attempts.values()
         )
 
     def fetches(self) -> int:
         """How many images are being fetched, or will be: they may share the rate of one."""
         images = {
-            live.spec.image
-            for live in self.live.values()
-            if live.stage == "fetching" and live.spec is not None
+            task_attempt.spec.image
+            for task_attempt in self.task_attempts.values()
+            if task_attempt.stage == "fetching" and task_attempt.spec is not None
         }
-        images.update(s.image for s in self.slots if s.current not in self.live)
+        images.update(s.image for s in self.slots if s.current not in self.task_attempts)
         return len(images)
 
     def slot_of(self, task: TaskRef) -> Slot | None:
@@ -180,7 +182,7 @@
         return None
 
 
-class Hold:
+class GangReservation:
     """Slots of this part held for an attempt of a gang."""
 
     __slots__ = (
@@ -251,7 +253,7 @@
     """The part's queues that are not empty, beside the singles that found none."""
 
     def __init__(self) -> None:
-        self.loose: deque[TaskRef] = deque()
+        self.unqueued: deque[TaskRef] = deque()
         self._of_job: dict[JobId, dict[Slot, int]] = {}  # how many of its tasks wait where
 
     def _left(self, slot: Slot, task: TaskRef) -> None:
@@ -279,7 +281,7 @@
         return tasks
 
     def waiting_jobs(self) -> dict[JobId, None]:
-        return dict.fromkeys([*self._of_job, *(task.job for task in self.loose)])
+        return dict.fromkeys([*self._of_job, *(task.job for task in self.unqueued)])
 
     def longest_first(self, jobs: Collection[JobId]) -> list[Slot | None]:
         """Where singles of these jobs wait, the longest queue first; None stands for those
@@ -288,6 +290,6 @@
         for job in jobs:
             for slot in self._of_job.get(job, ()):
                 slots[slot] = len(slot.queue)
-        if any(task.job in jobs for task in self.loose):
-            slots[None] = len(self.loose)
+        if any(task.job in jobs for task in self.unqueued):
+            slots[None] = len(self.unqueued)
         return sorted(slots, key=slots.__getitem__, reverse=True)
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/part_status.py
@@ -5,7 +5,14 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from dapplewick.core.model import GANG_RANK
-from dapplewick.core.part_state import ASSIGNED, FINISHED, ON_MACHINE, RETURNED, Hold, Machine
+from dapplewick.core.part_state import (
+    ASSIGNED,
+    FINISHED,
+    ON_MACHINE,
+    RELEASED,
+    GangReservation,
+    Machine,
+)
 from dapplewick.types import JobId, MachineId, Seconds
 
 if TYPE_CHECKING:
@@ -63,13 +70,13 @@
         for m in _since(touched.machines, base)
     }
     jobs = {
-        j: _job(scheduler, j) if j in scheduler.singles else None
+        j: _job(scheduler, j) if j in scheduler.array_tasks else None
         for j in _since(touched.jobs, base)
     }
     gangs = {j: touched.gang_said.get(j) for j in _since(touched.gangs, base)}
     _forget(touched.machines, scheduler.machines, base)
-    _forget(touched.jobs, scheduler.singles, base)
-    _forget(touched.gangs, scheduler.holds, base)
+    _forget(touched.jobs, scheduler.array_tasks, base)
+    _forget(touched.gangs, scheduler.reservations, base)
     number = touched.number
     touched.number += 1
     silent: dict[MachineId, tuple[float, bool]] = {}
@@ -82,14 +89,14 @@
         # What never learns our token hears nothing of what we say, however often it reports.
         # While reports are not heard here, as in a long outage, no machine is silent for that: all
         # of them were deleted when the state service was back.
-        quiet = now - max(m.settled, scheduler.listening_since)
+        quiet = now - max(m.last_confirmed_at, scheduler.listening_since)
         if quiet > QUIET_S:
             # Replicas can start elsewhere only once it is gone: it is waited for less.
             hasty = scheduler.cancelled_there(m) or m.has_replicas()
             silent[m.id] = (round(quiet, 1), hasty)
-        if record.up and not record.doomed and (heard_ago < 0.0 or quiet < heard_ago):
+        if record.up and not record.terminating and (heard_ago < 0.0 or quiet < heard_ago):
             heard_ago = quiet
-        if not m.live and not m.slots and now - m.idle_since > 1.0:
+        if not m.task_attempts and not m.slots and now - m.idle_since > 1.0:
             idle[m.id] = round(now - m.idle_since, 1)
     transfers: dict[str, Any] = {}
     if scheduler.mirror.transfers:
@@ -109,7 +116,7 @@
         "idle": idle,
         "heard_ago": round(heard_ago, 1),
         "clear": scheduler.clear_jobs(),
-        "unheard": len(scheduler.unheard),
+        "unheard": len(scheduler.unreconciled),
         "estimates": scheduler.estimates.dump(),
         **transfers,
     }
@@ -118,13 +125,15 @@
 def _machine(scheduler: ShardScheduler, now: Seconds, machine: Machine) -> dict[str, Any]:
     ends = [
         (
-            round(now + scheduler.expected_left(now, live), 1),
-            *live.resources,
-            GANG_RANK if live.spec.gang or live.spec.daemon else live.spec.rank,
-            task.job if live.spec.gang else "",
+            round(now + scheduler.expected_left(now, task_attempt), 1),
+            *task_attempt.resources,
+            GANG_RANK
+            if task_attempt.spec.gang or task_attempt.spec.daemon
+            else task_attempt.spec.rank,
+            task.job if task_attempt.spec.gang else "",
         )
-        for task, live in machine.live.items()
-        if live.stage != "exited" and live.spec is not None
+        for task, task_attempt in machine.task_attempts.items()
+        if task_attempt.stage != "exited" and task_attempt.spec is not None
     ]
     ends.sort()
     return {
@@ -133,10 +142,10 @@
         "images": list(machine.images),
         "queued": sum(len(s.queue) for s in machine.slots),
         "usable": machine.was_usable,
-        "heard": machine.heard,
+        "heard": machine.reconciled,
         "leaving": machine.spot_notice_s is not None
         or machine.slow
-        or machine.deaf
+        or machine.unreachable
         or machine.drain,
         "faulty": scheduler.faulty(now, machine),
     }
@@ -144,9 +153,9 @@
 
 def _job(scheduler: ShardScheduler, job_id: JobId) -> dict[str, Any]:
     placed = running = 0
-    done, returned = [], []
-    for index, single in scheduler.singles[job_id].items():
-        state = single.state
+    done, released = [], []
+    for index, array_task in scheduler.array_tasks[job_id].items():
+        state = array_task.state
         if state == ON_MACHINE:
             placed += 1
             running += 1
@@ -154,13 +163,13 @@
             placed += 1
         elif state == FINISHED:
             done.append(index)
-        elif state == RETURNED:
-            returned.append(index)
+        elif state == RELEASED:
+            released.append(index)
     return {
         "placed": placed,
         "running": running,
         "done": done,
-        "returned": returned,
+        "returned": released,
         "version": scheduler.mirror.jobs[job_id].version,
     }
 
@@ -168,21 +177,23 @@
 def _touch_gangs(scheduler: ShardScheduler, now: Seconds) -> None:
     """Gangs change with much that happens elsewhere; there are few, so all are compared."""
     touched = scheduler.touched
-    for job_id in [j for j in touched.gang_said if j not in scheduler.holds]:
+    for job_id in [j for j in touched.gang_said if j not in scheduler.reservations]:
         del touched.gang_said[job_id]
         touched.gang(job_id)
-    for job_id, hold in scheduler.holds.items():
-        state = scheduler.gang_state(job_id, hold)
-        said = (hold.attempt, state, _wait(scheduler, now, job_id, hold, state))
+    for job_id, reservation in scheduler.reservations.items():
+        state = scheduler.gang_state(job_id, reservation)
+        said = (reservation.attempt, state, _wait(scheduler, now, job_id, reservation, state))
         if touched.gang_said.get(job_id) != said:
             touched.gang_said[job_id] = said
             touched.gang(job_id)
 
 
-def _wait(scheduler: ShardScheduler, now: Seconds, job_id: JobId, hold: Hold, state: str) -> float:
-    if state != "held" or hold.ready:
+def _wait(
+    scheduler: ShardScheduler, now: Seconds, job_id: JobId, reservation: GangReservation, state: str
+) -> float:
+    if state != "held" or reservation.ready:
         return 0.0
-    at, wait = hold.wait
+    at, wait = reservation.wait
     if now - at > WAIT_S:
-        wait = scheduler.remaining_wait(now, job_id, hold)
+        wait = scheduler.remaining_wait(now, job_id, reservation)
     return round(wait)
--- a/src/dapplewick/core/placing.py
+++ b/src/dapplewick/core/placing.py
@@ -10,12 +10,12 @@
     View,
     fit_all,
     fit_behind,
-    fit_held,
+    fit_reserved,
 )
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.types import Seconds, Zone
 
-LONG_HOLD_S = 10.0  # gangs that hold slots for longer want more machines
+LONG_RESERVATION_S = 10.0  # gangs that hold slots for longer want more machines
 
 
 def place_gang(
@@ -93,7 +93,7 @@
             continue
         if shard.held(spec, shape, limit) < spec.tasks:
             continue
-        option = fit_held(shard.views, spec, spec.tasks, patience, limit)
+        option = fit_reserved(shard.views, spec, spec.tasks, patience, limit)
         if option is None:
             continue
         wait = _wait(spec, option[0], option[1])
--- a/src/dapplewick/core/preemption.py
+++ b/src/dapplewick/core/preemption.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
-from dapplewick.core.part_state import Live, Machine
+from dapplewick.core.part_state import Machine, TaskAttempt
 from dapplewick.types import Resources, TaskRef
 
 
-def may_be_stopped(live: Live, rank: int) -> bool:
+def may_be_stopped(task_attempt: TaskAttempt, rank: int) -> bool:
     """Whether a task may be stopped for work of this rank. Gangs and services are not."""
-    spec = live.spec
+    spec = task_attempt.spec
     return (
         spec is not None
         and not spec.gang
         and not spec.daemon
         and spec.rank < rank
-        and live.stage != "exited"
-        and not live.stopped
+        and task_attempt.stage != "exited"
+        and not task_attempt.stopped
     )
 
 
-def leaves(task: TaskRef, live: Live, stopping: set[TaskRef]) -> bool:
+def leaves(task: TaskRef, task_attempt: TaskAttempt, stopping: set[TaskRef]) -> bool:
     """Whether a task's room is about to be free: it was told to stop, or will be."""
-    return task in stopping or (live.stopped and live.stage != "exited")
+    return task in stopping or (task_attempt.stopped and task_attempt.stage != "exited")
 
 
 def stop_until_fits(machine: Machine, need: Resources, rank: int, stopping: set[TaskRef]) -> None:
@@ -30,16 +30,18 @@
     Those of the lowest rank go first, and among them those that began last lose least.
     """
     room = machine.free()
-    for task, live in machine.live.items():
-        if leaves(task, live, stopping):
-            room = room.plus(live.resources)
+    for task, task_attempt in machine.task_attempts.items():
+        if leaves(task, task_attempt, stopping):
+            room = room.plus(task_attempt.resources)
     victims = sorted(
-        (live.spec.rank, -live.since, task)
-        for task, live in machine.live.items()
-        if live.spec is not None and task not in stopping and may_be_stopped(live, rank)
+        (task_attempt.spec.rank, -task_attempt.since, task)
+        for task, task_attempt in machine.task_attempts.items()
+        if task_attempt.spec is not None
+        and task not in stopping
+        and may_be_stopped(task_attempt, rank)
     )
     for _, _, task in victims:
         if need.fits_in(room):
             break
-        room = room.plus(machine.live[task].resources)
+        room = room.plus(machine.task_attempts[task].resources)
         stopping.add(task)
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/replicas.py
@@ -74,14 +74,14 @@
 
     @staticmethod
     def _room_with_stops(machine: Machine, room: Resources, rank: int) -> Resources:
-        for task, live in machine.live.items():
-            if may_be_stopped(live, rank) or leaves(task, live, set()):
-                room = room.plus(live.resources)
+        for task, task_attempt in machine.task_attempts.items():
+            if may_be_stopped(task_attempt, rank) or leaves(task, task_attempt, set()):
+                room = room.plus(task_attempt.resources)
         return room
 
     def _cost(self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine) -> Seconds:
         """How long until it would run here, and what else speaks against it, in seconds."""
-        same = sum(task.job == job_id for task in machine.live)
+        same = sum(task.job == job_id for task in machine.task_attempts)
         same += sum(s.current is not None and s.current.job == job_id for s in machine.slots)
         cost = SAME_SERVICE_COST_S * same + SPOT_COST_S * machine.spot
         cost += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
@@ -91,7 +91,7 @@
             cost += spec.image_gb / max(LEAST_FETCH_RATE, rate)
             cost += machine.fetches()
         # Who reported long ago reports again soon; the start goes out in the answer.
-        cost += max(0.0, self._report_s - (now - machine.last))
+        cost += max(0.0, self._report_s - (now - machine.last_heartbeat_at))
         return cost + CPU_COST_S * machine.free().cpus
 
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
@@ -118,17 +118,23 @@
         has room on others: they move, and it is returned. Gives those that are newly marked.
         Work that could use a machine brings it back once it is empty."""
         for machine in self._shard.machines.values():
-            lives = [live for live in machine.live.values() if live.stage != "exited"]
+            task_attempts = [
+                task_attempt
+                for task_attempt in machine.task_attempts.values()
+                if task_attempt.stage != "exited"
+            ]
             if machine.drain:
-                machine.drain = bool(lives) or not work_waits
+                machine.drain = bool(task_attempts) or not work_waits
                 continue
-            if not lives or now - machine.idle_since < DRAIN_S or not machine.was_usable:
+            if not task_attempts or now - machine.idle_since < DRAIN_S or not machine.was_usable:
                 continue
-            specs = [v.spec for v in lives if v.spec is not None and v.spec.daemon]
-            if len(specs) < len(lives) or len(machine.slots) > len(lives):
+            specs = [v.spec for v in task_attempts if v.spec is not None and v.spec.daemon]
+            if len(specs) < len(task_attempts) or len(machine.slots) > len(task_attempts):
                 continue
             if self._is_dear(machine, specs) and self._have_room(self._others(machine), specs):
-                log.info("event=machine_drained machine=%s replicas=%d", machine.id, len(lives))
+                log.info(
+                    "event=machine_drained machine=%s replicas=%d", machine.id, len(task_attempts)
+                )
                 machine.drain = True
                 yield machine
 
--- a/src/dapplewick/core/reservation.py
+++ b/src/dapplewick/core/reservation.py
@@ -54,7 +54,7 @@
             return
         if not OVERDUE_S <= waited < HOPELESS_S:
             return
-        able = [room for room in rooms if room.could_hold(spec)]
+        able = [room for room in rooms if room.could_reserve(spec)]
         if not able:
             return
         shard = max(able, key=lambda room: room.held(spec, spec.shape, limit)).shard
--- a/src/dapplewick/shares/index.py
+++ b/src/dapplewick/shares/index.py
@@ -53,7 +53,7 @@
         record = self._mirror.machines.get(machine)
         self._count(machine, record.shard if record is not None else None)
         kind = None
-        if record is not None and not record.doomed:
+        if record is not None and not record.terminating:
             kind = Kind(record.shard, record.type)
         old = self._kind_of.get(machine)
         if old == kind:
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -355,7 +355,7 @@
         stays = []
         for machine in record.draining:
             known = self._mirror.machines.get(MachineId(machine))
-            if known is not None and not known.doomed and known.shard == record.source:
+            if known is not None and not known.terminating and known.shard == record.source:
                 stays.append(machine)
         if len(stays) < len(record.draining):
             self._update(transfer, draining=stays)
--- a/src/dapplewick/shares/orders.py
+++ b/src/dapplewick/shares/orders.py
@@ -76,7 +76,7 @@
 def _available(mirror: Mirror, record: TransferRecord) -> int:
     """The machines that a share has, and those that are on their way to it."""
     there = sum(
-        machine.shard == record.source and machine.type == record.type and not machine.doomed
+        machine.shard == record.source and machine.type == record.type and not machine.terminating
         for machine in mirror.machines.values()
     )
     coming = sum(
--- a/src/dapplewick/shares/selection.py
+++ b/src/dapplewick/shares/selection.py
@@ -17,7 +17,7 @@
 NAMES_BYTES = 480  # of those drained, in a record: half of the smallest value
 SAMPLE = 200  # machines that are looked at, beside the idle ones
 BUSY_SHARE = 0.25  # of a part's busy machines of a type that are drained at the same time
-UNHEARD_WAIT_S = 30.0  # what a machine of which nothing is known yet counts as
+UNRECONCILED_WAIT_S = 30.0  # what a machine of which nothing is known yet counts as
 
 
 class Candidate(NamedTuple):
@@ -100,7 +100,7 @@
     def is_empty(self, transfer: TransferRecord, machine_id: MachineId) -> bool:
         """Whether the part has proven that nothing is on a machine, nor may come to it."""
         record = self._mirror.machines.get(machine_id)
-        if record is None or record.doomed or record.shard != transfer.source:
+        if record is None or record.terminating or record.shard != transfer.source:
             return False
         if machine_id in self._placed:
             return False
@@ -117,12 +117,12 @@
         shard = self._shards.get(record.shard)
         body = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or body is None or not body["heard"]:
-            return UNHEARD_WAIT_S
+            return UNRECONCILED_WAIT_S
         if body["leaving"] or body["faulty"]:
             return None  # it is about to go anyway
         wait = self._last_end(shard, body)
         if machine_id in self._placed:
-            wait = max(wait, UNHEARD_WAIT_S)
+            wait = max(wait, UNRECONCILED_WAIT_S)
         return wait
 
     def _last_end(self, shard: ObservedShard, body: dict[str, Any]) -> Seconds:
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/shares/view.py
@@ -33,7 +33,7 @@
         counts = Counter(
             (record.zone, record.share, record.type)
             for record in self._mirror.machines.values()
-            if not record.doomed
+            if not record.terminating
         )
         wanted = {(cell.zone, cell.share, cell.type): count for cell, count in targets.items()}
         rows = [
@@ -83,7 +83,7 @@
     def why_not(self, name: str, record: TransferRecord, machine_id: MachineId) -> str:
         """Why a machine that is drained has not been handed over."""
         known = self._mirror.machines.get(machine_id)
-        if known is None or known.doomed:
+        if known is None or known.terminating:
             return "it is gone or about to go; another will be chosen"
         if not self._mirror.version(SHARDS + record.target):
             return "the receiving share has no owner yet"
--- a/src/dapplewick/status.py
+++ b/src/dapplewick/status.py
@@ -45,7 +45,13 @@
             if job.spec.daemon and job.open
         },
         "machines": {
-            name: {"type": m.type, "zone": m.zone, "spot": m.spot, "up": m.up, "doomed": m.doomed}
+            name: {
+                "type": m.type,
+                "zone": m.zone,
+                "spot": m.spot,
+                "up": m.up,
+                "doomed": m.terminating,
+            }
             for name, m in mirror.machines.items()
         },
         "bookings": len(mirror.bookings),
@@ -64,19 +70,19 @@
 def _shard(now: Seconds, scheduler: ShardScheduler) -> dict[str, Any]:
     status = scheduler.status(now)
     scheduler.dirty = True
-    loose = len(scheduler.queues.loose)
+    unqueued = len(scheduler.queues.unqueued)
     return {
         "token": scheduler.token,
         "unheard": status["unheard"],
-        "loose": loose,
+        "loose": unqueued,
         "machines": {
             name: {
                 "type": scheduler.machines[name].type,
-                "tasks": len(scheduler.machines[name].live),
+                "tasks": len(scheduler.machines[name].task_attempts),
                 "slots": len(scheduler.machines[name].slots),
                 "queued": body["queued"],
                 "free": body["free"],
-                "silent": round(now - scheduler.machines[name].last, 1),
+                "silent": round(now - scheduler.machines[name].last_heartbeat_at, 1),
             }
             for name, body in status["machines"].items()
             if body is not None
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -257,7 +257,7 @@
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
     """A machine, as its group's record tells it. `up`: its worker was heard, so launches there
-    are allowed from now on (one that is doomed counts as up: it may have been). `doomed`: its
+    are allowed from now on (one that is doomed counts as up: it may have been). `terminating`: its
     deletion is decided and is never taken back."""
 
     type: str
@@ -265,7 +265,7 @@
     spot: bool
     at: float
     up: bool = False
-    doomed: bool = False
+    terminating: bool = False
     share: str = ""
     floor: int = 0  # commands to its worker carry at least this token
 
@@ -275,7 +275,7 @@
         return shard_name(self.zone, self.share)
 
 
-BOOTING, UP, DOOMED = "b", "u", "d"
+BOOTING, UP, TERMINATING = "b", "u", "d"
 
 
 class GroupRecord(msgspec.Struct, omit_defaults=True):
@@ -310,7 +310,7 @@
             spot=self.spot,
             at=float(text[1:] or 0),
             up=state != BOOTING,
-            doomed=state == DOOMED,
+            terminating=state == TERMINATING,
             share=self.share,
             floor=self.floors.get(machine, 0),
         )
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -195,7 +195,7 @@
     book = MachineBook(mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
     book.begin()
     if "doom" in given:
-        book.doom(MachineId(given["doom"]), "golden")
+        book.terminate(MachineId(given["doom"]), "golden")
         return _changes(book.changes())
     floors = {MachineId(name): floor for name, floor in given["floors"]}
     going = book.move(floors, given["share"], "tie")
@@ -305,7 +305,7 @@
         shards: list[Any] = []
         if leader is not None:
             leader.catalog(list(controller.mirror.types.values()))
-            deaf = leader.unreachable_shards()
+            unreachable = leader.unreachable_shards()
             shards = neutral(
                 [
                     [
@@ -319,7 +319,7 @@
                         shard.jobs,
                         shard.gangs,
                         shard.fresh,
-                        deaf,
+                        unreachable,
                         [shard.placed(job) for job in shard.jobs],
                     ]
                     for shard in leader.shards.values()
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -114,7 +114,12 @@
                 return False
         rooms: dict[str, int] = {}
         for worker in self.world.workers.values():
-            if worker.hanging or worker.cut or worker.deaf or worker.spot_notice_s is not None:
+            if (
+                worker.hanging
+                or worker.cut
+                or worker.unreachable
+                or worker.spot_notice_s is not None
+            ):
                 continue
             if job["builds"] is not None and worker.type not in job["builds"]:
                 continue
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -36,7 +36,7 @@
 
     def end_lease(self, lease: int) -> None:
         self.leases.pop(lease, None)
-        for key in [k for k, (_, _, hold) in self.keys.items() if hold == lease]:
+        for key in [k for k, (_, _, reservation) in self.keys.items() if reservation == lease]:
             self.ledger += 1
             del self.keys[key]
             self.log.append((self.ledger, key, None, True))
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -45,7 +45,7 @@
         self.sent_elsewhere = False  # the last report got no answer, or one that names another
         self.hanging = False
         self.cut = False
-        self.deaf = False  # its reports arrive, no answer reaches it
+        self.unreachable = False  # its reports arrive, no answer reaches it
         self.gone = False
 
     async def run(self) -> None:
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -126,7 +126,7 @@
             self.kept_reports.append(request)
         answer = await controller.handle(request)
         await self.thawed(name)
-        if worker is not None and worker.deaf:
+        if worker is not None and worker.unreachable:
             await anyio.sleep(10.0)
             return None
         if worker is not None and self.random.random() < 0.01:
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -17,10 +17,10 @@
 
 
 def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
-    settle = ShardScheduler._settle_unsure
+    settle = ShardScheduler._release_unconfirmed
 
     def hasty(self: ShardScheduler, now: float) -> None:
-        self.unheard.clear()
+        self.unreconciled.clear()
         settle(self, now)
 
     patch.setattr(ShardScheduler, "_release_unconfirmed", hasty)
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -193,9 +193,9 @@
     def trusting(
         self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
     ) -> Any:
-        self.unheard.discard(machine.id)
+        self.unreconciled.discard(machine.id)
         commands = take(self, at, machine, report, True, new)
-        self._settle_unsure(at)
+        self._release_unconfirmed(at)
         return commands
 
     patch.setattr(ShardScheduler, "_take_tasks", trusting)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -138,7 +138,7 @@
     await anyio.sleep(25)
     for _ in range(4):
         for name in sorted(world.workers)[:2]:
-            world.workers[name].deaf = True
+            world.workers[name].unreachable = True
         await anyio.sleep(30)
 
 
@@ -450,7 +450,7 @@
         hand_in(world, 2, pieces=16, true_s=15.0, cpus=4.0, crew="red")
         await anyio.sleep(20)
         seen["deaf"] = sorted(world.workers)[0]
-        world.workers[sorted(world.workers)[0]].deaf = True
+        world.workers[sorted(world.workers)[0]].unreachable = True
         await anyio.sleep(45)
         seen["kept"] = seen["deaf"] in world.workers
 
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -102,7 +102,7 @@
         self.put(JOBS + job, record.dump())
         self.scheduler.job_changed(at, JobId(job))
 
-    def hold(self, job: str, asked: JobSpec, places: list[MachineId], at: Seconds) -> None:
+    def reservation(self, job: str, asked: JobSpec, places: list[MachineId], at: Seconds) -> None:
         record = JobRecord(asked, at)
         record.gang = GangPlace(7, [("a", m) for m in places])
         self.put(JOBS + job, record.dump())
@@ -174,7 +174,7 @@
         bench.grant("run-rest", spec(1, float(rest), 1000.0, bundle="rest"), 0.0)
     assert len(starts(bench.report(machine, 0.0))) == len(running) + bool(rest)
     bench.report(machine, 0.0)
-    bench.hold("run-g", spec(1, 4.0, 30.0, gang=True), [machine], 0.0)
+    bench.reservation("run-g", spec(1, 4.0, 30.0, gang=True), [machine], 0.0)
     bench.grant("run-b", spec(1, 1.0, backfill), 0.0)
     freed = {TaskRef(JobId("run-rest"), TaskIndex(0))} if rest else set()
     commands = bench.report(machine, at, freed)
@@ -454,7 +454,7 @@
     bench = Bench(1)
     machine = bench.names[0]
     bench.report(machine, 0.0)
-    bench.hold("run-1", spec(1, 2.0, 10.0, gang=True), [machine], 0.0)
+    bench.reservation("run-1", spec(1, 2.0, 10.0, gang=True), [machine], 0.0)
     (task,) = starts(bench.report(machine, 1.0))
     bench.report(machine, 2.0, {task})
     assert bench.scheduler.status(2.0)["gangs"]["run-1"][1] == "done"
@@ -554,7 +554,7 @@
     bench.scheduler.tick(0.0)
     for name in bench.names:
         bench.report(name, 1.0)
-    used = [m for m in bench.scheduler.machines.values() if m.live]
+    used = [m for m in bench.scheduler.machines.values() if m.task_attempts]
     assert [len(m.images) for m in used] == [1] * len(used)
     assert len(used) < 10
     # What is known of a machine's images is bounded, and gone with its session.
@@ -574,7 +574,7 @@
         bench = Bench(2)
         for name in bench.names:
             bench.report(name, 0.0)
-        bench.hold("run-g", spec(2, 4.0, 30.0, gang=True), bench.names, 1.0)
+        bench.reservation("run-g", spec(2, 4.0, 30.0, gang=True), bench.names, 1.0)
         assert bench.scheduler.status(1.0)["gangs"]["run-g"][1] == "held"
         setattr(bench.scheduler.machines[bench.names[0]], trouble, True)
         assert bench.scheduler.status(2.0)["gangs"]["run-g"][1] == "bad"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -54,7 +54,7 @@
         bench.scheduler.tick(1.0)
     for n in range(machines // 20):
         places = bench.names[n * 10 : n * 10 + 5]
-        bench.hold(f"run-g{n}", spec(5, 4.0, 30.0, gang=True), places, 1.5)
+        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, gang=True), places, 1.5)
     bench.scheduler.tick(2.5)
     return bench
 
@@ -150,7 +150,7 @@
     mirror.changed_machines.clear()
     mirror.put("dw/m/r-1", group | {"machines": {"vm-2": "d"}}, 4)
     assert mirror.changed_machines == ["vm-1", "vm-2"]
-    assert "vm-1" not in mirror.machines and mirror.machines[MachineId("vm-2")].doomed
+    assert "vm-1" not in mirror.machines and mirror.machines[MachineId("vm-2")].terminating
     mirror.remove("dw/m/r-1", 5)
     assert not mirror.machines and not mirror.group_of
 
@@ -302,7 +302,7 @@
                 shard_schedulers[0].handle_heartbeat(1.0, said, True)
 
         heard = calls(hear)
-        assert not shard_schedulers[0].unheard and len(shard_schedulers[0].queues.loose) > 0
+        assert not shard_schedulers[0].unreconciled and len(shard_schedulers[0].queues.unqueued) > 0
         return [count / size for count in (read, rebuilt, heard)]
 
     for small, large in zip(cost(100), cost(800), strict=True):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -544,14 +544,14 @@
     names = sorted(world.workers)
     for n, name in enumerate(names):
         world.workers[name].cut = n % 3 == 0
-        world.workers[name].deaf = n % 3 == 1
+        world.workers[name].unreachable = n % 3 == 1
     for name in {leader(world), *owners(world)}:
         world.crash(name)
         await anyio.sleep(0.3)
         world.start_controller(name)
     await anyio.sleep(25)
     for worker in world.workers.values():
-        worker.cut = worker.deaf = False
+        worker.cut = worker.unreachable = False
     world.calm_at = now()
 
 
--- a/tests/test_previous_main.py
+++ b/tests/test_previous_main.py
@@ -75,7 +75,13 @@
 
 
 def states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
-    return {str(name): (record.up, record.doomed) for name, record in machines.items()}
+    return {
+        str(name): (
+            record.up,
+            record.terminating if hasattr(record, "terminating") else record.doomed,
+        )
+        for name, record in machines.items()
+    }
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -95,7 +101,7 @@
         book.begin()
         # One machine is to be deleted, if its record can be written by now.
         name = pick.choice(sorted(machines))
-        book.doom(name, "test")
+        book.terminate(name, "test")
         changes = book.changes()
         if not changes:
             break
@@ -131,9 +137,9 @@
         for name, value, version in order:
             mirror.put(MACHINES + name, value, version)
         machine = next(iter(mirror.machines))
-        assert mirror.machines[machine].doomed and mirror.group_of[machine] == "r-1"
+        assert mirror.machines[machine].terminating and mirror.group_of[machine] == "r-1"
         mirror.remove(MACHINES + "r-1", 6)
-        assert not mirror.machines[machine].doomed and mirror.group_of[machine] == "r-9"
+        assert not mirror.machines[machine].terminating and mirror.group_of[machine] == "r-9"
         mirror.remove(MACHINES + "r-9", 7)
         assert mirror.machines == {} and mirror.group_of == {}
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -232,9 +232,9 @@
     # One CPU is a single's; the others' tasks wait behind it alone.
     assert all(not s.queue for s in scheduler.machines[machine].slots if s.endless)
     # A gang held here waits for slots that are never free again.
-    bench.hold("run-3", spec(1, 2.0, 10.0, gang=True), [machine], 3.0)
-    hold = scheduler.holds[JobId("run-3")]
-    assert scheduler.remaining_wait(4.0, JobId("run-3"), hold) > 1e6
+    bench.reservation("run-3", spec(1, 2.0, 10.0, gang=True), [machine], 3.0)
+    reservation = scheduler.reservations[JobId("run-3")]
+    assert scheduler.remaining_wait(4.0, JobId("run-3"), reservation) > 1e6
     # And a replica never passes it, however short its estimate of 0 looks.
     assert not scheduler._passes(4.0, service(1), scheduler.machines[machine])
     assert scheduler._passes(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -121,7 +121,7 @@
         if not settled:
             return
         free = self.mirror.transfers.drains(machine) is None
-        if start and free and record.up and not record.doomed:
+        if start and free and record.up and not record.terminating:
             worker.running.add(self.shard)
         self.heard[machine] = set(worker.running)
 
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -442,12 +442,14 @@
 
 async def workers_deaf(world: World) -> None:
     """Machines whose reports arrive but that hear nothing."""
-    deaf = [world.workers[m] for m in sorted(machines_of(world, "a"))[:2] if m in world.workers]
-    for worker in deaf:
-        worker.deaf = True
+    unreachable = [
+        world.workers[m] for m in sorted(machines_of(world, "a"))[:2] if m in world.workers
+    ]
+    for worker in unreachable:
+        worker.unreachable = True
     await anyio.sleep(30.0)
-    for worker in deaf:
-        worker.deaf = False
+    for worker in unreachable:
+        worker.unreachable = False
 
 
 async def all_killed(world: World) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -68,6 +68,6 @@
     hear of the part. Long names, and as many tasks on each machine as the largest take."""
     bench = busy_part(40)
     frame = len(cbor2.dumps(bench.scheduler.status(3.0)))
-    tasks = sum(len(machine.live) for machine in bench.scheduler.machines.values())
+    tasks = sum(len(machine.task_attempts) for machine in bench.scheduler.machines.values())
     of_a_task = frame / tasks
     assert 100 * MACHINES_UP * of_a_task < MAX_FRAME
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -295,17 +295,17 @@
     bench.scheduler.job_changed(0.0, job_id)
     bench.scheduler.tick(100.0)
 
-    def returned(at: float) -> list[int]:
+    def released(at: float) -> list[int]:
         return sorted(bench.scheduler.status(at)["jobs"]["run-1"]["returned"])
 
-    assert returned(100.0) == [0, 2]
+    assert released(100.0) == [0, 2]
     bench.put(f"{CHUNKS}run-1/0", {"grants": {"b": "0"}})
     bench.scheduler.job_changed(101.0, job_id)
-    assert returned(101.0) == [2]
+    assert released(101.0) == [2]
     # Granted anew, or changed without being taken back: it may run here.
     bench.put(f"{CHUNKS}run-1/1", {"grants": {"a": "2", "b": "3"}})
     bench.scheduler.job_changed(102.0, job_id)
-    assert returned(102.0) == []
+    assert released(102.0) == []
 
 
 def test_a_cancelled_record_that_outgrew_its_value_says_at_least_what_may_be_there() -> None:
