--- a/src/dapplewick/api.py
+++ b/src/dapplewick/api.py
@@ -127,13 +127,13 @@
         if not zones:
             return "no allowed machine type is offered in its zone"
         # All tasks of a gang, and all replicas of a service, are to run at the same time.
-        all_at_once = spec.gang or spec.daemon
-        if all_at_once and len(zones) * spec.zone_cap < spec.tasks:
+        all_at_once = spec.is_gang or spec.is_service
+        if all_at_once and len(zones) * spec.zone_cap < spec.task_count:
             return "it can't be spread over so few zones"
-        one_zone = spec.one_zone or spec.zone is not None
-        if all_at_once and spec.zone_cap < spec.tasks and one_zone:
+        one_zone = spec.same_zone or spec.zone is not None
+        if all_at_once and spec.zone_cap < spec.task_count and one_zone:
             return "it can't be both in one zone and spread over several"
-        together = spec.tasks if all_at_once else 1
+        together = spec.task_count if all_at_once else 1
         for limit, each in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
             if limit > 0 and each * together > limit + 1e-6:
                 return "more than the team's limit"
@@ -149,7 +149,7 @@
         mirror = self.controller.mirror
         if job_id in mirror.jobs:
             return await self._state_or(job_id, UNAVAILABLE)
-        if spec.daemon and mirror.format < FORMAT_NOW:
+        if spec.is_service and mirror.format < FORMAT_NOW:
             # The record decides, so all controllers answer alike; not what this one last read.
             await self.controller.current()
             if mirror.format < FORMAT_NOW:
@@ -163,7 +163,7 @@
         value = job.dump()
         if size_of(value) > self.controller.limits_now().value_bytes:
             return await self._refuse(job_id, error(400, "the texts are too long together"))
-        return await self._accept(job_id, spec.tasks, value)
+        return await self._accept(job_id, spec.task_count, value)
 
     def _new_record(self, spec: JobSpec) -> JobRecord:
         """The first record of a job that is about to be accepted."""
@@ -173,8 +173,8 @@
             spec = msgspec.structs.replace(spec, types=known)
         job = JobRecord(spec, self.controller.wall())
         shards, room = self.controller.shard_names(), self.controller.limits_now().value_bytes
-        if mirror.format >= FORMAT_NOW and not spec.gang and job.outgrows(shards, room):
-            job.chunk = chunk_tasks(spec.tasks, shards, room)
+        if mirror.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
+            job.chunk_size = chunk_tasks(spec.task_count, shards, room)
         return job
 
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Answer:
@@ -238,11 +238,11 @@
                 return NOT_FOUND
             if not job.open:
                 return self._short(200, job_id, job)
-            cancelled = JobRecord(job.spec, job.at)
+            cancelled = JobRecord(job.spec, job.submitted_at)
             cancelled.stage = CANCELLED
-            cancelled.grants = job.grants
+            cancelled.assignments = job.assignments
             cancelled.gang = job.gang
-            cancelled.chunk = job.chunk
+            cancelled.chunk_size = job.chunk_size
             value = cancelled.dump(self.controller.limits_now().value_bytes)
             try:
                 version = await self.controller.state.txn({key: job.main_version}, {key: value})
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -30,20 +30,24 @@
         self._at = 0.0
         self._each = Resources(0.0, 1.0, 0.0)
         self._share = 0.0
-        self.rank = -1  # the highest of the work that wants accelerators
+        self.priority = -1  # the highest of the work that wants accelerators
 
     def update(self, now: Seconds, wall: Seconds) -> None:
         wanted = cpus = ram_gb = 0.0
-        self.rank = -1
+        self.priority = -1
         for _, job in self.mirror.each_live():
             spec = job.spec
             if spec.gpus > 0 and job.open:
                 # Where users expect something of other classes only, room is not kept from
                 # those for this work, until it has waited for long.
-                if self._aimed and spec.bundle not in self._aimed and wall - job.at < UNAIMED_S:
+                if (
+                    self._aimed
+                    and spec.job_class not in self._aimed
+                    and wall - job.submitted_at < UNAIMED_S
+                ):
                     continue
-                self.rank = max(self.rank, spec.rank)
-                wanted += spec.gpus * (spec.tasks - len(job.done))
+                self.priority = max(self.priority, spec.priority)
+                wanted += spec.gpus * (spec.task_count - len(job.done))
                 cpus = max(cpus, spec.cpus / spec.gpus)
                 ram_gb = max(ram_gb, spec.ram_gb / spec.gpus)
         if cpus or ram_gb:
@@ -90,7 +94,7 @@
         self.spec: JobSpec | None = None
         self._seen: dict[JobId, None] = {}
         self.resources = NO_RESOURCES
-        self.rank = 0
+        self.priority = 0
         self.slots = 0.0  # for gangs that are expected
         self.waiting = 0  # tasks of gangs that have no place yet
 
@@ -99,17 +103,17 @@
         in_the_way = -1
         for job_id, job in self.mirror.each_live():
             spec = job.spec
-            if spec.gang and job.open and job.gang is None:
-                waiting += spec.tasks
-            if job.open and not spec.gang and not spec.daemon and spec.gpus == 0:
-                in_the_way = max(in_the_way, job.spec.rank)
-            if job.spec.gang and job_id not in self._seen:
+            if spec.is_gang and job.open and job.gang is None:
+                waiting += spec.task_count
+            if job.open and not spec.is_gang and not spec.is_service and spec.gpus == 0:
+                in_the_way = max(in_the_way, job.spec.priority)
+            if job.spec.is_gang and job_id not in self._seen:
                 self._seen[job_id] = None
                 self.spec = job.spec
                 self.resources = job.spec.resources
-                self.rank = job.spec.rank
+                self.priority = job.spec.priority
                 if self._at is not None:
-                    fresh += job.spec.tasks
+                    fresh += job.spec.task_count
         if len(self._seen) > SEEN_LEAST + 2 * len(self.mirror.live_jobs):
             self._seen = {job_id: None for job_id in self._seen if job_id in self.mirror.live_jobs}
         if self._at is None:
@@ -121,7 +125,7 @@
         mean = self._count / (weight * MEMORY_S) * GANG_WINDOW_S
         # Gangs also end, about as many as come; what matters is how far both stray by chance.
         wanted = self._factor * 1.5 * math.sqrt(2.0 * mean)
-        displaced = in_the_way < self.rank
+        displaced = in_the_way < self.priority
         self.slots = 0.0 if displaced else wanted
         self.waiting = 0 if displaced else waiting
 
@@ -133,9 +137,9 @@
 
     def applies(self, spec: JobSpec) -> bool:
         """Whether this work would be in the way of gangs."""
-        if spec.gang or spec.daemon or spec.gpus > 0:
+        if spec.is_gang or spec.is_service or spec.gpus > 0:
             return False
-        return spec.rank >= self.rank and self.slots + self.waiting >= 0.5
+        return spec.priority >= self.priority and self.slots + self.waiting >= 0.5
 
     def rest(self, free: Resources) -> Resources:
         """A room less the whole slots of the gangs' size in it."""
--- a/src/dapplewick/core/estimates.py
+++ b/src/dapplewick/core/estimates.py
@@ -18,27 +18,27 @@
     def __init__(self) -> None:
         self._bias: dict[str, tuple[float, int]] = {}
 
-    def learn(self, bundle: str, estimate: Seconds, actual: Seconds) -> None:
+    def learn(self, job_class: str, estimate: Seconds, actual: Seconds) -> None:
         if estimate <= 0.0 or actual <= 0.0:
             return
         seen = math.log(min(HIGH, max(LOW, actual / estimate)))
-        mean, count = self._bias.get(bundle, (0.0, 0))
+        mean, count = self._bias.get(job_class, (0.0, 0))
         # The first few count for more, so that a day of wrong estimates is soon noticed; the
         # one assumed observation of "right" keeps a single outlier from ruling.
         weight = max(WEIGHT, 1.0 / (count + 2))
-        self._bias[bundle] = (mean + weight * (seen - mean), count + 1)
+        self._bias[job_class] = (mean + weight * (seen - mean), count + 1)
 
     def run_time(self, spec: JobSpec) -> Seconds:
-        if spec.daemon:
+        if spec.is_service:
             return NEVER
-        mean, _ = self._bias.get(spec.bundle, (0.0, 0))
-        return spec.estimate * math.exp(mean)
+        mean, _ = self._bias.get(spec.job_class, (0.0, 0))
+        return spec.estimated_run_s * math.exp(mean)
 
     def dump(self) -> dict[str, tuple[float, int]]:
         return dict(self._bias)
 
     def adopt(self, other: dict[str, tuple[float, int]]) -> None:
         """Take over what another node has seen more of."""
-        for bundle, (mean, count) in other.items():
-            if count > self._bias.get(bundle, (0.0, 0))[1]:
-                self._bias[bundle] = (mean, count)
+        for job_class, (mean, count) in other.items():
+            if count > self._bias.get(job_class, (0.0, 0))[1]:
+                self._bias[job_class] = (mean, count)
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -143,9 +143,9 @@
         unmet: list[Need] = []
         for need in needs:
             spec = need.spec
-            if need.together and spec.one_zone:
-                shape = spec.shape
-                zones = sorted(self.zones, key=lambda z: -pool[Zone(z)].idle(spec, shape))
+            if need.together and spec.same_zone:
+                placement_key = spec.placement_key
+                zones = sorted(self.zones, key=lambda z: -pool[Zone(z)].idle(spec, placement_key))
                 for zone in zones:
                     if self._provide(now, spec, need.tasks, need.tasks, [zone], pool, asked):
                         break
@@ -187,7 +187,7 @@
                     break
                 # Singles that need no accelerators don't count on machines that are rented
                 # for theirs: room for them is to be had for much less.
-                if spec.gpus == 0 and not spec.gang and view.capacity.gpus > 0:
+                if spec.gpus == 0 and not spec.is_gang and view.capacity.gpus > 0:
                     continue
                 fit = min(count, left[zone], view.times(spec))
                 if fit > 0:
--- a/src/dapplewick/core/job_writes.py
+++ b/src/dapplewick/core/job_writes.py
@@ -28,7 +28,12 @@
 
 log = logging.getLogger("dapplewick.leader")
 
-RANK_ENDS, RANK_GRANTS, RANK_CLEARED, RANK_PROGRESS = 0, 1, 2, 3  # what is written first
+PRIORITY_ENDS, PRIORITY_ASSIGNMENTS, PRIORITY_CLEARED, PRIORITY_PROGRESS = (
+    0,
+    1,
+    2,
+    3,
+)  # what is written first
 PROGRESS_S = 1.0  # done tasks of an unfinished job are stored at most this often
 CHUNKS_AT_ONCE = 2.0  # a job of which more chunks changed stores its progress less often
 CONVERT_MOST = 2  # jobs whose records are cut into chunks at the same time
@@ -53,43 +58,43 @@
         """A key of this job is stored."""
         self._stored_at[job_id] = now
 
-    def changes(self, now: Seconds, job_id: JobId, job: JobRecord, rank: int) -> list[Change]:
+    def changes(self, now: Seconds, job_id: JobId, job: JobRecord, priority: int) -> list[Change]:
         """The writes for a draft: of the record, or of the keys that it is kept in."""
         old = self._mirror.jobs[job_id]
         if job_id in self._converting and job.stage == old.stage:
             return []
         since = now - self._stored_at.get(job_id, 0.0)
-        if job.chunk:
-            return self._chunked_changes(since, job_id, job, old, rank)
-        if rank == RANK_PROGRESS and since < PROGRESS_S:
+        if job.chunk_size:
+            return self._chunked_changes(since, job_id, job, old, priority)
+        if priority == PRIORITY_PROGRESS and since < PROGRESS_S:
             return []
-        shares = self._place_shares(job_id, job, rank)
+        shares = self._place_shares(job_id, job, priority)
         value = job.dump(self._value_bytes)
         if self._mirror.format >= FORMAT_NOW and size_of(value) > self._value_bytes:
             return []  # it is cut first; what is not written is found again
-        return [*shares, Change(JOBS + job_id, value, job.main_version, rank)]
+        return [*shares, Change(JOBS + job_id, value, job.main_version, priority)]
 
     def _chunked_changes(
-        self, since: Seconds, job_id: JobId, job: JobRecord, old: JobRecord, rank: int
+        self, since: Seconds, job_id: JobId, job: JobRecord, old: JobRecord, priority: int
     ) -> list[Change]:
         key = JOBS + job_id
         out = []
         if (job.stage, job.gang) != (old.stage, old.gang):
-            out.append(Change(key, job.dump(), job.main_version, rank))
+            out.append(Change(key, job.dump(), job.main_version, priority))
         if job.stage == DONE:
             return out
         changed = sorted(job.chunks_changed(old))
         pause = PROGRESS_S * max(1.0, len(changed) / CHUNKS_AT_ONCE)
-        if rank == RANK_PROGRESS and since < pause:
+        if priority == PRIORITY_PROGRESS and since < pause:
             return out
         for number in changed:
             chunk = f"{CHUNKS}{job_id}/{number}"
             value, version = job.chunk_value(number), self._mirror.version(chunk)
             if value is not None or version:
-                out.append(Change(chunk, value, version, rank, ((key, job.main_version),)))
+                out.append(Change(chunk, value, version, priority, ((key, job.main_version),)))
         return out
 
-    def _place_shares(self, job_id: JobId, job: JobRecord, rank: int) -> list[Change]:
+    def _place_shares(self, job_id: JobId, job: JobRecord, priority: int) -> list[Change]:
         """The keys for a long gang's place, written before the record that names their number.
         They name the attempt: what a leader that ended on the way left behind is not read."""
         gang = job.gang
@@ -105,7 +110,7 @@
         for number, places in enumerate(shares):
             key = f"{PLACES}{job_id}/{number}"
             value = {"attempt": gang.attempt, "places": [list(p) for p in places]}
-            out.append(Change(key, value, self._mirror.version(key), rank))
+            out.append(Change(key, value, self._mirror.version(key), priority))
         return out
 
     def oversized_places(self) -> Iterator[JobId]:
@@ -141,7 +146,12 @@
             return []
         out: list[Change] = []
         for job_id, job in self._mirror.each_live():
-            if job.chunk or job.spec.gang or not job.open or not self._may_outgrow(job_id, job):
+            if (
+                job.chunk_size
+                or job.spec.is_gang
+                or not job.open
+                or not self._may_outgrow(job_id, job)
+            ):
                 continue
             self._converting.add(job_id)
             out += self._conversion(job_id, job, CONVERT_WRITES - len(out))
@@ -152,19 +162,19 @@
     def _conversion(self, job_id: JobId, job: JobRecord, most: int) -> list[Change]:
         """The next writes, at most so many, that cut one job's record into chunks."""
         target = job.copy()
-        target.chunk = chunk_tasks(job.spec.tasks, self._shard_names, self._value_bytes)
+        target.chunk_size = chunk_tasks(job.spec.task_count, self._shard_names, self._value_bytes)
         wanted = target.chunk_values()
         stored = {n: chunk.value for n, chunk in self._mirror.chunks.get(job_id, {}).items()}
         differ = [n for n in sorted(wanted | stored) if wanted.get(n) != stored.get(n)]
         if not differ:
             log.info("event=job_cut job=%s chunks=%d", job_id, len(wanted))
-            return [Change(JOBS + job_id, target.dump(), job.main_version, RANK_GRANTS)]
+            return [Change(JOBS + job_id, target.dump(), job.main_version, PRIORITY_ASSIGNMENTS)]
         unchanged = ((JOBS + job_id, job.main_version),)
         out = []
         for number in differ[:most]:
             key = f"{CHUNKS}{job_id}/{number}"
             version = self._mirror.version(key)
-            out.append(Change(key, wanted.get(number), version, RANK_CLEARED, unchanged))
+            out.append(Change(key, wanted.get(number), version, PRIORITY_CLEARED, unchanged))
         return out
 
     def _may_outgrow(self, job_id: JobId, job: JobRecord) -> bool:
@@ -180,9 +190,9 @@
             job = self._mirror.jobs.get(job_id)
             if job is None or job_id in self._converting:
                 continue
-            if not job.open and not job.grants:
+            if not job.open and not job.assignments:
                 out += [f"{CHUNKS}{job_id}/{n}" for n in self._mirror.chunks.get(job_id, {})]
             if job.gang is None and job_id not in drafted:
                 out += [f"{PLACES}{job_id}/{n}" for n in self._mirror.places.get(job_id, {})]
         keys = list(dict.fromkeys(out))[:CONVERT_WRITES]
-        return [Change(key, None, self._mirror.version(key), RANK_PROGRESS) for key in keys]
+        return [Change(key, None, self._mirror.version(key), PRIORITY_PROGRESS) for key in keys]
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -18,14 +18,14 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.fleet import Fleet, Need
 from dapplewick.core.job_writes import (
-    RANK_CLEARED,
-    RANK_ENDS,
-    RANK_GRANTS,
-    RANK_PROGRESS,
+    PRIORITY_ASSIGNMENTS,
+    PRIORITY_CLEARED,
+    PRIORITY_ENDS,
+    PRIORITY_PROGRESS,
     JobWrites,
 )
 from dapplewick.core.machines import Change, MachineBook, Silence
-from dapplewick.core.model import GANG_RANK, ShardCapacity, view_of
+from dapplewick.core.model import GANG_PRIORITY, ShardCapacity, view_of
 from dapplewick.core.needs import NeedPlanner, Waiting
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.core.placing import LONG_RESERVATION_S, place_gang
@@ -203,13 +203,13 @@
 
     # Drafts of job records
 
-    def _edit(self, job_id: JobId, rank: int) -> JobRecord:
+    def _edit(self, job_id: JobId, priority: int) -> JobRecord:
         draft = self._draft.get(job_id)
         if draft is not None:
-            self._draft[job_id] = (draft[0], min(rank, draft[1]))
+            self._draft[job_id] = (draft[0], min(priority, draft[1]))
             return draft[0]
         job = self.mirror.jobs[job_id].copy()
-        self._draft[job_id] = (job, rank)
+        self._draft[job_id] = (job, priority)
         return job
 
     def _job(self, job_id: JobId) -> JobRecord:
@@ -232,7 +232,7 @@
         rooms = self._rooms(now)
         self._place_gangs(now, wall, rooms, usage)
         ordered = self._pending_arrays(wall)
-        self._grant(rooms, usage, self._let_gangs_first(wall, ordered))
+        self._assign_array_tasks(rooms, usage, self._let_gangs_first(wall, ordered))
         fleet = self._fleet_changes(now, wall, rooms, ordered)
         moves = self._share_changes(now, wall)
         # Machines before the end of the booking that rented them: what the budget cuts off is
@@ -240,11 +240,11 @@
         writes = self._job_writes
         changes = self._raise_format() + self.book.changes() + fleet + moves + writes.convert()
         for job_id in writes.oversized_places():
-            self._edit(job_id, RANK_GRANTS)
-        for job_id, (job, rank) in self._draft.items():
-            changes += writes.changes(now, job_id, job, rank)
+            self._edit(job_id, PRIORITY_ASSIGNMENTS)
+        for job_id, (job, priority) in self._draft.items():
+            changes += writes.changes(now, job_id, job, priority)
         changes += writes.leftovers(self._draft)
-        changes.sort(key=lambda c: c.rank)
+        changes.sort(key=lambda c: c.priority)
         if log.isEnabledFor(logging.DEBUG) and now - self._load_at > LOAD_LOG_S:
             self._load_at = now
             self._log_load(wall, rooms, ordered)
@@ -303,11 +303,11 @@
             row[2] += view.free.gpus
         waiting: dict[str, int] = {}
         for _, job, left in ordered:
-            waiting[job.spec.bundle] = waiting.get(job.spec.bundle, 0) + left
+            waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + left
         held = gangs = 0
         for job_id in self.mirror.live_jobs:
             job = self._job(job_id)
-            if job.spec.gang and job.open:
+            if job.spec.is_gang and job.open:
                 gangs += job.gang is None
                 held += job.gang is not None
         log.debug(
@@ -325,8 +325,8 @@
             self._reconcile_array_tasks(shard)
             for job_id in shard.fresh["clear"]:
                 old = self.mirror.jobs.get(job_id)
-                if old is not None and not old.open and shard.shard in old.grants:
-                    self._edit(job_id, RANK_CLEARED).grants.pop(shard.shard, None)
+                if old is not None and not old.open and shard.shard in old.assignments:
+                    self._edit(job_id, PRIORITY_CLEARED).assignments.pop(shard.shard, None)
         self._reconcile_gangs(now)
 
     def _reconcile_array_tasks(self, shard: ObservedShard) -> None:
@@ -337,35 +337,35 @@
             old = self.mirror.jobs.get(job_id)
             if old is None or not old.open:
                 continue
-            granted = old.granted(name)
-            done = [i for i in body["done"] if i not in old.done and i in granted]
-            if old.spec.daemon:
+            assigned = old.assigned(name)
+            done = [i for i in body["done"] if i not in old.done and i in assigned]
+            if old.spec.is_service:
                 done = []  # a service is never done, whatever its replicas report
             # What is given back counts only against the record that the part knew: a newer
             # one may have granted the same task anew.
             released = body["returned"] if body["version"] == old.version else []
             if not done and not released:
                 continue
-            job = self._edit(job_id, RANK_GRANTS if released else RANK_PROGRESS)
+            job = self._edit(job_id, PRIORITY_ASSIGNMENTS if released else PRIORITY_PROGRESS)
             job.done.update(done)
-            job.grants[name] = job.granted(name).difference(done, released)
-            if not job.grants[name]:
-                del job.grants[name]
-            if len(job.done) == job.spec.tasks:
-                self._edit(job_id, RANK_ENDS)
+            job.assignments[name] = job.assigned(name).difference(done, released)
+            if not job.assignments[name]:
+                del job.assignments[name]
+            if len(job.done) == job.spec.task_count:
+                self._edit(job_id, PRIORITY_ENDS)
                 job.stage = DONE
-                job.grants = {}
+                job.assignments = {}
                 log.info("event=job_done job=%s", job_id)
 
     def _reconcile_gangs(self, now: Seconds) -> None:
         owned = {p.shard: p for p in self._owned()}
         lowest = min(
             (
-                j.spec.rank
+                j.spec.priority
                 for _, j in self.mirror.each_live()
-                if j.open and not (j.spec.gang or j.spec.daemon)
+                if j.open and not (j.spec.is_gang or j.spec.is_service)
             ),
-            default=GANG_RANK,
+            default=GANG_PRIORITY,
         )
         held: dict[JobId, Seconds] = {}
         for job_id, old in list(self.mirror.each_live()):
@@ -381,20 +381,22 @@
                     state = said if attempt == gang.attempt else "unknown"
                 states.append(state)
             if old.open and "done" in states:
-                job = self._edit(job_id, RANK_ENDS)
-                job.stage, job.done, job.gang, job.grants = DONE, set(), None, {}
+                job = self._edit(job_id, PRIORITY_ENDS)
+                job.stage, job.done, job.gang, job.assignments = DONE, set(), None, {}
                 log.info("event=job_done job=%s", job_id)
             elif (gang.over or not old.open) and all(s == "clear" for s in states):
-                self._edit(job_id, RANK_GRANTS).gang = None
+                self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = None
             elif old.open and not gang.over and "bad" in states:
                 log.info("event=gang_over job=%s attempt=%d", job_id, gang.attempt)
-                self._edit(job_id, RANK_GRANTS).gang = msgspec.structs.replace(gang, over=True)
-            elif "held" in states and not gang.preempt and old.spec.rank > lowest:
+                self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = msgspec.structs.replace(
+                    gang, over=True
+                )
+            elif "held" in states and not gang.preempt and old.spec.priority > lowest:
                 # Its slots were to be idle soon by estimates that were too low.
                 held[job_id] = self._reserved_since.get(job_id, now)
                 if now - held[job_id] > self.tuning.patience_s:
                     log.info("event=gang_hurried job=%s attempt=%d", job_id, gang.attempt)
-                    self._edit(job_id, RANK_GRANTS).gang = msgspec.structs.replace(
+                    self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = msgspec.structs.replace(
                         gang, preempt=True
                     )
         self._reserved_since = held
@@ -404,9 +406,9 @@
         usage = {name: Resources(0.0, 0.0, 0.0) for name in self._teams}
         for job_id in self.mirror.live_jobs:
             job = self._job(job_id)
-            count = sum(len(tasks) for tasks in job.grants.values())
+            count = sum(len(tasks) for tasks in job.assignments.values())
             if job.gang is not None:
-                count += job.spec.tasks
+                count += job.spec.task_count
             used = usage.get(job.spec.team)
             if used is not None and count:
                 usage[job.spec.team] = used.plus(job.resources.times(count))
@@ -417,7 +419,7 @@
         team, used = self._teams.get(spec.team), usage.get(spec.team)
         if team is None or used is None:
             return 0
-        most = spec.tasks
+        most = spec.task_count
         for limit, have, each in (
             (team.cpus_max, used.cpus, spec.cpus),
             (team.gpus_max, used.gpus, spec.gpus),
@@ -476,7 +478,7 @@
                     taken = said.views.get(MachineId(machine))
                     if taken is not None:
                         by_shard[name].take([taken], job.resources)
-            for name, tasks in job.grants.items():
+            for name, tasks in job.assignments.items():
                 if name not in by_shard:
                     continue
                 backlog = len(tasks) - self.shards[ShardName(name)].placed(job_id)
@@ -493,12 +495,14 @@
         waiting = [
             (job_id, job)
             for job_id, job in ((j, self._job(j)) for j in self.mirror.live_jobs)
-            if job.spec.gang and job.open and job.gang is None
+            if job.spec.is_gang and job.open and job.gang is None
         ]
-        waiting.sort(key=lambda w: (-w[1].spec.rank, -w[1].spec.tasks, w[1].at, w[0]))
+        waiting.sort(
+            key=lambda w: (-w[1].spec.priority, -w[1].spec.task_count, w[1].submitted_at, w[0])
+        )
         self._reservation.begin()
         left = self._place_each(waiting, wall, rooms, usage)
-        above = [w for w in left if w[1].spec.rank > self.demand.rank]
+        above = [w for w in left if w[1].spec.priority > self.demand.priority]
         if above and self.demand.wanted():
             above = self._not_awaited(wall, above)
         if above and self.demand.wanted():
@@ -520,14 +524,17 @@
                 coming[view.zone].add(view)
         out = []
         for job_id, job in gangs:
-            spec, shape = job.spec, job.spec.shape
-            shards = sorted(coming.values(), key=lambda p: -p.idle(spec, shape))
-            if not spec.one_zone and sum(p.idle(spec, shape) for p in shards) >= spec.tasks:
-                left = spec.tasks
+            spec, placement_key = job.spec, job.spec.placement_key
+            shards = sorted(coming.values(), key=lambda p: -p.idle(spec, placement_key))
+            if (
+                not spec.same_zone
+                and sum(p.idle(spec, placement_key) for p in shards) >= spec.task_count
+            ):
+                left = spec.task_count
                 for shard in shards:
                     left -= shard.take_most(spec, left)
-            elif shards and shards[0].idle(spec, shape) >= spec.tasks:
-                shards[0].take_most(spec, spec.tasks)
+            elif shards and shards[0].idle(spec, placement_key) >= spec.task_count:
+                shards[0].take_most(spec, spec.task_count)
             else:
                 out.append((job_id, job))
         return out
@@ -544,9 +551,9 @@
         by_shard = {room.shard: room for room in rooms}
         for job_id, job in waiting:
             spec = job.spec
-            if self._within_limit(spec, usage) < spec.tasks:
+            if self._within_limit(spec, usage) < spec.task_count:
                 continue
-            waited = wall - job.at
+            waited = wall - job.submitted_at
             limit = max(
                 LONG_RESERVATION_S,
                 RESERVATION_FRACTION * max(waited, self.estimates.run_time(spec)),
@@ -561,11 +568,13 @@
             for view in chosen:
                 by_shard[view.shard].take([view], job.resources)
             self._reservation.placed(wall, {view.shard for view in chosen})
-            self._spend(spec, spec.tasks, usage)
+            self._spend(spec, spec.task_count, usage)
             self._counter += 1
             attempt = self.epoch * IDS_PER_TOKEN + self._counter
             places = [(str(v.shard), str(v.id)) for v in chosen]
-            self._edit(job_id, RANK_GRANTS).gang = GangPlace(attempt, places, preempt=preempt)
+            self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = GangPlace(
+                attempt, places, preempt=preempt
+            )
             log.info(
                 "event=gang_placed job=%s attempt=%d machines=%s preempt=%s",
                 job_id,
@@ -582,19 +591,19 @@
         how many it has missed. Late work goes behind work that is still in time, or under
         load the most overdue would make everything late."""
         spec = job.spec
-        aims = [] if spec.deadline is None else [spec.deadline]
+        aims = [] if spec.deadline_s is None else [spec.deadline_s]
         for aim in self.settings.objectives:
-            if aim.class_ != spec.bundle:
+            if aim.class_ != spec.job_class:
                 continue
-            if aim.kind == "deadline" and spec.deadline is not None:
-                aims.append(spec.deadline * aim.times)
+            if aim.kind == "deadline" and spec.deadline_s is not None:
+                aims.append(spec.deadline_s * aim.times)
             elif aim.kind == "finished" and aim.within_s is not None:
                 aims.append(aim.within_s)
         earliest = wall + self.estimates.run_time(spec)
         missed = 0
         for within in sorted(set(aims)):
-            if job.at + within >= earliest:
-                return missed, job.at + within
+            if job.submitted_at + within >= earliest:
+                return missed, job.submitted_at + within
             missed += 1
         return missed, float("inf")
 
@@ -602,12 +611,12 @@
         """Jobs that fit into their team's guarantee with its earlier unfinished ones."""
         used: dict[str, tuple[float, float]] = {}
         within = set()
-        for job_id, job in sorted(jobs, key=lambda j: (j[1].at, j[0])):
+        for job_id, job in sorted(jobs, key=lambda j: (j[1].submitted_at, j[0])):
             team = self._teams.get(job.spec.team)
             if team is None:
                 continue
             cpus, gpus = used.get(team.name, (0.0, 0.0))
-            left = job.spec.tasks - job.done_count
+            left = job.spec.task_count - job.done_count
             cpus += job.spec.cpus * left
             gpus += job.spec.gpus * left
             used[team.name] = (cpus, gpus)
@@ -620,42 +629,42 @@
     def _pending_arrays(self, wall: Seconds) -> list[Waiting]:
         """Open arrays with tasks that are not granted, in the order in which they are served."""
         jobs = [(j, self._job(j)) for j in self.mirror.live_jobs]
-        jobs = [(j, job) for j, job in jobs if job.open and not job.spec.gang]
+        jobs = [(j, job) for j, job in jobs if job.open and not job.spec.is_gang]
         within = self._within_guarantee(jobs)
         out = []
         for job_id, job in jobs:
-            granted = sum(len(tasks) for tasks in job.grants.values())
-            left = job.spec.tasks - len(job.done) - granted
+            assigned = sum(len(tasks) for tasks in job.assignments.values())
+            left = job.spec.task_count - len(job.done) - assigned
             out.append(Waiting(job_id, job, left))
         out.sort(
             key=lambda waiting: (
-                -waiting.job.spec.rank,
+                -waiting.job.spec.priority,
                 waiting.job_id not in within,
-                -self.tuning.class_weights.get(waiting.job.spec.bundle, 1.0),
+                -self.tuning.class_weights.get(waiting.job.spec.job_class, 1.0),
                 self._due(waiting.job, wall),
-                waiting.job.at,
+                waiting.job.submitted_at,
                 waiting.job_id,
             )
         )
         return out
 
     def _next_tasks(self, job_id: JobId, job: JobRecord, count: int) -> list[int]:
-        granted: set[int] = set()
-        for tasks in job.grants.values():
-            granted |= tasks
+        assigned: set[int] = set()
+        for tasks in job.assignments.values():
+            assigned |= tasks
         low = self._low.get(job_id, 0)
-        while low < job.spec.tasks and low in job.done:
+        while low < job.spec.task_count and low in job.done:
             low += 1
         self._low[job_id] = low
         out: list[int] = []
         index = low
-        while len(out) < count and index < job.spec.tasks:
-            if index not in job.done and index not in granted:
+        while len(out) < count and index < job.spec.task_count:
+            if index not in job.done and index not in assigned:
                 out.append(index)
             index += 1
         return out
 
-    def _grant(
+    def _assign_array_tasks(
         self,
         rooms: list[ShardCapacity],
         usage: dict[str, Resources],
@@ -670,26 +679,26 @@
                 if left <= 0:
                     continue
                 spec = job.spec
-                kind = (spec.shape, spec.image if warm else "")
+                kind = (spec.placement_key, spec.image if warm else "")
                 if kind in full:
                     continue
                 job = self._job(job_id)
-                granted = sum(len(tasks) for tasks in job.grants.values())
-                left = spec.tasks - len(job.done) - granted
+                assigned = sum(len(tasks) for tasks in job.assignments.values())
+                left = spec.task_count - len(job.done) - assigned
                 count = min(left, self._within_limit(spec, usage))
                 if count <= 0:
                     continue
                 shares = self._shares(spec, job, rooms, queue_room, count, warm)
                 total = sum(shares.values())
-                if total < count and not (spec.one_zone or spec.spread):
+                if total < count and not (spec.same_zone or spec.spread):
                     full.add(kind)
                 if not total:
                     continue
                 tasks = self._next_tasks(job_id, job, total)
-                draft = self._edit(job_id, RANK_GRANTS)
+                draft = self._edit(job_id, PRIORITY_ASSIGNMENTS)
                 for name, share in shares.items():
                     mine, tasks = tasks[:share], tasks[share:]
-                    draft.grants[name] = draft.granted(name) | set(mine)
+                    draft.assignments[name] = draft.assigned(name) | set(mine)
                 self._spend(spec, total, usage)
 
     def _let_gangs_first(self, wall: Seconds, ordered: list[Waiting]) -> list[Waiting]:
@@ -697,7 +706,7 @@
         its singles would take each room before it is large enough for a gang."""
         jobs = [self._job(j) for j in self.mirror.live_jobs]
         waits = any(
-            job.spec.gang and job.open and job.gang is None and job.spec.bundle in self._aimed
+            job.spec.is_gang and job.open and job.gang is None and job.spec.job_class in self._aimed
             for job in jobs
         )
         if not waits:
@@ -705,9 +714,9 @@
         return [
             entry
             for entry in ordered
-            if entry.job.spec.bundle in self._aimed
-            or entry.job.spec.daemon
-            or wall - entry.job.at > UNAIMED_WAIT_S
+            if entry.job.spec.job_class in self._aimed
+            or entry.job.spec.is_service
+            or wall - entry.job.submitted_at > UNAIMED_WAIT_S
         ]
 
     def _queue_room(self, rooms: list[ShardCapacity]) -> dict[ShardName, int]:
@@ -718,9 +727,9 @@
             waiting = 0
             for job_id in self.mirror.live_jobs:
                 job = self._job(job_id)
-                granted = job.grants.get(shard.shard)
-                if granted and not job.spec.daemon:
-                    waiting += max(0, len(granted) - said.placed(job_id))
+                assigned = job.assignments.get(shard.shard)
+                if assigned and not job.spec.is_service:
+                    waiting += max(0, len(assigned) - said.placed(job_id))
             room[shard.shard] = max(0, int(QUEUE_LEAST + QUEUE_SHARE * running) - waiting)
         return room
 
@@ -733,17 +742,17 @@
         count: int,
         warm: bool,
     ) -> dict[ShardName, int]:
-        shape = spec.shape
+        placement_key = spec.placement_key
         shards = [p for p in rooms if any(v.allows(spec) for v in p.views)]
-        if spec.one_zone:
-            zones = {zone_of(name) for name, tasks in job.grants.items() if tasks}
+        if spec.same_zone:
+            zones = {zone_of(name) for name, tasks in job.assignments.items() if tasks}
             if not zones and shards:
                 zones = {_widest_zone(shards, spec)}
             shards = [p for p in shards if p.zone in zones]
         shares: dict[ShardName, int] = {}
-        left = {p.zone: spec.zone_cap - job.granted_in_zone(p.zone) for p in shards}
+        left = {p.zone: spec.zone_cap - job.assigned_in_zone(p.zone) for p in shards}
         # A share kept for its team goes before what all use; by idle room else.
-        shards.sort(key=lambda p: (p.teams is None, -p.idle(spec, shape)))
+        shards.sort(key=lambda p: (p.teams is None, -p.idle(spec, placement_key)))
         for shard in shards:
             shard.keep_for_gangs(self.gangs, 1.0 / len(rooms))
             share = shard.take_most(spec, min(count, left[shard.zone]), warm)
@@ -752,7 +761,7 @@
             count -= share
         for shard in shards if not warm else ():
             most = min(count, left[shard.zone])
-            if spec.daemon:
+            if spec.is_service:
                 # None waits in a queue; what gives way to it makes room.
                 extra = shard.take_forced(spec, most)
             else:
@@ -902,7 +911,7 @@
     """The zone with most idle room for this work."""
     idle: dict[Zone, int] = {}
     for shard in shards:
-        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, spec.shape)
+        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, spec.placement_key)
     return max(idle, key=idle.__getitem__)
 
 
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger("dapplewick.leader")
 
-RANK_URGENT, RANK_NORMAL, RANK_LOW = 0, 1, 2  # ranks of changes
+PRIORITY_URGENT, PRIORITY_NORMAL, PRIORITY_LOW = 0, 1, 2  # ranks of changes
 UP_S = 1.0  # machines of a group that came up are told of this often
 GROUP_MOST = 150  # machines in a record, where a value may hold as many
 GROUP_BYTES = 200  # of a record, beside its machines
@@ -43,7 +43,7 @@
     key: str
     value: Any
     version: int
-    rank: int  # lower ones are written first
+    priority: int  # lower ones are written first
     needs: tuple[tuple[str, int], ...] = ()  # other keys that must still have these versions
     tied: str = ""  # changes in a row with the same text go into one transaction
 
@@ -123,11 +123,13 @@
 
     def _change(self, name: str, tie: str = "") -> Change:
         """The write of a drafted group; one that has no machines left is removed."""
-        group, rank = self._drafts[name]
+        group, priority = self._drafts[name]
         key = MACHINES + name
         value = msgspec.to_builtins(group) if group.machines else None
         # All writes that are tied together have the same rank, so that they stay in a row.
-        return Change(key, value, self.mirror.version(key), RANK_NORMAL if tie else rank, tied=tie)
+        return Change(
+            key, value, self.mirror.version(key), PRIORITY_NORMAL if tie else priority, tied=tie
+        )
 
     def _over(self, group: GroupRecord) -> bool:
         """Whether a group has more machines than the lower limit lets a value hold."""
@@ -189,10 +191,10 @@
     def _put(self, name: str, group: GroupRecord, tied: str = "") -> Change:
         key = MACHINES + name
         value = msgspec.to_builtins(group)
-        return Change(key, value, self.mirror.version(key), RANK_URGENT, tied=tied)
+        return Change(key, value, self.mirror.version(key), PRIORITY_URGENT, tied=tied)
 
     def _removal(self, name: str) -> Change:
-        return Change(MACHINES + name, None, self.mirror.version(MACHINES + name), RANK_URGENT)
+        return Change(MACHINES + name, None, self.mirror.version(MACHINES + name), PRIORITY_URGENT)
 
     def _free_names(self, name: str, count: int) -> list[str]:
         """Unused names for groups beside this one."""
@@ -205,7 +207,7 @@
             number += 1
         return out
 
-    def _draft(self, name: str, rank: int) -> GroupRecord:
+    def _draft(self, name: str, priority: int) -> GroupRecord:
         draft = self._drafts.get(name)
         if draft is None:
             old = self.mirror.groups[name]
@@ -213,8 +215,8 @@
                 old, machines=dict(old.machines), floors=dict(old.floors)
             )
         else:
-            group, rank = draft[0], min(rank, draft[1])
-        self._drafts[name] = (group, rank)
+            group, priority = draft[0], min(priority, draft[1])
+        self._drafts[name] = (group, priority)
         return group
 
     def move(self, floors: Mapping[MachineId, int], share: str, tie: str) -> list[MachineId]:
@@ -233,16 +235,16 @@
         if target is None:
             (target,) = self._free_names(name, 1)
             empty = GroupRecord(group.type, group.zone, group.spot, {}, share=share)
-            self._drafts[target] = (empty, RANK_NORMAL)
+            self._drafts[target] = (empty, PRIORITY_NORMAL)
         elif target in self._drafts or target in (name, self._splitting):
             return []
-        joined = self._draft(target, RANK_NORMAL)
+        joined = self._draft(target, PRIORITY_NORMAL)
         going = list(floors)[: most - len(joined.machines)]
         for machine in going:
             joined.machines[machine] = group.machines[machine]
             joined.floors[machine] = floors[machine]
             group = group.without(machine)
-        self._drafts[name] = (group, RANK_NORMAL)
+        self._drafts[name] = (group, PRIORITY_NORMAL)
         self._ties[name] = self._ties[target] = tie
         return going
 
@@ -251,12 +253,12 @@
         names = [name for name, tied in self._ties.items() if tied == tie]
         return [self._change(name, tie) for name in names]
 
-    def _set(self, machine_id: MachineId, state: str, rank: int) -> None:
-        self._draft(self.mirror.group_of[machine_id], rank).machines[machine_id] = state
+    def _set(self, machine_id: MachineId, state: str, priority: int) -> None:
+        self._draft(self.mirror.group_of[machine_id], priority).machines[machine_id] = state
 
-    def terminate(self, machine_id: MachineId, why: str, rank: int = RANK_URGENT) -> None:
+    def terminate(self, machine_id: MachineId, why: str, priority: int = PRIORITY_URGENT) -> None:
         log.info("event=machine_doomed machine=%s reason=%s", machine_id, why)
-        self._set(machine_id, TERMINATING, rank)
+        self._set(machine_id, TERMINATING, priority)
 
     def rented(
         self, name: str, booking: BookingRecord, machines: list[MachineId], wall: Seconds
@@ -264,7 +266,7 @@
         """The machines of a rental: one record for all of them."""
         new = [m for m in machines if m not in self.mirror.machines and m not in self.deleted]
         if new:
-            self._add(new, booking.type, booking.zone, booking.spot, wall, name, RANK_URGENT)
+            self._add(new, booking.type, booking.zone, booking.spot, wall, name, PRIORITY_URGENT)
 
     def _add(
         self,
@@ -274,25 +276,25 @@
         spot: bool,
         wall: Seconds,
         name: str,
-        rank: int,
+        priority: int,
     ) -> None:
         """Into a group of their kind that has room, else into a new one of this name."""
         most = self._most(machines)
         if len(machines) > most:
             for n, first in enumerate(range(0, len(machines), most)):
                 some = machines[first : first + most]
-                self._add(some, type_, zone, spot, wall, f"{name}.{n}" if n else name, rank)
+                self._add(some, type_, zone, spot, wall, f"{name}.{n}" if n else name, priority)
             return
         states: dict[str, str] = dict.fromkeys(machines, f"{BOOTING}{wall:.0f}")
         known = self._group_with_room(type_, zone, spot, "", most - len(machines))
         if known is not None:
-            self._draft(known, rank).machines.update(states)
+            self._draft(known, priority).machines.update(states)
             return
         if name in self.mirror.groups or name in self._drafts:
             (name,) = self._free_names(name, 1)  # some of this rental may be recorded already
         self._drafts[name] = (
             GroupRecord(type=type_, zone=zone, spot=spot, machines=states),
-            rank,
+            priority,
         )
 
     def _group_with_room(
@@ -308,12 +310,12 @@
         return None
 
     def adopt(
-        self, machine_id: MachineId, type_: str, zone: str, spot: bool, wall: Seconds, rank: int
+        self, machine_id: MachineId, type_: str, zone: str, spot: bool, wall: Seconds, priority: int
     ) -> None:
         """A machine that nobody here knows of: used or returned like the others."""
         if machine_id in self.mirror.machines or machine_id in self.deleted:
             return
-        self._add([machine_id], type_, zone, spot, wall, f"x-{machine_id}", rank)
+        self._add([machine_id], type_, zone, spot, wall, f"x-{machine_id}", priority)
         log.info("event=machine_adopted machine=%s", machine_id)
 
     # The pass
@@ -333,7 +335,7 @@
             if record.terminating:
                 if machine_id in self.deleted:
                     name = self.mirror.group_of[machine_id]
-                    group = self._draft(name, RANK_URGENT)
+                    group = self._draft(name, PRIORITY_URGENT)
                     group.machines.pop(machine_id, None)
                     group.floors.pop(machine_id, None)
                     self._up_since.pop(machine_id, None)
@@ -348,13 +350,13 @@
             # All that came up in a while is written together: hundreds do at the start.
             if now - self._up_at.get(name, -1e9) >= UP_S:
                 for machine_id in machines:
-                    self._set(machine_id, UP, RANK_NORMAL)
+                    self._set(machine_id, UP, PRIORITY_NORMAL)
         # Lists lag: a machine that is gone may still be listed for twice the lag.
         patience = 2.5 * self.lag_s
         for machine_id, since in self._unknown_since.items():
             item = self.listed[machine_id]
             if now - since > patience and item.zone in zones:
-                self.adopt(machine_id, item.type, item.zone, item.spot, wall, RANK_LOW)
+                self.adopt(machine_id, item.type, item.zone, item.spot, wall, PRIORITY_LOW)
 
     def _urgent_silence(self, others_heard: bool) -> Seconds:
         """After which silence a machine is deleted so that its replicas can run elsewhere.
--- a/src/dapplewick/core/model.py
+++ b/src/dapplewick/core/model.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
-from dapplewick.protocol.wire import JobSpec, Shape
+from dapplewick.protocol.wire import JobSpec, PlacementKey
 from dapplewick.types import (
     NO_RESOURCES,
     MachineId,
@@ -20,7 +20,7 @@
 )
 
 ONE_GROUP_TIMES = 4.0  # behind one gang a longer wait is taken than behind several
-GANG_RANK = 99  # a gang's task counts as this among ends: nothing stops it for another gang
+GANG_PRIORITY = 99  # a gang's task counts as this among ends: nothing stops it for another gang
 
 
 class End(NamedTuple):
@@ -28,7 +28,7 @@
 
     at: Seconds
     resources: Resources
-    rank: int
+    priority: int
     group: str  # tasks with the same one end together: a gang's
 
 
@@ -83,7 +83,7 @@
         self.now = 0.0
         self.queued = queued
         self.demand = demand
-        self.array_tasks = sum(end.rank < GANG_RANK for end in ends)  # that run here
+        self.array_tasks = sum(end.priority < GANG_PRIORITY for end in ends)  # that run here
         self.could_be = free.cpus + sum(end.resources.cpus for end in ends)
         self.images = frozenset(images)
         self.usable = True
@@ -105,7 +105,7 @@
     def room(self, spec: JobSpec) -> Resources:
         """The free room that this work may use."""
         free = self.free
-        if spec.gpus > 0 or spec.daemon or self.demand is None:
+        if spec.gpus > 0 or spec.is_service or self.demand is None:
             return free
         if self.kept is not None and self.kept.applies(spec):
             free = self.kept.rest(free)
@@ -131,7 +131,7 @@
     def room_in(self, spec: JobSpec) -> tuple[Seconds, Seconds] | None:
         """When the singles here will have made room: by themselves, and with those below a
         rank stopped. None if they never do."""
-        resources, rank = spec.resources, spec.rank
+        resources, priority = spec.resources, spec.priority
         room = forced = self.room(spec)
         if resources.fits_in(room):
             return 0.0, 0.0
@@ -141,7 +141,7 @@
             if keep and taken.gpus > 0:
                 continue
             room = room.plus(taken)
-            if other < rank:
+            if other < priority:
                 forced = forced.plus(taken)
             if natural < 0.0 and resources.fits_in(room):
                 natural = max(0.0, end - self.now)
@@ -155,12 +155,12 @@
         if self.memo:
             self.memo.clear()
 
-    def slot_waits(self, spec: JobSpec, shape: Shape) -> list[Seconds]:
+    def slot_waits(self, spec: JobSpec, placement_key: PlacementKey) -> list[Seconds]:
         """When slots of this shape become idle here, by themselves or, where that helps, with
         work of lower rank stopped."""
-        waits: list[Seconds] | None = self.memo.get((shape,))
+        waits: list[Seconds] | None = self.memo.get((placement_key,))
         if waits is None:
-            waits = self.memo[(shape,)] = []
+            waits = self.memo[(placement_key,)] = []
             if self.could_be >= spec.cpus - 1e-6 and self.allows(spec):
                 saved = self.free
                 while (times := self.room_in(spec)) is not None:
@@ -169,11 +169,11 @@
                 self.free = saved
         return waits
 
-    def slot_ends(self, spec: JobSpec, shape: Shape) -> list[tuple[Seconds, str]]:
+    def slot_ends(self, spec: JobSpec, placement_key: PlacementKey) -> list[tuple[Seconds, str]]:
         """When each slot of this shape becomes idle here by itself, and with whose end."""
-        slots: list[tuple[Seconds, str]] | None = self.memo.get((shape, "ends"))
+        slots: list[tuple[Seconds, str]] | None = self.memo.get((placement_key, "ends"))
         if slots is None:
-            slots = self.memo[(shape, "ends")] = []
+            slots = self.memo[(placement_key, "ends")] = []
             if self.could_be >= spec.cpus - 1e-6 and self.allows(spec):
                 resources, room = spec.resources, self.room(spec)
                 count = resources.count_in(room)
@@ -190,10 +190,10 @@
                         slots.append((max(0.0, end.at - self.now), group))
         return slots
 
-    def idle_slots(self, spec: JobSpec, shape: Shape) -> int:
-        count = self.memo.get(shape)
+    def idle_slots(self, spec: JobSpec, placement_key: PlacementKey) -> int:
+        count = self.memo.get(placement_key)
         if count is None:
-            count = self.memo[shape] = self.times(spec) if self.allows(spec) else 0
+            count = self.memo[placement_key] = self.times(spec) if self.allows(spec) else 0
         return count
 
 
@@ -276,8 +276,8 @@
 ) -> View:
     """A machine as a part's status tells it; `clock` is our clock less the part's."""
     ends = [
-        End(float(end) + clock, Resources(cpus, gpus, ram_gb), int(rank), str(group))
-        for end, cpus, gpus, ram_gb, rank, group in status["ends"]
+        End(float(end) + clock, Resources(cpus, gpus, ram_gb), int(priority), str(group))
+        for end, cpus, gpus, ram_gb, priority, group in status["ends"]
     ]
     view = View(
         machine,
@@ -332,9 +332,9 @@
         self.teams: frozenset[str] | None = None  # whose work may come here; None: everybody's
         self.views = views
         self.open = [v for v in views if v.free.cpus > 1e-6]
-        self._totals: dict[Shape, int] = {}
-        self._waits: dict[Shape, list[Seconds]] = {}
-        self._groups: dict[Shape, tuple[list[View], list[EndGroup]]] = {}
+        self._totals: dict[PlacementKey, int] = {}
+        self._waits: dict[PlacementKey, list[Seconds]] = {}
+        self._groups: dict[PlacementKey, tuple[list[View], list[EndGroup]]] = {}
         self._lowest: int | None = None
         self._kept: GangDemand | None = None
         self._idle: int | None = None
@@ -365,43 +365,45 @@
         """Whether work of this team may come here."""
         return self.teams is None or spec.team in self.teams
 
-    def idle(self, spec: JobSpec, shape: Shape) -> int:
+    def idle(self, spec: JobSpec, placement_key: PlacementKey) -> int:
         """For how many tasks there is idle room."""
         if not self.serves(spec):
             return 0  # what is counted below is shared by teams whose work is alike
-        total = self._totals.get(shape)
+        total = self._totals.get(placement_key)
         if total is None:
             cpus = spec.cpus - 1e-6
-            total = sum(v.idle_slots(spec, shape) for v in self.open if v.free.cpus >= cpus)
-            self._totals[shape] = total
+            total = sum(v.idle_slots(spec, placement_key) for v in self.open if v.free.cpus >= cpus)
+            self._totals[placement_key] = total
         return total
 
-    def held(self, spec: JobSpec, shape: Shape, limit: Seconds) -> int:
+    def held(self, spec: JobSpec, placement_key: PlacementKey, limit: Seconds) -> int:
         """For how many tasks slots become idle within a time."""
         if not self.serves(spec):
             return 0
-        waits = self._waits.get(shape)
+        waits = self._waits.get(placement_key)
         if waits is None:
-            waits = self._waits[shape] = sorted(
-                wait for view in self.views for wait in view.slot_waits(spec, shape)
+            waits = self._waits[placement_key] = sorted(
+                wait for view in self.views for wait in view.slot_waits(spec, placement_key)
             )
         return bisect_right(waits, limit)
 
     def could_reserve(self, spec: JobSpec) -> bool:
         """Whether this part's machines, if they were empty, would take all of a gang."""
         slots = (spec.resources.count_in(v.capacity) for v in self.views if v.allows(spec))
-        return sum(slots) >= spec.tasks
+        return sum(slots) >= spec.task_count
 
-    def groups(self, spec: JobSpec, shape: Shape) -> tuple[list[View], list[EndGroup]]:
+    def groups(
+        self, spec: JobSpec, placement_key: PlacementKey
+    ) -> tuple[list[View], list[EndGroup]]:
         """The idle slots of this shape, and those that become idle together."""
         if not self.serves(spec):
             return [], []
-        found = self._groups.get(shape)
+        found = self._groups.get(placement_key)
         if found is None:
             idle: list[View] = []
             by_name: dict[str, EndGroup] = {}
             for view in self.views:
-                for wait, name in view.slot_ends(spec, shape):
+                for wait, name in view.slot_ends(spec, placement_key):
                     if not name:
                         idle.append(view)
                         continue
@@ -409,7 +411,7 @@
                     if group is None:
                         group = by_name[name] = EndGroup(wait, [])
                     group.views.append(view)
-            found = self._groups[shape] = (idle, list(by_name.values()))
+            found = self._groups[placement_key] = (idle, list(by_name.values()))
         return found
 
     def set_demand(self, demand: AcceleratorDemand | None) -> None:
@@ -420,11 +422,13 @@
                 view.memo.clear()
         self.changed()
 
-    def preemptable(self, rank: int) -> bool:
+    def preemptable(self, priority: int) -> bool:
         """Whether any work here has a lower rank."""
         if self._lowest is None:
-            self._lowest = min((end.rank for v in self.views for end in v.ends), default=GANG_RANK)
-        return self._lowest < rank
+            self._lowest = min(
+                (end.priority for v in self.views for end in v.ends), default=GANG_PRIORITY
+            )
+        return self._lowest < priority
 
     def candidates(self, spec: JobSpec) -> list[View]:
         cpus, gpus = spec.cpus - 1e-6, spec.gpus - 1e-6
--- a/src/dapplewick/core/needs.py
+++ b/src/dapplewick/core/needs.py
@@ -66,7 +66,7 @@
         arrays: dict[Any, list[Waiting]] = {}
         for waiting in ordered:
             spec = waiting.job.spec
-            if spec.daemon:
+            if spec.is_service:
                 needs += self._service_needs(waiting)
                 continue
             needs += self._bound_needs(waiting)
@@ -85,22 +85,24 @@
         """Gangs that wait at the leader, or hold slots that will be busy for long."""
         needs: list[Need] = []
         alike: dict[Any, int] = {}
-        for job_id in sorted(self._mirror.live_jobs, key=lambda j: self._mirror.jobs[j].at):
+        for job_id in sorted(
+            self._mirror.live_jobs, key=lambda j: self._mirror.jobs[j].submitted_at
+        ):
             job = self._drafted(job_id)
             spec = job.spec
-            if not spec.gang or not job.open:
+            if not spec.is_gang or not job.open:
                 continue
             if job.gang is not None and not self._long_reserved(job_id, job.gang):
                 continue
-            if spec.one_zone or spec.spread:
-                needs.append(Need(spec, spec.tasks, True))
-            elif spec.shape in alike:
+            if spec.same_zone or spec.spread:
+                needs.append(Need(spec, spec.task_count, True))
+            elif spec.placement_key in alike:
                 # Gangs that may span all parts need the same as one gang of all their tasks.
-                old = needs[alike[spec.shape]]
-                needs[alike[spec.shape]] = old._replace(tasks=old.tasks + spec.tasks)
+                old = needs[alike[spec.placement_key]]
+                needs[alike[spec.placement_key]] = old._replace(tasks=old.tasks + spec.task_count)
             else:
-                alike[spec.shape] = len(needs)
-                needs.append(Need(spec, spec.tasks, True))
+                alike[spec.placement_key] = len(needs)
+                needs.append(Need(spec, spec.task_count, True))
         return needs
 
     def _long_reserved(self, job_id: JobId, gang: GangPlace) -> bool:
@@ -116,7 +118,7 @@
     def _service_needs(self, waiting: Waiting) -> list[Need]:
         """Replicas of a service that are nowhere, nor on the way."""
         spec = waiting.job.spec
-        missing = spec.tasks - self._placed(waiting.job_id)
+        missing = spec.task_count - self._placed(waiting.job_id)
         return [Need(spec, missing, False, self._caps(waiting.job))] if missing > 0 else []
 
     def _bound_needs(self, waiting: Waiting) -> list[Need]:
@@ -133,12 +135,12 @@
     def _caps(self, job: JobRecord) -> dict[str, int] | None:
         """How many more of its tasks may be in each zone; None if it is bound to none."""
         spec = job.spec
-        if spec.one_zone:
-            holders = [zone_of(shard) for shard, tasks in job.grants.items() if tasks]
-            return dict.fromkeys(holders, spec.tasks) if holders else None
+        if spec.same_zone:
+            holders = [zone_of(shard) for shard, tasks in job.assignments.items() if tasks]
+            return dict.fromkeys(holders, spec.task_count) if holders else None
         if not spec.spread:
             return None
-        return {z: max(0, spec.zone_cap - job.granted_in_zone(z)) for z in self._zones}
+        return {z: max(0, spec.zone_cap - job.assigned_in_zone(z)) for z in self._zones}
 
     def _array_needs(self, wall: Seconds, alike: list[Waiting]) -> list[Need]:
         """Enough slots for all that waits to start within the horizon."""
@@ -159,13 +161,13 @@
         work = _ArrayWork(alike[0].job.spec)
         for job_id, job, left in alike:
             placed = self._placed(job_id)
-            granted = sum(len(tasks) for tasks in job.grants.values())
-            waiting = left + max(0, granted - placed)
+            assigned = sum(len(tasks) for tasks in job.assignments.values())
+            waiting = left + max(0, assigned - placed)
             seconds = waiting * max(LEAST_RUN_S, self._estimates.run_time(job.spec))
             work.running += placed
             work.waiting += waiting
             work.seconds += seconds
-            if not placed and wall - job.at > STARVED_S:
+            if not placed and wall - job.submitted_at > STARVED_S:
                 work.starved_seconds += seconds
             if waiting and job.spec.cpus > work.largest.cpus:
                 work.largest = job.spec
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -142,14 +142,14 @@
     def job_changed(self, now: Seconds, job_id: JobId, failover: bool = False) -> None:
         """A job's record has changed."""
         job = self.mirror.jobs.get(job_id)
-        granted = job.granted(self.shard) - job.done if job is not None and job.open else set()
+        assigned = job.assigned(self.shard) - job.done if job is not None and job.open else set()
         array_tasks = self.array_tasks.get(job_id)
         replicas = False
-        if granted or array_tasks:
+        if assigned or array_tasks:
             array_tasks = self.array_tasks.setdefault(job_id, {})
-            for index in [i for i in array_tasks if i not in granted]:
+            for index in [i for i in array_tasks if i not in assigned]:
                 self._drop(TaskRef(job_id, TaskIndex(index)), array_tasks.pop(index))
-            self._has_unconfirmed = self._has_unconfirmed or (failover and bool(granted))
+            self._has_unconfirmed = self._has_unconfirmed or (failover and bool(assigned))
             for index, array_task in array_tasks.items():
                 # What was given back under an older version of the record and is granted in
                 # this one was granted anew, or was not yet heard: the leader only takes back
@@ -162,12 +162,12 @@
                     and job.task_version(index) != array_task.released
                 ):
                     self._requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
-            for index in sorted(granted - array_tasks.keys()):
+            for index in sorted(assigned - array_tasks.keys()):
                 task = TaskRef(job_id, TaskIndex(index))
                 array_tasks[index] = ArrayTask(UNCONFIRMED if failover else WAITING, now)
                 if not failover:
                     self.queues.unqueued.append(task)
-                    replicas = replicas or (job is not None and job.spec.daemon)
+                    replicas = replicas or (job is not None and job.spec.is_service)
             if not array_tasks:
                 del self.array_tasks[job_id]
             self.touched.job(job_id)
@@ -360,7 +360,7 @@
         # Replicas alone keep a machine, but its time without other work counts.
         busy = any(
             task_attempt.stage != "exited"
-            and not (task_attempt.spec is not None and task_attempt.spec.daemon)
+            and not (task_attempt.spec is not None and task_attempt.spec.is_service)
             for task_attempt in machine.task_attempts.values()
         )
         # One that lost its tasks only now, as with its lease in an outage, is not idle yet.
@@ -493,7 +493,7 @@
     def _free_for(self, machine: Machine, spec: JobSpec) -> Resources:
         """The free room that this work may use."""
         free = machine.free()
-        if spec.gpus > 0 or spec.daemon:
+        if spec.gpus > 0 or spec.is_service:
             return free
         reserve = self.demand.reserve(machine.capacity, free)
         if self._few and self.gang_demand.applies(spec):
@@ -663,7 +663,7 @@
         job = self.mirror.jobs.get(task.job)
         array_task = self._array_task(task)
         forget = [Command("forget", task, item.attempt)]
-        replica = job is not None and job.open and job.spec.daemon
+        replica = job is not None and job.open and job.spec.is_service
         if item.cause == "done" and not replica:
             machine.failures.clear()
             if job is None or not job.open or task.number in job.done:
@@ -734,13 +734,13 @@
             or (array_task is not None and array_task.fails)
         ):
             return
-        if spec.daemon:
+        if spec.is_service:
             return
         ran = max(0.5, now - task_attempt.running_at)
-        self.estimates.learn(spec.bundle, spec.estimate, ran)
-        if array_task is None or spec.estimate <= 0.0:
+        self.estimates.learn(spec.job_class, spec.estimated_run_s, ran)
+        if array_task is None or spec.estimated_run_s <= 0.0:
             return
-        self._speed.note(machine, task.job, ran, spec.estimate)
+        self._speed.note(machine, task.job, ran, spec.estimated_run_s)
 
     def _remove_task_attempt(self, machine: Machine, task: TaskRef) -> None:
         if machine.task_attempts.pop(task, None) is not None:
@@ -789,7 +789,7 @@
             array_task.fails += 1
             # A replica is wanted back at once; only one that fails again and again is paused.
             spec = self._spec(task)
-            power = array_task.fails - (2 if spec is not None and spec.daemon else 1)
+            power = array_task.fails - (2 if spec is not None and spec.is_service else 1)
             pause = min(60.0, RETRY_S * 2.0**power) if power >= 0 else 0.0
             array_task.not_before = now + pause
             self.later.append(task)
@@ -836,25 +836,25 @@
                 unqueued.append(task)
                 continue
             # Where one task finds no queue, the next that is alike finds none either.
-            shape = spec.shape
-            if shape in stuck:
+            placement_key = spec.placement_key
+            if placement_key in stuck:
                 unqueued.append(task)
                 continue
-            machines = able.get(shape)
+            machines = able.get(placement_key)
             if machines is None:
                 resources = spec.resources
-                machines = able[shape] = [
+                machines = able[placement_key] = [
                     m for m in usable if self.allowed(spec, m) and resources.fits_in(m.capacity)
                 ]
             if not self._join(now, task, array_task, spec, machines):
-                stuck.add(shape)
+                stuck.add(placement_key)
                 unqueued.append(task)
 
     def _join(
         self, now: Seconds, task: TaskRef, array_task: ArrayTask, spec: JobSpec, able: list[Machine]
     ) -> bool:
         """A single joins an idle slot, else a held one that it passes, else the shortest queue."""
-        if spec.daemon:
+        if spec.is_service:
             return self._join_replica(now, task, spec, able)
         if len(able) > SAMPLE:
             able = self._sample(spec, able)
@@ -936,7 +936,7 @@
 
     def _passes(self, now: Seconds, spec: JobSpec, machine: Machine) -> bool:
         """The test of the design's fourth point, against every gang held on this machine."""
-        if spec.daemon:
+        if spec.is_service:
             return False  # it does not end before any gang's start
         reservations = {
             job_id: reservation for job_id, reservation, _ in self._reserved_slots_on(machine.id)
@@ -1008,9 +1008,9 @@
             if job is None or not self.allowed(job.spec, machine):
                 continue
             spec = job.spec
-            if spec.daemon and any(t.job == job_id for t in machine.task_attempts):
+            if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
                 continue  # away from the others of its service, where there is a choice
-            kind = (spec.gpus > 0, spec.rank, spec.daemon)
+            kind = (spec.gpus > 0, spec.priority, spec.is_service)
             room = rooms.get(kind)
             if room is None:
                 room = rooms[kind] = self._free_for(machine, spec)
@@ -1088,7 +1088,7 @@
         spec, machine = self._spec(task), self.machines.get(slot.machine)
         if spec is not None and machine is not None:
             slot.image = spec.image
-            slot.endless = spec.daemon
+            slot.endless = spec.is_service
             self.images.add(machine, spec.image)
         self._slot_changed(slot)
 
@@ -1159,7 +1159,7 @@
         """Singles that find no room here go back to the leader, which may know better."""
         for job_id, array_tasks in self.array_tasks.items():
             job = self.mirror.jobs.get(job_id)
-            replica = job is not None and job.spec.daemon
+            replica = job is not None and job.spec.is_service
             for index, array_task in array_tasks.items():
                 if array_task.state not in (WAITING, ASSIGNED):
                     continue
@@ -1238,7 +1238,7 @@
                 commands.append(Command("stop", task, task_attempt.attempt, 0.0))
                 continue
             spec = job.spec
-            if spec.gang:
+            if spec.is_gang:
                 wanted = (
                     job.gang is not None
                     and not job.gang.over
@@ -1251,11 +1251,17 @@
                 wanted = array_task is not None and (
                     array_task.machine == machine.id or array_task.state == UNCONFIRMED
                 )
-            if spec.daemon and wanted and self._replicas.must_leave(now, machine, task.job, spec):
+            if (
+                spec.is_service
+                and wanted
+                and self._replicas.must_leave(now, machine, task.job, spec)
+            ):
                 wanted = False
-            orderly = spec.checkpoint > 0 and task_attempt.stage == "running"
+            orderly = spec.checkpoint_interval_s > 0 and task_attempt.stage == "running"
             leaving = (
-                machine.spot_notice_s is not None and orderly and not (spec.gang or spec.daemon)
+                machine.spot_notice_s is not None
+                and orderly
+                and not (spec.is_gang or spec.is_service)
             )
             if wanted and not leaving and task not in preempt:
                 continue
@@ -1263,7 +1269,9 @@
                 continue
             task_attempt.stopped = True
             commands.append(
-                Command("stop", task, task_attempt.attempt, spec.save + GRACE_S if orderly else 0.0)
+                Command(
+                    "stop", task, task_attempt.attempt, spec.save_s + GRACE_S if orderly else 0.0
+                )
             )
         return commands
 
@@ -1274,7 +1282,7 @@
             job = self.mirror.jobs.get(job_id)
             if not reservation.preempt or reservation.ready or job is None:
                 continue
-            stop_until_fits(machine, self.reserved_resources(machine.id), job.spec.rank, stop)
+            stop_until_fits(machine, self.reserved_resources(machine.id), job.spec.priority, stop)
         self._make_room(machine, stop)
         return stop
 
@@ -1292,8 +1300,8 @@
         if not waiting:
             return
         # Their slots are counted as taken, so less than nothing is free before the stops.
-        rank = max(spec.rank for spec in waiting)
-        stop_until_fits(machine, NO_RESOURCES, rank, stop)
+        priority = max(spec.priority for spec in waiting)
+        stop_until_fits(machine, NO_RESOURCES, priority, stop)
 
     # What the leader is told
 
@@ -1307,7 +1315,7 @@
         over = [
             job_id
             for job_id, job in self.mirror.each_live()
-            if not job.open and self.shard in job.grants
+            if not job.open and self.shard in job.assignments
         ]
         if not over or self.unreconciled:
             return []
@@ -1357,7 +1365,7 @@
         if machine.id not in self.unreconciled:
             return False
         return any(
-            not job.open and (self.shard in job.grants or job.gang is not None)
+            not job.open and (self.shard in job.assignments or job.gang is not None)
             for _, job in self.mirror.each_live()
         )
 
--- a/src/dapplewick/core/part_state.py
+++ b/src/dapplewick/core/part_state.py
@@ -160,7 +160,7 @@
         """Whether replicas of services, which are wanted elsewhere, are here."""
         return any(
             task_attempt.spec is not None
-            and task_attempt.spec.daemon
+            and task_attempt.spec.is_service
             and task_attempt.stage != "exited"
             for task_attempt in self.task_attempts.values()
         )
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/part_status.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from dapplewick.core.model import GANG_RANK
+from dapplewick.core.model import GANG_PRIORITY
 from dapplewick.core.part_state import (
     ASSIGNED,
     FINISHED,
@@ -127,10 +127,10 @@
         (
             round(now + scheduler.expected_left(now, task_attempt), 1),
             *task_attempt.resources,
-            GANG_RANK
-            if task_attempt.spec.gang or task_attempt.spec.daemon
-            else task_attempt.spec.rank,
-            task.job if task_attempt.spec.gang else "",
+            GANG_PRIORITY
+            if task_attempt.spec.is_gang or task_attempt.spec.is_service
+            else task_attempt.spec.priority,
+            task.job if task_attempt.spec.is_gang else "",
         )
         for task, task_attempt in machine.task_attempts.items()
         if task_attempt.stage != "exited" and task_attempt.spec is not None
--- a/src/dapplewick/core/placing.py
+++ b/src/dapplewick/core/placing.py
@@ -27,12 +27,12 @@
     Counts come first, and they are kept for gangs that are alike; machines are chosen only
     once it is known that there are enough.
     """
-    shards, count, shape = list(shards), spec.tasks, spec.shape
+    shards, count, placement_key = list(shards), spec.task_count, spec.placement_key
     one_shard = spec.zone_cap >= count
     if one_shard:
         best: tuple[float, list[View]] | None = None
         for shard in shards:
-            if shard.idle(spec, shape) < count:
+            if shard.idle(spec, placement_key) < count:
                 continue
             chosen = fit_all(shard.candidates(spec), spec, count)
             if chosen is not None:
@@ -44,7 +44,7 @@
         held = _held(spec, shards, limit, patience)
         if held is not None:
             return held
-    if not spec.one_zone:
+    if not spec.same_zone:
         spanning = _spanning(spec, shards)
         return (spanning, False) if spanning is not None else None
     for zone in dict.fromkeys(shard.zone for shard in shards):
@@ -56,21 +56,21 @@
 
 def _spanning(spec: JobSpec, shards: list[ShardCapacity]) -> list[View] | None:
     """Idle slots of several parts, in each zone no more than the gang may have there."""
-    shape = spec.shape
+    placement_key = spec.placement_key
     idle: dict[Zone, int] = {}
     for shard in shards:
-        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, shape)
-    if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.tasks:
+        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, placement_key)
+    if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.task_count:
         return None
     chosen: list[View] = []
     left = dict.fromkeys(idle, spec.zone_cap)
-    for shard in sorted(shards, key=lambda p: -p.idle(spec, shape)):
-        most = min(spec.tasks - len(chosen), left[shard.zone], shard.idle(spec, shape))
+    for shard in sorted(shards, key=lambda p: -p.idle(spec, placement_key)):
+        most = min(spec.task_count - len(chosen), left[shard.zone], shard.idle(spec, placement_key))
         if most > 0:
             found = fit_all(shard.candidates(spec), spec, most) or []
             left[shard.zone] -= len(found)
             chosen += found
-        if len(chosen) == spec.tasks:
+        if len(chosen) == spec.task_count:
             return chosen
     return None
 
@@ -79,21 +79,21 @@
     spec: JobSpec, shards: list[ShardCapacity], limit: Seconds, patience: Seconds
 ) -> tuple[list[View], bool] | None:
     # Slots behind long work are no place to wait: those that are idle already would stay so.
-    shape = spec.shape
+    placement_key = spec.placement_key
     best: tuple[float, list[View], bool] | None = None
     for shard in shards:
-        if not shard.preemptable(spec.rank):
-            if shard.held(spec, shape, ONE_GROUP_TIMES * limit) < spec.tasks:
+        if not shard.preemptable(spec.priority):
+            if shard.held(spec, placement_key, ONE_GROUP_TIMES * limit) < spec.task_count:
                 continue
-            behind = fit_behind(*shard.groups(spec, shape), spec.tasks, limit)
+            behind = fit_behind(*shard.groups(spec, placement_key), spec.task_count, limit)
             if behind is not None:
                 wait = _wait(spec, behind)
                 if best is None or wait < best[0]:
                     best = (wait, behind, False)
             continue
-        if shard.held(spec, shape, limit) < spec.tasks:
+        if shard.held(spec, placement_key, limit) < spec.task_count:
             continue
-        option = fit_reserved(shard.views, spec, spec.tasks, patience, limit)
+        option = fit_reserved(shard.views, spec, spec.task_count, patience, limit)
         if option is None:
             continue
         wait = _wait(spec, option[0], option[1])
--- a/src/dapplewick/core/preemption.py
+++ b/src/dapplewick/core/preemption.py
@@ -6,14 +6,14 @@
 from dapplewick.types import Resources, TaskRef
 
 
-def may_be_stopped(task_attempt: TaskAttempt, rank: int) -> bool:
+def may_be_stopped(task_attempt: TaskAttempt, priority: int) -> bool:
     """Whether a task may be stopped for work of this rank. Gangs and services are not."""
     spec = task_attempt.spec
     return (
         spec is not None
-        and not spec.gang
-        and not spec.daemon
-        and spec.rank < rank
+        and not spec.is_gang
+        and not spec.is_service
+        and spec.priority < priority
         and task_attempt.stage != "exited"
         and not task_attempt.stopped
     )
@@ -24,7 +24,9 @@
     return task in stopping or (task_attempt.stopped and task_attempt.stage != "exited")
 
 
-def stop_until_fits(machine: Machine, need: Resources, rank: int, stopping: set[TaskRef]) -> None:
+def stop_until_fits(
+    machine: Machine, need: Resources, priority: int, stopping: set[TaskRef]
+) -> None:
     """Add tasks to `stopping` until `need` fits beside what is left.
 
     Those of the lowest rank go first, and among them those that began last lose least.
@@ -34,11 +36,11 @@
         if leaves(task, task_attempt, stopping):
             room = room.plus(task_attempt.resources)
     victims = sorted(
-        (task_attempt.spec.rank, -task_attempt.since, task)
+        (task_attempt.spec.priority, -task_attempt.since, task)
         for task, task_attempt in machine.task_attempts.items()
         if task_attempt.spec is not None
         and task not in stopping
-        and may_be_stopped(task_attempt, rank)
+        and may_be_stopped(task_attempt, priority)
     )
     for _, _, task in victims:
         if need.fits_in(room):
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/replicas.py
@@ -62,7 +62,7 @@
                 room = room.minus(held)
             forced = not spec.resources.fits_in(room)
             if forced and not spec.resources.fits_in(
-                self._room_with_stops(machine, room, spec.rank)
+                self._room_with_stops(machine, room, spec.priority)
             ):
                 continue
             # What is stopped goes with one report, and the start comes with the next: that is
@@ -73,9 +73,9 @@
         return best[1] if best is not None else None
 
     @staticmethod
-    def _room_with_stops(machine: Machine, room: Resources, rank: int) -> Resources:
+    def _room_with_stops(machine: Machine, room: Resources, priority: int) -> Resources:
         for task, task_attempt in machine.task_attempts.items():
-            if may_be_stopped(task_attempt, rank) or leaves(task, task_attempt, set()):
+            if may_be_stopped(task_attempt, priority) or leaves(task, task_attempt, set()):
                 room = room.plus(task_attempt.resources)
         return room
 
@@ -128,7 +128,7 @@
                 continue
             if not task_attempts or now - machine.idle_since < DRAIN_S or not machine.was_usable:
                 continue
-            specs = [v.spec for v in task_attempts if v.spec is not None and v.spec.daemon]
+            specs = [v.spec for v in task_attempts if v.spec is not None and v.spec.is_service]
             if len(specs) < len(task_attempts) or len(machine.slots) > len(task_attempts):
                 continue
             if self._is_dear(machine, specs) and self._have_room(self._others(machine), specs):
--- a/src/dapplewick/core/reservation.py
+++ b/src/dapplewick/core/reservation.py
@@ -57,7 +57,7 @@
         able = [room for room in rooms if room.could_reserve(spec)]
         if not able:
             return
-        shard = max(able, key=lambda room: room.held(spec, spec.shape, limit)).shard
+        shard = max(able, key=lambda room: room.held(spec, spec.placement_key, limit)).shard
         if shard != self._last:
             self._since = wall
         if wall - self._since >= MOST_S:
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -18,7 +18,7 @@
 from dapplewick.coordination.cancellations import CancellationWatch
 from dapplewick.coordination.parts import ShardAssigner
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.job_writes import RANK_PROGRESS
+from dapplewick.core.job_writes import PRIORITY_PROGRESS
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.machines import Change
 from dapplewick.core.part import ShardScheduler
@@ -239,7 +239,7 @@
     def _is_new_service(self, job_id: JobId) -> bool:
         """Users wait for its first replicas: the leader does not rest first."""
         job = self.mirror.jobs.get(job_id)
-        return job is not None and job.spec.daemon and job.open and not job.grants
+        return job is not None and job.spec.is_service and job.open and not job.assignments
 
     def _update_owned_shards(self, now: Seconds) -> None:
         for name in dict.fromkeys([*self.shard_schedulers, *self.assigner.shards()]):
@@ -499,7 +499,7 @@
         level = self.state.writes.level()
         room = int(level)
         # What users wait for, and what ends tasks, goes before what is only kept for a restart.
-        least = sum(c.rank < RANK_PROGRESS for c in changes)
+        least = sum(c.priority < PRIORITY_PROGRESS for c in changes)
         room = min(room, max(least, int(level - PROGRESS_RESERVE * self.state.writes.rate)))
         if room < len(changes):
             log.debug("event=writes_put_off count=%d", len(changes) - room)
--- a/src/dapplewick/protocol/wire.py
+++ b/src/dapplewick/protocol/wire.py
@@ -26,62 +26,62 @@
 MAX_TASKS = 100_000
 MAX_COUNT = 1 << 64
 KNOWN_TASKS = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
-RANK = {"critical": 3, "urgent": 2, "standard": 1, "best_effort": 0}
+PRIORITIES = {"critical": 3, "urgent": 2, "standard": 1, "best_effort": 0}
 
 
 class Malformed(Exception):
     """A body that breaks the protocol; the text is a short reason."""
 
 
-Shape = tuple[Any, ...]
+PlacementKey = tuple[Any, ...]
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True, dict=True):
     """What a user asks for. What is computed of it is computed once (`dict`)."""
 
-    bundle: str = msgspec.field(name="bundle")
+    job_class: str = msgspec.field(name="bundle")
     team: str
-    gang: bool = msgspec.field(name="gang")
-    rank: int = msgspec.field(name="rank")
-    tasks: int = msgspec.field(name="tasks")
+    is_gang: bool = msgspec.field(name="gang")
+    priority: int = msgspec.field(name="rank")
+    task_count: int = msgspec.field(name="tasks")
     cpus: float
     gpus: float
     ram_gb: float = msgspec.field(name="ram")
     image: str
     image_gb: float
-    estimate: float = msgspec.field(name="estimate")
+    estimated_run_s: float = msgspec.field(name="estimate")
     types: list[str] | None = msgspec.field(name="types", default=None)
     zone: str | None = None
-    one_zone: bool = msgspec.field(name="one_zone", default=False)
+    same_zone: bool = msgspec.field(name="one_zone", default=False)
     spread: bool = False
     spot: bool = False
-    checkpoint: float = msgspec.field(name="checkpoint", default=0.0)
-    save: float = msgspec.field(name="save", default=0.0)
-    deadline: float | None = msgspec.field(name="deadline", default=None)
+    checkpoint_interval_s: float = msgspec.field(name="checkpoint", default=0.0)
+    save_s: float = msgspec.field(name="save", default=0.0)
+    deadline_s: float | None = msgspec.field(name="deadline", default=None)
     # A service: its tasks are replicas, and run until it is cancelled.
-    daemon: bool = msgspec.field(name="daemon", default=False)
+    is_service: bool = msgspec.field(name="daemon", default=False)
 
     @cached_property
     def resources(self) -> Resources:
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
     @cached_property
-    def shape(self) -> Shape:
+    def placement_key(self) -> PlacementKey:
         """What decides where a task fits: of jobs that are alike in it one is looked at."""
         return (
             self.resources,
             tuple(self.types or ()),
             self.spot,
             self.zone,
-            self.rank,
-            self.gang,
-            self.daemon,
+            self.priority,
+            self.is_gang,
+            self.is_service,
         )
 
     @property
     def zone_cap(self) -> int:
         """How many tasks may be in one zone."""
-        return (self.tasks + 1) // 2 if self.spread else self.tasks
+        return (self.task_count + 1) // 2 if self.spread else self.task_count
 
 
 def _amount(body: dict[str, Any], field: str, least: float = 0.0) -> float:
@@ -126,7 +126,7 @@
     if shape not in ("sweep", "group", "daemon"):
         raise Malformed("shape: sweep, group or daemon is needed")
     urgency = body.get("urgency")
-    if not isinstance(urgency, str) or urgency not in RANK:
+    if not isinstance(urgency, str) or urgency not in PRIORITIES:
         raise Malformed("urgency: unknown")
     tasks = body.get("pieces")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
@@ -141,26 +141,26 @@
         raise Malformed("yard: null or a text is needed")
     deadline = None if body.get("due_s") is None else _amount(body, "due_s")
     spec = JobSpec(
-        bundle=_text(body, "bundle"),
+        job_class=_text(body, "bundle"),
         team=_text(body, "crew"),
-        gang=shape == "group",
-        rank=RANK[urgency],
-        tasks=tasks,
+        is_gang=shape == "group",
+        priority=PRIORITIES[urgency],
+        task_count=tasks,
         cpus=_amount(body, "cpus"),
         gpus=_amount(body, "accelerators"),
         ram_gb=_amount(body, "ram_gb"),
         image=_text(body, "kit"),
         image_gb=_amount(body, "image_gb"),
-        estimate=_amount(body, "expected_s"),
+        estimated_run_s=_amount(body, "expected_s"),
         types=types,
         zone=zone,
-        one_zone=_flag(body, "same_place"),
+        same_zone=_flag(body, "same_place"),
         spread=_flag(body, "scatter"),
         spot=_flag(body, "borrowed"),
-        checkpoint=_amount(body, "fold_s"),
-        save=_amount(body, "press_s"),
-        deadline=deadline,
-        daemon=shape == "daemon",
+        checkpoint_interval_s=_amount(body, "fold_s"),
+        save_s=_amount(body, "press_s"),
+        deadline_s=deadline,
+        is_service=shape == "daemon",
     )
     return JobId(job), spec
 
--- a/src/dapplewick/script.py
+++ b/src/dapplewick/script.py
@@ -112,8 +112,8 @@
             if not isinstance(value, dict) or not all(isinstance(k, str) for k in value):
                 raise ScriptError(f"{name}:{line}: {setting}: a dict of classes is needed")
             values[setting] = {
-                bundle: _number(name, line, f"{setting}[{bundle!r}]", weight, WEIGHT_LIMITS)
-                for bundle, weight in value.items()
+                job_class: _number(name, line, f"{setting}[{job_class!r}]", weight, WEIGHT_LIMITS)
+                for job_class, weight in value.items()
             }
         else:
             values[setting] = _number(name, line, setting, value, LIMITS[setting])
--- a/src/dapplewick/shares/demand.py
+++ b/src/dapplewick/shares/demand.py
@@ -42,7 +42,7 @@
     def add(self, job: JobRecord, soon: bool) -> None:
         """Count a job's unfinished tasks, as many as the team's limit has room for."""
         each = job.resources
-        count = min(job.spec.tasks - job.done_count, each.count_in(self._limit_left))
+        count = min(job.spec.task_count - job.done_count, each.count_in(self._limit_left))
         if count <= 0:
             return
         wanted = each.times(count)
@@ -70,7 +70,7 @@
 ) -> dict[str, ShareDemand]:
     """The demand of each share, from all open jobs, the oldest first."""
     sums = {team.name: _TeamDemand(team) for team in teams}
-    for job in sorted((j for j in jobs if j.open), key=lambda j: j.at):
+    for job in sorted((j for j in jobs if j.open), key=lambda j: j.submitted_at):
         team = sums.get(job.spec.team)
         if team is not None:
             team.add(job, _due_soon(job, estimates, wall))
@@ -86,6 +86,6 @@
 
 
 def _due_soon(job: JobRecord, estimates: Estimates, wall: Seconds) -> bool:
-    if job.spec.deadline is None or job.spec.daemon:
-        return job.spec.daemon
-    return job.at + job.spec.deadline < wall + SOON_TIMES * estimates.run_time(job.spec)
+    if job.spec.deadline_s is None or job.spec.is_service:
+        return job.spec.is_service
+    return job.submitted_at + job.spec.deadline_s < wall + SOON_TIMES * estimates.run_time(job.spec)
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dapplewick.core.machines import RANK_LOW, RANK_NORMAL, Change, MachineBook
+from dapplewick.core.machines import PRIORITY_LOW, PRIORITY_NORMAL, Change, MachineBook
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.plan import SharePlan
@@ -98,8 +98,8 @@
             if job.open
             and not job.done
             and job.gang is None
-            and not any(job.grants.values())
-            and wall - job.at > LEND_S
+            and not any(job.assignments.values())
+            and wall - job.submitted_at > LEND_S
         )
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
@@ -196,13 +196,13 @@
                 continue
             if now - self._ended_at.setdefault(transfer, now) > KEEP_S:
                 key = TRANSFERS + transfer
-                out.append(Change(key, None, self._mirror.version(key), RANK_LOW))
+                out.append(Change(key, None, self._mirror.version(key), PRIORITY_LOW))
         return out
 
     def _write(self, transfer: TransferId, record: TransferRecord, tie: str = "") -> Change:
         key = TRANSFERS + transfer
         value = msgspec.to_builtins(record)
-        return Change(key, value, self._mirror.version(key), RANK_NORMAL, tied=tie)
+        return Change(key, value, self._mirror.version(key), PRIORITY_NORMAL, tied=tie)
 
     # Orders and targets
 
@@ -510,12 +510,12 @@
         unwanted -= {ShardName(r.target) for r in self._open().values()}
         unwanted = {shard for shard in unwanted if not self._index.has_any(shard)}
         for _, job in self._mirror.each_live():
-            unwanted -= job.grants.keys()
+            unwanted -= job.assignments.keys()
             if job.gang is not None:
                 unwanted -= job.gang.shards()
         out = []
         for shard in sorted(unwanted):
             key = SHARDS + shard
             log.info("event=share_part_removed part=%s", shard)
-            out.append(Change(key, None, self._mirror.version(key), RANK_LOW))
+            out.append(Change(key, None, self._mirror.version(key), PRIORITY_LOW))
         return out
--- a/src/dapplewick/status.py
+++ b/src/dapplewick/status.py
@@ -37,12 +37,12 @@
         "jobs": jobs,
         "services": {
             job_id: {
-                "replicas": job.spec.tasks,
-                "granted": sum(len(tasks) for tasks in job.grants.values()),
+                "replicas": job.spec.task_count,
+                "granted": sum(len(tasks) for tasks in job.assignments.values()),
                 "running": controller.running_tasks(job_id),
             }
             for job_id, job in mirror.each_live()
-            if job.spec.daemon and job.open
+            if job.spec.is_service and job.open
         },
         "machines": {
             name: {
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -69,16 +69,16 @@
 class _RawJob(msgspec.Struct, omit_defaults=True):
     spec: JobSpec
     stage: str
-    at: float = msgspec.field(name="at")
+    submitted_at: float = msgspec.field(name="at")
     done: str = ""
-    grants: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
+    assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
     gang: GangPlace | None = None
-    chunk: int = msgspec.field(name="chunk", default=0)
+    chunk_size: int = msgspec.field(name="chunk", default=0)
 
 
 class _RawChunk(msgspec.Struct, omit_defaults=True):
     done: str = ""
-    grants: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
+    assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
 
 
 class _RawPlaces(msgspec.Struct):
@@ -89,13 +89,13 @@
 class Chunk:
     """A share of an array's tasks: what is done of it, and who may run what."""
 
-    __slots__ = ("done", "grants", "value", "version")
+    __slots__ = ("assignments", "done", "value", "version")
 
     def __init__(self, value: Any, version: int) -> None:
         raw = msgspec.convert(value, type=_RawChunk)
         self.value = value
         self.done = unpack(raw.done)
-        self.grants = {zone: unpack(text) for zone, text in raw.grants.items()}
+        self.assignments = {zone: unpack(text) for zone, text in raw.assignments.items()}
         self.version = version
 
 
@@ -119,16 +119,16 @@
     """
 
     __slots__ = (
-        "at",
-        "chunk",
+        "assignments",
+        "chunk_size",
         "chunk_versions",
         "done",
         "gang",
-        "grants",
         "main_version",
         "resources",
         "spec",
         "stage",
+        "submitted_at",
         "version",
     )
 
@@ -136,32 +136,32 @@
         self.spec = spec
         self.resources = spec.resources  # of each task
         self.stage = OPEN
-        self.at = at
+        self.submitted_at = at
         self.done: set[int] = set()
-        self.grants: dict[str, set[int]] = {}
+        self.assignments: dict[str, set[int]] = {}
         self.gang: GangPlace | None = None
-        self.chunk = 0
+        self.chunk_size = 0
         self.chunk_versions: dict[int, int] = {}
         self.version = self.main_version = Revision(0)
 
     def dump(self, value_bytes: int = 0) -> Any:
         """The record as it is written. Of a job that is over the grants only say what may still
         be there: where they don't fit, each is widened to all between its first and its last."""
-        whole = not self.chunk
-        grants = {z: pack(tasks) for z, tasks in self.grants.items() if tasks and whole}
+        whole = not self.chunk_size
+        assignments = {z: pack(tasks) for z, tasks in self.assignments.items() if tasks and whole}
         raw = _RawJob(
             spec=self.spec,
             stage=self.stage,
-            at=self.at,
+            submitted_at=self.submitted_at,
             done=pack(self.done) if self.stage == OPEN and whole else "",
-            grants=grants,
+            assignments=assignments,
             gang=self._short_gang(),
-            chunk=self.chunk,
+            chunk_size=self.chunk_size,
         )
         value = msgspec.to_builtins(raw)
-        if value_bytes and grants and not self.open and size_of(value) > value_bytes:
+        if value_bytes and assignments and not self.open and size_of(value) > value_bytes:
             value["grants"] = {
-                z: f"{min(tasks)}-{max(tasks)}" for z, tasks in self.grants.items() if tasks
+                z: f"{min(tasks)}-{max(tasks)}" for z, tasks in self.assignments.items() if tasks
             }
         return value
 
@@ -172,55 +172,59 @@
 
     def outgrows(self, shard_names: list[str], value_bytes: int) -> bool:
         """Whether its record, as one value, may come to be larger than this."""
-        most = size_of(msgspec.to_builtins(_RawJob(spec=self.spec, stage=CANCELLED, at=self.at)))
-        if not self.spec.gang:
-            most += self.spec.tasks * number_bytes(self.spec.tasks) + 40
+        most = size_of(
+            msgspec.to_builtins(
+                _RawJob(spec=self.spec, stage=CANCELLED, submitted_at=self.submitted_at)
+            )
+        )
+        if not self.spec.is_gang:
+            most += self.spec.task_count * number_bytes(self.spec.task_count) + 40
             most += sum(len(name.encode()) + 8 for name in shard_names)
         return most > value_bytes
 
     def chunk_value(self, number: int) -> Any:
         """What a chunk's key holds; None if nothing is to be said of its tasks."""
-        low, high = number * self.chunk, (number + 1) * self.chunk
+        low, high = number * self.chunk_size, (number + 1) * self.chunk_size
 
         def mine(tasks: set[int]) -> str:
             return pack(i for i in tasks if low <= i < high)
 
-        grants = {z: text for z, tasks in self.grants.items() if (text := mine(tasks))}
-        raw = _RawChunk(done=mine(self.done) if self.open else "", grants=grants)
+        assignments = {z: text for z, tasks in self.assignments.items() if (text := mine(tasks))}
+        raw = _RawChunk(done=mine(self.done) if self.open else "", assignments=assignments)
         return msgspec.to_builtins(raw) or None
 
     def chunk_values(self) -> dict[int, Any]:
         """All of its chunks that say anything."""
-        count = -(-self.spec.tasks // self.chunk)
+        count = -(-self.spec.task_count // self.chunk_size)
         return {n: v for n in range(count) if (v := self.chunk_value(n)) is not None}
 
     def chunks_changed(self, old: JobRecord) -> set[int]:
         """The chunks in which this draft differs."""
         tasks = self.done ^ old.done
-        for zone in self.grants.keys() | old.grants.keys():
-            tasks |= self.granted(zone) ^ old.granted(zone)
-        return {index // self.chunk for index in tasks}
+        for zone in self.assignments.keys() | old.assignments.keys():
+            tasks |= self.assigned(zone) ^ old.assigned(zone)
+        return {index // self.chunk_size for index in tasks}
 
     @classmethod
     def load(cls, value: Any, version: int) -> JobRecord:
         raw = msgspec.convert(value, type=_RawJob)
-        job = cls(raw.spec, raw.at)
+        job = cls(raw.spec, raw.submitted_at)
         job.stage = raw.stage
         job.done = unpack(raw.done)
-        job.grants = {zone: unpack(text) for zone, text in raw.grants.items()}
+        job.assignments = {zone: unpack(text) for zone, text in raw.assignments.items()}
         job.gang = raw.gang
-        job.chunk = raw.chunk
+        job.chunk_size = raw.chunk_size
         job.version = job.main_version = Revision(version)
         return job
 
     def copy(self) -> JobRecord:
         """A draft of its next version."""
-        job = JobRecord(self.spec, self.at)
+        job = JobRecord(self.spec, self.submitted_at)
         job.stage = self.stage
         job.done = set(self.done)
-        job.grants = {zone: set(tasks) for zone, tasks in self.grants.items()}
+        job.assignments = {zone: set(tasks) for zone, tasks in self.assignments.items()}
         job.gang = self.gang
-        job.chunk = self.chunk
+        job.chunk_size = self.chunk_size
         job.chunk_versions = self.chunk_versions
         job.version = self.version
         job.main_version = self.main_version
@@ -228,7 +232,7 @@
 
     @property
     def done_count(self) -> int:
-        return self.spec.tasks if self.stage == DONE else len(self.done)
+        return self.spec.task_count if self.stage == DONE else len(self.done)
 
     @property
     def open(self) -> bool:
@@ -237,17 +241,19 @@
     def task_version(self, index: int) -> int:
         """The version of the key that says who may run a task: other keys of the same job may
         change before it and after it."""
-        if not self.chunk:
+        if not self.chunk_size:
             return self.version
-        return self.chunk_versions.get(index // self.chunk, 0)
+        return self.chunk_versions.get(index // self.chunk_size, 0)
 
-    def granted(self, shard: str) -> set[int]:
+    def assigned(self, shard: str) -> set[int]:
         """The tasks that a part may run."""
-        return self.grants.get(shard, set())
+        return self.assignments.get(shard, set())
 
-    def granted_in_zone(self, zone: str) -> int:
+    def assigned_in_zone(self, zone: str) -> int:
         """How many tasks the parts of a zone may run together."""
-        return sum(len(tasks) for shard, tasks in self.grants.items() if zone_of(shard) == zone)
+        return sum(
+            len(tasks) for shard, tasks in self.assignments.items() if zone_of(shard) == zone
+        )
 
 
 def size_of(value: Any) -> int:
@@ -510,20 +516,20 @@
         main = self._mains.get(job_id)
         if main is None:
             return
-        shares = self.chunks.get(job_id, {}) if main.chunk else {}
+        shares = self.chunks.get(job_id, {}) if main.chunk_size else {}
         job = main
-        if main.chunk or (main.gang is not None and main.gang.shares):
+        if main.chunk_size or (main.gang is not None and main.gang.shares):
             job = main.copy()
-        if main.chunk:
-            job.done, job.grants = set(), {}
+        if main.chunk_size:
+            job.done, job.assignments = set(), {}
             job.chunk_versions = {n: chunk.version for n, chunk in shares.items()}
             for chunk in shares.values():
                 job.version = Revision(max(job.version, chunk.version))
                 if job.stage == OPEN:
                     job.done |= chunk.done
                 if job.stage != DONE:
-                    for zone, tasks in chunk.grants.items():
-                        job.grants.setdefault(zone, set()).update(tasks)
+                    for zone, tasks in chunk.assignments.items():
+                        job.assignments.setdefault(zone, set()).update(tasks)
         if main.gang is not None and main.gang.shares:
             read = self.places.get(job_id, {})
             places: list[tuple[str, str]] = []
@@ -533,7 +539,13 @@
                     places += share.places
             job.gang = msgspec.structs.replace(main.gang, places=places)
         self.jobs[job_id] = job
-        if job.open or job.grants or job.gang or self.chunks.get(job_id) or self.places.get(job_id):
+        if (
+            job.open
+            or job.assignments
+            or job.gang
+            or self.chunks.get(job_id)
+            or self.places.get(job_id)
+        ):
             self.live_jobs[job_id] = None
         else:
             self.live_jobs.pop(job_id, None)
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -23,7 +23,7 @@
 from dapplewick import cli, client, config, script
 from dapplewick.cloud import CloudCalls
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.job_writes import RANK_GRANTS, JobWrites
+from dapplewick.core.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.machines import Change, MachineBook
 from dapplewick.node import Controller
@@ -160,15 +160,15 @@
 def write_places(given: Any) -> Any:
     """The keys of a long gang's place."""
     writes, mirror, job = _draft_of(given)
-    return _changes(writes.changes(10.0, job, mirror.jobs[job].copy(), RANK_GRANTS))
+    return _changes(writes.changes(10.0, job, mirror.jobs[job].copy(), PRIORITY_ASSIGNMENTS))
 
 
 def write_grants(given: Any) -> Any:
     """The keys of a job of which a part is granted some tasks."""
     writes, mirror, job = _draft_of(given)
     draft = mirror.jobs[job].copy()
-    draft.grants.setdefault(given["part"], set()).update(given["tasks"])
-    return _changes(writes.changes(10.0, job, draft, RANK_GRANTS))
+    draft.assignments.setdefault(given["part"], set()).update(given["tasks"])
+    return _changes(writes.changes(10.0, job, draft, PRIORITY_ASSIGNMENTS))
 
 
 def write_cut(given: Any) -> Any:
--- a/tests/make_golden_data.py
+++ b/tests/make_golden_data.py
@@ -93,7 +93,7 @@
 
 def long_gang(**more: Any) -> dict[str, Any]:
     """A gang whose place is in keys of its own."""
-    return job(LONG, gang={"attempt": 4194305, "places": [], **more, "shares": 2})
+    return job(LONG, is_gang={"attempt": 4194305, "places": [], **more, "shares": 2})
 
 
 def places(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
@@ -103,7 +103,7 @@
 
 def records() -> dict[str, Any]:
     """Every kind of stored record: the keys of each are read together."""
-    done, grants = "0-3,7", {"a": "4-6", "a/~night": "8"}
+    done, assignments = "0-3,7", {"a": "4-6", "a/~night": "8"}
     chunks = [
         ["dw/j/run-1", job(SPEC | {"tasks": 400}, chunk=200), 5],
         ["dw/d/run-1/0", {"done": "0-9", "grants": {"a": "10-19", "b": "20"}}, 6],
@@ -112,25 +112,31 @@
     alone: dict[str, tuple[str, Any]] = {
         "array as it came": ("dw/j/run-1", job(SPEC)),
         "array with all that can be asked": ("dw/j/run-1", job(ALL)),
-        "array with done and granted tasks": ("dw/j/run-1", job(SPEC, done=done, grants=grants)),
-        "array that is done": ("dw/j/run-1", job(SPEC, "done", grants={"b": "8"})),
-        "array that is cancelled": ("dw/j/run-1", job(SPEC, "cancelled", grants=grants)),
+        "array with done and granted tasks": (
+            "dw/j/run-1",
+            job(SPEC, done=done, assignments=assignments),
+        ),
+        "array that is done": ("dw/j/run-1", job(SPEC, "done", assignments={"b": "8"})),
+        "array that is cancelled": ("dw/j/run-1", job(SPEC, "cancelled", assignments=assignments)),
         "gang as it came": ("dw/j/run-1", job(GANG)),
-        "gang with a place": ("dw/j/run-1", job(GANG, gang={"attempt": 7, "places": PLACES})),
+        "gang with a place": ("dw/j/run-1", job(GANG, is_gang={"attempt": 7, "places": PLACES})),
         "gang that preempts": (
             "dw/j/run-1",
-            job(GANG, gang={"attempt": 7, "places": PLACES, "preempt": True}),
+            job(GANG, is_gang={"attempt": 7, "places": PLACES, "preempt": True}),
         ),
         "gang that is cancelled": (
             "dw/j/run-1",
-            job(GANG, "cancelled", gang={"attempt": 7, "places": PLACES, "over": True}),
+            job(GANG, "cancelled", is_gang={"attempt": 7, "places": PLACES, "over": True}),
         ),
         "gang that is done": (
             "dw/j/run-1",
-            job(GANG, "done", gang={"attempt": 7, "places": PLACES, "over": True}),
+            job(GANG, "done", is_gang={"attempt": 7, "places": PLACES, "over": True}),
+        ),
+        "service": ("dw/j/run-1", job(SERVICE, assignments={"a": "0", "b": "1"})),
+        "service that is cancelled": (
+            "dw/j/run-1",
+            job(SERVICE, "cancelled", assignments={"a": "0"}),
         ),
-        "service": ("dw/j/run-1", job(SERVICE, grants={"a": "0", "b": "1"})),
-        "service that is cancelled": ("dw/j/run-1", job(SERVICE, "cancelled", grants={"a": "0"})),
         "array of many tasks that is cancelled": (
             "dw/j/run-1",
             job(SPEC | {"tasks": 400}, "cancelled", chunk=200),
@@ -217,7 +223,7 @@
 
 def job_writes() -> dict[str, dict[str, Any]]:
     """Drafts that take more keys than one, by kind."""
-    array, long = SPEC | {"tasks": 400}, job(LONG, gang={"attempt": 7, "places": LONG_PLACES})
+    array, long = SPEC | {"tasks": 400}, job(LONG, is_gang={"attempt": 7, "places": LONG_PLACES})
     odd = {"a": ",".join(str(n) for n in range(0, 400, 2))}
     return {
         "places": {
@@ -242,7 +248,10 @@
         },
         "cut": {
             "array": {
-                "records": [FORMAT, ["dw/j/run-1", job(array, done="0-5", grants={"a": "9"}), 5]],
+                "records": [
+                    FORMAT,
+                    ["dw/j/run-1", job(array, done="0-5", assignments={"a": "9"}), 5],
+                ],
                 "job": "run-1",
                 "most": 900,
             },
@@ -267,7 +276,7 @@
         },
         "widened": {
             "array": {
-                "records": [FORMAT, ["dw/j/run-1", job(array, "cancelled", grants=odd), 5]],
+                "records": [FORMAT, ["dw/j/run-1", job(array, "cancelled", assignments=odd), 5]],
                 "job": "run-1",
                 "most": 500,
             },
@@ -305,10 +314,10 @@
     ["dw/p/b", {"owner": "n1", "boot": "n1-1"}, 8],
     ["dw/m/r-1", group({f"vm-{n}": "u" for n in range(1, 5)}), 9],
     ["dw/m/r-2", group({"vm-9": "u", "vm-10": "b990", "vm-11": "u"}, zone="b"), 10],
-    ["dw/j/run-1", job(SPEC, grants={"a": "0-2", "b": "3-5"}), 11],
-    ["dw/j/run-2", job(GANG, gang={"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}), 12],
-    ["dw/j/run-3", job(SERVICE, grants={"a": "0-1"}), 13],
-    ["dw/j/run-4", job(SPEC, "cancelled", grants={"a": "0", "b": "1"}), 14],
+    ["dw/j/run-1", job(SPEC, assignments={"a": "0-2", "b": "3-5"}), 11],
+    ["dw/j/run-2", job(GANG, is_gang={"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}), 12],
+    ["dw/j/run-3", job(SERVICE, assignments={"a": "0-1"}), 13],
+    ["dw/j/run-4", job(SPEC, "cancelled", assignments={"a": "0", "b": "1"}), 14],
     ["dw/j/run-5", job(SPEC, "done"), 15],
     ["dw/s/o-000000f1", transfer("draining", count=1, draining=["vm-4"]), 16],
     ["dw/b/r-4-1", {"type": "c8", "zone": "a", "spot": False, "count": 2, "at": 1000.0}, 17],
@@ -454,7 +463,7 @@
         },
         "what the leader has": {"messages": [have]},
         "status of a gang that is clear": {
-            "records": [*OWNED, ["dw/j/run-2", job(GANG, gang={**in_a, "over": True}), 12]],
+            "records": [*OWNED, ["dw/j/run-2", job(GANG, is_gang={**in_a, "over": True}), 12]],
             "messages": [shard_status(**part_a, gangs={"run-2": [7, "clear", 0.0]})],
             "leads": True,
         },
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -27,7 +27,7 @@
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaderPlanner, "_within_limit", lambda self, spec, usage: spec.tasks)
+    patch.setattr(LeaderPlanner, "_within_limit", lambda self, spec, usage: spec.task_count)
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -395,7 +395,7 @@
     world = World(1)
     for n in range(3):
         name = f"run-{n}"
-        world.jobs[name] = world.job(name_id=name, pieces=pieces, bundle="x", crew="red")
+        world.jobs[name] = world.job(name_id=name, pieces=pieces, job_class="x", crew="red")
         world.accepted.add(name)
         world.accepted_at[name] = 0.0
     world.first_start = started
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -54,20 +54,24 @@
 
 
 def spec(
-    tasks: int, cpus: float, estimate: float, gang: bool = False, bundle: str = "x"
+    task_count: int,
+    cpus: float,
+    estimated_run_s: float,
+    is_gang: bool = False,
+    job_class: str = "x",
 ) -> JobSpec:
     return JobSpec(
-        bundle=bundle,
+        job_class=job_class,
         team="red",
-        gang=gang,
-        rank=1,
-        tasks=tasks,
+        is_gang=is_gang,
+        priority=1,
+        task_count=task_count,
         cpus=cpus,
         gpus=0.0,
         ram_gb=1.0,
         image="img",
         image_gb=1.0,
-        estimate=estimate,
+        estimated_run_s=estimated_run_s,
     )
 
 
@@ -98,7 +102,7 @@
 
     def grant(self, job: str, asked: JobSpec, at: Seconds) -> None:
         record = JobRecord(asked, at)
-        record.grants = {"a": set(range(asked.tasks))}
+        record.assignments = {"a": set(range(asked.task_count))}
         self.put(JOBS + job, record.dump())
         self.scheduler.job_changed(at, JobId(job))
 
@@ -139,7 +143,7 @@
             record = JobRecord.load(self.mirror.jobs[job].dump(), 0)
             numbers = {int(t.number) for t in done if t.job == job}
             record.done |= numbers
-            record.grants = {"a": record.granted("a") - numbers}
+            record.assignments = {"a": record.assigned("a") - numbers}
             self.put(JOBS + job, record.dump())
             self.scheduler.job_changed(at, job)
 
@@ -171,10 +175,10 @@
     # The rest of the machine is taken by a single that ends now and so frees held room.
     rest = 4 - len(running)
     if rest:
-        bench.grant("run-rest", spec(1, float(rest), 1000.0, bundle="rest"), 0.0)
+        bench.grant("run-rest", spec(1, float(rest), 1000.0, job_class="rest"), 0.0)
     assert len(starts(bench.report(machine, 0.0))) == len(running) + bool(rest)
     bench.report(machine, 0.0)
-    bench.reservation("run-g", spec(1, 4.0, 30.0, gang=True), [machine], 0.0)
+    bench.reservation("run-g", spec(1, 4.0, 30.0, is_gang=True), [machine], 0.0)
     bench.grant("run-b", spec(1, 1.0, backfill), 0.0)
     freed = {TaskRef(JobId("run-rest"), TaskIndex(0))} if rest else set()
     commands = bench.report(machine, at, freed)
@@ -454,7 +458,7 @@
     bench = Bench(1)
     machine = bench.names[0]
     bench.report(machine, 0.0)
-    bench.reservation("run-1", spec(1, 2.0, 10.0, gang=True), [machine], 0.0)
+    bench.reservation("run-1", spec(1, 2.0, 10.0, is_gang=True), [machine], 0.0)
     (task,) = starts(bench.report(machine, 1.0))
     bench.report(machine, 2.0, {task})
     assert bench.scheduler.status(2.0)["gangs"]["run-1"][1] == "done"
@@ -494,7 +498,7 @@
 def test_a_gang_taken_over_after_its_machine_was_deleted_is_placed_anew() -> None:
     """It counted as started on a machine whose deletion the new owner was never told of."""
     old = Bench(2)
-    record = JobRecord(spec(2, 2.0, 10.0, gang=True), 0.0)
+    record = JobRecord(spec(2, 2.0, 10.0, is_gang=True), 0.0)
     record.gang = GangPlace(7, [("a", old.names[0]), ("a", old.names[1])])
     old.put(JOBS + "run-1", record.dump())
     old.mirror.remove(MACHINES + old.names[0], 10_000)
@@ -512,7 +516,7 @@
     bench.scheduler.tick(0.0)
     for name in bench.names:
         bench.report(name, 1.0)
-    record = JobRecord(replace(spec(2, 4.0, 30.0, gang=True), rank=2), 1.0)
+    record = JobRecord(replace(spec(2, 4.0, 30.0, is_gang=True), priority=2), 1.0)
     record.gang = GangPlace(7, [("a", m) for m in bench.names], preempt=True)
     bench.put(JOBS + "run-g", record.dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
@@ -570,11 +574,11 @@
 
 def test_a_gang_held_on_a_machine_that_gets_no_more_work_is_placed_anew() -> None:
     """It waited for ever, and the machine was kept for it."""
-    for trouble in ("deaf", "slow"):
+    for trouble in ("unreachable", "slow"):
         bench = Bench(2)
         for name in bench.names:
             bench.report(name, 0.0)
-        bench.reservation("run-g", spec(2, 4.0, 30.0, gang=True), bench.names, 1.0)
+        bench.reservation("run-g", spec(2, 4.0, 30.0, is_gang=True), bench.names, 1.0)
         assert bench.scheduler.status(1.0)["gangs"]["run-g"][1] == "held"
         setattr(bench.scheduler.machines[bench.names[0]], trouble, True)
         assert bench.scheduler.status(2.0)["gangs"]["run-g"][1] == "bad"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -54,7 +54,7 @@
         bench.scheduler.tick(1.0)
     for n in range(machines // 20):
         places = bench.names[n * 10 : n * 10 + 5]
-        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, gang=True), places, 1.5)
+        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, is_gang=True), places, 1.5)
     bench.scheduler.tick(2.5)
     return bench
 
@@ -126,7 +126,7 @@
         leader = leader_of(bench, 3.0)
         leader.shard_status(3.0, bench.scheduler.status(3.0))
         for n in range(gangs):
-            asked = JobRecord(spec(machines * 4, 4.0, 30.0, gang=True), 3.0)
+            asked = JobRecord(spec(machines * 4, 4.0, 30.0, is_gang=True), 3.0)
             bench.put(f"dw/j/run-w{n}", asked.dump())
         leader.plan(3.0, 3.0)
         return calls(lambda: leader.plan(3.2, 3.2))
@@ -167,10 +167,10 @@
 
 
 def test_the_largest_arrays_record_fits_with_scattered_done_tasks() -> None:
-    asked = replace(spec(2000, 1.0, 30.0), bundle="b" * 60, image="i" * 60)
+    asked = replace(spec(2000, 1.0, 30.0), job_class="b" * 60, image="i" * 60)
     record = JobRecord(asked, 1.0)
     record.done = set(range(0, 2000, 2))
-    record.grants = {"zone-a": set(range(1, 2000, 4)), "zone-b": set(range(3, 2000, 4))}
+    record.assignments = {"zone-a": set(range(1, 2000, 4)), "zone-b": set(range(3, 2000, 4))}
     assert len(msgspec.json.encode(record.dump())) < 16 * 1024
 
 
@@ -185,7 +185,7 @@
     for _ in range(2):
         for name in bench.names:
             bench.report(name, 1.0)
-    gang = replace(spec(2, 4.0, 30.0, gang=True), rank=2)
+    gang = replace(spec(2, 4.0, 30.0, is_gang=True), priority=2)
     bench.put("dw/j/run-g", JobRecord(gang, 1.0).dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
     leader = leader_of(bench, 1.0)
@@ -231,16 +231,16 @@
     told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
     bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
     leader = LeaderPlanner(bench.mirror, told, Estimates(), FencingToken(9), 0.0)
-    waits = replace(spec(9, 4.0, 30.0, gang=True), bundle="gangs")
+    waits = replace(spec(9, 4.0, 30.0, is_gang=True), job_class="gangs")
     bench.put("dw/j/run-g", JobRecord(waits, 0.0).dump())
     bench.put("dw/j/run-s", JobRecord(spec(2, 1.0, 100.0), 0.0).dump())
 
-    def granted(now: float) -> bool:
+    def assigned(now: float) -> bool:
         leader.shard_status(now, bench.scheduler.status(now))
         return any(c.key == "dw/j/run-s" for c in leader.plan(now, now))
 
-    assert not granted(10.0)
-    assert granted(100.0)
+    assert not assigned(10.0)
+    assert assigned(100.0)
 
 
 def test_gangs_wait_for_plain_machines_that_are_coming() -> None:
@@ -258,7 +258,7 @@
     bench.scheduler.handle_heartbeat(9.0, said, True)
     scans = replace(spec(9, 2.0, 30.0), gpus=1.0, types=["g"])
     bench.put("dw/j/run-s", JobRecord(scans, 9.0).dump())
-    gang = replace(spec(1, 3.0, 30.0, gang=True), rank=2)
+    gang = replace(spec(1, 3.0, 30.0, is_gang=True), priority=2)
     bench.put("dw/j/run-g", JobRecord(gang, 9.0).dump())
     leader = leader_of(bench, 9.0)
 
@@ -283,7 +283,7 @@
             items[f"dw/m/r-{n}"] = (group | {"machines": dict.fromkeys(names[n : n + 100], "u")}, 2)
         for n in range(size):
             record = JobRecord(spec(8, 1.0, 30.0), 1.0)
-            record.grants = {"a": {0, 1, 2, 3}}
+            record.assignments = {"a": {0, 1, 2, 3}}
             items[f"dw/j/run-{n}"] = (record.dump(), 3)
         mirror = Mirror()
         read = calls(lambda: mirror.reload(items, 4))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -277,8 +277,8 @@
     def lose(controller: str, body: dict[str, Any]) -> bool:
         keys = [op.get("write", "") for op in body.get("apply", [])]
         epoch = next((c["stamp"] for c in body.get("if", []) if c["key"] == LEADER), 0)
-        grants = any(k.startswith("dw/j/") for k in keys) and LEADER not in keys and epoch
-        if len(lost) < 3 and grants and not any(e == epoch for _, e in lost):
+        assignments = any(k.startswith("dw/j/") for k in keys) and LEADER not in keys and epoch
+        if len(lost) < 3 and assignments and not any(e == epoch for _, e in lost):
             lost.append((now(), epoch))
             return True
         again = LEADER in keys and bool(lost) and now() - lost[-1][0] < 4.0
--- a/tests/test_mirror_model.py
+++ b/tests/test_mirror_model.py
@@ -26,7 +26,7 @@
 JOB_IDS = [JobId("run-1"), JobId("run-2"), JobId("run-3")]
 BOOKING_KEYS = [BOOKINGS + "x", BOOKINGS + "y"]
 SPEC = JobSpec("x", "red", False, 1, 2, 1.0, 0.0, 1.0, "img", 1.0, 5.0)
-RANK = {"none": 0, OPEN: 1, DONE: 2, CANCELLED: 2}
+PRIORITIES = {"none": 0, OPEN: 1, DONE: 2, CANCELLED: 2}
 
 Change = tuple[int, str, Any]  # the revision, the key, and its value or None
 
@@ -210,8 +210,8 @@
             job = self.mirror.jobs.get(job_id)
             stage = "none" if job is None else job.stage
             before = self.seen.get(job_id, "none")
-            assert RANK[stage] >= RANK[before]
-            assert RANK[before] < RANK[DONE] or stage == before
+            assert PRIORITIES[stage] >= PRIORITIES[before]
+            assert PRIORITIES[before] < PRIORITIES[DONE] or stage == before
             self.seen[job_id] = stage
 
     @invariant()
@@ -219,7 +219,7 @@
         for job_id in JOB_IDS:
             known = self.history.stage(job_id, int(self.mirror.revision))
             job = self.mirror.jobs.get(job_id)
-            assert RANK[known] <= RANK["none" if job is None else job.stage]
+            assert PRIORITIES[known] <= PRIORITIES["none" if job is None else job.stage]
 
 
 TestMirror = MirrorMachine.TestCase
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -41,8 +41,8 @@
 Script = Callable[[World], Coroutine[Any, Any, None]]
 
 
-def service(replicas: int, cpus: float = 1.0, rank: int = 3) -> JobSpec:
-    return replace(spec(replicas, cpus, 0.0), daemon=True, rank=rank)
+def service(replicas: int, cpus: float = 1.0, priority: int = 3) -> JobSpec:
+    return replace(spec(replicas, cpus, 0.0), is_service=True, priority=priority)
 
 
 def submit_service(world: World, name: str, cancel: float | None = None, **fields: Any) -> None:
@@ -232,7 +232,7 @@
     # One CPU is a single's; the others' tasks wait behind it alone.
     assert all(not s.queue for s in scheduler.machines[machine].slots if s.endless)
     # A gang held here waits for slots that are never free again.
-    bench.reservation("run-3", spec(1, 2.0, 10.0, gang=True), [machine], 3.0)
+    bench.reservation("run-3", spec(1, 2.0, 10.0, is_gang=True), [machine], 3.0)
     reservation = scheduler.reservations[JobId("run-3")]
     assert scheduler.remaining_wait(4.0, JobId("run-3"), reservation) > 1e6
     # And a replica never passes it, however short its estimate of 0 looks.
@@ -260,7 +260,7 @@
     bench.grant("run-3", service(1, cpus=3.0), 5.0)
     bench.scheduler.tick(5.0)
     assert all(o.op != "stop" or o.task.job == "run-1" for o in bench.report(machine, 5.5))
-    bench.grant("run-4", service(1, cpus=2.0, rank=1), 6.0)
+    bench.grant("run-4", service(1, cpus=2.0, priority=1), 6.0)
     bench.scheduler.tick(6.0)
     assert not [o for o in bench.report(machine, 6.5) if o.op == "stop"]
 
@@ -318,7 +318,7 @@
     # The small one has the image, but no room at first.
     small = bench.names[0]
     bench.report(small, 0.0)
-    bench.grant("run-0", replace(spec(1, 4.0, 10.0), rank=3), 0.0)
+    bench.grant("run-0", replace(spec(1, 4.0, 10.0), priority=3), 0.0)
     (other,) = starts(bench.report(small, 0.1))
     bench.report(small, 0.2)
     bench.on[large] = {}
@@ -358,7 +358,7 @@
 
     def forgetful(cls: type[JobRecord], value: Any, version: int) -> JobRecord:
         job: JobRecord = load(cls, value, version)
-        job.spec = replace(job.spec, daemon=False)
+        job.spec = replace(job.spec, is_service=False)
         return job
 
     patch.setattr(JobRecord, "load", classmethod(forgetful))
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -241,13 +241,13 @@
         assert limits[cell].least <= count <= limits[cell].most
 
 
-def job(team: str, tasks: int, cpus: float, deadline: float | None = None) -> JobRecord:
+def job(team: str, tasks: int, cpus: float, deadline_s: float | None = None) -> JobRecord:
     spec = JobSpec(
-        bundle="x",
+        job_class="x",
         team=team,
-        gang=False,
-        rank=1,
-        tasks=tasks,
+        is_gang=False,
+        priority=1,
+        task_count=tasks,
         cpus=cpus,
         gpus=0.0,
         ram_gb=1.0,
@@ -255,13 +255,13 @@
         image_gb=1.0,
         types=None,
         zone=None,
-        one_zone=False,
+        same_zone=False,
         spread=False,
         spot=False,
-        estimate=10.0,
-        checkpoint=0.0,
-        save=0.0,
-        deadline=deadline,
+        estimated_run_s=10.0,
+        checkpoint_interval_s=0.0,
+        save_s=0.0,
+        deadline_s=deadline_s,
     )
     return JobRecord(spec, 1000.0)
 
@@ -269,7 +269,7 @@
 def test_demand_is_what_is_unfinished_within_the_teams_limits() -> None:
     plan = convert({"shares": {"s": {"teams": ["red", "blue"], "rules": [rule()]}}})
     teams = [Team("red", cpus_max=20.0), Team("blue", cpus=8.0)]
-    jobs = [job("red", 30, 2.0), job("blue", 2, 4.0), job("blue", 3, 4.0, deadline=15.0)]
+    jobs = [job("red", 30, 2.0), job("blue", 2, 4.0), job("blue", 3, 4.0, deadline_s=15.0)]
     jobs[0].done = {0, 1}
     late = job("blue", 1, 4.0)
     late.stage = "done"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -69,7 +69,7 @@
     assert "record_refused" not in caplog.text
     assert mirror.format == FIRST_FORMAT and mirror.upgraded_controllers == set()
     assert len(mirror.jobs) > 10 and len(mirror.machines) > 3 and len(mirror.shards) == 2
-    assert any(job.grants for job in mirror.jobs.values())
+    assert any(job.assignments for job in mirror.jobs.values())
     assert any(job.done for job in mirror.jobs.values())
     assert any(job.gang for job in mirror.jobs.values())
     world = World(1)
@@ -118,7 +118,7 @@
     assert theirs.jobs.keys() == ours.jobs.keys() and theirs.machines.keys() == ours.machines.keys()
     for job_id, job in ours.jobs.items():
         assert theirs.jobs[job_id].dump() == job.dump()
-        assert "daemon" not in json.dumps(job.dump()) and not job.chunk
+        assert "daemon" not in json.dumps(job.dump()) and not job.chunk_size
 
 
 def submission(world: World, name: str, **fields: Any) -> Request:
@@ -257,7 +257,7 @@
         if where == "done":
             job.done.add(index)
         elif where:
-            job.grants.setdefault(where, set()).add(index)
+            job.assignments.setdefault(where, set()).add(index)
     return job
 
 
@@ -266,7 +266,7 @@
     room = int(kb * 1024 * 0.92)
     for tasks, seed in ((300, 1), (2000, 2), (99_999, 3)):
         job = drawn_job(tasks, seed)
-        job.chunk = chunk_tasks(tasks, ["a", "b"], room)
+        job.chunk_size = chunk_tasks(tasks, ["a", "b"], room)
         values = job.chunk_values()
         assert max(size_of(v) for v in values.values()) <= room
         mirror, keys = Mirror(), [(JOBS + "run-1", job.dump())]
@@ -278,7 +278,7 @@
         else:
             mirror.reload({k: (v, n) for n, (k, v) in enumerate(keys, start=1)}, 10**6)
         read = mirror.jobs["run-1"]  # type: ignore[index]
-        assert (read.done, read.grants) == (job.done, job.grants)
+        assert (read.done, read.assignments) == (job.done, job.assignments)
         assert read.version == len(keys)
 
 
@@ -287,7 +287,7 @@
     the second was started again, while the leader gave it to another part."""
     bench = Bench(0)
     job = JobRecord(spec(4, 1.0, 10.0), 0.0)
-    job.chunk = 2
+    job.chunk_size = 2
     bench.put(JOBS + "run-1", job.dump())
     for number in (0, 1):
         bench.put(f"{CHUNKS}run-1/{number}", {"grants": {"a": f"{2 * number}"}})
@@ -314,7 +314,7 @@
     assert size_of(job.dump()) > 1800
     value = job.dump(1800)
     assert size_of(value) <= 1800
-    for zone, tasks in job.grants.items():
+    for zone, tasks in job.assignments.items():
         assert tasks <= unpack(value["grants"][zone])
 
 
@@ -323,7 +323,7 @@
     which keeps the places, was refused until the gang had ended."""
     mirror = Mirror()
     mirror.put(FORMAT, {"version": FORMAT_NOW}, 1)
-    job = JobRecord(spec(60, 1.0, 10.0, gang=True), 0.0)
+    job = JobRecord(spec(60, 1.0, 10.0, is_gang=True), 0.0)
     places = [("a", f"vm-{n:06d}") for n in range(60)]
     job.gang = GangPlace(77, places)
     mirror.put(JOBS + "run-1", job.dump(), 2)
@@ -345,7 +345,7 @@
 
 def test_a_long_gangs_place_is_read_from_its_shares_whatever_order_they_come_in() -> None:
     mirror = Mirror()
-    job = JobRecord(spec(5, 1.0, 10.0, gang=True), 0.0)
+    job = JobRecord(spec(5, 1.0, 10.0, is_gang=True), 0.0)
     places = [("a", f"vm-{n:06d}") for n in range(5)]
     job.gang = GangPlace(77, places, shares=2)
     assert job.dump()["gang"]["places"] == []
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -20,7 +20,7 @@
 ZONE = ShardName("a")
 IN_ZONE = zone_of(ZONE)
 LARGE, SMALL = Resources(16.0, 0.0, 64.0), Resources(8.0, 0.0, 16.0)
-GANG = spec(4, 15.0, 60.0, gang=True)
+GANG = spec(4, 15.0, 60.0, is_gang=True)
 SINGLES = spec(40, 1.0, 60.0)
 
 
@@ -33,10 +33,10 @@
     ]
     mirror.put(TYPES, types_value(kinds), 1)
     mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    gang = JobRecord(replace(GANG, rank=gang_rank), 0.0)
+    gang = JobRecord(replace(GANG, priority=gang_rank), 0.0)
     mirror.put(JOBS + "run-gang", gang.dump(), 3)
     array = JobRecord(SINGLES, 0.0)
-    array.grants = {"a": set(range(SINGLES.tasks))}
+    array.assignments = {"a": set(range(SINGLES.task_count))}
     mirror.put(JOBS + "run-array", array.dump(), 4)
     return mirror
 
@@ -67,7 +67,7 @@
     mirror = records()
     rooms = ShardCapacity(ZONE, [view(name, size) for name, size in machines.items()])
     rooms.keep_for_gangs(demand(mirror), 1.0)
-    assert rooms.take_most(SINGLES, SINGLES.tasks) == taken
+    assert rooms.take_most(SINGLES, SINGLES.task_count) == taken
 
 
 def test_gangs_that_may_stop_singles_need_no_slots_kept() -> None:
@@ -132,7 +132,7 @@
 
 def test_one_part_is_reserved_for_an_overdue_gang_for_a_bounded_time() -> None:
     rooms, reservation = two_parts(8), ShardReservation()
-    big = spec(6, 15.0, 60.0, gang=True)
+    big = spec(6, 15.0, 60.0, is_gang=True)
 
     def open_after(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
         """How many parts are open to the gangs after one that found no room, in a new pass."""
@@ -178,7 +178,7 @@
         mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
     gangs = {"run-big": (6, 0.0), "run-small0": (2, waited), "run-small1": (2, waited)}
     for n, (job, (tasks, at)) in enumerate(gangs.items()):
-        record = JobRecord(spec(tasks, 4.0, 10.0, gang=True), at)
+        record = JobRecord(spec(tasks, 4.0, 10.0, is_gang=True), at)
         mirror.put(JOBS + job, record.dump(), 100 + n)
 
     def a_pass(number: int, idle: int) -> set[str]:
