--- a/src/dapplewick/api.py
+++ b/src/dapplewick/api.py
@@ -9,9 +9,19 @@
 import msgspec
 
 from dapplewick.config import Deployment, StateLimits
-from dapplewick.job_states import JobStates, Records, UnreadableJob
-from dapplewick.protocol.wire import JobSpec, Malformed, job_view, parse_submission
-from dapplewick.storage.client import Conflict, Refused, StateClient, Unknown
+from dapplewick.job_states import JobStates, Records, UnreadableJobError
+from dapplewick.protocol.wire import (
+    JobSpec,
+    MalformedMessageError,
+    encode_job_state,
+    parse_submission,
+)
+from dapplewick.storage.client import (
+    OutcomeUnknownError,
+    RequestRefusedError,
+    StateClient,
+    TransactionConflictError,
+)
 from dapplewick.storage.records import (
     CANCELLED,
     DONE,
@@ -105,7 +115,7 @@
             return UNAVAILABLE
         try:
             return await call()
-        except (Refused, Unknown) as err:
+        except (RequestRefusedError, OutcomeUnknownError) as err:
             log.debug("event=unavailable reason=%s", err)
             return UNAVAILABLE
 
@@ -116,8 +126,8 @@
             return "unknown team"
         if spec.zone is not None and spec.zone not in self.deployment.zones:
             return "unknown zone"
-        names = spec.types if spec.types is not None else list(self.controller.mirror.types)
-        types = [t for name in names if (t := self.controller.mirror.types.get(name)) is not None]
+        names = spec.types if spec.types is not None else list(self.controller.cache.types)
+        types = [t for name in names if (t := self.controller.cache.types.get(name)) is not None]
         fitting = [t for t in types if spec.resources.fits_in(t.resources)]
         if not fitting:
             return "a task fits no allowed machine type"
@@ -144,17 +154,17 @@
             return error(400, "body over 64 KiB")
         try:
             job_id, spec = parse_submission(request.body)
-        except Malformed as err:
+        except MalformedMessageError as err:
             return error(400, str(err))
-        mirror = self.controller.mirror
-        if job_id in mirror.jobs:
+        cache = self.controller.cache
+        if job_id in cache.jobs:
             return await self._state_or(job_id, UNAVAILABLE)
-        if spec.is_service and mirror.format < FORMAT_NOW:
+        if spec.is_service and cache.format < FORMAT_NOW:
             # The record decides, so all controllers answer alike; not what this one last read.
             await self.controller.current()
-            if mirror.format < FORMAT_NOW:
+            if cache.format < FORMAT_NOW:
                 return NOT_YET
-        if not mirror.types:
+        if not cache.types:
             return UNAVAILABLE
         reason = self._why_never(spec)
         if reason is not None:
@@ -167,13 +177,13 @@
 
     def _new_record(self, spec: JobSpec) -> JobRecord:
         """The first record of a job that is about to be accepted."""
-        mirror = self.controller.mirror
+        cache = self.controller.cache
         if spec.types is not None:
-            known = sorted({t for t in spec.types if t in mirror.types})
+            known = sorted({t for t in spec.types if t in cache.types})
             spec = msgspec.structs.replace(spec, types=known)
         job = JobRecord(spec, self.controller.wall())
         shards, room = self.controller.shard_names(), self.controller.limits_now().value_bytes
-        if mirror.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
+        if cache.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
             job.chunk_size = chunk_tasks(spec.task_count, shards, room)
         return job
 
@@ -182,8 +192,8 @@
         not what was to be written."""
         key = JOBS + job_id
         try:
-            version = await self.controller.state.txn({key: 0}, {key: value})
-        except (Conflict, Unknown):
+            version = await self.controller.state.transaction({key: 0}, {key: value})
+        except (TransactionConflictError, OutcomeUnknownError):
             # The job is known, or the answer was lost: of the transaction that accepted it, or
             # of one that was refused since the job is known, and may be over, elsewhere. If no
             # job is found the write may still come late; the user's retry finds it then.
@@ -198,9 +208,9 @@
         these alone, as it always does for a job that nobody accepted."""
         try:
             return await self._state_or(job_id, refusal)
-        except UnreadableJob:
+        except UnreadableJobError:
             raise
-        except Refused:
+        except RequestRefusedError:
             return refusal
 
     async def _state_or(self, job_id: JobId, otherwise: Answer) -> Answer:
@@ -210,7 +220,7 @@
             return otherwise
         running = self.controller.running_tasks(job_id) if job.open else 0
         stage = self._stage(job, running)
-        return Answer(200, job_view(job_id, stage, job.done_count, running))
+        return Answer(200, encode_job_state(job_id, stage, job.done_count, running))
 
     @staticmethod
     def _stage(job: JobRecord, running: int) -> str:
@@ -225,7 +235,7 @@
         """How a job stands, without counts, right after a write of it."""
         if job is None:
             return UNAVAILABLE
-        return Answer(status, job_view(job_id, self._stage(job, 0)))
+        return Answer(status, encode_job_state(job_id, self._stage(job, 0)))
 
     async def poll(self, job_id: JobId) -> Answer:
         return await self._state_or(job_id, NOT_FOUND)
@@ -245,8 +255,10 @@
             cancelled.chunk_size = job.chunk_size
             value = cancelled.dump(self.controller.limits_now().value_bytes)
             try:
-                version = await self.controller.state.txn({key: job.main_version}, {key: value})
-            except (Conflict, Unknown):
+                version = await self.controller.state.transaction(
+                    {key: job.main_version}, {key: value}
+                )
+            except (TransactionConflictError, OutcomeUnknownError):
                 # Read again in the next round; a late write fails or does the same.
                 continue
             self.controller.stored(key, value, version)
--- a/src/dapplewick/cli.py
+++ b/src/dapplewick/cli.py
@@ -18,7 +18,7 @@
 from dapplewick.service import SCRIPT_VARIABLE, run_controller
 
 
-class Failure(click.ClickException):
+class CommandError(click.ClickException):
     """One line on standard error, with an exit code."""
 
     def __init__(self, message: str) -> None:
@@ -28,7 +28,7 @@
         click.echo(f"dapplewick: {self.message}", err=True)
 
 
-class BadInput(Failure):
+class InvalidInputError(CommandError):
     """What was given can't be used."""
 
     exit_code = 2
@@ -61,7 +61,7 @@
     try:
         return anyio.run(call)
     except client.ClientError as err:
-        raise Failure(str(err)) from None
+        raise CommandError(str(err)) from None
 
 
 def _json(value: Any) -> None:
@@ -98,13 +98,13 @@
     try:
         settings = load(config)
     except SettingsError as err:
-        raise BadInput(f"settings: {err}") from None
+        raise InvalidInputError(f"settings: {err}") from None
     click.echo(f"settings: good; {settings.host_name} of {settings.deployment.count} controllers")
     if script:
         try:
             tuning = load_script(script)
         except ScriptError as err:
-            raise BadInput(f"script: {err}") from None
+            raise InvalidInputError(f"script: {err}") from None
         click.echo("script: good")
         _json(msgspec.to_builtins(tuning))
 
--- a/src/dapplewick/cloud.py
+++ b/src/dapplewick/cloud.py
@@ -10,8 +10,8 @@
 
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.protocol import wire
-from dapplewick.storage.client import Budget
-from dapplewick.storage.records import Mirror
+from dapplewick.storage.client import RateLimiter
+from dapplewick.storage.records import WatchCache
 from dapplewick.transport.http_client import HttpError
 from dapplewick.types import MachineId, Seconds
 
@@ -43,13 +43,13 @@
     def leader(self) -> LeaderPlanner | None: ...
 
     @property
-    def mirror(self) -> Mirror: ...
+    def cache(self) -> WatchCache: ...
 
     @property
     def cloud(self) -> CloudConnection: ...
 
     @property
-    def cloud_budget(self) -> Budget: ...
+    def cloud_budget(self) -> RateLimiter: ...
 
     def now(self) -> Seconds: ...
 
@@ -63,7 +63,7 @@
 
     def __init__(self, controller: CloudCallHost) -> None:
         self._controller = controller
-        self._renting: set[str] = set()
+        self._provisioning: set[str] = set()
         self._deleting: set[MachineId] = set()
 
     async def run(self) -> None:
@@ -78,7 +78,7 @@
                     await anyio.sleep(NO_LEADER_STEP_S)
                     continue
                 now = self._controller.now()
-                self._start_rentals(group, leader)
+                self._start_provisioning(group, leader)
                 self._start_deletion(group, leader)
                 if now - catalog_at > CATALOG_S and self._controller.cloud_budget.take():
                     catalog_at = now
@@ -88,19 +88,19 @@
                     list_at = now
                     await self._list(leader)
 
-    def _start_rentals(self, group: TaskGroup, leader: LeaderPlanner) -> None:
-        for name in self._controller.mirror.bookings:
-            new = name not in self._renting and name not in leader.rented
+    def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
+        for name in self._controller.cache.provisioning_requests:
+            new = name not in self._provisioning and name not in leader.provisioned
             if new and self._controller.cloud_budget.take():
-                self._renting.add(name)
-                group.start_soon(self._rent, leader, name)
+                self._provisioning.add(name)
+                group.start_soon(self._provision, leader, name)
 
     def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         terminating = [
             machine
-            for machine, record in self._controller.mirror.machines.items()
+            for machine, record in self._controller.cache.machines.items()
             if record.terminating
-            and machine not in leader.book.deleted
+            and machine not in leader.machine_lifecycle.deleted
             and machine not in self._deleting
         ][:MAX_DELETIONS]
         if terminating and self._controller.cloud_budget.take():
@@ -113,15 +113,21 @@
         except HttpError as err:
             return 0, str(err).encode()
 
-    async def _rent(self, leader: LeaderPlanner, name: str) -> None:
+    async def _provision(self, leader: LeaderPlanner, name: str) -> None:
         try:
-            booking = self._controller.mirror.bookings[name]
-            body = wire.rent_body(name, booking.type, booking.zone, booking.spot, booking.count)
+            provisioning_request = self._controller.cache.provisioning_requests[name]
+            body = wire.encode_provisioning_request(
+                name,
+                provisioning_request.type,
+                provisioning_request.zone,
+                provisioning_request.spot,
+                provisioning_request.count,
+            )
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
-                leader.booking_answered(name, wire.parse_rented(answer))
+                leader.provisioning_answered(name, wire.parse_provisioned_machines(answer))
             elif status == 400 or (status == 503 and b"no capacity" in answer):
-                leader.booking_answered(name, None)
+                leader.provisioning_answered(name, None)
             else:
                 log.info("event=rent_failed booking=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_PAUSE_S)
@@ -129,11 +135,13 @@
         except Exception:
             log.exception("event=rent_broken booking=%s", name)
         finally:
-            self._renting.discard(name)
+            self._provisioning.discard(name)
 
     async def _delete(self, leader: LeaderPlanner, machines: list[MachineId]) -> None:
         try:
-            status, _ = await self._call("POST", "/hosts/delete", wire.delete_body(machines))
+            status, _ = await self._call(
+                "POST", "/hosts/delete", wire.encode_deletion_request(machines)
+            )
             if status == 200:
                 leader.machines_deleted(machines)
                 # What was on them can start elsewhere once the records say that they are gone.
@@ -158,7 +166,7 @@
         return False
 
     async def _list(self, leader: LeaderPlanner) -> None:
-        machines: list[wire.Listed] = []
+        machines: list[wire.ListedMachine] = []
         since = ""
         try:
             while True:
@@ -166,7 +174,7 @@
                 status, answer = await self._call("GET", target, None)
                 if status != 200:
                     return
-                page = wire.parse_list(answer)
+                page = wire.parse_machine_list(answer)
                 machines += page.machines
                 if not page.more or not page.machines or len(machines) > MAX_LISTED:
                     break
--- a/src/dapplewick/coordination/cancellations.py
+++ b/src/dapplewick/coordination/cancellations.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from dapplewick.protocol.wire import JOB_ID, MAX_COUNT
-from dapplewick.storage.records import Mirror
+from dapplewick.storage.records import WatchCache
 from dapplewick.types import ControllerName, JobId, Revision, Seconds
 
 HEARD_S = 10.0  # a peer not heard for longer is not waited for with what it has not read
@@ -58,17 +58,17 @@
         self._revisions: dict[ControllerName, tuple[Seconds, Revision]] = {}
         self._answered: dict[ControllerName, Seconds] = {}
 
-    def message(self, now: Seconds, mirror: Mirror, ready: bool) -> dict[str, Any]:
+    def message(self, now: Seconds, cache: WatchCache, ready: bool) -> dict[str, Any]:
         """What to tell the peers now; at the same time a question to them."""
         read = [r for at, r in self._revisions.values() if now - at < HEARD_S]
-        since = min(read, default=mirror.revision)
-        listed = mirror.cancellations(since)
+        since = min(read, default=cache.revision)
+        listed = cache.cancellations(since)
         if len(listed) > MAX_LISTED:
             ready = False
         return {
             "at": now,
             "boot": self._incarnation,
-            "revision": mirror.revision,
+            "revision": cache.revision,
             "heard": {
                 controller: list(question) for controller, question in self._questions.items()
             },
@@ -84,7 +84,7 @@
         own_name: ControllerName,
         peer: ControllerName,
         said: dict[str, Any],
-        mirror: Mirror,
+        cache: WatchCache,
     ) -> None:
         """A peer's message; what it lists goes into the mirror. Raises if it is malformed."""
         if peer not in self._peers or "heard" not in said:
@@ -95,12 +95,12 @@
         self._questions[peer] = (message.incarnation, message.at)
         self._revisions[peer] = (now, Revision(message.revision))
         for version, job in message.cancelled:
-            mirror.told_cancelled(JobId(job), version)
+            cache.told_cancelled(JobId(job), version)
         # A list that begins after what we have read may lack some.
         if (
             message.complete
             and incarnation == self._incarnation
-            and message.since <= mirror.revision
+            and message.since <= cache.revision
         ):
             self._answered[peer] = max(at, self._answered.get(peer, at))
 
--- a/src/dapplewick/coordination/parts.py
+++ b/src/dapplewick/coordination/parts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dapplewick.storage.records import Mirror, ShardRecord
+from dapplewick.storage.records import ShardRecord, WatchCache
 from dapplewick.types import ControllerName, Seconds, ShardName, partition_of, zone_of
 
 REASSIGNMENT_PAUSE_S = 20.0  # a part changes hands for silent workers at most this often
@@ -14,8 +14,8 @@
 class ShardAssigner:
     """The leader's choice of owners; a part changes hands only for a reason."""
 
-    def __init__(self, mirror: Mirror, zones: list[str], own_name: ControllerName) -> None:
-        self.mirror = mirror
+    def __init__(self, cache: WatchCache, zones: list[str], own_name: ControllerName) -> None:
+        self.cache = cache
         self._zones = [ShardName(zone) for zone in zones]
         self.wanted: list[ShardName] = []  # parts of shares that are to be there
         self.own_name = own_name
@@ -24,19 +24,19 @@
 
     def shards(self) -> list[ShardName]:
         """Every part that has or needs an owner: the zones, and the shares of them."""
-        shares = [shard for shard in self.mirror.shards if partition_of(shard)]
+        shares = [shard for shard in self.cache.shards if partition_of(shard)]
         return list(dict.fromkeys([*self._zones, *self.wanted, *shares]))
 
     def changes(self, now: Seconds, unreachable: set[ShardName]) -> dict[ShardName, ShardRecord]:
         """The parts that get a new owner now. `unreachable` are those whose owner hears none of its
         machines: it may have lost the way to them alone, and another may hear them."""
-        controllers = self.mirror.controllers
+        controllers = self.cache.controllers
         load: dict[ControllerName, int] = dict.fromkeys(controllers, 0)
         if self.own_name in load:
             load[self.own_name] = LEADING
         orphans: list[ShardName] = []
         for name in self.shards():
-            shard = self.mirror.shards.get(name)
+            shard = self.cache.shards.get(name)
             controller = controllers.get(ControllerName(shard.owner)) if shard is not None else None
             # A controller that was started again knows nothing of its earlier life: its part
             # is given out anew, under a new token.
@@ -60,8 +60,8 @@
     def _reassign_unreachable(
         self, now: Seconds, load: dict[ControllerName, int], unreachable: set[ShardName]
     ) -> dict[ShardName, ShardRecord]:
-        for name in sorted(unreachable & self.mirror.shards.keys()):
-            owner = ControllerName(self.mirror.shards[name].owner)
+        for name in sorted(unreachable & self.cache.shards.keys()):
+            owner = ControllerName(self.cache.shards[name].owner)
             others = {n: count for n, count in load.items() if n != owner}
             if others and now - self._moved_at.get(name, -1e9) >= REASSIGNMENT_PAUSE_S:
                 self._moved_at[name] = now
@@ -69,7 +69,7 @@
                 return {
                     name: ShardRecord(
                         owner=controller,
-                        incarnation=self.mirror.controllers[controller].incarnation,
+                        incarnation=self.cache.controllers[controller].incarnation,
                     )
                 }
         return {}
@@ -81,7 +81,7 @@
         return (
             load[controller],
             controller == self.own_name,
-            self.mirror.controllers[controller].zone != zone_of(shard),
+            self.cache.controllers[controller].zone != zone_of(shard),
             controller,
         )
 
@@ -94,15 +94,15 @@
         if self._uneven_since is None:
             self._uneven_since = now
         most = max(load, key=lambda n: (load[n], n))
-        owned = [p for p in self.shards() if self.mirror.shards[p].owner == most]
+        owned = [p for p in self.shards() if self.cache.shards[p].owner == most]
         if not owned:
             return {}
         shard = owned[-1]
-        full = any(m.up and m.shard == shard for m in self.mirror.machines.values())
+        full = any(m.up and m.shard == shard for m in self.cache.machines.values())
         if now - self._uneven_since < (STEADY_S if full else EMPTY_STEADY_S):
             return {}
         self._uneven_since = None
         least = min(load, key=lambda n: self._key(n, shard, load))
         return {
-            shard: ShardRecord(owner=least, incarnation=self.mirror.controllers[least].incarnation)
+            shard: ShardRecord(owner=least, incarnation=self.cache.controllers[least].incarnation)
         }
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -5,7 +5,7 @@
 import math
 
 from dapplewick.protocol.wire import JobSpec
-from dapplewick.storage.records import Mirror
+from dapplewick.storage.records import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds
 
 GANG_WINDOW_S = 45.0  # gang tasks that come in this time should find idle slots
@@ -23,8 +23,8 @@
     use a machine's other resources only beyond this share.
     """
 
-    def __init__(self, mirror: Mirror, aimed: frozenset[str] = frozenset()) -> None:
-        self.mirror = mirror
+    def __init__(self, cache: WatchCache, aimed: frozenset[str] = frozenset()) -> None:
+        self.cache = cache
         self._aimed = aimed  # classes of which the users say what they expect
         self._wanted = 0.0
         self._at = 0.0
@@ -35,7 +35,7 @@
     def update(self, now: Seconds, wall: Seconds) -> None:
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
-        for _, job in self.mirror.each_live():
+        for _, job in self.cache.each_live():
             spec = job.spec
             if spec.gpus > 0 and job.open:
                 # Where users expect something of other classes only, room is not kept from
@@ -56,8 +56,8 @@
         self._at = now
         self._wanted = max(wanted, self._wanted * fade)
         have = 0.0
-        for record in self.mirror.machines.values():
-            kind = self.mirror.types.get(record.type)
+        for record in self.cache.machines.values():
+            kind = self.cache.types.get(record.type)
             if kind is not None and record.up and not record.terminating:
                 have += kind.gpus
         self._share = min(1.0, self._wanted / have) if have else 0.0
@@ -85,8 +85,8 @@
     without accelerators use only what is left beside a few idle slots of the gangs' size.
     """
 
-    def __init__(self, mirror: Mirror, factor: float = 1.0) -> None:
-        self.mirror = mirror
+    def __init__(self, cache: WatchCache, factor: float = 1.0) -> None:
+        self.cache = cache
         self._factor = factor
         self._count = 0.0
         self._at: Seconds | None = None
@@ -101,7 +101,7 @@
     def update(self, now: Seconds) -> None:
         fresh = waiting = 0
         in_the_way = -1
-        for job_id, job in self.mirror.each_live():
+        for job_id, job in self.cache.each_live():
             spec = job.spec
             if spec.is_gang and job.open and job.gang is None:
                 waiting += spec.task_count
@@ -114,8 +114,8 @@
                 self.priority = job.spec.priority
                 if self._at is not None:
                     fresh += job.spec.task_count
-        if len(self._seen) > SEEN_LEAST + 2 * len(self.mirror.live_jobs):
-            self._seen = {job_id: None for job_id in self._seen if job_id in self.mirror.live_jobs}
+        if len(self._seen) > SEEN_LEAST + 2 * len(self.cache.live_jobs):
+            self._seen = {job_id: None for job_id in self._seen if job_id in self.cache.live_jobs}
         if self._at is None:
             self._begun = self._at = now
         self._count = self._count * math.exp(-max(0.0, now - self._at) / MEMORY_S) + fresh
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -9,7 +9,7 @@
 
 from dapplewick.core.model import ShardCapacity, View, take_times
 from dapplewick.protocol.wire import JobSpec, MachineType
-from dapplewick.storage.records import BookingRecord, Mirror
+from dapplewick.storage.records import ProvisioningRequest, WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import MachineId, Seconds, ShardName, TypeName, Zone
 
@@ -23,7 +23,7 @@
 MACHINES_PER_REQUEST = 50  # as the cloud allows
 
 
-class Need(NamedTuple):
+class CapacityRequest(NamedTuple):
     """Tasks for which there is no room: `count` of them want to run at the same time."""
 
     spec: JobSpec
@@ -32,19 +32,19 @@
     caps: dict[str, int] | None = None  # how many may be in each zone, where that is bound
 
 
-class Offer(NamedTuple):
+class MachineOffer(NamedTuple):
     type: MachineType
     zone: str
     spot: bool
     price: float
 
 
-class Fleet:
+class Provisioner:
     """Decides on machines; it neither writes nor calls."""
 
     def __init__(
         self,
-        mirror: Mirror,
+        cache: WatchCache,
         zones: list[str],
         seed: int,
         tuning: Tuning | None = None,
@@ -54,7 +54,7 @@
         # that is known by then.
         self._machines_per_pass = max(1, int(requests_per_pass)) * MACHINES_PER_REQUEST
         self.tuning = tuning or Tuning()
-        self.mirror = mirror
+        self.cache = cache
         self.zones = zones
         self.random = random.Random(seed)
         self.prices: dict[str, MachineType] = {}
@@ -63,24 +63,33 @@
     def catalog(self, types: list[MachineType]) -> None:
         self.prices = {t.name: t for t in types}
 
-    def no_capacity(self, now: Seconds, booking: BookingRecord) -> None:
-        self.refused[(booking.type, booking.zone, booking.spot)] = now
+    def no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
+        self.refused[
+            (provisioning_request.type, provisioning_request.zone, provisioning_request.spot)
+        ] = now
 
     def coming(self, wall: Seconds) -> list[View]:
         """Machines that are rented or asked for and not yet up, as empty rooms. One that is
         long overdue may never come: nothing is left waiting for it."""
         views = []
-        for machine_id, record in self.mirror.machines.items():
-            kind = self.mirror.types.get(record.type)
+        for machine_id, record in self.cache.machines.items():
+            kind = self.cache.types.get(record.type)
             if kind is None or record.up or record.terminating:
                 continue
             if wall - record.at < OVERDUE_TIMES * kind.boot_s:
                 views.append(self._empty(machine_id, kind, record.zone, record.spot))
-        for name, booking in self.mirror.bookings.items():
-            kind = self.mirror.types.get(booking.type)
+        for name, provisioning_request in self.cache.provisioning_requests.items():
+            kind = self.cache.types.get(provisioning_request.type)
             if kind is not None:
-                for n in range(booking.count):
-                    views.append(self._empty(f"{name}#{n}", kind, booking.zone, booking.spot))
+                for n in range(provisioning_request.count):
+                    views.append(
+                        self._empty(
+                            f"{name}#{n}",
+                            kind,
+                            provisioning_request.zone,
+                            provisioning_request.spot,
+                        )
+                    )
         return views
 
     def _empty(self, name: str, kind: MachineType, zone: str, spot: bool) -> View:
@@ -95,18 +104,18 @@
             0,
         )
 
-    def _offers(
+    def _machine_offers(
         self,
         now: Seconds,
         spec: JobSpec,
         zones: list[str],
         asked: dict[tuple[str, str, bool], int],
-    ) -> list[Offer]:
+    ) -> list[MachineOffer]:
         offers = []
         # One request at a time for each kind of machine: what is asked of a cloud that has
         # nothing left would pile up otherwise, in front of what it has.
-        pending = {(b.type, b.zone, b.spot) for b in self.mirror.bookings.values()}
-        for kind in (self.prices or self.mirror.types).values():
+        pending = {(b.type, b.zone, b.spot) for b in self.cache.provisioning_requests.values()}
+        for kind in (self.prices or self.cache.types).values():
             if spec.types is not None and kind.name not in spec.types:
                 continue
             if not spec.resources.fits_in(kind.resources):
@@ -121,12 +130,16 @@
                         if asked.get(key, 0) >= MACHINES_PER_REQUEST:
                             continue
                         price = kind.spot_price if spot else kind.price
-                        offers.append(Offer(kind, zone, spot, price))
+                        offers.append(MachineOffer(kind, zone, spot, price))
         return offers
 
-    def rent(
-        self, now: Seconds, wall: Seconds, needs: list[Need], rooms: list[ShardCapacity]
-    ) -> tuple[list[BookingRecord], list[Need]]:
+    def scale_out(
+        self,
+        now: Seconds,
+        wall: Seconds,
+        capacity_requests: list[CapacityRequest],
+        rooms: list[ShardCapacity],
+    ) -> tuple[list[ProvisioningRequest], list[CapacityRequest]]:
         """What to ask for, beyond the rooms that there are and what is already coming; and
         the needs for which nothing is left to be asked.
 
@@ -140,8 +153,8 @@
             if view.zone in pool:
                 pool[view.zone].add(view)
         asked: dict[tuple[str, str, bool], int] = {}
-        unmet: list[Need] = []
-        for need in needs:
+        unmet: list[CapacityRequest] = []
+        for need in capacity_requests:
             spec = need.spec
             if need.together and spec.same_zone:
                 placement_key = spec.placement_key
@@ -157,11 +170,11 @@
                     now, spec, need.tasks, cap, self.zones, pool, asked, need.caps
                 ):
                     unmet.append(need)
-        bookings = [
-            BookingRecord(type=kind, zone=zone, spot=spot, count=count, at=now)
+        provisioning_requests = [
+            ProvisioningRequest(type=kind, zone=zone, spot=spot, count=count, at=now)
             for (kind, zone, spot), count in asked.items()
         ]
-        return bookings, unmet
+        return provisioning_requests, unmet
 
     def _provide(
         self,
@@ -213,17 +226,20 @@
         return count <= 0
 
     def _hourly(self, type_: str, spot: bool) -> float:
-        kind = self.prices.get(type_) or self.mirror.types.get(type_)
+        kind = self.prices.get(type_) or self.cache.types.get(type_)
         if kind is None:
             return 0.0
         return kind.spot_price if spot else kind.price
 
-    def _over_cap(self, offer: Offer, asked: dict[tuple[str, str, bool], int]) -> bool:
+    def _over_cap(self, offer: MachineOffer, asked: dict[tuple[str, str, bool], int]) -> bool:
         """Whether one more machine would cost more than operators allow."""
         if not self.tuning.spend_cap:
             return False
-        spent = sum(self._hourly(m.type, m.spot) for m in self.mirror.machines.values())
-        spent += sum(self._hourly(b.type, b.spot) * b.count for b in self.mirror.bookings.values())
+        spent = sum(self._hourly(m.type, m.spot) for m in self.cache.machines.values())
+        spent += sum(
+            self._hourly(b.type, b.spot) * b.count
+            for b in self.cache.provisioning_requests.values()
+        )
         spent += sum(self._hourly(type_, spot) * n for (type_, _, spot), n in asked.items())
         return spent + offer.price > self.tuning.spend_cap
 
@@ -234,10 +250,10 @@
         count: int,
         asked: dict[tuple[str, str, bool], int],
         zones: list[str],
-    ) -> Offer | None:
+    ) -> MachineOffer | None:
         """The offer with the lowest price for each task it would run now."""
-        best: tuple[float, float, Offer] | None = None
-        for offer in self._offers(now, spec, zones, asked):
+        best: tuple[float, float, MachineOffer] | None = None
+        for offer in self._machine_offers(now, spec, zones, asked):
             slots = min(count, spec.resources.count_in(offer.type.resources))
             # Machines of one kind and zone are few: ask for some elsewhere too.
             crowd = asked.get((offer.type.name, offer.zone, offer.spot), 0)
@@ -249,7 +265,7 @@
     def patience(self, type_: str) -> Seconds:
         """How long a machine of this type may idle before it is returned: idling costs about
         the same for each, so the cheap ones are there when the next work comes."""
-        kinds = self.prices or self.mirror.types
+        kinds = self.prices or self.cache.types
         kind = kinds.get(type_)
         if kind is None or kind.price <= 0:
             return self.tuning.idle_s
@@ -257,7 +273,7 @@
         return self.tuning.idle_s * min(IDLE_TIMES, middling / kind.price)
 
     def boot_limit(self, type_: str) -> Seconds:
-        kind = self.mirror.types.get(type_)
+        kind = self.cache.types.get(type_)
         return max(BOOT_LEAST_S, BOOT_TIMES * (kind.boot_s if kind is not None else 60.0))
 
 
--- a/src/dapplewick/core/job_writes.py
+++ b/src/dapplewick/core/job_writes.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
-from dapplewick.core.machines import Change
+from dapplewick.core.machines import ConditionalWrite
 from dapplewick.storage.records import (
     CHUNKS,
     DONE,
     FORMAT_NOW,
+    GANG_PLACEMENTS,
     JOBS,
-    PLACES,
     JobRecord,
-    Mirror,
+    WatchCache,
     chunk_tasks,
     size_of,
 )
@@ -45,8 +45,8 @@
 class JobWrites:
     """The writes for drafts of job records, within the lower of all limits."""
 
-    def __init__(self, mirror: Mirror, shard_names: list[str], value_bytes: int) -> None:
-        self._mirror = mirror
+    def __init__(self, cache: WatchCache, shard_names: list[str], value_bytes: int) -> None:
+        self._cache = cache
         self._shard_names = shard_names
         self._value_bytes = value_bytes
         self._converting: set[JobId] = set()
@@ -58,9 +58,11 @@
         """A key of this job is stored."""
         self._stored_at[job_id] = now
 
-    def changes(self, now: Seconds, job_id: JobId, job: JobRecord, priority: int) -> list[Change]:
+    def changes(
+        self, now: Seconds, job_id: JobId, job: JobRecord, priority: int
+    ) -> list[ConditionalWrite]:
         """The writes for a draft: of the record, or of the keys that it is kept in."""
-        old = self._mirror.jobs[job_id]
+        old = self._cache.jobs[job_id]
         if job_id in self._converting and job.stage == old.stage:
             return []
         since = now - self._stored_at.get(job_id, 0.0)
@@ -68,19 +70,19 @@
             return self._chunked_changes(since, job_id, job, old, priority)
         if priority == PRIORITY_PROGRESS and since < PROGRESS_S:
             return []
-        shares = self._place_shares(job_id, job, priority)
+        shares = self._split_placements(job_id, job, priority)
         value = job.dump(self._value_bytes)
-        if self._mirror.format >= FORMAT_NOW and size_of(value) > self._value_bytes:
+        if self._cache.format >= FORMAT_NOW and size_of(value) > self._value_bytes:
             return []  # it is cut first; what is not written is found again
-        return [*shares, Change(JOBS + job_id, value, job.main_version, priority)]
+        return [*shares, ConditionalWrite(JOBS + job_id, value, job.main_version, priority)]
 
     def _chunked_changes(
         self, since: Seconds, job_id: JobId, job: JobRecord, old: JobRecord, priority: int
-    ) -> list[Change]:
+    ) -> list[ConditionalWrite]:
         key = JOBS + job_id
         out = []
         if (job.stage, job.gang) != (old.stage, old.gang):
-            out.append(Change(key, job.dump(), job.main_version, priority))
+            out.append(ConditionalWrite(key, job.dump(), job.main_version, priority))
         if job.stage == DONE:
             return out
         changed = sorted(job.chunks_changed(old))
@@ -89,42 +91,46 @@
             return out
         for number in changed:
             chunk = f"{CHUNKS}{job_id}/{number}"
-            value, version = job.chunk_value(number), self._mirror.version(chunk)
+            value, version = job.chunk_value(number), self._cache.version(chunk)
             if value is not None or version:
-                out.append(Change(chunk, value, version, priority, ((key, job.main_version),)))
+                out.append(
+                    ConditionalWrite(chunk, value, version, priority, ((key, job.main_version),))
+                )
         return out
 
-    def _place_shares(self, job_id: JobId, job: JobRecord, priority: int) -> list[Change]:
+    def _split_placements(
+        self, job_id: JobId, job: JobRecord, priority: int
+    ) -> list[ConditionalWrite]:
         """The keys for a long gang's place, written before the record that names their number.
         They name the attempt: what a leader that ended on the way left behind is not read."""
         gang = job.gang
-        if gang is None or gang.shares or self._mirror.format < FORMAT_NOW:
+        if gang is None or gang.shares or self._cache.format < FORMAT_NOW:
             return []
         if size_of(job.dump()) <= self._value_bytes:
             return []
-        longest = max(size_of(place) + 1 for place in gang.places)
+        longest = max(size_of(place) + 1 for place in gang.placements)
         most = max(1, (self._value_bytes - SHARE_BYTES) // longest)
-        shares = [gang.places[i : i + most] for i in range(0, len(gang.places), most)]
+        shares = [gang.placements[i : i + most] for i in range(0, len(gang.placements), most)]
         job.gang = msgspec.structs.replace(gang, shares=len(shares))
         out = []
-        for number, places in enumerate(shares):
-            key = f"{PLACES}{job_id}/{number}"
-            value = {"attempt": gang.attempt, "places": [list(p) for p in places]}
-            out.append(Change(key, value, self._mirror.version(key), priority))
+        for number, placements in enumerate(shares):
+            key = f"{GANG_PLACEMENTS}{job_id}/{number}"
+            value = {"attempt": gang.attempt, "places": [list(p) for p in placements]}
+            out.append(ConditionalWrite(key, value, self._cache.version(key), priority))
         return out
 
-    def oversized_places(self) -> Iterator[JobId]:
+    def oversized_placements(self) -> Iterator[JobId]:
         """Gangs whose place was written into their own record when a value could hold more.
 
         They are to be written anew, with shares. Guards against a cancellation that is refused
         for its size: it keeps the places, since tasks may still be there, and once the limit has
         fallen it could not be written.
         """
-        if self._mirror.format < FORMAT_NOW:
+        if self._cache.format < FORMAT_NOW:
             return
-        for job_id, job in self._mirror.each_live():
+        for job_id, job in self._cache.each_live():
             gang = job.gang
-            if gang is None or gang.shares or len(gang.places) < MANY_PLACES:
+            if gang is None or gang.shares or len(gang.placements) < MANY_PLACES:
                 continue
             if self._fitting_places.get(job_id) == gang.attempt:
                 continue
@@ -133,7 +139,7 @@
             else:
                 self._fitting_places[job_id] = gang.attempt
 
-    def convert(self) -> list[Change]:
+    def convert(self) -> list[ConditionalWrite]:
         """Cut arrays whose records may outgrow a value into chunks, a few writes at a time.
 
         They were written before chunks were known. First come the chunks, which nobody reads yet,
@@ -142,10 +148,10 @@
         changed. Each of these writes is small, so this goes on also when the limit has fallen.
         """
         self._converting = set()
-        if self._mirror.format < FORMAT_NOW:
+        if self._cache.format < FORMAT_NOW:
             return []
-        out: list[Change] = []
-        for job_id, job in self._mirror.each_live():
+        out: list[ConditionalWrite] = []
+        for job_id, job in self._cache.each_live():
             if (
                 job.chunk_size
                 or job.spec.is_gang
@@ -159,22 +165,28 @@
                 break
         return out
 
-    def _conversion(self, job_id: JobId, job: JobRecord, most: int) -> list[Change]:
+    def _conversion(self, job_id: JobId, job: JobRecord, most: int) -> list[ConditionalWrite]:
         """The next writes, at most so many, that cut one job's record into chunks."""
         target = job.copy()
         target.chunk_size = chunk_tasks(job.spec.task_count, self._shard_names, self._value_bytes)
         wanted = target.chunk_values()
-        stored = {n: chunk.value for n, chunk in self._mirror.chunks.get(job_id, {}).items()}
+        stored = {n: chunk.value for n, chunk in self._cache.chunks.get(job_id, {}).items()}
         differ = [n for n in sorted(wanted | stored) if wanted.get(n) != stored.get(n)]
         if not differ:
             log.info("event=job_cut job=%s chunks=%d", job_id, len(wanted))
-            return [Change(JOBS + job_id, target.dump(), job.main_version, PRIORITY_ASSIGNMENTS)]
+            return [
+                ConditionalWrite(
+                    JOBS + job_id, target.dump(), job.main_version, PRIORITY_ASSIGNMENTS
+                )
+            ]
         unchanged = ((JOBS + job_id, job.main_version),)
         out = []
         for number in differ[:most]:
             key = f"{CHUNKS}{job_id}/{number}"
-            version = self._mirror.version(key)
-            out.append(Change(key, wanted.get(number), version, PRIORITY_CLEARED, unchanged))
+            version = self._cache.version(key)
+            out.append(
+                ConditionalWrite(key, wanted.get(number), version, PRIORITY_CLEARED, unchanged)
+            )
         return out
 
     def _may_outgrow(self, job_id: JobId, job: JobRecord) -> bool:
@@ -183,16 +195,20 @@
             known = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
         return known
 
-    def leftovers(self, drafted: Collection[JobId]) -> list[Change]:
+    def leftovers(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
         """The removal of keys of jobs that nothing reads any more."""
         out = []
-        for job_id in [*self._mirror.chunks, *self._mirror.places]:
-            job = self._mirror.jobs.get(job_id)
+        for job_id in [*self._cache.chunks, *self._cache.placements]:
+            job = self._cache.jobs.get(job_id)
             if job is None or job_id in self._converting:
                 continue
             if not job.open and not job.assignments:
-                out += [f"{CHUNKS}{job_id}/{n}" for n in self._mirror.chunks.get(job_id, {})]
+                out += [f"{CHUNKS}{job_id}/{n}" for n in self._cache.chunks.get(job_id, {})]
             if job.gang is None and job_id not in drafted:
-                out += [f"{PLACES}{job_id}/{n}" for n in self._mirror.places.get(job_id, {})]
+                out += [
+                    f"{GANG_PLACEMENTS}{job_id}/{n}" for n in self._cache.placements.get(job_id, {})
+                ]
         keys = list(dict.fromkeys(out))[:CONVERT_WRITES]
-        return [Change(key, None, self._mirror.version(key), PRIORITY_PROGRESS) for key in keys]
+        return [
+            ConditionalWrite(key, None, self._cache.version(key), PRIORITY_PROGRESS) for key in keys
+        ]
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -16,7 +16,7 @@
 from dapplewick.config import Settings
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.fleet import Fleet, Need
+from dapplewick.core.fleet import CapacityRequest, Provisioner
 from dapplewick.core.job_writes import (
     PRIORITY_ASSIGNMENTS,
     PRIORITY_CLEARED,
@@ -24,27 +24,27 @@
     PRIORITY_PROGRESS,
     JobWrites,
 )
-from dapplewick.core.machines import Change, MachineBook, Silence
+from dapplewick.core.machines import ConditionalWrite, MachineLifecycle, Silence
 from dapplewick.core.model import GANG_PRIORITY, ShardCapacity, view_of
-from dapplewick.core.needs import NeedPlanner, Waiting
+from dapplewick.core.needs import CapacityRequestPlanner, Waiting
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.core.placing import LONG_RESERVATION_S, place_gang
 from dapplewick.core.reservation import ShardReservation
-from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, types_value
+from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, encode_machine_types
 from dapplewick.storage.records import (
-    BOOKINGS,
     DONE,
     FIRST_FORMAT,
     FORMAT,
     FORMAT_NOW,
     MACHINES,
+    PROVISIONING_REQUESTS,
     SHARDS,
     TYPE_KEYS,
     TYPES,
-    GangPlace,
+    GangPlacement,
     JobRecord,
     MachineRecord,
-    Mirror,
+    WatchCache,
     job_of,
     size_of,
 )
@@ -90,8 +90,8 @@
         wall: Seconds,
         shards: list[ObservedShard],
         placed: Set[MachineId],
-        book: MachineBook,
-    ) -> list[Change]:
+        machine_lifecycle: MachineLifecycle,
+    ) -> list[ConditionalWrite]:
         """The writes that move machines between shares."""
 
 
@@ -100,7 +100,7 @@
 
     def __init__(
         self,
-        mirror: Mirror,
+        cache: WatchCache,
         settings: Settings,
         estimates: Estimates,
         epoch: FencingToken,
@@ -109,34 +109,36 @@
         shard_names: list[str] | None = None,
     ) -> None:
         self.tuning = tuning or Tuning()
-        self.mirror = mirror
+        self.cache = cache
         self.settings = settings.deployment
         self.estimates = estimates
         self.epoch = epoch
         self.started = now
         self._aimed = settings.deployment.aimed()
-        self.demand = AcceleratorDemand(mirror, self._aimed)
-        self.gangs = GangDemand(mirror, self.tuning.spare_slots)
+        self.demand = AcceleratorDemand(cache, self._aimed)
+        self.gangs = GangDemand(cache, self.tuning.spare_slots)
         requests_per_pass = settings.deployment.cloud.rps * FLEET_S / 2  # deletions are calls too
-        self.fleet = Fleet(mirror, settings.deployment.zones, epoch, self.tuning, requests_per_pass)
+        self.provisioner = Provisioner(
+            cache, settings.deployment.zones, epoch, self.tuning, requests_per_pass
+        )
         limits = self.settings.state.lowest()
         self._value_bytes = limits.value_bytes
         self._names = {settings.host_name, *(p.host_name for p in settings.peers)}
-        self.book = MachineBook(
-            mirror,
-            self.fleet,
+        self.machine_lifecycle = MachineLifecycle(
+            cache,
+            self.provisioner,
             self.settings.workers.lease_s,
             self.settings.cloud.list_lag_s,
             limits.value_bytes,
             limits.txn_ops,
             self.settings.workers.report_s,
         )
-        self._job_writes = JobWrites(mirror, shard_names or self.settings.zones, limits.value_bytes)
+        self._job_writes = JobWrites(cache, shard_names or self.settings.zones, limits.value_bytes)
         self.shards: dict[ShardName, ObservedShard] = {}
-        self._need_planner = NeedPlanner(
-            mirror, self.settings.zones, estimates, self.tuning, self.gangs, self.shards, self._job
+        self._need_planner = CapacityRequestPlanner(
+            cache, self.settings.zones, estimates, self.tuning, self.gangs, self.shards, self._job
         )
-        self.rented: dict[str, list[MachineId] | None] = {}
+        self.provisioned: dict[str, list[MachineId] | None] = {}
         self.types: list[MachineType] = []
         self._counter = 0
         self._draft: dict[JobId, tuple[JobRecord, int]] = {}
@@ -153,7 +155,7 @@
     def shard_status(self, now: Seconds, body: dict[str, Any]) -> int:
         """A part's status; gives the number up to which this part is known here."""
         name = ShardName(body["zone"])
-        token = self.mirror.version(SHARDS + name)
+        token = self.cache.version(SHARDS + name)
         if body["token"] != token:
             return 0
         shard = self.shards.get(name)
@@ -165,25 +167,25 @@
 
     def _owned(self) -> list[ObservedShard]:
         """Parts whose owner has told of them."""
-        version = self.mirror.version
+        version = self.cache.version
         return [
             p
             for name, p in self.shards.items()
             if p.number > 0 and p.token == version(SHARDS + name)
         ]
 
-    def booking_answered(self, name: str, machines: list[MachineId] | None) -> None:
-        self.rented[name] = machines
+    def provisioning_answered(self, name: str, machines: list[MachineId] | None) -> None:
+        self.provisioned[name] = machines
 
     def machines_deleted(self, machines: Iterable[MachineId]) -> None:
-        self.book.were_deleted(machines)
+        self.machine_lifecycle.were_deleted(machines)
 
     def machines_listed(self, now: Seconds, listing: MachineList) -> None:
-        self.book.were_listed(now, listing)
+        self.machine_lifecycle.were_listed(now, listing)
 
     def catalog(self, types: list[MachineType]) -> None:
         self.types = types
-        self.fleet.catalog(types)
+        self.provisioner.catalog(types)
 
     def unreachable_shards(self) -> set[ShardName]:
         """Parts whose owner has not heard any of its machines for a while, though they are up.
@@ -195,7 +197,7 @@
             up = sum(
                 record.up and not record.terminating
                 for m in shard.machines
-                if (record := self.mirror.machines.get(m)) is not None
+                if (record := self.cache.machines.get(m)) is not None
             )
             if up >= UNREACHABLE_MIN_MACHINES and shard.fresh["heard_ago"] > UNREACHABLE_S:
                 unreachable.add(shard.shard)
@@ -208,38 +210,44 @@
         if draft is not None:
             self._draft[job_id] = (draft[0], min(priority, draft[1]))
             return draft[0]
-        job = self.mirror.jobs[job_id].copy()
+        job = self.cache.jobs[job_id].copy()
         self._draft[job_id] = (job, priority)
         return job
 
     def _job(self, job_id: JobId) -> JobRecord:
         draft = self._draft.get(job_id)
-        return draft[0] if draft is not None else self.mirror.jobs[job_id]
+        return draft[0] if draft is not None else self.cache.jobs[job_id]
 
     # The pass
 
-    def plan(self, now: Seconds, wall: Seconds) -> list[Change]:
+    def plan(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
         """What to write now, what matters most first."""
         self._draft.clear()
-        self.book.begin()
+        self.machine_lifecycle.begin()
         self._reconcile_shards(now)
         self._review_machines(now, wall)
         self.demand.update(now, wall)
         self.gangs.update(now)
         usage = self._usage()
         if self.shares is not None:
-            self.shares.note_waiting(wall, map(self._job, self.mirror.live_jobs))
+            self.shares.note_waiting(wall, map(self._job, self.cache.live_jobs))
         rooms = self._rooms(now)
         self._place_gangs(now, wall, rooms, usage)
         ordered = self._pending_arrays(wall)
         self._assign_array_tasks(rooms, usage, self._let_gangs_first(wall, ordered))
-        fleet = self._fleet_changes(now, wall, rooms, ordered)
+        provisioner = self._fleet_changes(now, wall, rooms, ordered)
         moves = self._share_changes(now, wall)
         # Machines before the end of the booking that rented them: what the budget cuts off is
         # the end of this list, and a machine without record or booking is found only later.
         writes = self._job_writes
-        changes = self._raise_format() + self.book.changes() + fleet + moves + writes.convert()
-        for job_id in writes.oversized_places():
+        changes = (
+            self._raise_format()
+            + self.machine_lifecycle.changes()
+            + provisioner
+            + moves
+            + writes.convert()
+        )
+        for job_id in writes.oversized_placements():
             self._edit(job_id, PRIORITY_ASSIGNMENTS)
         for job_id, (job, priority) in self._draft.items():
             changes += writes.changes(now, job_id, job, priority)
@@ -250,43 +258,40 @@
             self._log_load(wall, rooms, ordered)
         return changes
 
-    def _share_changes(self, now: Seconds, wall: Seconds) -> list[Change]:
+    def _share_changes(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
         """Moves of machines between shares: after all else of this pass, so that no group is
         written for a move and for another reason at once."""
         if self.shares is None:
             return []
         placed = {
             MachineId(machine)
-            for job_id in (self.mirror.live_jobs if self.mirror.transfers else ())
+            for job_id in (self.cache.live_jobs if self.cache.transfers else ())
             if (gang := self._job(job_id).gang) is not None
-            for _, machine in gang.places
+            for _, machine in gang.placements
         }
-        return self.shares.changes(now, wall, self._owned(), placed, self.book)
+        return self.shares.changes(now, wall, self._owned(), placed, self.machine_lifecycle)
 
-    def _raise_format(self) -> list[Change]:
+    def _raise_format(self) -> list[ConditionalWrite]:
         """Once every controller named in the settings was seen with a version that understands
         it, the newer format is used: for good, since the record of it is a condition of nothing
         and read by all. One that was not heard of may yet come back with the older version."""
         understood = min(
-            (
-                self.mirror.understood.get(ControllerName(name), FIRST_FORMAT)
-                for name in self._names
-            ),
+            (self.cache.understood.get(ControllerName(name), FIRST_FORMAT) for name in self._names),
             default=FIRST_FORMAT,
         )
-        if self.mirror.format >= understood:
+        if self.cache.format >= understood:
             return []
         log.info("event=format_raised version=%d", understood)
-        return [Change(FORMAT, {"version": understood}, self.mirror.version(FORMAT), 0)]
+        return [ConditionalWrite(FORMAT, {"version": understood}, self.cache.version(FORMAT), 0)]
 
-    def written(self, now: Seconds, changes: Iterable[Change]) -> None:
+    def written(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
         """These changes are stored."""
         for change in changes:
             job_id = job_of(change.key)
             if job_id is not None:
                 self._job_writes.written(now, job_id)
             elif change.key.startswith(MACHINES):
-                self.book.written(now, change.key[len(MACHINES) :])
+                self.machine_lifecycle.written(now, change.key[len(MACHINES) :])
 
     def _log_load(
         self,
@@ -305,7 +310,7 @@
         for _, job, left in ordered:
             waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + left
         held = gangs = 0
-        for job_id in self.mirror.live_jobs:
+        for job_id in self.cache.live_jobs:
             job = self._job(job_id)
             if job.spec.is_gang and job.open:
                 gangs += job.gang is None
@@ -313,7 +318,7 @@
         log.debug(
             "event=load rooms=%s coming=%d ungranted=%s gangs_waiting=%d gangs_placed=%d",
             kinds,
-            len(self.fleet.coming(wall)),
+            len(self.provisioner.coming(wall)),
             waiting,
             gangs,
             held,
@@ -324,7 +329,7 @@
         for shard in self._owned():
             self._reconcile_array_tasks(shard)
             for job_id in shard.fresh["clear"]:
-                old = self.mirror.jobs.get(job_id)
+                old = self.cache.jobs.get(job_id)
                 if old is not None and not old.open and shard.shard in old.assignments:
                     self._edit(job_id, PRIORITY_CLEARED).assignments.pop(shard.shard, None)
         self._reconcile_gangs(now)
@@ -334,7 +339,7 @@
         for job_id, body in shard.jobs.items():
             if not body["done"] and not body["returned"]:
                 continue
-            old = self.mirror.jobs.get(job_id)
+            old = self.cache.jobs.get(job_id)
             if old is None or not old.open:
                 continue
             assigned = old.assigned(name)
@@ -362,13 +367,13 @@
         lowest = min(
             (
                 j.spec.priority
-                for _, j in self.mirror.each_live()
+                for _, j in self.cache.each_live()
                 if j.open and not (j.spec.is_gang or j.spec.is_service)
             ),
             default=GANG_PRIORITY,
         )
         held: dict[JobId, Seconds] = {}
-        for job_id, old in list(self.mirror.each_live()):
+        for job_id, old in list(self.cache.each_live()):
             gang = old.gang
             if gang is None:
                 continue
@@ -404,7 +409,7 @@
     def _usage(self) -> dict[str, Resources]:
         """What each team's tasks use or may still use."""
         usage = {name: Resources(0.0, 0.0, 0.0) for name in self._teams}
-        for job_id in self.mirror.live_jobs:
+        for job_id in self.cache.live_jobs:
             job = self._job(job_id)
             count = sum(len(tasks) for tasks in job.assignments.values())
             if job.gang is not None:
@@ -440,14 +445,14 @@
                 continue
             views = []
             for machine_id, body in shard.machines.items():
-                record = self.mirror.machines.get(machine_id)
+                record = self.cache.machines.get(machine_id)
                 if record is None or record.terminating or not body["usable"]:
                     continue
-                if record.shard != shard.shard or self.mirror.transfers.drains(machine_id):
+                if record.shard != shard.shard or self.cache.transfers.drains(machine_id):
                     continue  # handed over, or chosen to be, since its status
                 view = shard.views.get(machine_id)
                 if view is None:
-                    kind = self.mirror.types.get(record.type)
+                    kind = self.cache.types.get(record.type)
                     if kind is None:
                         continue
                     view = shard.views[machine_id] = view_of(
@@ -468,10 +473,10 @@
                 room.reserve(self.shares.served_teams(shard.shard))
             rooms.append(room)
             by_shard[shard.shard] = room
-        for job_id in self.mirror.live_jobs:
+        for job_id in self.cache.live_jobs:
             job = self._job(job_id)
             if job.gang is not None:
-                for name, machine in job.gang.places:
+                for name, machine in job.gang.placements:
                     said = self.shards.get(ShardName(name))
                     if name not in by_shard or said is None or said.seen >= job.version:
                         continue
@@ -494,7 +499,7 @@
         """The largest fitting gang first, the oldest among equals, until none fits."""
         waiting = [
             (job_id, job)
-            for job_id, job in ((j, self._job(j)) for j in self.mirror.live_jobs)
+            for job_id, job in ((j, self._job(j)) for j in self.cache.live_jobs)
             if job.spec.is_gang and job.open and job.gang is None
         ]
         waiting.sort(
@@ -519,7 +524,7 @@
         """Gangs for which no machines without accelerators are about to come up. At the start
         of a day all come up together, and those that were there first kept gangs for minutes."""
         coming = {Zone(z): ShardCapacity(ShardName(z), []) for z in self.settings.zones}
-        for view in self.fleet.coming(wall):
+        for view in self.provisioner.coming(wall):
             if view.capacity.gpus == 0 and view.zone in coming:
                 coming[view.zone].add(view)
         out = []
@@ -571,15 +576,15 @@
             self._spend(spec, spec.task_count, usage)
             self._counter += 1
             attempt = self.epoch * IDS_PER_TOKEN + self._counter
-            places = [(str(v.shard), str(v.id)) for v in chosen]
-            self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = GangPlace(
-                attempt, places, preempt=preempt
+            placements = [(str(v.shard), str(v.id)) for v in chosen]
+            self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = GangPlacement(
+                attempt, placements, preempt=preempt
             )
             log.info(
                 "event=gang_placed job=%s attempt=%d machines=%s preempt=%s",
                 job_id,
                 attempt,
-                ",".join(m for _, m in places),
+                ",".join(m for _, m in placements),
                 preempt,
             )
         return left
@@ -628,7 +633,7 @@
 
     def _pending_arrays(self, wall: Seconds) -> list[Waiting]:
         """Open arrays with tasks that are not granted, in the order in which they are served."""
-        jobs = [(j, self._job(j)) for j in self.mirror.live_jobs]
+        jobs = [(j, self._job(j)) for j in self.cache.live_jobs]
         jobs = [(j, job) for j, job in jobs if job.open and not job.spec.is_gang]
         within = self._within_guarantee(jobs)
         out = []
@@ -704,7 +709,7 @@
     def _let_gangs_first(self, wall: Seconds, ordered: list[Waiting]) -> list[Waiting]:
         """Without the work of which users expect nothing, while gangs wait of which they do:
         its singles would take each room before it is large enough for a gang."""
-        jobs = [self._job(j) for j in self.mirror.live_jobs]
+        jobs = [self._job(j) for j in self.cache.live_jobs]
         waits = any(
             job.spec.is_gang and job.open and job.gang is None and job.spec.job_class in self._aimed
             for job in jobs
@@ -725,7 +730,7 @@
             said = self.shards[shard.shard]
             running = sum(view.array_tasks for view in shard.views)
             waiting = 0
-            for job_id in self.mirror.live_jobs:
+            for job_id in self.cache.live_jobs:
                 job = self._job(job_id)
                 assigned = job.assignments.get(shard.shard)
                 if assigned and not job.spec.is_service:
@@ -787,11 +792,11 @@
                 if self._handed_over(machine_id, shard):
                     continue
                 silent[machine_id] = Silence(seconds, urgent, others_heard)
-        self.book.review(now, wall, heard, silent, self.settings.zones)
+        self.machine_lifecycle.review(now, wall, heard, silent, self.settings.zones)
 
     def _handed_over(self, machine_id: MachineId, shard: ObservedShard) -> bool:
         """Whether a machine has gone to another part since that part's status."""
-        record = self.mirror.machines.get(machine_id)
+        record = self.cache.machines.get(machine_id)
         return record is not None and record.shard != shard.shard
 
     def _fleet_changes(
@@ -800,32 +805,34 @@
         wall: Seconds,
         rooms: list[ShardCapacity],
         ordered: list[Waiting],
-    ) -> list[Change]:
-        changes: list[Change] = []
+    ) -> list[ConditionalWrite]:
+        changes: list[ConditionalWrite] = []
         if self.types and {t.name: _shape(t) for t in self.types} != {
-            t.name: _shape(t) for t in self.mirror.types.values()
+            t.name: _shape(t) for t in self.cache.types.values()
         }:
             changes += self._types_changes()
-        for name, machines in list(self.rented.items()):
-            booking = self.mirror.bookings.get(name)
-            if booking is None:
-                del self.rented[name]
+        for name, machines in list(self.provisioned.items()):
+            provisioning_request = self.cache.provisioning_requests.get(name)
+            if provisioning_request is None:
+                del self.provisioned[name]
                 continue
-            key = BOOKINGS + name
-            if machines is None or len(machines) < booking.count:
-                self.fleet.no_capacity(now, booking)
-            self.book.rented(name, booking, machines or [], wall)
-            changes.append(Change(key, None, self.mirror.version(key), 0))
+            key = PROVISIONING_REQUESTS + name
+            if machines is None or len(machines) < provisioning_request.count:
+                self.provisioner.no_capacity(now, provisioning_request)
+            self.machine_lifecycle.provisioned(name, provisioning_request, machines or [], wall)
+            changes.append(ConditionalWrite(key, None, self.cache.version(key), 0))
         if now - self._fleet_at >= FLEET_S and self._ready(now):
             self._fleet_at = now
-            needs = self._need_planner.needs(wall, ordered)
+            capacity_requests = self._need_planner.capacity_requests(wall, ordered)
             spare = self._spare_slots(rooms)
-            bookings, unmet = self.fleet.rent(now, wall, needs, rooms)
-            for asked in bookings:
+            provisioning_requests, unmet = self.provisioner.scale_out(
+                now, wall, capacity_requests, rooms
+            )
+            for asked in provisioning_requests:
                 self._counter += 1
                 name = f"r-{self.epoch}-{self._counter}"
                 value = msgspec.to_builtins(asked)
-                changes.append(Change(BOOKINGS + name, value, 0, 1))
+                changes.append(ConditionalWrite(PROVISIONING_REQUESTS + name, value, 0, 1))
                 log.info(
                     "event=rent booking=%s type=%s zone=%s spot=%s count=%d",
                     name,
@@ -834,57 +841,59 @@
                     asked.spot,
                     asked.count,
                 )
-            self._returns(unmet, spare)
+            self._scale_in(unmet, spare)
         return changes
 
-    def _types_changes(self) -> list[Change]:
+    def _types_changes(self) -> list[ConditionalWrite]:
         """The types, in one record or, where they are too many for it, with a key for each."""
-        value = types_value(self.types)
-        if size_of(value) <= self._value_bytes or self.mirror.format < FORMAT_NOW:
-            return [Change(TYPES, value, self.mirror.version(TYPES), 0)]
+        value = encode_machine_types(self.types)
+        if size_of(value) <= self._value_bytes or self.cache.format < FORMAT_NOW:
+            return [ConditionalWrite(TYPES, value, self.cache.version(TYPES), 0)]
         out = [
-            Change(TYPE_KEYS + kind.name, item, self.mirror.version(TYPE_KEYS + kind.name), 0)
+            ConditionalWrite(
+                TYPE_KEYS + kind.name, item, self.cache.version(TYPE_KEYS + kind.name), 0
+            )
             for kind, item in zip(self.types, value, strict=True)
-            if (old := self.mirror.types.get(kind.name)) is None or _shape(old) != _shape(kind)
+            if (old := self.cache.types.get(kind.name)) is None or _shape(old) != _shape(kind)
         ]
-        if self.mirror.version(TYPES) and not out:
-            out.append(Change(TYPES, [], self.mirror.version(TYPES), 0))
+        if self.cache.version(TYPES) and not out:
+            out.append(ConditionalWrite(TYPES, [], self.cache.version(TYPES), 0))
         return out
 
     def _ready(self, now: Seconds) -> bool:
         """Whether enough is known to decide on machines: every owned part was heard."""
-        if not self.mirror.types or now - self.started < 1.0:
+        if not self.cache.types or now - self.started < 1.0:
             return False
-        shards = {name for name in self.mirror.shards if zone_of(name) in self.settings.zones}
+        shards = {name for name in self.cache.shards if zone_of(name) in self.settings.zones}
         fresh = {p.shard for p in self._owned() if now - p.at < STATUS_S}
         return bool(shards) and shards <= fresh
 
-    def _returns(self, needs: list[Need], spare: int) -> None:
+    def _scale_in(self, capacity_requests: list[CapacityRequest], spare: int) -> None:
         """Machines that have been idle for a while go back, unless something waits for them."""
         placed = {
             machine
-            for job_id in self.mirror.live_jobs
+            for job_id in self.cache.live_jobs
             if (gang := self._job(job_id).gang) is not None
-            for _, machine in gang.places
+            for _, machine in gang.placements
         }
         for shard in self._owned():
             for machine_id, idle in shard.fresh["idle"].items():
-                record = self.mirror.machines.get(machine_id)
+                record = self.cache.machines.get(machine_id)
                 body = shard.machines.get(machine_id)
                 if record is None or body is None or record.terminating or not record.up:
                     continue
                 if self._handed_over(machine_id, shard):
                     continue
-                if self.mirror.transfers.drains(machine_id) is not None:
+                if self.cache.transfers.drains(machine_id) is not None:
                     continue
-                over = idle > self.fleet.patience(record.type) or body["leaving"]
-                if not over or machine_id in placed or self._wanted(record, needs):
+                over = idle > self.provisioner.patience(record.type) or body["leaving"]
+                if not over or machine_id in placed or self._wanted(record, capacity_requests):
                     continue
                 slots = self._gang_slots(record)
                 if slots and spare < slots:
                     continue
                 spare -= slots
-                self.book.terminate(machine_id, "idle", 2)
+                self.machine_lifecycle.terminate(machine_id, "idle", 2)
 
     def _spare_slots(self, rooms: list[ShardCapacity]) -> int:
         """How many idle slots of the gangs' size there are beyond those to be kept."""
@@ -892,18 +901,18 @@
         return idle - math.ceil(self.gangs.slots)
 
     def _gang_slots(self, record: MachineRecord) -> int:
-        kind = self.mirror.types.get(record.type)
+        kind = self.cache.types.get(record.type)
         if kind is None or self.gangs.slots < 0.5:
             return 0
         return self.gangs.resources.count_in(kind.resources)
 
-    def _wanted(self, record: MachineRecord, needs: list[Need]) -> bool:
-        kind = self.mirror.types.get(record.type)
+    def _wanted(self, record: MachineRecord, capacity_requests: list[CapacityRequest]) -> bool:
+        kind = self.cache.types.get(record.type)
         return kind is not None and any(
             need.spec.resources.fits_in(kind.resources)
             and (need.spec.types is None or record.type in need.spec.types)
             and (need.spec.spot or not record.spot)
-            for need in needs
+            for need in capacity_requests
         )
 
 
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -8,18 +8,18 @@
 
 import msgspec
 
-from dapplewick.core.fleet import Fleet
-from dapplewick.protocol.wire import Listed, MachineList
+from dapplewick.core.fleet import Provisioner
+from dapplewick.protocol.wire import ListedMachine, MachineList
 from dapplewick.storage.records import (
     BOOTING,
     FORMAT_NOW,
     MACHINES,
     TERMINATING,
     UP,
-    BookingRecord,
-    GroupRecord,
+    MachineGroupRecord,
     MachineRecord,
-    Mirror,
+    ProvisioningRequest,
+    WatchCache,
 )
 from dapplewick.types import MachineId, Seconds
 
@@ -37,15 +37,17 @@
 LOST_ANSWER_S = 6.2
 
 
-class Change(NamedTuple):
+class ConditionalWrite(NamedTuple):
     """A record to write (or remove, without a value) if it still has this version."""
 
     key: str
     value: Any
     version: int
     priority: int  # lower ones are written first
-    needs: tuple[tuple[str, int], ...] = ()  # other keys that must still have these versions
-    tied: str = ""  # changes in a row with the same text go into one transaction
+    preconditions: tuple[
+        tuple[str, int], ...
+    ] = ()  # other keys that must still have these versions
+    transaction_group: str = ""  # changes in a row with the same text go into one transaction
 
 
 class Silence(NamedTuple):
@@ -56,13 +58,13 @@
     others_heard: bool  # other machines of its part are heard: the silence is its own
 
 
-class MachineBook:
+class MachineLifecycle:
     """Drafts of the records of machines, which are kept in a group for each rental."""
 
     def __init__(
         self,
-        mirror: Mirror,
-        fleet: Fleet,
+        cache: WatchCache,
+        provisioner: Provisioner,
         lease_s: Seconds,
         lag_s: Seconds,
         value_bytes: int = 16 * 1024,
@@ -72,17 +74,17 @@
         self._report_s = report_s
         self._value_bytes = value_bytes
         self._txn_ops = txn_ops
-        self.mirror = mirror
-        self.fleet = fleet
+        self.cache = cache
+        self.provisioner = provisioner
         self.lease_s = lease_s
         self.lag_s = lag_s
         self.deleted: set[MachineId] = set()
-        self.listed: dict[MachineId, Listed] = {}
+        self.listed: dict[MachineId, ListedMachine] = {}
         self._unknown_since: dict[MachineId, Seconds] = {}
         self._up_since: dict[MachineId, Seconds] = {}
         self._up_at: dict[str, Seconds] = {}
-        self._drafts: dict[str, tuple[GroupRecord, int]] = {}
-        self._over_known: dict[str, tuple[GroupRecord, bool]] = {}
+        self._drafts: dict[str, tuple[MachineGroupRecord, int]] = {}
+        self._over_known: dict[str, tuple[MachineGroupRecord, bool]] = {}
         self._ties: dict[str, str] = {}  # drafted groups that are written in one transaction
         self._splitting: str | None = None  # the oversized group that is split in this pass
 
@@ -91,7 +93,7 @@
 
     def were_listed(self, now: Seconds, listing: MachineList) -> None:
         self.listed = {MachineId(item.machine): item for item in listing.machines}
-        known = self.mirror.machines.keys() | self.deleted
+        known = self.cache.machines.keys() | self.deleted
         self._unknown_since = {
             m: self._unknown_since.get(m, now) for m in self.listed if m not in known
         }
@@ -106,38 +108,42 @@
         self._drafts.clear()
         self._ties.clear()
         self._splitting = None
-        if self.mirror.format >= FORMAT_NOW:
-            oversized = (name for name in self.mirror.groups if self._stored_over(name))
+        if self.cache.format >= FORMAT_NOW:
+            oversized = (name for name in self.cache.groups if self._stored_over(name))
             self._splitting = next(oversized, None)
 
-    def changes(self) -> list[Change]:
+    def changes(self) -> list[ConditionalWrite]:
         """The writes for all drafts, and for the group that is being split."""
         out = []
         for name, (group, _) in self._drafts.items():
             if name == self._splitting or name in self._ties:
                 continue
-            if self.mirror.format >= FORMAT_NOW and self._over(group):
+            if self.cache.format >= FORMAT_NOW and self._over(group):
                 continue  # it is split in one of the next passes
             out.append(self._change(name))
         return out + self._split_changes()
 
-    def _change(self, name: str, tie: str = "") -> Change:
+    def _change(self, name: str, transaction_group_name: str = "") -> ConditionalWrite:
         """The write of a drafted group; one that has no machines left is removed."""
         group, priority = self._drafts[name]
         key = MACHINES + name
         value = msgspec.to_builtins(group) if group.machines else None
         # All writes that are tied together have the same rank, so that they stay in a row.
-        return Change(
-            key, value, self.mirror.version(key), PRIORITY_NORMAL if tie else priority, tied=tie
+        return ConditionalWrite(
+            key,
+            value,
+            self.cache.version(key),
+            PRIORITY_NORMAL if transaction_group_name else priority,
+            transaction_group=transaction_group_name,
         )
 
-    def _over(self, group: GroupRecord) -> bool:
+    def _over(self, group: MachineGroupRecord) -> bool:
         """Whether a group has more machines than the lower limit lets a value hold."""
         return len(group.machines) > self._most(group.machines, floors=bool(group.floors))
 
     def _stored_over(self, name: str) -> bool:
         """The same of a group as it is stored. A pass looks at all of them, and few change."""
-        group = self.mirror.groups[name]
+        group = self.cache.groups[name]
         known = self._over_known.get(name)
         if known is None or known[0] is not group:
             known = self._over_known[name] = (group, self._over(group))
@@ -151,29 +157,30 @@
             each += longest + FLOOR_BYTES
         return max(1, min(GROUP_MOST, (self._value_bytes - GROUP_BYTES) // each))
 
-    def _split_changes(self) -> list[Change]:
+    def _split_changes(self) -> list[ConditionalWrite]:
         """Split a group that was written when a value could hold more, one in each pass.
 
         Where the pieces fit into one transaction, the group is split at once. A larger one can't
         be rewritten in part once the limit has fallen, so its machines are copied to new groups
         first; the group is removed when each of them is in a newer one. In between the newer
-        record of a machine counts (`Mirror`), so a change of leader on the way loses nothing.
+        record of a machine counts (`WatchCache`), so a change of leader on the way loses nothing.
         """
         name = self._splitting
         if name is None:
             return []
         draft = self._drafts.get(name)
-        group = draft[0] if draft is not None else self.mirror.groups[name]
+        group = draft[0] if draft is not None else self.cache.groups[name]
         pieces = self._pieces(group, list(group.machines))
         if not pieces:
             return [self._removal(name)]
         if len(pieces) <= self._txn_ops:
             names = [name, *self._free_names(name, len(pieces) - 1)]
             return [
-                self._put(key, piece, tied=name) for key, piece in zip(names, pieces, strict=True)
+                self._put(key, piece, transaction_group=name)
+                for key, piece in zip(names, pieces, strict=True)
             ]
-        stored = self.mirror.groups[name]
-        left = [m for m in stored.machines if self.mirror.group_of.get(MachineId(m)) == name]
+        stored = self.cache.groups[name]
+        left = [m for m in stored.machines if self.cache.group_of.get(MachineId(m)) == name]
         if not left:
             log.info("event=group_split group=%s", name)
             return [self._removal(name)]
@@ -181,20 +188,30 @@
         names = self._free_names(name, len(pieces))
         return [self._put(key, piece) for key, piece in zip(names, pieces, strict=True)]
 
-    def _pieces(self, group: GroupRecord, machines: list[str]) -> list[GroupRecord]:
+    def _pieces(self, group: MachineGroupRecord, machines: list[str]) -> list[MachineGroupRecord]:
         """These machines of a group, in as many groups as they need."""
         most = self._most(machines, floors=bool(group.floors))
         return [
             _piece(group, machines[first : first + most]) for first in range(0, len(machines), most)
         ]
 
-    def _put(self, name: str, group: GroupRecord, tied: str = "") -> Change:
+    def _put(
+        self, name: str, group: MachineGroupRecord, transaction_group: str = ""
+    ) -> ConditionalWrite:
         key = MACHINES + name
         value = msgspec.to_builtins(group)
-        return Change(key, value, self.mirror.version(key), PRIORITY_URGENT, tied=tied)
+        return ConditionalWrite(
+            key,
+            value,
+            self.cache.version(key),
+            PRIORITY_URGENT,
+            transaction_group=transaction_group,
+        )
 
-    def _removal(self, name: str) -> Change:
-        return Change(MACHINES + name, None, self.mirror.version(MACHINES + name), PRIORITY_URGENT)
+    def _removal(self, name: str) -> ConditionalWrite:
+        return ConditionalWrite(
+            MACHINES + name, None, self.cache.version(MACHINES + name), PRIORITY_URGENT
+        )
 
     def _free_names(self, name: str, count: int) -> list[str]:
         """Unused names for groups beside this one."""
@@ -202,15 +219,15 @@
         number = 1
         while len(out) < count:
             candidate = f"{name}.{number}"
-            if candidate not in self.mirror.groups and candidate not in self._drafts:
+            if candidate not in self.cache.groups and candidate not in self._drafts:
                 out.append(candidate)
             number += 1
         return out
 
-    def _draft(self, name: str, priority: int) -> GroupRecord:
+    def _draft(self, name: str, priority: int) -> MachineGroupRecord:
         draft = self._drafts.get(name)
         if draft is None:
-            old = self.mirror.groups[name]
+            old = self.cache.groups[name]
             group = msgspec.structs.replace(
                 old, machines=dict(old.machines), floors=dict(old.floors)
             )
@@ -219,22 +236,24 @@
         self._drafts[name] = (group, priority)
         return group
 
-    def move(self, floors: Mapping[MachineId, int], share: str, tie: str) -> list[MachineId]:
+    def move(
+        self, floors: Mapping[MachineId, int], share: str, transaction_group_name: str
+    ) -> list[MachineId]:
         """Draft that machines of one group go over to another share, each with the least token
         for its worker from then on: they leave their group and join one of that share in the same
         transaction, so that at each revision each is in exactly one. Gives those that do: none if
         another draft of this pass is in the way, fewer if their new group is full."""
-        name = self.mirror.group_of[next(iter(floors))]
-        group = self.mirror.groups[name]
+        name = self.cache.group_of[next(iter(floors))]
+        group = self.cache.groups[name]
         # Another group that lists a machine would bring it back to where it came from.
-        once = all(self.mirror.in_one_group(machine) for machine in floors)
+        once = all(self.cache.in_one_group(machine) for machine in floors)
         if name in self._drafts or name == self._splitting or self._over(group) or not once:
             return []
         most = self._most(floors, floors=True)
         target = self._group_with_room(group.type, group.zone, group.spot, share, most - 1)
         if target is None:
             (target,) = self._free_names(name, 1)
-            empty = GroupRecord(group.type, group.zone, group.spot, {}, share=share)
+            empty = MachineGroupRecord(group.type, group.zone, group.spot, {}, share=share)
             self._drafts[target] = (empty, PRIORITY_NORMAL)
         elif target in self._drafts or target in (name, self._splitting):
             return []
@@ -245,28 +264,44 @@
             joined.floors[machine] = floors[machine]
             group = group.without(machine)
         self._drafts[name] = (group, PRIORITY_NORMAL)
-        self._ties[name] = self._ties[target] = tie
+        self._ties[name] = self._ties[target] = transaction_group_name
         return going
 
-    def moves(self, tie: str) -> list[Change]:
+    def moves(self, transaction_group_name: str) -> list[ConditionalWrite]:
         """The writes of the groups that are drafted together under this name, in one row."""
-        names = [name for name, tied in self._ties.items() if tied == tie]
-        return [self._change(name, tie) for name in names]
+        names = [
+            name
+            for name, transaction_group in self._ties.items()
+            if transaction_group == transaction_group_name
+        ]
+        return [self._change(name, transaction_group_name) for name in names]
 
     def _set(self, machine_id: MachineId, state: str, priority: int) -> None:
-        self._draft(self.mirror.group_of[machine_id], priority).machines[machine_id] = state
+        self._draft(self.cache.group_of[machine_id], priority).machines[machine_id] = state
 
     def terminate(self, machine_id: MachineId, why: str, priority: int = PRIORITY_URGENT) -> None:
         log.info("event=machine_doomed machine=%s reason=%s", machine_id, why)
         self._set(machine_id, TERMINATING, priority)
 
-    def rented(
-        self, name: str, booking: BookingRecord, machines: list[MachineId], wall: Seconds
+    def provisioned(
+        self,
+        name: str,
+        provisioning_request: ProvisioningRequest,
+        machines: list[MachineId],
+        wall: Seconds,
     ) -> None:
         """The machines of a rental: one record for all of them."""
-        new = [m for m in machines if m not in self.mirror.machines and m not in self.deleted]
+        new = [m for m in machines if m not in self.cache.machines and m not in self.deleted]
         if new:
-            self._add(new, booking.type, booking.zone, booking.spot, wall, name, PRIORITY_URGENT)
+            self._add(
+                new,
+                provisioning_request.type,
+                provisioning_request.zone,
+                provisioning_request.spot,
+                wall,
+                name,
+                PRIORITY_URGENT,
+            )
 
     def _add(
         self,
@@ -290,10 +325,10 @@
         if known is not None:
             self._draft(known, priority).machines.update(states)
             return
-        if name in self.mirror.groups or name in self._drafts:
+        if name in self.cache.groups or name in self._drafts:
             (name,) = self._free_names(name, 1)  # some of this rental may be recorded already
         self._drafts[name] = (
-            GroupRecord(type=type_, zone=zone, spot=spot, machines=states),
+            MachineGroupRecord(type=type_, zone=zone, spot=spot, machines=states),
             priority,
         )
 
@@ -301,7 +336,7 @@
         self, type_: str, zone: str, spot: bool, share: str, most: int
     ) -> str | None:
         """A group of this kind that has no more than so many machines."""
-        for name, group in self.mirror.groups.items():
+        for name, group in self.cache.groups.items():
             if (group.type, group.zone, group.spot, group.share) != (type_, zone, spot, share):
                 continue
             draft = self._drafts.get(name)
@@ -313,7 +348,7 @@
         self, machine_id: MachineId, type_: str, zone: str, spot: bool, wall: Seconds, priority: int
     ) -> None:
         """A machine that nobody here knows of: used or returned like the others."""
-        if machine_id in self.mirror.machines or machine_id in self.deleted:
+        if machine_id in self.cache.machines or machine_id in self.deleted:
             return
         self._add([machine_id], type_, zone, spot, wall, f"x-{machine_id}", priority)
         log.info("event=machine_adopted machine=%s", machine_id)
@@ -331,10 +366,10 @@
         """Look at every machine: `reconciled` is what the parts say of each, `silent` names those
         they have not heard for a while."""
         came_up: dict[str, list[MachineId]] = {}
-        for machine_id, record in self.mirror.machines.items():
+        for machine_id, record in self.cache.machines.items():
             if record.terminating:
                 if machine_id in self.deleted:
-                    name = self.mirror.group_of[machine_id]
+                    name = self.cache.group_of[machine_id]
                     group = self._draft(name, PRIORITY_URGENT)
                     group.machines.pop(machine_id, None)
                     group.floors.pop(machine_id, None)
@@ -345,7 +380,7 @@
             if why:
                 self.terminate(machine_id, why)
             elif body is not None and body["heard"] and not record.up:
-                came_up.setdefault(self.mirror.group_of[machine_id], []).append(machine_id)
+                came_up.setdefault(self.cache.group_of[machine_id], []).append(machine_id)
         for name, machines in came_up.items():
             # All that came up in a while is written together: hundreds do at the start.
             if now - self._up_at.get(name, -1e9) >= UP_S:
@@ -380,7 +415,7 @@
     ) -> str:
         if not record.up:
             since = self._up_since.setdefault(machine_id, now)
-            return "never up" if now - since > self.fleet.boot_limit(record.type) else ""
+            return "never up" if now - since > self.provisioner.boot_limit(record.type) else ""
         listed = self.listed.get(machine_id)
         if listed is not None and listed.state == "failed":
             return "failed"
@@ -396,7 +431,7 @@
         return ""
 
 
-def _piece(group: GroupRecord, machines: list[str]) -> GroupRecord:
+def _piece(group: MachineGroupRecord, machines: list[str]) -> MachineGroupRecord:
     """The part of a group's record that tells of these machines."""
     return msgspec.structs.replace(
         group,
--- a/src/dapplewick/core/needs.py
+++ b/src/dapplewick/core/needs.py
@@ -8,11 +8,11 @@
 
 from dapplewick.core.demand import GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.fleet import Need, wanted_slots
+from dapplewick.core.fleet import CapacityRequest, wanted_slots
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.core.placing import LONG_RESERVATION_S
 from dapplewick.protocol.wire import JobSpec
-from dapplewick.storage.records import GangPlace, JobRecord, Mirror
+from dapplewick.storage.records import GangPlacement, JobRecord, WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import JobId, Seconds, ShardName, zone_of
 
@@ -39,12 +39,12 @@
         self.waiting = 0
 
 
-class NeedPlanner:
+class CapacityRequestPlanner:
     """Sums up what waits, at the leader and in the parts."""
 
     def __init__(
         self,
-        mirror: Mirror,
+        cache: WatchCache,
         zones: list[str],
         estimates: Estimates,
         tuning: Tuning,
@@ -52,7 +52,7 @@
         shards: Mapping[ShardName, ObservedShard],
         drafted: Callable[[JobId], JobRecord],
     ) -> None:
-        self._mirror = mirror
+        self._cache = cache
         self._zones = zones
         self._estimates = estimates
         self._tuning = tuning
@@ -60,34 +60,34 @@
         self._shards = shards
         self._drafted = drafted
 
-    def needs(self, wall: Seconds, ordered: Iterable[Waiting]) -> list[Need]:
+    def capacity_requests(self, wall: Seconds, ordered: Iterable[Waiting]) -> list[CapacityRequest]:
         """All needs of this moment, those for accelerators first."""
-        needs = self._gang_needs()
+        capacity_requests = self._gang_needs()
         arrays: dict[Any, list[Waiting]] = {}
         for waiting in ordered:
             spec = waiting.job.spec
             if spec.is_service:
-                needs += self._service_needs(waiting)
+                capacity_requests += self._service_needs(waiting)
                 continue
-            needs += self._bound_needs(waiting)
+            capacity_requests += self._bound_needs(waiting)
             key = (tuple(spec.types or ()), spec.spot, spec.zone, spec.gpus > 0)
             arrays.setdefault(key, []).append(waiting)
         for alike in arrays.values():
-            needs += self._array_needs(wall, alike)
+            capacity_requests += self._array_needs(wall, alike)
         if self._gangs.spec is not None and self._gangs.slots >= 0.5:
             # Idle slots for gangs still to come: renting when they are here is too late.
-            needs.append(Need(self._gangs.spec, math.ceil(self._gangs.slots), False))
+            capacity_requests.append(
+                CapacityRequest(self._gangs.spec, math.ceil(self._gangs.slots), False)
+            )
         # Accelerators first: gangs then see what CPUs these leave of the machines to come.
-        needs.sort(key=lambda need: need.spec.gpus == 0)
-        return needs
+        capacity_requests.sort(key=lambda need: need.spec.gpus == 0)
+        return capacity_requests
 
-    def _gang_needs(self) -> list[Need]:
+    def _gang_needs(self) -> list[CapacityRequest]:
         """Gangs that wait at the leader, or hold slots that will be busy for long."""
-        needs: list[Need] = []
+        capacity_requests: list[CapacityRequest] = []
         alike: dict[Any, int] = {}
-        for job_id in sorted(
-            self._mirror.live_jobs, key=lambda j: self._mirror.jobs[j].submitted_at
-        ):
+        for job_id in sorted(self._cache.live_jobs, key=lambda j: self._cache.jobs[j].submitted_at):
             job = self._drafted(job_id)
             spec = job.spec
             if not spec.is_gang or not job.open:
@@ -95,17 +95,19 @@
             if job.gang is not None and not self._long_reserved(job_id, job.gang):
                 continue
             if spec.same_zone or spec.spread:
-                needs.append(Need(spec, spec.task_count, True))
+                capacity_requests.append(CapacityRequest(spec, spec.task_count, True))
             elif spec.placement_key in alike:
                 # Gangs that may span all parts need the same as one gang of all their tasks.
-                old = needs[alike[spec.placement_key]]
-                needs[alike[spec.placement_key]] = old._replace(tasks=old.tasks + spec.task_count)
+                old = capacity_requests[alike[spec.placement_key]]
+                capacity_requests[alike[spec.placement_key]] = old._replace(
+                    tasks=old.tasks + spec.task_count
+                )
             else:
-                alike[spec.placement_key] = len(needs)
-                needs.append(Need(spec, spec.task_count, True))
-        return needs
+                alike[spec.placement_key] = len(capacity_requests)
+                capacity_requests.append(CapacityRequest(spec, spec.task_count, True))
+        return capacity_requests
 
-    def _long_reserved(self, job_id: JobId, gang: GangPlace) -> bool:
+    def _long_reserved(self, job_id: JobId, gang: GangPlacement) -> bool:
         """Whether a gang's slots will still be busy for long: more room is wanted then."""
         for name in gang.shards():
             shard = self._shards.get(ShardName(name))
@@ -115,13 +117,15 @@
                     return True
         return False
 
-    def _service_needs(self, waiting: Waiting) -> list[Need]:
+    def _service_needs(self, waiting: Waiting) -> list[CapacityRequest]:
         """Replicas of a service that are nowhere, nor on the way."""
         spec = waiting.job.spec
         missing = spec.task_count - self._placed(waiting.job_id)
-        return [Need(spec, missing, False, self._caps(waiting.job))] if missing > 0 else []
+        return (
+            [CapacityRequest(spec, missing, False, self._caps(waiting.job))] if missing > 0 else []
+        )
 
-    def _bound_needs(self, waiting: Waiting) -> list[Need]:
+    def _bound_needs(self, waiting: Waiting) -> list[CapacityRequest]:
         """An array bound to zones: room in a zone where none of it may start any more would seem
         to do for it."""
         caps = self._caps(waiting.job)
@@ -130,7 +134,7 @@
         spec = waiting.job.spec
         each = max(LEAST_RUN_S, self._estimates.run_time(spec))
         count = wanted_slots(waiting.left * each, 0, self._tuning.horizon_s)
-        return [Need(spec, max(1, min(waiting.left, count)), False, caps)]
+        return [CapacityRequest(spec, max(1, min(waiting.left, count)), False, caps)]
 
     def _caps(self, job: JobRecord) -> dict[str, int] | None:
         """How many more of its tasks may be in each zone; None if it is bound to none."""
@@ -142,7 +146,7 @@
             return None
         return {z: max(0, spec.zone_cap - job.assigned_in_zone(z)) for z in self._zones}
 
-    def _array_needs(self, wall: Seconds, alike: list[Waiting]) -> list[Need]:
+    def _array_needs(self, wall: Seconds, alike: list[Waiting]) -> list[CapacityRequest]:
         """Enough slots for all that waits to start within the horizon."""
         work = self._array_work(wall, alike)
         horizon = self._tuning.horizon_s
@@ -155,7 +159,7 @@
             # The slots that run now are not free again as soon as was thought.
             starved = wanted_slots(work.starved_seconds, 0, horizon)
             count = max(count, min(work.waiting, starved))
-        return [Need(work.largest, count, False)] if count > 0 else []
+        return [CapacityRequest(work.largest, count, False)] if count > 0 else []
 
     def _array_work(self, wall: Seconds, alike: list[Waiting]) -> _ArrayWork:
         work = _ArrayWork(alike[0].job.spec)
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -35,7 +35,7 @@
 from dapplewick.core.replicas import ReplicaPlacement
 from dapplewick.core.speed import SpeedComparison
 from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
-from dapplewick.storage.records import JobRecord, Mirror
+from dapplewick.storage.records import JobRecord, WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
     IDS_PER_TOKEN,
@@ -84,7 +84,7 @@
         self,
         shard: ShardName,
         token: FencingToken,
-        mirror: Mirror,
+        cache: WatchCache,
         estimates: Estimates,
         now: Seconds,
         *,
@@ -97,7 +97,7 @@
         self.shard = shard
         self.zone = zone_of(shard)
         self.token = token
-        self.mirror = mirror
+        self.cache = cache
         self.estimates = estimates
         self.threshold = (tuning or Tuning()).threshold_s
         self._lease_s = lease_s
@@ -121,19 +121,19 @@
         self._few = False  # whether few idle slots of the gangs' size are left
         self.touched = Touched()
         self.dirty = True
-        self.demand = AcceleratorDemand(mirror, aimed)
-        self.gang_demand = GangDemand(mirror, (tuning or Tuning()).spare_slots)
+        self.demand = AcceleratorDemand(cache, aimed)
+        self.gang_demand = GangDemand(cache, (tuning or Tuning()).spare_slots)
         self.demand.update(now, now)
         self._attempts = 0
         # Tasks granted before this ownership may be on any machine the old owner could use:
         # until each of those was heard under our token, or is deleted, they wait.
         self.unreconciled: set[MachineId] = {
-            m for m, r in mirror.machines.items() if r.shard == shard and r.up
+            m for m, r in cache.machines.items() if r.shard == shard and r.up
         }
-        for machine in mirror.machines:
+        for machine in cache.machines:
             if machine in self.unreconciled:
                 self._machine(machine, now)
-        for job_id in list(mirror.live_jobs):
+        for job_id in list(cache.live_jobs):
             self.job_changed(now, job_id, failover=True)
         self._release_unconfirmed(now)
 
@@ -141,7 +141,7 @@
 
     def job_changed(self, now: Seconds, job_id: JobId, failover: bool = False) -> None:
         """A job's record has changed."""
-        job = self.mirror.jobs.get(job_id)
+        job = self.cache.jobs.get(job_id)
         assigned = job.assigned(self.shard) - job.done if job is not None and job.open else set()
         array_tasks = self.array_tasks.get(job_id)
         replicas = False
@@ -187,19 +187,21 @@
             self.done_gangs.pop(job_id, None)
             return
         if reservation is None or reservation.attempt != gang.attempt:
-            places = {
-                i: MachineId(m) for i, (shard, m) in enumerate(gang.places) if shard == self.shard
+            placements = {
+                i: MachineId(m)
+                for i, (shard, m) in enumerate(gang.placements)
+                if shard == self.shard
             }
-            reservation = GangReservation(gang.attempt, places, now)
+            reservation = GangReservation(gang.attempt, placements, now)
             if failover:
                 # Whether the old owner has sent the starts is unknown. An attempt is never
                 # started twice, so what is not found on its machine ends this attempt.
                 reservation.inherited = reservation.ready = True
-                reservation.launched = set(places)
+                reservation.launched = set(placements)
             if job_id in self.reservations:
                 self._remove_reservation(job_id, self.reservations[job_id])
             self.reservations[job_id] = reservation
-            if any(m not in self.mirror.machines for m in reservation.on):
+            if any(m not in self.cache.machines for m in reservation.on):
                 # Gone before this hold was known here: no change of its record will tell.
                 reservation.bad = "machine gone"
             for machine_id in reservation.on:
@@ -221,7 +223,7 @@
 
     def machine_changed(self, now: Seconds, machine_id: MachineId) -> None:
         """A machine's record has changed; without one it is gone, with all that was on it."""
-        record = self.mirror.machines.get(machine_id)
+        record = self.cache.machines.get(machine_id)
         self.touched.machine(machine_id)
         if record is not None:
             machine = self.machines.get(machine_id)
@@ -264,14 +266,14 @@
 
     def token_for(self, machine_id: MachineId) -> FencingToken:
         """The token that commands to a machine's worker carry."""
-        return self.mirror.token_for(machine_id, self.token)
+        return self.cache.token_for(machine_id, self.token)
 
     def drained(self) -> list[MachineId]:
         """Machines that a transfer drains, and on which nothing is nor may come: each was heard
         under our token, and no new work goes there as long as the transfer stands."""
         return [
             machine_id
-            for machine_id in self.mirror.transfers.drained()
+            for machine_id in self.cache.transfers.drained()
             if (machine := self.machines.get(machine_id)) is not None
             and machine.reconciled
             and machine_id not in self.unreconciled
@@ -283,7 +285,7 @@
     def _promised(self, machine_id: MachineId) -> bool:
         """Whether a gang that is not over names this machine: its start may still go out."""
         return any(
-            (job := self.mirror.jobs.get(job_id)) is not None and job.gang is not None
+            (job := self.cache.jobs.get(job_id)) is not None and job.gang is not None
             for job_id in self._reservations_on.get(machine_id, ())
         )
 
@@ -295,7 +297,7 @@
         self, now: Seconds, heartbeat: Heartbeat, may_launch: bool
     ) -> list[Command]:
         """Handle a worker's report; gives the orders for its machine."""
-        record = self.mirror.machines.get(heartbeat.machine)
+        record = self.cache.machines.get(heartbeat.machine)
         if record is None or record.shard != self.shard:
             # Another part's. Or nothing was ever launched on a machine without a record, or it is
             # gone: a late copy of a report would otherwise bring it back with its tasks.
@@ -326,7 +328,7 @@
         machine.spot = heartbeat.spot
         machine.address = heartbeat.address
         machine.spot_notice_s = heartbeat.spot_notice_s
-        known = self.mirror.types.get(heartbeat.type)
+        known = self.cache.types.get(heartbeat.type)
         if known is not None:
             machine.capacity = known.resources
         # A report from before our token was seen may miss starts of the old owner that are
@@ -355,7 +357,7 @@
             # A gang that is about to start gets its slots before the machine goes.
             commands += self._gang_launches(now, machine)
         if machine.stored:
-            drained = self.mirror.transfers.drains(machine.id) is not None
+            drained = self.cache.transfers.drains(machine.id) is not None
             commands = self._forget_stored(now, machine, drained or bool(commands)) + commands
         # Replicas alone keep a machine, but its time without other work counts.
         busy = any(
@@ -427,10 +429,10 @@
         machine = self.machines.get(machine_id)
         if machine is None:
             machine = self.machines[machine_id] = Machine(machine_id, now)
-            record = self.mirror.machines.get(machine_id)
+            record = self.cache.machines.get(machine_id)
             if record is not None:
                 machine.type, machine.spot = record.type, record.spot
-                known = self.mirror.types.get(record.type)
+                known = self.cache.types.get(record.type)
                 if known is not None:
                     machine.capacity = known.resources
         return machine
@@ -444,23 +446,23 @@
         return array_task.not_before if array_task is not None else 0.0
 
     def _spec(self, task: TaskRef) -> JobSpec | None:
-        job = self.mirror.jobs.get(task.job)
+        job = self.cache.jobs.get(task.job)
         return job.spec if job is not None else None
 
     def _usable(self, now: Seconds, machine: Machine) -> bool:
         """Whether new work may go to this machine."""
-        if self.mirror.transfers.drains(machine.id) is not None:
+        if self.cache.transfers.drains(machine.id) is not None:
             return False
         return self._fit_for_work(now, machine)
 
     def _is_drained_only(self, now: Seconds, machine: Machine) -> bool:
         """Whether nothing but a transfer keeps new work from this machine."""
-        drained = self.mirror.transfers.drains(machine.id) is not None
+        drained = self.cache.transfers.drains(machine.id) is not None
         return drained and self._fit_for_work(now, machine)
 
     def _fit_for_work(self, now: Seconds, machine: Machine) -> bool:
         """Whether a machine is ours, up, and takes what it is told."""
-        record = self.mirror.machines.get(machine.id)
+        record = self.cache.machines.get(machine.id)
         return (
             record is not None
             and record.shard == self.shard
@@ -481,7 +483,7 @@
         return len(machine.failures) >= FAULTY
 
     def _size(self, task: TaskRef) -> Resources:
-        job = self.mirror.jobs.get(task.job)
+        job = self.cache.jobs.get(task.job)
         return job.resources if job is not None else NO_RESOURCES
 
     def _changed(self, machine: Machine) -> None:
@@ -510,7 +512,7 @@
         if kept < 0.5:
             return False
         idle = sum(resources.count_in(m.free()) for m in self.machines.values())
-        return idle <= math.ceil(kept / max(1, len(self.mirror.shards)))
+        return idle <= math.ceil(kept / max(1, len(self.cache.shards)))
 
     def _reserved_slots_on(self, machine_id: MachineId) -> list[tuple[JobId, GangReservation, int]]:
         """Held slots of this machine whose start has not gone out."""
@@ -526,7 +528,7 @@
         ]
 
     def _gang_wanted(self, job_id: JobId) -> bool:
-        job = self.mirror.jobs.get(job_id)
+        job = self.cache.jobs.get(job_id)
         return job is not None and job.open and job.gang is not None and not job.gang.over
 
     def reserved_resources(self, machine_id: MachineId) -> Resources:
@@ -534,7 +536,7 @@
             return NO_RESOURCES
         resources = NO_RESOURCES
         for job_id, _, _ in self._reserved_slots_on(machine_id):
-            resources = resources.plus(self.mirror.jobs[job_id].resources)
+            resources = resources.plus(self.cache.jobs[job_id].resources)
         return resources
 
     def _drop(self, task: TaskRef, array_task: ArrayTask) -> None:
@@ -650,7 +652,7 @@
         if (
             reservation is not None
             and reservation.attempt == item.attempt
-            and reservation.places.get(item.task.number) == machine.id
+            and reservation.placements.get(item.task.number) == machine.id
         ):
             reservation.launched.add(item.task.number)
             reservation.seen.add(item.task.number)
@@ -660,7 +662,7 @@
     ) -> list[Command]:
         """An exited task: keep a result until it is stored, forget everything else."""
         task = item.task
-        job = self.mirror.jobs.get(task.job)
+        job = self.cache.jobs.get(task.job)
         array_task = self._array_task(task)
         forget = [Command("forget", task, item.attempt)]
         replica = job is not None and job.open and job.spec.is_service
@@ -1004,7 +1006,7 @@
         warm: dict[JobId, None] = {}
         cold: dict[JobId, None] = {}
         for job_id in jobs:
-            job = self.mirror.jobs.get(job_id)
+            job = self.cache.jobs.get(job_id)
             if job is None or not self.allowed(job.spec, machine):
                 continue
             spec = job.spec
@@ -1158,7 +1160,7 @@
     def _release_long_waits(self, now: Seconds) -> None:
         """Singles that find no room here go back to the leader, which may know better."""
         for job_id, array_tasks in self.array_tasks.items():
-            job = self.mirror.jobs.get(job_id)
+            job = self.cache.jobs.get(job_id)
             replica = job is not None and job.spec.is_service
             for index, array_task in array_tasks.items():
                 if array_task.state not in (WAITING, ASSIGNED):
@@ -1184,7 +1186,7 @@
             reservation.bad = "machine leaves"
             self.dirty = True
             return
-        each = self.mirror.jobs[job_id].resources
+        each = self.cache.jobs[job_id].resources
         for machine_id, indices in reservation.on.items():
             machine = self.machines.get(machine_id)
             if machine is None:
@@ -1196,7 +1198,7 @@
                 if other is reservation:
                     older = False
                 elif (older or other.ready) and not other.bad and self._gang_wanted(other_id):
-                    resources = self.mirror.jobs[other_id].resources
+                    resources = self.cache.jobs[other_id].resources
                     room = room.minus(
                         resources.times(sum(i not in other.launched for i in other.on[machine_id]))
                     )
@@ -1206,13 +1208,13 @@
         self.dirty = True
 
     def _useless(self, machine_id: MachineId) -> bool:
-        record = self.mirror.machines.get(machine_id)
+        record = self.cache.machines.get(machine_id)
         machine = self.machines.get(machine_id)
         return (
             record is None
             or record.terminating
             or record.shard != self.shard
-            or self.mirror.transfers.drains(machine_id) is not None
+            or self.cache.transfers.drains(machine_id) is not None
             or (machine is not None and machine.spot_notice_s is not None)
         )
 
@@ -1233,7 +1235,7 @@
         for task, task_attempt in machine.task_attempts.items():
             if task_attempt.stage == "exited" or task_attempt.sent:
                 continue
-            job = self.mirror.jobs.get(task.job)
+            job = self.cache.jobs.get(task.job)
             if job is None or not job.open:
                 commands.append(Command("stop", task, task_attempt.attempt, 0.0))
                 continue
@@ -1279,7 +1281,7 @@
         """Lower-priority singles to stop for gangs that were granted this right."""
         stop: set[TaskRef] = set()
         for job_id, reservation, _ in self._reserved_slots_on(machine.id):
-            job = self.mirror.jobs.get(job_id)
+            job = self.cache.jobs.get(job_id)
             if not reservation.preempt or reservation.ready or job is None:
                 continue
             stop_until_fits(machine, self.reserved_resources(machine.id), job.spec.priority, stop)
@@ -1314,7 +1316,7 @@
         """Jobs that are over, have grants here, and of which nothing is on a machine."""
         over = [
             job_id
-            for job_id, job in self.mirror.each_live()
+            for job_id, job in self.cache.each_live()
             if not job.open and self.shard in job.assignments
         ]
         if not over or self.unreconciled:
@@ -1323,7 +1325,7 @@
         return [job_id for job_id in over if job_id not in there]
 
     def gang_state(self, job_id: JobId, reservation: GangReservation) -> str:
-        job = self.mirror.jobs.get(job_id)
+        job = self.cache.jobs.get(job_id)
         # Of a cancelled gang nobody wants the result; what counts is that it is gone. Else it
         # would count against its team's limit for ever.
         if job is not None and job.open and self.done_gangs.get(job_id) == reservation.attempt:
@@ -1334,7 +1336,7 @@
             return "bad"
         if any(self._leaving(m) for m in reservation.on):
             return "bad"
-        if reservation.launched >= reservation.places.keys():
+        if reservation.launched >= reservation.placements.keys():
             return "on"
         if any((m := self.machines.get(i)) is not None and m.slow for i in reservation.on):
             # Nothing more is started there, and it would be kept for this gang for ever.
@@ -1347,7 +1349,7 @@
 
     def _gang_there(self, job_id: JobId, reservation: GangReservation) -> bool:
         for machine_id in reservation.on:
-            if machine_id not in self.mirror.machines:
+            if machine_id not in self.cache.machines:
                 continue
             if machine_id in self.unreconciled:
                 return True
@@ -1359,14 +1361,14 @@
     def cancelled_there(self, machine: Machine) -> bool:
         """Whether a task of a cancelled job is, or may be, on this machine."""
         for task, task_attempt in machine.task_attempts.items():
-            job = self.mirror.jobs.get(task.job)
+            job = self.cache.jobs.get(task.job)
             if task_attempt.stage != "exited" and (job is None or not job.open):
                 return True
         if machine.id not in self.unreconciled:
             return False
         return any(
             not job.open and (self.shard in job.assignments or job.gang is not None)
-            for _, job in self.mirror.each_live()
+            for _, job in self.cache.each_live()
         )
 
     def running(self) -> Iterator[tuple[JobId, int]]:
--- a/src/dapplewick/core/part_state.py
+++ b/src/dapplewick/core/part_state.py
@@ -191,7 +191,7 @@
         "inherited",
         "launched",
         "on",
-        "places",
+        "placements",
         "preempt",
         "ready",
         "seen",
@@ -199,11 +199,11 @@
         "wait",
     )
 
-    def __init__(self, attempt: int, places: dict[int, MachineId], now: Seconds) -> None:
+    def __init__(self, attempt: int, placements: dict[int, MachineId], now: Seconds) -> None:
         self.attempt = attempt
-        self.places = places
+        self.placements = placements
         self.on: dict[MachineId, list[int]] = {}  # the tasks to be on each machine
-        for index, machine in places.items():
+        for index, machine in placements.items():
             self.on.setdefault(machine, []).append(index)
         self.inherited = False  # taken over with the part from an earlier owner
         self.ready = False  # all its slots are idle: the starts go out
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/part_status.py
@@ -62,7 +62,7 @@
     """All that changed after the status with number `base`; everything if that is 0."""
     touched = scheduler.touched
     _touch_gangs(scheduler, now)
-    known = scheduler.mirror.machines
+    known = scheduler.cache.machines
     machines = {
         m: _machine(scheduler, now, scheduler.machines[m])
         if m in scheduler.machines and m in known
@@ -99,7 +99,7 @@
         if not m.task_attempts and not m.slots and now - m.idle_since > 1.0:
             idle[m.id] = round(now - m.idle_since, 1)
     transfers: dict[str, Any] = {}
-    if scheduler.mirror.transfers:
+    if scheduler.cache.transfers:
         transfers = {"drained": scheduler.drained()}
     return {
         "kind": "part",
@@ -108,7 +108,7 @@
         "number": number,
         "base": base,
         "at": now,
-        "seen": scheduler.mirror.revision,
+        "seen": scheduler.cache.revision,
         "machines": machines,
         "jobs": jobs,
         "gangs": gangs,
@@ -170,7 +170,7 @@
         "running": running,
         "done": done,
         "returned": released,
-        "version": scheduler.mirror.jobs[job_id].version,
+        "version": scheduler.cache.jobs[job_id].version,
     }
 
 
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/replicas.py
@@ -13,7 +13,7 @@
 from dapplewick.core.part_state import Machine
 from dapplewick.core.preemption import leaves, may_be_stopped
 from dapplewick.protocol.wire import JobSpec, MachineType
-from dapplewick.storage.records import Mirror
+from dapplewick.storage.records import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds
 
 log = logging.getLogger("dapplewick.part")
@@ -35,7 +35,7 @@
     """What is to be known of the part that the replicas are in."""
 
     machines: dict[MachineId, Machine]
-    mirror: Mirror
+    cache: WatchCache
 
     def allowed(self, spec: JobSpec, machine: Machine) -> bool: ...
 
@@ -86,7 +86,7 @@
         cost = SAME_SERVICE_COST_S * same + SPOT_COST_S * machine.spot
         cost += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
         if spec.image not in machine.images:
-            kind = self._shard.mirror.types.get(machine.type)
+            kind = self._shard.cache.types.get(machine.type)
             rate = kind.fetch_rate if kind is not None else 0.1
             cost += spec.image_gb / max(LEAST_FETCH_RATE, rate)
             cost += machine.fetches()
@@ -99,7 +99,7 @@
         soon as another with its image has room, or at the last moment."""
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
-        drained = machine.drain or self._shard.mirror.transfers.drains(machine.id) is not None
+        drained = machine.drain or self._shard.cache.transfers.drains(machine.id) is not None
         if machine.spot_notice_s is None and not machine.slow and not drained:
             return False
         able = (m for m in self._others(machine) if self._shard.allowed(spec, m))
@@ -140,7 +140,7 @@
 
     def _is_dear(self, machine: Machine, specs: list[JobSpec]) -> bool:
         """Whether a machine costs much more than the cheapest on which all of this fits."""
-        types = self._shard.mirror.types
+        types = self._shard.cache.types
         kind = types.get(machine.type)
         prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         return kind is not None and bool(prices) and kind.price > DRAIN_PRICE * min(prices)
--- a/src/dapplewick/job_states.py
+++ b/src/dapplewick/job_states.py
@@ -15,8 +15,8 @@
 
 from typing import Protocol
 
-from dapplewick.storage.client import Refused
-from dapplewick.storage.records import JOBS, JobRecord, Mirror
+from dapplewick.storage.client import RequestRefusedError
+from dapplewick.storage.records import JOBS, JobRecord, WatchCache
 from dapplewick.types import JobId, Seconds
 
 # Users wait 2 s for the answer to a question. What rests on an older read is not told any more:
@@ -24,14 +24,14 @@
 ANSWER_AGE_S = 2.0
 
 
-class UnreadableJob(Refused):
+class UnreadableJobError(RequestRefusedError):
     """The newest record of a job can't be parsed: it is known, and nothing can be said of it."""
 
 
 class Records(Protocol):
     """A copy of the records that can be brought up to date."""
 
-    mirror: Mirror
+    cache: WatchCache
 
     def now(self) -> Seconds: ...
 
@@ -46,7 +46,7 @@
 
     async def read(self, job_id: JobId) -> JobRecord | None:
         """A job as it stands; None if there is none."""
-        job = self._records.mirror.jobs.get(job_id)
+        job = self._records.cache.jobs.get(job_id)
         if job is not None and not job.open:
             return job
         return await self.read_anew(job_id)
@@ -61,11 +61,11 @@
         job = self.latest(job_id)
         lasting = job is not None and (for_change or not job.open)
         if not lasting and self._records.now() - asked_at > ANSWER_AGE_S:
-            raise Refused("the records were read too long ago")
+            raise RequestRefusedError("the records were read too long ago")
         return job
 
     def latest(self, job_id: JobId) -> JobRecord | None:
         """A job by what was read so far, where a read or a write of it has just ended."""
-        if JOBS + job_id in self._records.mirror.unreadable:
-            raise UnreadableJob(job_id)
-        return self._records.mirror.jobs.get(job_id)
+        if JOBS + job_id in self._records.cache.unreadable:
+            raise UnreadableJobError(job_id)
+        return self._records.cache.jobs.get(job_id)
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -20,23 +20,23 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.job_writes import PRIORITY_PROGRESS
 from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.machines import Change
+from dapplewick.core.machines import ConditionalWrite
 from dapplewick.core.part import ShardScheduler
 from dapplewick.metrics import Latencies
 from dapplewick.protocol import wire
 from dapplewick.status import controller_status
 from dapplewick.storage.client import (
     CALL_S,
-    Budget,
-    Conflict,
-    NoLease,
-    Refused,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RateLimiter,
+    RequestRefusedError,
+    RevisionCompactedError,
     StateClient,
-    TooLarge,
-    TooOld,
-    Unknown,
-    batches,
-    first_whole,
+    TransactionConflictError,
+    ValueTooLargeError,
+    first_whole_groups,
+    split_into_transactions,
 )
 from dapplewick.storage.read_checks import ReadChecks
 from dapplewick.storage.records import (
@@ -48,7 +48,7 @@
     ROOT,
     SHARDS,
     SHARES_FORMAT,
-    Mirror,
+    WatchCache,
     job_of,
     size_of,
 )
@@ -137,9 +137,9 @@
         self._watch_gap = 1.0 / (WATCH_SHARE * rps)
         host, port = host_port(settings.outside.cloud, "outside.cloud")
         self.cloud = connect(host, port)
-        self.cloud_budget = Budget(deployment.cloud.rps * 0.8)
-        self.mirror = Mirror()
-        self.mirror.listeners.append(self._on_key)
+        self.cloud_budget = RateLimiter(deployment.cloud.rps * 0.8)
+        self.cache = WatchCache()
+        self.cache.listeners.append(self._on_key)
         self._changed: list[str] = []
         self.ready = False
         self.current_at = -1e9
@@ -151,7 +151,7 @@
         self.shard_schedulers: dict[ShardName, ShardScheduler] = {}
         self.estimates = Estimates()
         self.leader: LeaderPlanner | None = None
-        self.assigner = ShardAssigner(self.mirror, deployment.zones, self.own_name)
+        self.assigner = ShardAssigner(self.cache, deployment.zones, self.own_name)
         self.api = Api(self, deployment)
         self.links: dict[ControllerName, PeerLink] = {}
         for peer in settings.peers:
@@ -189,7 +189,7 @@
         before, one without a plan brings all machines back to the zones' own parts."""
         if self.shares is not None:
             return self.shares
-        if not self.mirror.transfers and not any(map(partition_of, self.mirror.shards)):
+        if not self.cache.transfers and not any(map(partition_of, self.cache.shards)):
             self._dissolver = None
         elif self._dissolver is None:
             from dapplewick.shares.service import ShareService
@@ -222,7 +222,7 @@
         if not self._changed:
             return
         keys, self._changed = dict.fromkeys(self._changed), []
-        machines, self.mirror.changed_machines = dict.fromkeys(self.mirror.changed_machines), []
+        machines, self.cache.changed_machines = dict.fromkeys(self.cache.changed_machines), []
         now = self.now()
         if any(k.startswith(SHARDS) for k in keys):
             self._update_owned_shards(now)
@@ -238,13 +238,13 @@
 
     def _is_new_service(self, job_id: JobId) -> bool:
         """Users wait for its first replicas: the leader does not rest first."""
-        job = self.mirror.jobs.get(job_id)
+        job = self.cache.jobs.get(job_id)
         return job is not None and job.spec.is_service and job.open and not job.assignments
 
     def _update_owned_shards(self, now: Seconds) -> None:
         for name in dict.fromkeys([*self.shard_schedulers, *self.assigner.shards()]):
-            shard = self.mirror.shards.get(name)
-            token = FencingToken(self.mirror.version(SHARDS + name))
+            shard = self.cache.shards.get(name)
+            token = FencingToken(self.cache.version(SHARDS + name))
             mine = (
                 shard is not None
                 and shard.owner == self.own_name
@@ -258,7 +258,7 @@
                 self.shard_schedulers[name] = ShardScheduler(
                     name,
                     token,
-                    self.mirror,
+                    self.cache,
                     self.estimates,
                     now,
                     tuning=self.tuning,
@@ -270,7 +270,7 @@
 
     def stored(self, key: str, value: object, version: int) -> None:
         """A write of our own is known done."""
-        self.mirror.put(key, value, version)
+        self.cache.put(key, value, version)
         if key.startswith(JOBS) and isinstance(value, dict) and value.get("stage") == CANCELLED:
             # Owners that can't read the records stop its tasks sooner; no rule rests on it.
             self._gossip_wake.set()
@@ -279,7 +279,7 @@
     async def _load(self) -> None:
         sent = self.now()
         items, revision = await self.state.listing(ROOT)
-        self.mirror.reload(items, revision)
+        self.cache.reload(items, revision)
         self.current_at = self.contact_at = sent
         self._apply_changed()
         if not self.ready:
@@ -290,11 +290,11 @@
         """Bring the mirror up to the newest changes."""
         sent = self.now()
         try:
-            changes = await self.state.changes(ROOT, self.mirror.revision, wait_ms)
-        except TooOld:
+            changes = await self.state.changes(ROOT, self.cache.revision, wait_ms)
+        except RevisionCompactedError:
             await self._load()
             return
-        self.mirror.follow(changes.events, changes.revision)
+        self.cache.follow(changes.events, changes.revision)
         self.current_at = max(self.current_at, sent)
         self.contact_at = self.now()
         self._apply_changed()
@@ -306,11 +306,9 @@
                     await self._load()
                 await self._follow(WATCH_MS)
                 # What changes meanwhile comes with the next answer, in one request.
-                busy = (
-                    self.shard_schedulers or self.leader is not None or self.mirror.leader is None
-                )
+                busy = self.shard_schedulers or self.leader is not None or self.cache.leader is None
                 await anyio.sleep(self._watch_gap if busy else STANDBY_WATCH_S)
-            except (Refused, Unknown) as err:
+            except (RequestRefusedError, OutcomeUnknownError) as err:
                 log.debug("event=watch_failed error=%s", err)
                 await anyio.sleep(0.2 + self.random.random() * 0.3)
 
@@ -342,7 +340,7 @@
                         "zone": self.settings.zone,
                         "version": self._format(),
                     }
-                    version = await self.state.txn(
+                    version = await self.state.transaction(
                         {key: before}, {key: value}, leases={key: lease}, urgent=True
                     )
                     self.lease = lease
@@ -352,14 +350,14 @@
                 # Counted from when the request was sent, less what clocks may drift.
                 self.lease_until = sent + TTL_S * 0.998 - 0.1
                 self.contact_at = self.now()
-            except NoLease:
+            except LeaseExpiredError:
                 log.info("event=lease_lost node=%s", self.own_name)
                 self.lease = None
                 continue
-            except Conflict:
+            except TransactionConflictError:
                 await anyio.sleep(0.05 + self.random.random() * 0.1)
                 continue
-            except (Refused, Unknown) as err:
+            except (RequestRefusedError, OutcomeUnknownError) as err:
                 log.debug("event=renew_failed error=%s", err)
                 await anyio.sleep(0.3 + self.random.random() * 0.2)
                 continue
@@ -367,11 +365,11 @@
 
     def _record_lost(self) -> bool:
         """Whether another life of this controller has overwritten its presence."""
-        record = self.mirror.controllers.get(self.own_name)
+        record = self.cache.controllers.get(self.own_name)
         return self.ready and (record is None or record.incarnation != self.incarnation)
 
     def _leads(self) -> bool:
-        record = self.mirror.leader
+        record = self.cache.leader
         return (
             record is not None
             and record.controller == self.own_name
@@ -381,7 +379,7 @@
 
     async def _stand(self) -> None:
         """Try to become leader: the key must not exist, or be of an earlier life of ours."""
-        record = self.mirror.leader
+        record = self.cache.leader
         mine = (
             record is not None
             and record.controller == self.own_name
@@ -392,15 +390,15 @@
         if self.shard_schedulers:
             # Controllers without a part lead by preference.
             await anyio.sleep(0.3 + self.random.random() * 0.2)
-            if self.mirror.leader is not record:
+            if self.cache.leader is not record:
                 return  # another was quicker
         await self._write_leader()
 
     async def _write_leader(self) -> None:
         assert self.lease is not None
         value = {"node": self.own_name, "boot": self.incarnation}
-        version = await self.state.txn(
-            {LEADER: self.mirror.version(LEADER)},
+        version = await self.state.transaction(
+            {LEADER: self.cache.version(LEADER)},
             {LEADER: value},
             leases={LEADER: self.lease},
             urgent=True,
@@ -420,7 +418,12 @@
                     await self._stand()
                 if self._leads():
                     await self._lead()
-            except (Refused, Unknown, Conflict, NoLease) as err:
+            except (
+                RequestRefusedError,
+                OutcomeUnknownError,
+                TransactionConflictError,
+                LeaseExpiredError,
+            ) as err:
                 log.debug("event=leader_pass_failed error=%r", err)
                 await anyio.sleep(0.1 + self.random.random() * 0.1)
             except Exception:
@@ -450,15 +453,15 @@
         attempts and bookings are named after it. And the records are read once after an epoch
         has begun: until then an earlier leader, or an earlier life of this one, could write.
         """
-        epoch = FencingToken(self.mirror.version(LEADER))
+        epoch = FencingToken(self.cache.version(LEADER))
         renamed = self.leader is None and epoch <= self._planned_epoch
         if renamed or epoch == self._doubted_epoch:
             await self._write_leader()
-            epoch = FencingToken(self.mirror.version(LEADER))
+            epoch = FencingToken(self.cache.version(LEADER))
         if epoch != self._read_epoch:
             await self.current()
-            if epoch != self.mirror.version(LEADER):
-                raise Refused("another epoch has begun")
+            if epoch != self.cache.version(LEADER):
+                raise RequestRefusedError("another epoch has begun")
             self._read_epoch = epoch
         return epoch
 
@@ -468,7 +471,7 @@
         now = self.now()
         if self.leader is None:
             self.leader = LeaderPlanner(
-                self.mirror,
+                self.cache,
                 self.settings,
                 self.estimates,
                 epoch,
@@ -487,7 +490,7 @@
         for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
             key = SHARDS + name
             value = {"owner": shard.owner, "boot": shard.incarnation}
-            await self._write(epoch, [Change(key, value, self.mirror.version(key), 0)])
+            await self._write(epoch, [ConditionalWrite(key, value, self.cache.version(key), 0)])
         for name, scheduler in self.shard_schedulers.items():
             number = self.leader.shard_status(
                 now, scheduler.status(now, self._base(name, scheduler))
@@ -503,27 +506,31 @@
         room = min(room, max(least, int(level - PROGRESS_RESERVE * self.state.writes.rate)))
         if room < len(changes):
             log.debug("event=writes_put_off count=%d", len(changes) - room)
-            changes = first_whole(changes, room)
-        for batch in batches(changes, lambda change: size_of(change.value), self.limits_now()):
+            changes = first_whole_groups(changes, room)
+        for batch in split_into_transactions(
+            changes, lambda change: size_of(change.value), self.limits_now()
+        ):
             await self._write_some(epoch, now, batch)
 
     def limits_now(self) -> StateLimits:
         """How large values and transactions may be. What controllers of the older version read
         can't be cut, so until the format is raised a value may be as large as it was."""
         limits = self.settings.deployment.state
-        if self.mirror.format >= FORMAT_NOW:
+        if self.cache.format >= FORMAT_NOW:
             return self._limits
         return msgspec.structs.replace(limits, txn_ops=self._limits.txn_ops)
 
-    async def _write_some(self, epoch: FencingToken, now: Seconds, batch: list[Change]) -> None:
+    async def _write_some(
+        self, epoch: FencingToken, now: Seconds, batch: list[ConditionalWrite]
+    ) -> None:
         """Write a batch; where it is refused for its size, each change by itself, so that one
         that is too large keeps no other back."""
         assert self.leader is not None
         try:
             await self._write(epoch, batch)
-        except TooLarge:
-            tied = any(change.tied for change in batch)
-            if len(batch) == 1 or tied:
+        except ValueTooLargeError:
+            transaction_group = any(change.transaction_group for change in batch)
+            if len(batch) == 1 or transaction_group:
                 log.error("event=value_refused key=%s", batch[0].key)
                 return
             for change in batch:
@@ -532,7 +539,7 @@
         if self.leader is not None:
             self.leader.written(now, batch)
 
-    async def _write(self, epoch: FencingToken, changes: list[Change]) -> None:
+    async def _write(self, epoch: FencingToken, changes: list[ConditionalWrite]) -> None:
         """Write records as the leader: only as long as the epoch and the records still hold.
 
         The epoch is the one that was planned under. The mirror may show another leader's by
@@ -540,16 +547,16 @@
         """
         conditions = {LEADER: int(epoch)}
         for change in changes:
-            conditions |= dict(change.needs)
+            conditions |= dict(change.preconditions)
         conditions |= {c.key: c.version for c in changes}
         puts = {c.key: c.value for c in changes if c.value is not None}
         deletes = [c.key for c in changes if c.value is None]
         try:
-            version = await self.state.txn(conditions, puts, deletes)
-        except Conflict:
+            version = await self.state.transaction(conditions, puts, deletes)
+        except TransactionConflictError:
             await self.current()
             raise
-        except Unknown:
+        except OutcomeUnknownError:
             # The write may still be applied later. Writing the leader key anew ends that: the
             # write's condition on the old epoch can't hold any more. Then we look again.
             log.info("event=write_unknown keys=%d", len(changes))
@@ -557,9 +564,9 @@
             raise
         log.debug("event=written revision=%d keys=%s", version, ",".join(conditions))
         for key, value in puts.items():
-            self.mirror.put(key, value, version)
+            self.cache.put(key, value, version)
         for key in deletes:
-            self.mirror.remove(key, version)
+            self.cache.remove(key, version)
         self._apply_changed()
 
     # What the leader's calls of the cloud need
@@ -596,7 +603,7 @@
             # The leader's pass takes the status of its own parts itself.
             self._leader_wake.set()
             return
-        record = self.mirror.leader
+        record = self.cache.leader
         link = self.links.get(ControllerName(record.controller)) if record is not None else None
         if link is not None:
             status = scheduler.status(now, self._base(scheduler.shard, scheduler))
@@ -607,7 +614,7 @@
     def _base(self, shard: ShardName, scheduler: ShardScheduler) -> int:
         """The newest of a part's statuses that the present leader has confirmed."""
         token, incarnation, number = self._confirmed.get(shard, (FencingToken(0), "", 0))
-        leader = self.mirror.leader
+        leader = self.cache.leader
         same = token == scheduler.token and leader is not None and leader.incarnation == incarnation
         return number if same else 0
 
@@ -640,8 +647,8 @@
                     running[job] = running.get(job, 0) + count
             self._running[self.own_name] = running
             shards = {
-                name: (self.mirror.version(SHARDS + name), shard.owner)
-                for name, shard in self.mirror.shards.items()
+                name: (self.cache.version(SHARDS + name), shard.owner)
+                for name, shard in self.cache.shards.items()
             }
             message = {
                 "kind": "node",
@@ -650,7 +657,7 @@
                 "running": running,
                 "parts": shards,
                 "state": self.now() - self.contact_at < CONTACT_S,
-                **self.cancellations.message(self.now(), self.mirror, self.ready),
+                **self.cancellations.message(self.now(), self.cache, self.ready),
             }
             for link in self.links.values():
                 link.post("node", message)
@@ -731,7 +738,7 @@
             for shard, (token, owner) in message["parts"].items():
                 if token > self._peer_shards.get(shard, (0, ""))[0]:
                     self._peer_shards[shard] = (FencingToken(token), ControllerName(owner))
-            self.cancellations.hear(self.now(), self.own_name, controller, message, self.mirror)
+            self.cancellations.hear(self.now(), self.own_name, controller, message, self.cache)
             self._apply_changed()
         return None
 
@@ -757,11 +764,11 @@
             return Answer(400, b'{"error":"body over 64 KiB"}')
         try:
             heartbeat = wire.parse_heartbeat(request.body)
-        except wire.Malformed as err:
+        except wire.MalformedMessageError as err:
             log.error("event=report_refused error=%s", err)
             return Answer(400, b'{"error":"malformed report"}')
         now = self.now()
-        name = self.mirror.shard_of(heartbeat.machine, heartbeat.zone)
+        name = self.cache.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.shard_schedulers.get(name)
         heard_token, heard_owner = self._peer_shards.get(
             name, (FencingToken(0), ControllerName(""))
@@ -796,12 +803,12 @@
                 )
             scheduler.refuse(now)
             return Answer(503, b'{"error":"cut off"}', 1)
-        shard = self.mirror.shards.get(name)
+        shard = self.cache.shards.get(name)
         owner = shard.owner if shard is not None else ""
-        if heard_token > self.mirror.version(SHARDS + name):
+        if heard_token > self.cache.version(SHARDS + name):
             owner = heard_owner
-        if owner and owner != self.own_name and (self.ready and owner in self.mirror.controllers):
-            return Answer(421, wire.redirect(owner))
+        if owner and owner != self.own_name and (self.ready and owner in self.cache.controllers):
+            return Answer(421, wire.encode_redirect(owner))
         return Answer(503, b'{"error":"no owner"}', 1)
 
     async def handle(self, request: Request) -> Answer:
--- a/src/dapplewick/protocol/wire.py
+++ b/src/dapplewick/protocol/wire.py
@@ -29,7 +29,7 @@
 PRIORITIES = {"critical": 3, "urgent": 2, "standard": 1, "best_effort": 0}
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """A body that breaks the protocol; the text is a short reason."""
 
 
@@ -87,27 +87,27 @@
 def _amount(body: dict[str, Any], field: str, least: float = 0.0) -> float:
     value = body.get(field)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise Malformed(f"{field}: a number is needed")
+        raise MalformedMessageError(f"{field}: a number is needed")
     try:
         value = float(value)
     except OverflowError:
-        raise Malformed(f"{field}: out of range") from None
+        raise MalformedMessageError(f"{field}: out of range") from None
     if not math.isfinite(value) or value < least:
-        raise Malformed(f"{field}: out of range")
+        raise MalformedMessageError(f"{field}: out of range")
     return value
 
 
 def _text(body: dict[str, Any], field: str) -> str:
     value = body.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= 200:
-        raise Malformed(f"{field}: a text is needed")
+        raise MalformedMessageError(f"{field}: a text is needed")
     return value
 
 
 def _flag(body: dict[str, Any], field: str) -> bool:
     value = body.get(field)
     if not isinstance(value, bool):
-        raise Malformed(f"{field}: true or false is needed")
+        raise MalformedMessageError(f"{field}: true or false is needed")
     return value
 
 
@@ -116,29 +116,29 @@
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        raise Malformed("not JSON") from None
+        raise MalformedMessageError("not JSON") from None
     if not isinstance(body, dict):
-        raise Malformed("not an object")
+        raise MalformedMessageError("not an object")
     job = _text(body, "name_id")
     if not JOB_ID.match(job):
-        raise Malformed("name_id: not a job id")
+        raise MalformedMessageError("name_id: not a job id")
     shape = body.get("shape")
     if shape not in ("sweep", "group", "daemon"):
-        raise Malformed("shape: sweep, group or daemon is needed")
+        raise MalformedMessageError("shape: sweep, group or daemon is needed")
     urgency = body.get("urgency")
     if not isinstance(urgency, str) or urgency not in PRIORITIES:
-        raise Malformed("urgency: unknown")
+        raise MalformedMessageError("urgency: unknown")
     tasks = body.get("pieces")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
-        raise Malformed("pieces: a number from 1 to 100000 is needed")
+        raise MalformedMessageError("pieces: a number from 1 to 100000 is needed")
     types = body.get("builds")
     if types is not None and (
         not isinstance(types, list) or not types or not all(isinstance(t, str) for t in types)
     ):
-        raise Malformed("builds: null or a list of types is needed")
+        raise MalformedMessageError("builds: null or a list of types is needed")
     zone = body.get("yard")
     if zone is not None and not isinstance(zone, str):
-        raise Malformed("yard: null or a text is needed")
+        raise MalformedMessageError("yard: null or a text is needed")
     deadline = None if body.get("due_s") is None else _amount(body, "due_s")
     spec = JobSpec(
         job_class=_text(body, "bundle"),
@@ -165,7 +165,9 @@
     return JobId(job), spec
 
 
-def job_view(job: str, stage: str, done: int | None = None, running: int | None = None) -> bytes:
+def encode_job_state(
+    job: str, stage: str, done: int | None = None, running: int | None = None
+) -> bytes:
     body: dict[str, Any] = {"name_id": job, "stage": stage}
     if done is not None:
         body["done"] = done
@@ -227,7 +229,7 @@
     """A task is named in each report while it is on its machine, so its name is kept."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 9:
-        raise Malformed("piece: not a task")
+        raise MalformedMessageError("piece: not a task")
     return TaskRef(JobId(job), TaskIndex(int(index)))
 
 
@@ -235,10 +237,10 @@
     try:
         body = _heartbeat.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise Malformed(str(err)) from None
+        raise MalformedMessageError(str(err)) from None
     for value in (body.shift, body.tally, body.baton):
         if not 0 <= value < MAX_COUNT:
-            raise Malformed("shift, tally or baton: out of range")
+            raise MalformedMessageError("shift, tally or baton: out of range")
     tasks = [
         TaskStatus(parse_task(p.piece), Attempt(p.try_), p.stage, p.cause, bool(p.saved))
         for p in body.pieces
@@ -283,7 +285,7 @@
     return msgspec.json.encode({"baton": token, "orders": out})
 
 
-def redirect(owner: str | None) -> bytes:
+def encode_redirect(owner: str | None) -> bytes:
     return msgspec.json.encode({} if owner is None else {"foreman": owner})
 
 
@@ -312,11 +314,11 @@
     builds: list[MachineType]
 
 
-class _Rented(msgspec.Struct):
+class _ProvisionedMachines(msgspec.Struct):
     looms: list[str]
 
 
-class Listed(msgspec.Struct):
+class ListedMachine(msgspec.Struct):
     machine: str = msgspec.field(name="name_id")
     type: str = msgspec.field(name="build")
     zone: str = msgspec.field(name="yard")
@@ -327,7 +329,7 @@
 
 
 class MachineList(msgspec.Struct):
-    machines: list[Listed] = msgspec.field(name="looms")
+    machines: list[ListedMachine] = msgspec.field(name="looms")
     more: bool = False
 
 
@@ -335,29 +337,31 @@
     return msgspec.json.decode(raw, type=_Catalog).builds
 
 
-def parse_types(value: Any) -> list[MachineType]:
+def decode_machine_types(value: Any) -> list[MachineType]:
     return msgspec.convert(value, type=list[MachineType])
 
 
-def types_value(types: list[MachineType]) -> Any:
+def encode_machine_types(types: list[MachineType]) -> Any:
     return msgspec.to_builtins(types)
 
 
-def rent_body(request: str, type_: str, zone: str, spot: bool, count: int) -> bytes:
+def encode_provisioning_request(
+    request: str, type_: str, zone: str, spot: bool, count: int
+) -> bytes:
     return msgspec.json.encode(
         {"booking": request, "build": type_, "yard": zone, "borrowed": spot, "how_many": count}
     )
 
 
-def parse_rented(raw: bytes) -> list[MachineId]:
-    return [MachineId(m) for m in msgspec.json.decode(raw, type=_Rented).looms]
+def parse_provisioned_machines(raw: bytes) -> list[MachineId]:
+    return [MachineId(m) for m in msgspec.json.decode(raw, type=_ProvisionedMachines).looms]
 
 
-def delete_body(machines: list[MachineId]) -> bytes:
+def encode_deletion_request(machines: list[MachineId]) -> bytes:
     return msgspec.json.encode({"looms": machines})
 
 
-def parse_list(raw: bytes) -> MachineList:
+def parse_machine_list(raw: bytes) -> MachineList:
     return msgspec.json.decode(raw, type=MachineList)
 
 
@@ -388,7 +392,7 @@
     events: list[Event]
 
 
-class TxnResult(msgspec.Struct):
+class TransactionResult(msgspec.Struct):
     revision: int = msgspec.field(name="ledger", default=0)
     failed: list[str] = []
 
@@ -400,11 +404,11 @@
 key_item = msgspec.json.Decoder(KeyItem)
 key_page = msgspec.json.Decoder(KeyPage)
 changes = msgspec.json.Decoder(Changes)
-txn_result = msgspec.json.Decoder(TxnResult)
+transaction_result = msgspec.json.Decoder(TransactionResult)
 lease = msgspec.json.Decoder(Lease)
 
 
-def txn_body(
+def encode_transaction(
     conditions: dict[str, int], puts: dict[str, Any], deletes: list[str], leases: dict[str, int]
 ) -> bytes:
     """A transaction; `leases` says which of the written keys hang on which lease."""
@@ -421,5 +425,5 @@
     return msgspec.json.encode(body)
 
 
-def lease_body(ttl_ms: int) -> bytes:
+def encode_lease_request(ttl_ms: int) -> bytes:
     return msgspec.json.encode({"life_ms": ttl_ms})
--- a/src/dapplewick/script.py
+++ b/src/dapplewick/script.py
@@ -33,8 +33,8 @@
     """Starlark's report in one line, the place in front."""
     lines = [line.strip() for line in str(error).splitlines() if line.strip()]
     reason = lines[0].removeprefix("error:").strip() if lines else "unknown error"
-    places = [line.removeprefix("-->").strip() for line in lines if line.startswith("-->")]
-    return f"{places[0]}: {reason}" if places else reason
+    placements = [line.removeprefix("-->").strip() for line in lines if line.startswith("-->")]
+    return f"{placements[0]}: {reason}" if placements else reason
 
 
 def evaluate(name: str, text: str, settings: Iterable[str]) -> dict[str, Any]:
--- a/src/dapplewick/shares/commands.py
+++ b/src/dapplewick/shares/commands.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from dapplewick import client
-from dapplewick.cli import BadInput, Failure
+from dapplewick.cli import CommandError, InvalidInputError
 from dapplewick.shares.plan import PlanError, load
 
 OWN = "-"  # stands for a zone's own part, the machines of no share
@@ -28,12 +28,12 @@
     try:
         said = anyio.run(ask)
     except client.ClientError as err:
-        raise Failure(str(err)) from None
+        raise CommandError(str(err)) from None
     status = int(said.get("status", 500))
     if status == 200:
         return said
     error = str(said.get("error", f"status {status}"))
-    raise BadInput(error) if 400 <= status < 500 else Failure(error)
+    raise InvalidInputError(error) if 400 <= status < 500 else CommandError(error)
 
 
 def _print(said: dict[str, Any], as_json: bool, lines: list[str]) -> None:
@@ -106,13 +106,13 @@
         _print(said, True, [])
         return
     if file is not None and reset:
-        raise BadInput("--reset: give no file with it")
+        raise InvalidInputError("--reset: give no file with it")
     given = None
     if file is not None:
         try:
             given = msgspec.to_builtins(load(file))
         except PlanError as err:
-            raise BadInput(str(err)) from None
+            raise InvalidInputError(str(err)) from None
     if check:
         _print({"status": 200}, as_json, ["the plan can be read"])
         return
--- a/src/dapplewick/shares/index.py
+++ b/src/dapplewick/shares/index.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, KeysView
 from typing import NamedTuple
 
-from dapplewick.storage.records import MACHINES, Mirror
+from dapplewick.storage.records import MACHINES, WatchCache
 from dapplewick.types import MachineId, ShardName
 
 
@@ -23,15 +23,15 @@
 class MachineIndex:
     """Which machines each part has of each type; those that are to be deleted are left out."""
 
-    def __init__(self, mirror: Mirror) -> None:
-        self._mirror = mirror
+    def __init__(self, cache: WatchCache) -> None:
+        self._cache = cache
         self._machines: dict[Kind, dict[MachineId, None]] = {}
         self._shard_of: dict[MachineId, ShardName] = {}  # of those to be deleted, too
         self._in_shard: Counter[ShardName] = Counter()
         self._kind_of: dict[MachineId, Kind] = {}
         self._in_group: dict[str, set[MachineId]] = {}
-        self._changed: dict[str, None] = dict.fromkeys(mirror.groups)
-        mirror.listeners.append(self._on_key)
+        self._changed: dict[str, None] = dict.fromkeys(cache.groups)
+        cache.listeners.append(self._on_key)
 
     def _on_key(self, key: str) -> None:
         if key.startswith(MACHINES):
@@ -41,7 +41,7 @@
         """Take over the groups of machines that have changed."""
         changed, self._changed = self._changed, {}
         for name in changed:
-            group = self._mirror.groups.get(name)
+            group = self._cache.groups.get(name)
             before = self._in_group.pop(name, set())
             after = {MachineId(m) for m in group.machines} if group is not None else set()
             if after:
@@ -50,7 +50,7 @@
                 self._place(machine)
 
     def _place(self, machine: MachineId) -> None:
-        record = self._mirror.machines.get(machine)
+        record = self._cache.machines.get(machine)
         self._count(machine, record.shard if record is not None else None)
         kind = None
         if record is not None and not record.terminating:
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -13,7 +13,12 @@
 
 import msgspec
 
-from dapplewick.core.machines import PRIORITY_LOW, PRIORITY_NORMAL, Change, MachineBook
+from dapplewick.core.machines import (
+    PRIORITY_LOW,
+    PRIORITY_NORMAL,
+    ConditionalWrite,
+    MachineLifecycle,
+)
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.plan import SharePlan
@@ -21,7 +26,7 @@
 from dapplewick.shares.solver import Cell
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import SHARDS, SHARES_FORMAT, TRANSFERS, JobRecord, Mirror
+from dapplewick.storage.records import SHARDS, SHARES_FORMAT, TRANSFERS, JobRecord, WatchCache
 from dapplewick.storage.transfers import (
     CANCELLED,
     COMPLETE,
@@ -68,9 +73,9 @@
     """Moves machines between the shares of zones, as one term's leader."""
 
     def __init__(
-        self, mirror: Mirror, index: MachineIndex, zones: Iterable[str], times: MoveTimes
+        self, cache: WatchCache, index: MachineIndex, zones: Iterable[str], times: MoveTimes
     ) -> None:
-        self._mirror = mirror
+        self._cache = cache
         self._index = index
         self._zones = list(zones)
         self._times = times
@@ -112,7 +117,7 @@
 
     def wanted_shards(self) -> list[ShardName]:
         """The parts of shares that are to get machines, or have some."""
-        if self._mirror.format < SHARES_FORMAT:
+        if self._cache.format < SHARES_FORMAT:
             return []
         wanted = {
             shard_name(cell.zone, cell.share): None
@@ -130,10 +135,10 @@
         wall: Seconds,
         shards: list[ObservedShard],
         placed: Set[MachineId],
-        book: MachineBook,
-    ) -> list[Change]:
+        machine_lifecycle: MachineLifecycle,
+    ) -> list[ConditionalWrite]:
         """The writes of this pass."""
-        if self._mirror.format < SHARES_FORMAT:
+        if self._cache.format < SHARES_FORMAT:
             return []
         self._drafts = {}
         self._ties = {}
@@ -141,10 +146,10 @@
         self._note_generation()
         self._avoid = {m: until for m, until in self._avoid.items() if until > now}
         self._index.refresh()
-        selection = MachineSelection(now, self._mirror, self._index, shards, placed)
+        selection = MachineSelection(now, self._cache, self._index, shards, placed)
         self._take_orders()
         self._follow_targets(wall)
-        tied: list[Change] = []
+        transaction_group: list[ConditionalWrite] = []
         in_order = sorted(self._open().items(), key=lambda item: item[1].generation)
         for transfer in dict(in_order):
             if transfer not in self._open():
@@ -152,25 +157,25 @@
             self._prune(transfer)
             if self._end_overdue(now, wall, transfer):
                 continue
-            handover = self._hand_over(now, transfer, selection, shards, book)
+            handover = self._hand_over(now, transfer, selection, shards, machine_lifecycle)
             if handover:
-                tied += handover
+                transaction_group += handover
                 self._handed_over.add(transfer)  # more is drained in the next pass
             else:
                 self._drain_more(now, transfer, selection)
-        return tied + self._transfer_changes(now, wall) + self._shard_removals()
+        return transaction_group + self._transfer_changes(now, wall) + self._shard_removals()
 
     # Transfers as drafted in this pass
 
     def _record(self, transfer: TransferId) -> TransferRecord | None:
-        return self._drafts.get(transfer) or self._mirror.transfers.records.get(transfer)
+        return self._drafts.get(transfer) or self._cache.transfers.records.get(transfer)
 
     def _open(self) -> dict[TransferId, TransferRecord]:
-        known = {**self._mirror.transfers.records, **self._drafts}
+        known = {**self._cache.transfers.records, **self._drafts}
         return {name: record for name, record in known.items() if record.open}
 
     def _note_generation(self) -> None:
-        generations = [r.generation for r in self._mirror.transfers.records.values()]
+        generations = [r.generation for r in self._cache.transfers.records.values()]
         self._generation = max([self._generation, *generations])
 
     def _next_generation(self) -> int:
@@ -184,25 +189,33 @@
         self._drafts[transfer] = changed
         return changed
 
-    def _transfer_changes(self, now: Seconds, wall: Seconds) -> list[Change]:
+    def _transfer_changes(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
         """The writes of transfers that are not tied to a handover, and of those long ended."""
         out = []
         for transfer, draft in self._drafts.items():
             out.append(self._write(transfer, draft, self._ties.get(transfer, "")))
         # What is tied stands in a row.
-        out.sort(key=lambda change: change.tied)
-        for transfer, record in self._mirror.transfers.records.items():
+        out.sort(key=lambda change: change.transaction_group)
+        for transfer, record in self._cache.transfers.records.items():
             if record.open or transfer in self._drafts or self._holds(record, wall):
                 continue
             if now - self._ended_at.setdefault(transfer, now) > KEEP_S:
                 key = TRANSFERS + transfer
-                out.append(Change(key, None, self._mirror.version(key), PRIORITY_LOW))
+                out.append(ConditionalWrite(key, None, self._cache.version(key), PRIORITY_LOW))
         return out
 
-    def _write(self, transfer: TransferId, record: TransferRecord, tie: str = "") -> Change:
+    def _write(
+        self, transfer: TransferId, record: TransferRecord, transaction_group_name: str = ""
+    ) -> ConditionalWrite:
         key = TRANSFERS + transfer
         value = msgspec.to_builtins(record)
-        return Change(key, value, self._mirror.version(key), PRIORITY_NORMAL, tied=tie)
+        return ConditionalWrite(
+            key,
+            value,
+            self._cache.version(key),
+            PRIORITY_NORMAL,
+            transaction_group=transaction_group_name,
+        )
 
     # Orders and targets
 
@@ -255,7 +268,7 @@
             return
         held = {
             (zone_of(record.source), record.type)
-            for record in {**self._mirror.transfers.records, **self._drafts}.values()
+            for record in {**self._cache.transfers.records, **self._drafts}.values()
             if record.origin != PLAN and (record.open or self._holds(record, wall))
         }
         kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.kinds()}
@@ -334,7 +347,7 @@
         if count <= 0:
             return
         generation = self._generation + 1
-        transfer = TransferId(f"p-{generation}-{self._mirror.revision}")
+        transfer = TransferId(f"p-{generation}-{self._cache.revision}")
         record = TransferRecord(
             generation,
             source,
@@ -354,7 +367,7 @@
         record = self._open()[transfer]
         stays = []
         for machine in record.draining:
-            known = self._mirror.machines.get(MachineId(machine))
+            known = self._cache.machines.get(MachineId(machine))
             if known is not None and not known.terminating and known.shard == record.source:
                 stays.append(machine)
         if len(stays) < len(record.draining):
@@ -441,8 +454,8 @@
         transfer: TransferId,
         selection: MachineSelection,
         shards: list[ObservedShard],
-        book: MachineBook,
-    ) -> list[Change]:
+        machine_lifecycle: MachineLifecycle,
+    ) -> list[ConditionalWrite]:
         """Hand over machines that are proven empty, in one transaction: the groups of both shares,
         the transfer, and the tokens of both parts as conditions."""
         record = self._open()[transfer]
@@ -451,18 +464,18 @@
         source = ShardName(record.source)
         if not self._owner_knows(transfer, source, shards):
             return []
-        if not self._mirror.version(SHARDS + record.target):
+        if not self._cache.version(SHARDS + record.target):
             return []  # it has no owner yet
         empty = [m for m in map(MachineId, record.draining) if selection.is_empty(record, m)]
         if not empty:
             return []
         # All of one transaction come from one group.
-        group = self._mirror.group_of[empty[0]]
-        going = [m for m in empty if self._mirror.group_of[m] == group][:HAND_OVER_MOST]
-        source_token = FencingToken(self._mirror.version(SHARDS + source))
-        floors = {m: self._mirror.token_for(m, source_token) + 1 for m in going}
-        tie = f"transfer/{transfer}"
-        moved = book.move(floors, partition_of(record.target), tie)
+        group = self._cache.group_of[empty[0]]
+        going = [m for m in empty if self._cache.group_of[m] == group][:HAND_OVER_MOST]
+        source_token = FencingToken(self._cache.version(SHARDS + source))
+        floors = {m: self._cache.token_for(m, source_token) + 1 for m in going}
+        transaction_group_name = f"transfer/{transfer}"
+        moved = machine_lifecycle.move(floors, partition_of(record.target), transaction_group_name)
         if not moved:
             return []
         left = [m for m in record.draining if MachineId(m) not in moved]
@@ -482,34 +495,36 @@
         )
         if state == COMPLETE and transfer in self._begun_at:
             self._times.transfer(now - self._begun_at.pop(transfer))
-        needs = tuple(
-            (SHARDS + name, self._mirror.version(SHARDS + name))
+        preconditions = tuple(
+            (SHARDS + name, self._cache.version(SHARDS + name))
             for name in (record.source, record.target)
         )
-        write = self._write(transfer, changed, tie)._replace(needs=needs)
-        return [*book.moves(tie), write]
+        write = self._write(transfer, changed, transaction_group_name)._replace(
+            preconditions=preconditions
+        )
+        return [*machine_lifecycle.moves(transaction_group_name), write]
 
     def _owner_knows(
         self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
     ) -> bool:
         """Whether the giving part's owner has seen the transfer as it is stored. What it told
         before says nothing of what it has started since, as after a transfer was cancelled."""
-        stored = self._mirror.version(TRANSFERS + transfer)
+        stored = self._cache.version(TRANSFERS + transfer)
         return any(shard.shard == source and shard.seen >= stored for shard in shards)
 
     # Parts of shares
 
-    def _shard_removals(self) -> list[Change]:
+    def _shard_removals(self) -> list[ConditionalWrite]:
         """Parts of shares that are not wanted, and that no record names any more."""
         if not self.targets.known:
             return []
         wanted = set(self.wanted_shards())
-        unwanted = {p for p in self._mirror.shards if partition_of(p)} - wanted
+        unwanted = {p for p in self._cache.shards if partition_of(p)} - wanted
         if not unwanted:
             return []
         unwanted -= {ShardName(r.target) for r in self._open().values()}
         unwanted = {shard for shard in unwanted if not self._index.has_any(shard)}
-        for _, job in self._mirror.each_live():
+        for _, job in self._cache.each_live():
             unwanted -= job.assignments.keys()
             if job.gang is not None:
                 unwanted -= job.gang.shards()
@@ -517,5 +532,5 @@
         for shard in sorted(unwanted):
             key = SHARDS + shard
             log.info("event=share_part_removed part=%s", shard)
-            out.append(Change(key, None, self._mirror.version(key), PRIORITY_LOW))
+            out.append(ConditionalWrite(key, None, self._cache.version(key), PRIORITY_LOW))
         return out
--- a/src/dapplewick/shares/orders.py
+++ b/src/dapplewick/shares/orders.py
@@ -8,7 +8,7 @@
 from dapplewick.config import Deployment
 from dapplewick.shares.keeper import OPERATOR, Order
 from dapplewick.shares.plan import SharePlan
-from dapplewick.storage.records import Mirror
+from dapplewick.storage.records import WatchCache
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
 from dapplewick.types import Seconds, TransferId, shard_name
 
@@ -31,7 +31,11 @@
 
 
 def move_order(
-    message: dict[str, Any], mirror: Mirror, plan: SharePlan, deployment: Deployment, wall: Seconds
+    message: dict[str, Any],
+    cache: WatchCache,
+    plan: SharePlan,
+    deployment: Deployment,
+    wall: Seconds,
 ) -> Order:
     """A move of machines from one share of a zone to another; an empty name is the zone's own
     part. A repeated order has the same id, and is carried out once."""
@@ -41,11 +45,11 @@
     zone, type_ = _text(message, "zone"), _text(message, "type")
     if zone not in deployment.zones:
         raise OrderRefused(f"zone: unknown zone {zone!r}")
-    if type_ not in mirror.types:
+    if type_ not in cache.types:
         raise OrderRefused(f"type: unknown type {type_!r}")
     source, target = _text(message, "source"), _text(message, "target")
     for field, share in (("source", source), ("target", target)):
-        known = not share or share in plan.shares or shard_name(zone, share) in mirror.shards
+        known = not share or share in plan.shares or shard_name(zone, share) in cache.shards
         if not known or (field == "target" and share and share not in plan.shares):
             raise OrderRefused(f"{field}: unknown share {share!r}")
     if source == target:
@@ -64,8 +68,8 @@
         wall + plan.move_within_s,
         origin=OPERATOR,
     )
-    if TransferId(transfer) not in mirror.transfers.records:
-        there = _available(mirror, record)
+    if TransferId(transfer) not in cache.transfers.records:
+        there = _available(cache, record)
         if count > there:
             raise OrderRefused(
                 f"count: {source or 'the zone itself'} has {there} {type_} in {zone}, not {count}"
@@ -73,25 +77,25 @@
     return Order(TransferId(transfer), record)
 
 
-def _available(mirror: Mirror, record: TransferRecord) -> int:
+def _available(cache: WatchCache, record: TransferRecord) -> int:
     """The machines that a share has, and those that are on their way to it."""
     there = sum(
         machine.shard == record.source and machine.type == record.type and not machine.terminating
-        for machine in mirror.machines.values()
+        for machine in cache.machines.values()
     )
     coming = sum(
         other.count - other.moved
-        for other in mirror.transfers.records.values()
+        for other in cache.transfers.records.values()
         if other.open and (other.target, other.type) == (record.source, record.type)
     )
     return there + coming
 
 
-def cancellation(message: dict[str, Any], mirror: Mirror) -> Order:
+def cancellation(message: dict[str, Any], cache: WatchCache) -> Order:
     """The end of a transfer. Machines that have moved stay where they are; of one that is
     complete it ends that the plan leaves its machines alone."""
     transfer = TransferId(_text(message, "id"))
-    record = mirror.transfers.records.get(transfer)
+    record = cache.transfers.records.get(transfer)
     if record is None:
         raise OrderRefused(f"id: unknown transfer {transfer!r}", status=404)
     if record.state == CANCELLED:
--- a/src/dapplewick/shares/selection.py
+++ b/src/dapplewick/shares/selection.py
@@ -10,7 +10,7 @@
 from dapplewick.core.estimates import NEVER
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.index import MachineIndex
-from dapplewick.storage.records import MachineRecord, Mirror
+from dapplewick.storage.records import MachineRecord, WatchCache
 from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName
 
@@ -33,13 +33,13 @@
     def __init__(
         self,
         now: Seconds,
-        mirror: Mirror,
+        cache: WatchCache,
         index: MachineIndex,
         shards: Iterable[ObservedShard],
         placed: Set[MachineId],
     ) -> None:
         self._now = now
-        self._mirror = mirror
+        self._cache = cache
         self._index = index
         self._shards = {shard.shard: shard for shard in shards}
         self._placed = placed  # by gangs: their tasks are there, or slots are held for them
@@ -58,9 +58,9 @@
         for machine_id in self._looked_at(transfer):
             if machine_id in taken or machine_id in avoid:
                 continue
-            if self._mirror.transfers.drains(machine_id) is not None:
+            if self._cache.transfers.drains(machine_id) is not None:
                 continue
-            wait = self._expected_wait(machine_id, self._mirror.machines[machine_id])
+            wait = self._expected_wait(machine_id, self._cache.machines[machine_id])
             if wait is not None:
                 candidates.append(Candidate(wait, machine_id))
         candidates.sort()
@@ -99,7 +99,7 @@
 
     def is_empty(self, transfer: TransferRecord, machine_id: MachineId) -> bool:
         """Whether the part has proven that nothing is on a machine, nor may come to it."""
-        record = self._mirror.machines.get(machine_id)
+        record = self._cache.machines.get(machine_id)
         if record is None or record.terminating or record.shard != transfer.source:
             return False
         if machine_id in self._placed:
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/shares/service.py
@@ -19,7 +19,12 @@
 from dapplewick.shares.targets import holdings, supply
 from dapplewick.shares.timing import MoveTimes
 from dapplewick.shares.view import ShareView
-from dapplewick.storage.client import Conflict, Refused, TooLarge, Unknown
+from dapplewick.storage.client import (
+    OutcomeUnknownError,
+    RequestRefusedError,
+    TransactionConflictError,
+    ValueTooLargeError,
+)
 from dapplewick.storage.records import LEADER, SHARE_PLAN, SHARES_FORMAT, size_of
 from dapplewick.storage.transfers import CANCELLED
 from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
@@ -61,7 +66,7 @@
     def attach(self, controller: Controller) -> None:
         """Belong to a controller."""
         self._controller = controller
-        self._index = MachineIndex(controller.mirror)
+        self._index = MachineIndex(controller.cache)
 
     # What the controller asks
 
@@ -79,7 +84,7 @@
         if self._leader is not leader:
             self._leader = leader
             zones = self._controller.settings.deployment.zones
-            self.keeper = ShareKeeper(self._controller.mirror, self._index, zones, self._times)
+            self.keeper = ShareKeeper(self._controller.cache, self._index, zones, self._times)
         self._read_plan()
         assert self.keeper is not None
         self.keeper.plan = self._plan
@@ -92,13 +97,13 @@
         """Take over the plan that operators have stored; a bad one changes nothing."""
         if self._initial is None:
             return
-        mirror = self._controller.mirror
-        version = mirror.version(SHARE_PLAN)
+        cache = self._controller.cache
+        version = cache.version(SHARE_PLAN)
         if version == self._plan_version:
             return
         self._plan_version = version
         try:
-            plan = convert(mirror.share_plan) if version else self._initial
+            plan = convert(cache.share_plan) if version else self._initial
             complaint = self._unknown_names(plan)
         except PlanError as err:
             complaint = str(err)
@@ -110,7 +115,7 @@
 
     def _unknown_names(self, plan: SharePlan) -> str:
         deployment = self._controller.settings.deployment
-        types = self._controller.mirror.types or None
+        types = self._controller.cache.types or None
         return unknown_names(plan, (t.name for t in deployment.teams), deployment.zones, types)
 
     def _complain(self, event: str, reason: str) -> None:
@@ -130,7 +135,7 @@
 
     async def _solve(self, keeper: ShareKeeper) -> None:
         controller = self._controller
-        if controller.mirror.format < SHARES_FORMAT or not controller.mirror.types:
+        if controller.cache.format < SHARES_FORMAT or not controller.cache.types:
             return
         complaint = self._unknown_names(self._plan)
         if complaint:
@@ -138,7 +143,7 @@
             return
         self._index.refresh()
         wall = controller.wall()
-        jobs = [job for _, job in controller.mirror.each_live()]
+        jobs = [job for _, job in controller.cache.each_live()]
         demand = measure(
             self._plan, controller.settings.deployment.teams, jobs, controller.estimates, wall
         )
@@ -146,7 +151,7 @@
         problem = Problem(
             self._plan,
             minute,
-            supply(controller.mirror, self._index),
+            supply(controller.cache, self._index),
             demand,
             holdings(self._index),
         )
@@ -190,7 +195,7 @@
 
     async def _ask_leader(self, message: dict[str, Any]) -> dict[str, Any]:
         controller = self._controller
-        record = controller.mirror.leader
+        record = controller.cache.leader
         link = (
             controller.links.get(ControllerName(record.controller)) if record is not None else None
         )
@@ -205,7 +210,7 @@
         view = ShareView(
             controller.now(),
             controller.wall(),
-            controller.mirror,
+            controller.cache,
             controller.leader.shards.values(),
         )
         said = view.describe(self._plan, keeper.targets)
@@ -224,23 +229,23 @@
         changes: dict[str, Any] = {}
         if given is not None:
             changes[SHARE_PLAN] = self._checked_plan(given)
-        version = controller.mirror.version(SHARE_PLAN)
-        conditions = {SHARE_PLAN: version, LEADER: controller.mirror.version(LEADER)}
+        version = controller.cache.version(SHARE_PLAN)
+        conditions = {SHARE_PLAN: version, LEADER: controller.cache.version(LEADER)}
         deletes = [] if changes or not version else [SHARE_PLAN]
         if not changes and not deletes:
             return {"status": 200}
         try:
-            revision = await controller.state.txn(conditions, changes, deletes)
-        except Conflict:
+            revision = await controller.state.transaction(conditions, changes, deletes)
+        except TransactionConflictError:
             return _unavailable("the plan or the leader has changed meanwhile")
-        except TooLarge:
+        except ValueTooLargeError:
             raise OrderRefused("plan: it is too large") from None
-        except (Refused, Unknown):
+        except (RequestRefusedError, OutcomeUnknownError):
             return _unavailable("the state service did not confirm it; look with `shares show`")
         for key, value in changes.items():
             controller.stored(key, value, revision)
         if deletes:
-            controller.mirror.remove(SHARE_PLAN, revision)
+            controller.cache.remove(SHARE_PLAN, revision)
         return {"status": 200, "revision": revision}
 
     def _checked_plan(self, given: Any) -> Any:
@@ -260,23 +265,23 @@
     async def _order_move(self, message: dict[str, Any]) -> dict[str, Any]:
         controller, keeper = self._controller, self.keeper
         assert keeper is not None
-        if controller.mirror.format < SHARES_FORMAT:
+        if controller.cache.format < SHARES_FORMAT:
             return _unavailable("some controllers do not understand shares yet")
         order = move_order(
             message,
-            controller.mirror,
+            controller.cache,
             self._plan,
             controller.settings.deployment,
             controller.wall(),
         )
-        if order.transfer not in controller.mirror.transfers.records:
+        if order.transfer not in controller.cache.transfers.records:
             return await self._carry_out(keeper, order)
         return self._said(order)
 
     async def _order_cancel(self, message: dict[str, Any]) -> dict[str, Any]:
         keeper = self.keeper
         assert keeper is not None
-        return await self._carry_out(keeper, cancellation(message, self._controller.mirror))
+        return await self._carry_out(keeper, cancellation(message, self._controller.cache))
 
     async def _carry_out(self, keeper: ShareKeeper, order: Order) -> dict[str, Any]:
         """Have an order written, and answer once its record is known to be stored."""
@@ -293,11 +298,11 @@
         return _unavailable("it is not known to be stored yet; look with `shares show`")
 
     def _is_known(self, order: Order) -> bool:
-        record = self._controller.mirror.transfers.records.get(order.transfer)
+        record = self._controller.cache.transfers.records.get(order.transfer)
         return record is not None and (order.record is not None or record.state == CANCELLED)
 
     def _said(self, order: Order) -> dict[str, Any]:
-        record = self._controller.mirror.transfers.records[order.transfer]
+        record = self._controller.cache.transfers.records[order.transfer]
         return {"status": 200, "id": order.transfer, "state": record.state}
 
 
--- a/src/dapplewick/shares/targets.py
+++ b/src/dapplewick/shares/targets.py
@@ -13,7 +13,7 @@
 
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.solver import Bounds, Cell, Problem, Supply, Targets, bounds
-from dapplewick.storage.records import Mirror
+from dapplewick.storage.records import WatchCache
 from dapplewick.types import partition_of, zone_of
 
 log = logging.getLogger("dapplewick.shares")
@@ -22,15 +22,15 @@
 V = TypeVar("V")
 
 
-def supply(mirror: Mirror, index: MachineIndex) -> dict[Kind, Supply]:
+def supply(cache: WatchCache, index: MachineIndex) -> dict[Kind, Supply]:
     """The machines that there are of each type in each zone."""
     counts: Counter[Kind] = Counter()
     for kind, count in index.kinds():
         counts[zone_of(kind.shard), kind.type] += count
     return {
-        (zone, type_): Supply(mirror.types[type_].resources, count)
+        (zone, type_): Supply(cache.types[type_].resources, count)
         for (zone, type_), count in counts.items()
-        if type_ in mirror.types
+        if type_ in cache.types
     }
 
 
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/shares/view.py
@@ -10,7 +10,7 @@
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.plan import SharePlan
 from dapplewick.shares.targets import TargetsInForce
-from dapplewick.storage.records import SHARDS, TRANSFERS, Mirror
+from dapplewick.storage.records import SHARDS, TRANSFERS, WatchCache
 from dapplewick.storage.transfers import TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
 
@@ -21,18 +21,18 @@
     """Reads the records and the parts' statuses; changes nothing."""
 
     def __init__(
-        self, now: Seconds, wall: Seconds, mirror: Mirror, shards: Iterable[ObservedShard]
+        self, now: Seconds, wall: Seconds, cache: WatchCache, shards: Iterable[ObservedShard]
     ) -> None:
         self._now = now
         self._wall = wall
-        self._mirror = mirror
+        self._cache = cache
         self._shards = {shard.shard: shard for shard in shards}
 
     def describe(self, plan: SharePlan, targets: TargetsInForce) -> dict[str, Any]:
         """All shares, their machines and targets, and the transfers, as plain values."""
         counts = Counter(
             (record.zone, record.share, record.type)
-            for record in self._mirror.machines.values()
+            for record in self._cache.machines.values()
             if not record.terminating
         )
         wanted = {(cell.zone, cell.share, cell.type): count for cell, count in targets.items()}
@@ -47,15 +47,15 @@
             for zone, share, type_ in sorted(counts.keys() | wanted.keys())
         ]
         return {
-            "format": self._mirror.format,
+            "format": self._cache.format,
             "targets_known": targets.known,
             "teams": {name: share.teams for name, share in plan.shares.items()},
             "machines": rows,
-            "owners": {shard: record.owner for shard, record in self._mirror.shards.items()},
+            "owners": {shard: record.owner for shard, record in self._cache.shards.items()},
             "transfers": [
                 self._transfer(name, record)
                 for name, record in sorted(
-                    self._mirror.transfers.records.items(), key=lambda item: item[1].generation
+                    self._cache.transfers.records.items(), key=lambda item: item[1].generation
                 )
             ],
         }
@@ -82,17 +82,17 @@
 
     def why_not(self, name: str, record: TransferRecord, machine_id: MachineId) -> str:
         """Why a machine that is drained has not been handed over."""
-        known = self._mirror.machines.get(machine_id)
+        known = self._cache.machines.get(machine_id)
         if known is None or known.terminating:
             return "it is gone or about to go; another will be chosen"
-        if not self._mirror.version(SHARDS + record.target):
+        if not self._cache.version(SHARDS + record.target):
             return "the receiving share has no owner yet"
         if not known.up:
             return "it is still coming up and goes over with the next writes"
         shard = self._shards.get(ShardName(record.source))
         if shard is None:
             return "the owner of the giving share has not been heard yet"
-        if shard.seen < self._mirror.version(TRANSFERS + name):
+        if shard.seen < self._cache.version(TRANSFERS + name):
             return f"the owner of the giving share was last heard {self._age(shard)} ago"
         silence = shard.fresh["silent"].get(machine_id)
         if silence is not None and silence[0] > SILENT_S:
@@ -115,8 +115,8 @@
             return f"{tasks}, expected to end in {max(0.0, last):.0f} s"
         gangs = [
             job_id
-            for job_id, job in self._mirror.each_live()
-            if job.gang is not None and any(m == machine_id for _, m in job.gang.places)
+            for job_id, job in self._cache.each_live()
+            if job.gang is not None and any(m == machine_id for _, m in job.gang.placements)
         ]
         if gangs:
             return f"the gang {gangs[0]} has slots on it that are not released yet"
--- a/src/dapplewick/status.py
+++ b/src/dapplewick/status.py
@@ -16,9 +16,9 @@
 def controller_status(controller: Controller) -> dict[str, Any]:
     """A status as plain values, for the command line and later consoles."""
     now = controller.now()
-    mirror = controller.mirror
+    cache = controller.cache
     jobs: dict[str, int] = {}
-    for job in mirror.jobs.values():
+    for job in cache.jobs.values():
         jobs[job.stage] = jobs.get(job.stage, 0) + 1
     return {
         "node": controller.own_name,
@@ -26,13 +26,13 @@
         "ready": controller.ready,
         "lease_left_s": round(max(0.0, controller.lease_until - now), 1),
         "records_age_s": round(now - controller.current_at, 1),
-        "leader": mirror.leader.controller if mirror.leader is not None else None,
-        "epoch": mirror.version(LEADER),
-        "format": mirror.format,
-        "versions": {name: record.version for name, record in mirror.controllers.items()},
+        "leader": cache.leader.controller if cache.leader is not None else None,
+        "epoch": cache.version(LEADER),
+        "format": cache.format,
+        "versions": {name: record.version for name, record in cache.controllers.items()},
         "parts": {
-            zone: {"owner": shard.owner, "token": mirror.version(SHARDS + zone)}
-            for zone, shard in mirror.shards.items()
+            zone: {"owner": shard.owner, "token": cache.version(SHARDS + zone)}
+            for zone, shard in cache.shards.items()
         },
         "jobs": jobs,
         "services": {
@@ -41,7 +41,7 @@
                 "granted": sum(len(tasks) for tasks in job.assignments.values()),
                 "running": controller.running_tasks(job_id),
             }
-            for job_id, job in mirror.each_live()
+            for job_id, job in cache.each_live()
             if job.spec.is_service and job.open
         },
         "machines": {
@@ -52,9 +52,9 @@
                 "up": m.up,
                 "doomed": m.terminating,
             }
-            for name, m in mirror.machines.items()
+            for name, m in cache.machines.items()
         },
-        "bookings": len(mirror.bookings),
+        "bookings": len(cache.provisioning_requests),
         "budgets": {
             "state_calls": round(controller.state.calls.level(), 1),
             "state_writes": round(controller.state.writes.level(), 1),
--- a/src/dapplewick/storage/client.py
+++ b/src/dapplewick/storage/client.py
@@ -12,23 +12,25 @@
 
 from dapplewick.config import StateLimits
 from dapplewick.protocol import wire
-from dapplewick.transport.http_client import HttpClient, HttpError, NotSent
+from dapplewick.transport.http_client import HttpClient, HttpError, RequestNotSentError
 
 log = logging.getLogger("dapplewick.state")
 
 CALL_S = 1.5
-TXN_BYTES = 48 * 1024  # of values in a transaction, which may hold 64 KiB with all around them
+TRANSACTION_BYTES = (
+    48 * 1024
+)  # of values in a transaction, which may hold 64 KiB with all around them
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """The request was not carried out."""
 
 
-class Unknown(Exception):
+class OutcomeUnknownError(Exception):
     """The request may or may not have been carried out, or may still be."""
 
 
-class Conflict(Exception):
+class TransactionConflictError(Exception):
     """A condition of the transaction does not hold."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -36,19 +38,19 @@
         self.failed = failed
 
 
-class TooLarge(Refused):
+class ValueTooLargeError(RequestRefusedError):
     """A value or the transaction is larger than the state service takes."""
 
 
-class NoLease(Exception):
+class LeaseExpiredError(Exception):
     """The lease has ended."""
 
 
-class TooOld(Exception):
+class RevisionCompactedError(Exception):
     """The changes asked for are no longer kept."""
 
 
-class Budget:
+class RateLimiter:
     """A bucket of requests, filled at `rate`, with a second's worth of burst, or a little."""
 
     def __init__(self, rate: float, least: float = 0.0) -> None:
@@ -85,22 +87,22 @@
 C = TypeVar("C")
 
 
-def batches(
+def split_into_transactions(
     changes: Iterable[C], sized: Callable[[C], int], limits: StateLimits
 ) -> Iterator[list[C]]:
     """Cut changes into transactions that the state service takes. One whose value is too large
     by itself is left out: with it every transaction that it came in would be refused. Changes
-    in a row that name the same `tied` go into one."""
+    in a row that name the same `transaction_group` go into one."""
     batch: list[C] = []
     total = 0
     listed = enumerate(changes)
-    for _, run in groupby(listed, key=lambda c: getattr(c[1], "tied", "") or c[0]):
+    for _, run in groupby(listed, key=lambda c: getattr(c[1], "transaction_group", "") or c[0]):
         unit = [change for _, change in run]
         sizes = [sized(change) for change in unit]
         if max(sizes) > limits.value_kb * 1024 or len(unit) > limits.txn_ops:
             log.error("event=value_too_large bytes=%d change=%.120r", max(sizes), unit[0])
             continue
-        more = len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TXN_BYTES
+        more = len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TRANSACTION_BYTES
         if batch and more:
             yield batch
             batch, total = [], 0
@@ -110,13 +112,17 @@
         yield batch
 
 
-def first_whole(changes: list[C], most: int) -> list[C]:
+def first_whole_groups(changes: list[C], most: int) -> list[C]:
     """The first changes, at most so many, without part of those that go into one transaction:
     of a group that is split, one piece alone would lose the machines of the others."""
     if most >= len(changes):
         return changes
-    tied = getattr(changes[most], "tied", "")
-    while tied and most > 0 and getattr(changes[most - 1], "tied", "") == tied:
+    transaction_group = getattr(changes[most], "transaction_group", "")
+    while (
+        transaction_group
+        and most > 0
+        and getattr(changes[most - 1], "transaction_group", "") == transaction_group
+    ):
         most -= 1
     return changes[:most]
 
@@ -128,22 +134,22 @@
         self, http: HttpClient, rps: float, write_rps: float, write_burst: float = 0.0
     ) -> None:
         self._http = http
-        self.calls = Budget(rps)
-        self.writes = Budget(write_rps, write_burst)
+        self.calls = RateLimiter(rps)
+        self.writes = RateLimiter(write_rps, write_burst)
 
     async def _call(
         self, method: str, target: str, body: bytes | None, within: float = CALL_S
     ) -> tuple[int, bytes]:
         try:
             status, answer = await self._http.request(method, target, body, within)
-        except NotSent as err:
-            raise Refused(str(err)) from None
+        except RequestNotSentError as err:
+            raise RequestRefusedError(str(err)) from None
         except HttpError as err:
-            raise Unknown(str(err)) from None
+            raise OutcomeUnknownError(str(err)) from None
         if status == 429:
             (self.writes if target == "/multi" else self.calls).drain()
         if status in (429, 503):
-            raise Refused(str(status))
+            raise RequestRefusedError(str(status))
         return status, answer
 
     @staticmethod
@@ -153,11 +159,11 @@
             return decoder.decode(answer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as err:
             log.error("event=state_answer_refused error=%s answer=%r", err, answer[:200])
-            raise Unknown("malformed answer") from None
+            raise OutcomeUnknownError("malformed answer") from None
 
     def _spend(self, amount: float = 1.0, reserve: float = 0.0) -> None:
         if not self.calls.take(amount, reserve):
-            raise Refused("over the request budget")
+            raise RequestRefusedError("over the request budget")
 
     async def get(self, key: str) -> tuple[Any, int]:
         """The value and version of a key; version 0 if there is none."""
@@ -166,7 +172,7 @@
         if status == 404:
             return None, 0
         if status != 200:
-            raise Refused(str(status))
+            raise RequestRefusedError(str(status))
         item = self._decoded(wire.key_item, answer)
         return item.value, item.version
 
@@ -180,7 +186,7 @@
             target = f"/keys?starts={prefix}&limit=500" + (f"&since={since}" if since else "")
             status, answer = await self._call("GET", target, None, 5.0)
             if status != 200:
-                raise Refused(str(status))
+                raise RequestRefusedError(str(status))
             page = self._decoded(wire.key_page, answer)
             first = page.revision if first is None else first
             for item in page.items:
@@ -190,23 +196,23 @@
                 return items, first
             if not page.items:
                 # Taken for the end, all keys that come after would count as removed.
-                raise Refused("a page without items that is not the last")
+                raise RequestRefusedError("a page without items that is not the last")
 
     async def changes(self, prefix: str, since: int, wait_ms: int) -> wire.Changes:
         self._spend()
         target = f"/changes?starts={prefix}&since={since}&wait_ms={wait_ms}"
         status, answer = await self._call("GET", target, None, wait_ms / 1000 + CALL_S)
         if status == 410:
-            raise TooOld
+            raise RevisionCompactedError
         if status != 200:
-            raise Refused(str(status))
+            raise RequestRefusedError(str(status))
         found = self._decoded(wire.changes, answer)
         if found.revision < since:
             # Nothing is known to be current by an answer that is older than what was read.
-            raise Refused("the answer is older than the question")
+            raise RequestRefusedError("the answer is older than the question")
         return found
 
-    async def txn(
+    async def transaction(
         self,
         conditions: dict[str, int],
         puts: dict[str, Any],
@@ -224,15 +230,15 @@
         else:
             self._spend()
             if amount and not self.writes.take(amount):
-                raise Refused("over the write budget")
-        body = wire.txn_body(conditions, puts, deletes, leases or {})
+                raise RequestRefusedError("over the write budget")
+        body = wire.encode_transaction(conditions, puts, deletes, leases or {})
         status, answer = await self._call("POST", "/multi", body)
         if status == 200:
-            return self._decoded(wire.txn_result, answer).revision
+            return self._decoded(wire.transaction_result, answer).revision
         if status == 409:
-            raise Conflict(self._decoded(wire.txn_result, answer).failed)
+            raise TransactionConflictError(self._decoded(wire.transaction_result, answer).failed)
         if status == 400 and b"no such lease" in answer:
-            raise NoLease
+            raise LeaseExpiredError
         log.error(
             "event=state_rejected status=%d answer=%r keys=%s",
             status,
@@ -240,14 +246,14 @@
             ",".join([*puts, *deletes]),
         )
         if status == 400:
-            raise TooLarge(str(status))
-        raise Refused(str(status))
+            raise ValueTooLargeError(str(status))
+        raise RequestRefusedError(str(status))
 
     async def new_lease(self, ttl_ms: int) -> int:
         self._spend()
-        status, answer = await self._call("POST", "/leases", wire.lease_body(ttl_ms))
+        status, answer = await self._call("POST", "/leases", wire.encode_lease_request(ttl_ms))
         if status != 200:
-            raise Refused(str(status))
+            raise RequestRefusedError(str(status))
         return self._decoded(wire.lease, answer).lease
 
     async def renew(self, lease: int) -> None:
@@ -255,6 +261,6 @@
         self.calls.take()
         status, _ = await self._call("POST", f"/leases/{lease}/renew", b"{}")
         if status == 404:
-            raise NoLease
+            raise LeaseExpiredError
         if status != 200:
-            raise Refused(str(status))
+            raise RequestRefusedError(str(status))
--- a/src/dapplewick/storage/read_checks.py
+++ b/src/dapplewick/storage/read_checks.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from dapplewick.storage.client import Refused, Unknown
+from dapplewick.storage.client import OutcomeUnknownError, RequestRefusedError
 from dapplewick.types import Seconds
 
 
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.over = anyio.Event()
         self.asked_at: Seconds = 0.0
-        self.error: Refused | None = None
+        self.error: RequestRefusedError | None = None
 
 
 class ReadChecks:
@@ -66,12 +66,12 @@
     async def _carry_out(self, read: _Read) -> None:
         # Until the read is known to have succeeded it counts as failed: whatever ends it, an
         # answer that can't be parsed included, nobody is left waiting or takes it for a success.
-        read.error = Refused("the changes could not be read")
+        read.error = RequestRefusedError("the changes could not be read")
         read.asked_at = self._clock()
         try:
             await self._read()
             read.error = None
-        except (Refused, Unknown) as err:
-            read.error = Refused(str(err))
+        except (RequestRefusedError, OutcomeUnknownError) as err:
+            read.error = RequestRefusedError(str(err))
         finally:
             read.over.set()
