--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from dapplewick.protocol.wire import Event, JobSpec, MachineType, parse_types
+from dapplewick.protocol.wire import Event, JobSpec, MachineType, decode_machine_types
 from dapplewick.storage.ranges import pack, unpack
 from dapplewick.storage.transfers import TransferRecord, Transfers
 from dapplewick.types import (
@@ -29,7 +29,7 @@
 ROOT = "dw/"
 FORMAT = ROOT + "format"
 CHUNKS = ROOT + "d/"  # shares of an array's done and granted tasks
-PLACES = ROOT + "g/"  # shares of a long gang's place
+GANG_PLACEMENTS = ROOT + "g/"  # shares of a long gang's place
 TYPE_KEYS = ROOT + "t/"  # types, where they are too many for one value
 LEADER = ROOT + "leader"
 TYPES = ROOT + "types"
@@ -37,7 +37,7 @@
 MACHINES = ROOT + "m/"
 SHARDS = ROOT + "p/"
 CONTROLLERS = ROOT + "n/"
-BOOKINGS = ROOT + "b/"
+PROVISIONING_REQUESTS = ROOT + "b/"
 SHARE_PLAN = ROOT + "shares"  # the operators' plan of shares, if they have stored one
 TRANSFERS = ROOT + "s/"  # machines that change from one share to another
 
@@ -51,19 +51,19 @@
 SHARES_FORMAT = 4  # with shares of zones; announced only where they are switched on
 
 
-class GangPlace(msgspec.Struct, omit_defaults=True):
+class GangPlacement(msgspec.Struct, omit_defaults=True):
     """Where an attempt of a gang is held or runs. `over`: it is to end and be cleared."""
 
     attempt: int
     # (shard, machine) of each task
-    places: list[tuple[str, str]] = msgspec.field(name="places")
+    placements: list[tuple[str, str]] = msgspec.field(name="places")
     over: bool = msgspec.field(name="over", default=False)
     preempt: bool = False
     # Of how many keys the places are to be read, if they are not here.
     shares: int = msgspec.field(name="shares", default=0)
 
     def shards(self) -> set[str]:
-        return {shard for shard, _ in self.places}
+        return {shard for shard, _ in self.placements}
 
 
 class _RawJob(msgspec.Struct, omit_defaults=True):
@@ -72,7 +72,7 @@
     submitted_at: float = msgspec.field(name="at")
     done: str = ""
     assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
-    gang: GangPlace | None = None
+    gang: GangPlacement | None = None
     chunk_size: int = msgspec.field(name="chunk", default=0)
 
 
@@ -81,9 +81,9 @@
     assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
 
 
-class _RawPlaces(msgspec.Struct):
+class _RawPlacements(msgspec.Struct):
     attempt: int
-    places: list[tuple[str, str]] = msgspec.field(name="places")
+    placements: list[tuple[str, str]] = msgspec.field(name="places")
 
 
 class Chunk:
@@ -139,7 +139,7 @@
         self.submitted_at = at
         self.done: set[int] = set()
         self.assignments: dict[str, set[int]] = {}
-        self.gang: GangPlace | None = None
+        self.gang: GangPlacement | None = None
         self.chunk_size = 0
         self.chunk_versions: dict[int, int] = {}
         self.version = self.main_version = Revision(0)
@@ -165,10 +165,10 @@
             }
         return value
 
-    def _short_gang(self) -> GangPlace | None:
+    def _short_gang(self) -> GangPlacement | None:
         if self.gang is None or not self.gang.shares:
             return self.gang
-        return msgspec.structs.replace(self.gang, places=[])
+        return msgspec.structs.replace(self.gang, placements=[])
 
     def outgrows(self, shard_names: list[str], value_bytes: int) -> bool:
         """Whether its record, as one value, may come to be larger than this."""
@@ -284,7 +284,7 @@
 BOOTING, UP, TERMINATING = "b", "u", "d"
 
 
-class GroupRecord(msgspec.Struct, omit_defaults=True):
+class MachineGroupRecord(msgspec.Struct, omit_defaults=True):
     """Machines of one kind in one zone, in one record: a write for each change of each machine
     would use up the state service's budget while hundreds of them come up. The text of each is
     its state, and for one that boots the time of its rental after it.
@@ -299,7 +299,7 @@
     share: str = msgspec.field(name="share", default="")
     floors: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
 
-    def without(self, machine: str) -> GroupRecord:
+    def without(self, machine: str) -> MachineGroupRecord:
         """The group after a machine has left it."""
         return msgspec.structs.replace(
             self,
@@ -344,7 +344,7 @@
     incarnation: str = msgspec.field(name="boot")
 
 
-class BookingRecord(msgspec.Struct):
+class ProvisioningRequest(msgspec.Struct):
     type: str
     zone: str
     spot: bool
@@ -356,7 +356,7 @@
     """The job that a key tells something of."""
     if key.startswith(JOBS):
         return JobId(key[len(JOBS) :])
-    if key.startswith((CHUNKS, PLACES)):
+    if key.startswith((CHUNKS, GANG_PLACEMENTS)):
         job, _, number = key[len(CHUNKS) :].rpartition("/")
         return JobId(job) if number.isdigit() else None
     return None
@@ -368,7 +368,7 @@
     return JobId(job), int(number)
 
 
-class Mirror:
+class WatchCache:
     """A copy of all records, brought up to date by changes in any order or repeated."""
 
     def __init__(self) -> None:
@@ -376,7 +376,7 @@
         self.versions: dict[str, int] = {}
         self.jobs: dict[JobId, JobRecord] = {}
         self.machines: dict[MachineId, MachineRecord] = {}
-        self.groups: dict[str, GroupRecord] = {}
+        self.groups: dict[str, MachineGroupRecord] = {}
         self.group_of: dict[MachineId, str] = {}
         self._groups_listing: dict[MachineId, set[str]] = {}
         self._group_versions: dict[str, int] = {}
@@ -384,13 +384,13 @@
         self.transfers = Transfers()
         self.share_plan: Any = None  # as it was stored: the shares' package reads it
         self.controllers: dict[ControllerName, ControllerRecord] = {}
-        self.bookings: dict[str, BookingRecord] = {}
+        self.provisioning_requests: dict[str, ProvisioningRequest] = {}
         self.format = FIRST_FORMAT
         # The format that each controller understood when it was last seen.
         self.understood: dict[ControllerName, int] = {}
         self._mains: dict[JobId, JobRecord] = {}  # records as written, of jobs with more keys
         self.chunks: dict[JobId, dict[int, Chunk]] = {}
-        self.places: dict[JobId, dict[int, _RawPlaces]] = {}
+        self.placements: dict[JobId, dict[int, _RawPlacements]] = {}
         self._main_types: dict[str, MachineType] = {}
         self._key_types: dict[str, MachineType] = {}
         self.leader: LeaderRecord | None = None
@@ -478,13 +478,13 @@
             job_id, number = _share(name)
             self.chunks.setdefault(job_id, {})[number] = Chunk(value, version)
             self._join(job_id)
-        elif key.startswith(PLACES):
+        elif key.startswith(GANG_PLACEMENTS):
             job_id, number = _share(name)
-            shares = self.places.setdefault(job_id, {})
-            shares[number] = msgspec.convert(value, type=_RawPlaces)
+            shares = self.placements.setdefault(job_id, {})
+            shares[number] = msgspec.convert(value, type=_RawPlacements)
             self._join(job_id)
         elif key.startswith(MACHINES):
-            self._set_group(name, msgspec.convert(value, type=GroupRecord), version)
+            self._set_group(name, msgspec.convert(value, type=MachineGroupRecord), version)
         elif key.startswith(SHARDS):
             self.shards[ShardName(name)] = msgspec.convert(value, type=ShardRecord)
         elif key.startswith(CONTROLLERS):
@@ -494,8 +494,8 @@
             self.understood[ControllerName(name)] = controller.version
         elif key == FORMAT:
             self.format = max(self.format, msgspec.convert(value, type=FormatRecord).version)
-        elif key.startswith(BOOKINGS):
-            self.bookings[name] = msgspec.convert(value, type=BookingRecord)
+        elif key.startswith(PROVISIONING_REQUESTS):
+            self.provisioning_requests[name] = msgspec.convert(value, type=ProvisioningRequest)
         elif key.startswith(TRANSFERS):
             record = msgspec.convert(value, type=TransferRecord)
             self.changed_machines += self.transfers.put(TransferId(name), record)
@@ -504,10 +504,10 @@
         elif key == LEADER:
             self.leader = msgspec.convert(value, type=LeaderRecord)
         elif key == TYPES:
-            self._main_types = {t.name: t for t in parse_types(value)}
+            self._main_types = {t.name: t for t in decode_machine_types(value)}
             self.types = self._main_types | self._key_types
         elif key.startswith(TYPE_KEYS):
-            for kind in parse_types([value]):
+            for kind in decode_machine_types([value]):
                 self._key_types[name] = kind
             self.types = self._main_types | self._key_types
 
@@ -531,26 +531,26 @@
                     for zone, tasks in chunk.assignments.items():
                         job.assignments.setdefault(zone, set()).update(tasks)
         if main.gang is not None and main.gang.shares:
-            read = self.places.get(job_id, {})
-            places: list[tuple[str, str]] = []
+            read = self.placements.get(job_id, {})
+            placements: list[tuple[str, str]] = []
             for number in range(main.gang.shares):
                 share = read.get(number)
                 if share is not None and share.attempt == main.gang.attempt:
-                    places += share.places
-            job.gang = msgspec.structs.replace(main.gang, places=places)
+                    placements += share.placements
+            job.gang = msgspec.structs.replace(main.gang, placements=placements)
         self.jobs[job_id] = job
         if (
             job.open
             or job.assignments
             or job.gang
             or self.chunks.get(job_id)
-            or self.places.get(job_id)
+            or self.placements.get(job_id)
         ):
             self.live_jobs[job_id] = None
         else:
             self.live_jobs.pop(job_id, None)
 
-    def _set_group(self, name: str, group: GroupRecord | None, version: int = 0) -> None:
+    def _set_group(self, name: str, group: MachineGroupRecord | None, version: int = 0) -> None:
         """A group's record has changed, or is gone. A machine may be listed by two groups while
         an oversized one is copied: the newer record counts, in whatever order they are read."""
         old = self.groups.pop(name, None)
@@ -611,7 +611,7 @@
         elif (job := job_of(key)) is not None:
             job_id, number = job, int(name.rpartition("/")[2])
             shares: dict[JobId, dict[int, Any]] = (
-                self.chunks if key.startswith(CHUNKS) else self.places
+                self.chunks if key.startswith(CHUNKS) else self.placements
             )
             left = shares.get(job_id, {})
             left.pop(number, None)
@@ -627,8 +627,8 @@
             self.shards.pop(ShardName(name), None)
         elif key.startswith(CONTROLLERS):
             self.controllers.pop(ControllerName(name), None)
-        elif key.startswith(BOOKINGS):
-            self.bookings.pop(name, None)
+        elif key.startswith(PROVISIONING_REQUESTS):
+            self.provisioning_requests.pop(name, None)
         elif key.startswith(TRANSFERS):
             self.changed_machines += self.transfers.remove(TransferId(name))
         elif key == LEADER:
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -61,7 +61,7 @@
 Handler = Callable[[Request], Awaitable[Answer]]
 
 
-class MalformedRequest(Exception):
+class MalformedRequestError(Exception):
     """What came is no HTTP request, or one with a head that is too long."""
 
 
@@ -85,12 +85,12 @@
         self._size = 0
 
     def take(self) -> Request | None:
-        """The next request that is complete. Raises MalformedRequest once all that came before
+        """The next request that is complete. Raises MalformedRequestError once all that came before
         what can't be parsed were taken."""
         if self._requests:
             return self._requests.popleft()
         if self._error:
-            raise MalformedRequest(self._error)
+            raise MalformedRequestError(self._error)
         return None
 
     def feed(self, data: bytes) -> None:
@@ -196,7 +196,7 @@
         with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as scope:
             try:
                 await _serve(stream, handler, scope, mark)
-            except MalformedRequest as err:
+            except MalformedRequestError as err:
                 log.debug("event=bad_http error=%s", err)
                 await _refuse(stream)
             except STREAM_ERRORS:
--- a/src/dapplewick/transport/http_client.py
+++ b/src/dapplewick/transport/http_client.py
@@ -21,7 +21,7 @@
     """No whole answer came: the request may or may not have been carried out."""
 
 
-class NotSent(HttpError):
+class RequestNotSentError(HttpError):
     """No connection could be made: the request was not sent."""
 
 
@@ -127,7 +127,7 @@
             with anyio.fail_after(min(within, CONNECT_S)):
                 stream = await anyio.connect_tcp(self._host, self._port)
         except (OSError, TimeoutError) as err:
-            raise NotSent(str(err) or "connect timeout") from None
+            raise RequestNotSentError(str(err) or "connect timeout") from None
         return _Connection(stream, ResponseParser())
 
     async def _once(
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -81,7 +81,7 @@
         buffer += await stream.receive(65536)
     size = int.from_bytes(buffer[:4], "big")
     if size > MAX_FRAME:
-        raise FrameTooLarge(f"a frame of {size} bytes")
+        raise FrameTooLargeError(f"a frame of {size} bytes")
     while len(buffer) < 4 + size:
         buffer += await stream.receive(65536)
     frame = bytes(buffer[4 : 4 + size])
@@ -92,7 +92,7 @@
     return message
 
 
-class FrameTooLarge(ValueError):
+class FrameTooLargeError(ValueError):
     """The length in front of a frame is out of bounds."""
 
 
@@ -120,5 +120,5 @@
                 return
             except Exception as err:
                 log.error("event=peer_refused reason=malformed error=%r", err)
-                if isinstance(err, FrameTooLarge):
+                if isinstance(err, FrameTooLargeError):
                     return
--- a/tests/answer_days.py
+++ b/tests/answer_days.py
@@ -243,7 +243,7 @@
         broken += bool(world.broken)
         print(
             f"seed {seed}: {world.history.answers} answers, {len(world.accepted)} jobs,",
-            f"{len(world.cloud.bookings)} bookings, {world.cloud.next_name} machines,",
+            f"{len(world.cloud.provisioning_requests)} bookings, {world.cloud.next_name} machines,",
             f"{len(world.broken)} broken: {world.broken[:3]}",
             flush=True,
         )
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -25,36 +25,36 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
 from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.machines import Change, MachineBook
+from dapplewick.core.machines import ConditionalWrite, MachineLifecycle
 from dapplewick.node import Controller
 from dapplewick.protocol import wire
 from dapplewick.shares import commands, plan
 from dapplewick.storage.client import (
-    Conflict,
-    NoLease,
-    Refused,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    RevisionCompactedError,
     StateClient,
-    TooLarge,
-    TooOld,
-    Unknown,
-    batches,
-    first_whole,
+    TransactionConflictError,
+    ValueTooLargeError,
+    first_whole_groups,
+    split_into_transactions,
 )
 from dapplewick.storage.records import (
-    BOOKINGS,
     CHUNKS,
     CONTROLLERS,
     FORMAT,
+    GANG_PLACEMENTS,
     JOBS,
     LEADER,
     MACHINES,
-    PLACES,
+    PROVISIONING_REQUESTS,
     SHARDS,
     SHARE_PLAN,
     TRANSFERS,
     TYPE_KEYS,
     TYPES,
-    Mirror,
+    WatchCache,
     size_of,
 )
 from dapplewick.transport import peer
@@ -99,41 +99,41 @@
 # Stored records
 
 
-def mirror_of(records: list[list[Any]]) -> Mirror:
+def mirror_of(records: list[list[Any]]) -> WatchCache:
     """A mirror that has read these records: key, value and version of each."""
-    mirror = Mirror()
+    cache = WatchCache()
     for key, value, version in records:
-        mirror.put(key, value, version)
-        assert key not in mirror.unreadable, key
-    return mirror
+        cache.put(key, value, version)
+        assert key not in cache.unreadable, key
+    return cache
 
 
-def _rewritten(mirror: Mirror, key: str) -> Any:
+def _rewritten(cache: WatchCache, key: str) -> Any:
     """A record as the present code writes what it has read of it."""
     name = key.split("/", 2)[-1]
     job, _, number = name.rpartition("/")
     if key.startswith(JOBS):
-        return mirror.jobs[JobId(name)].dump()
+        return cache.jobs[JobId(name)].dump()
     if key.startswith(CHUNKS):
-        return mirror.jobs[JobId(job)].chunk_values()[int(number)]
-    if key.startswith(PLACES):
-        return msgspec.to_builtins(mirror.places[JobId(job)][int(number)])
+        return cache.jobs[JobId(job)].chunk_values()[int(number)]
+    if key.startswith(GANG_PLACEMENTS):
+        return msgspec.to_builtins(cache.placements[JobId(job)][int(number)])
     if key.startswith(TYPE_KEYS):
-        return wire.types_value([mirror.types[name]])[0]
+        return wire.encode_machine_types([cache.types[name]])[0]
     if key == TYPES:
-        return wire.types_value(list(mirror.types.values()))
+        return wire.encode_machine_types(list(cache.types.values()))
     if key == FORMAT:
-        return {"version": mirror.format}
+        return {"version": cache.format}
     if key == SHARE_PLAN:
-        return msgspec.to_builtins(plan.convert(mirror.share_plan))
+        return msgspec.to_builtins(plan.convert(cache.share_plan))
     if key == LEADER:
-        return msgspec.to_builtins(mirror.leader)
+        return msgspec.to_builtins(cache.leader)
     tables: list[tuple[str, Any]] = [
-        (MACHINES, mirror.groups),
-        (SHARDS, mirror.shards),
-        (CONTROLLERS, mirror.controllers),
-        (BOOKINGS, mirror.bookings),
-        (TRANSFERS, mirror.transfers.records),
+        (MACHINES, cache.groups),
+        (SHARDS, cache.shards),
+        (CONTROLLERS, cache.controllers),
+        (PROVISIONING_REQUESTS, cache.provisioning_requests),
+        (TRANSFERS, cache.transfers.records),
     ]
     for prefix, table in tables:
         if key.startswith(prefix):
@@ -143,30 +143,30 @@
 
 def rewrite(records: list[list[Any]]) -> Any:
     """Records read and written again, and what was read of machines, which no record names."""
-    mirror = mirror_of(records)
-    again = [[key, text(_rewritten(mirror, key))] for key, _, _ in records]
-    return {"again": again, "machines": neutral(mirror.machines)}
+    cache = mirror_of(records)
+    again = [[key, text(_rewritten(cache, key))] for key, _, _ in records]
+    return {"again": again, "machines": neutral(cache.machines)}
 
 
-def _changes(changes: list[Change]) -> Any:
+def _changes(changes: list[ConditionalWrite]) -> Any:
     return [[neutral(change)[0], text(change.value), *neutral(change)[2:]] for change in changes]
 
 
-def _draft_of(given: Any) -> tuple[JobWrites, Mirror, JobId]:
-    mirror = mirror_of(given["records"])
-    return JobWrites(mirror, ["a", "b"], given["most"]), mirror, JobId(given["job"])
+def _draft_of(given: Any) -> tuple[JobWrites, WatchCache, JobId]:
+    cache = mirror_of(given["records"])
+    return JobWrites(cache, ["a", "b"], given["most"]), cache, JobId(given["job"])
 
 
 def write_places(given: Any) -> Any:
     """The keys of a long gang's place."""
-    writes, mirror, job = _draft_of(given)
-    return _changes(writes.changes(10.0, job, mirror.jobs[job].copy(), PRIORITY_ASSIGNMENTS))
+    writes, cache, job = _draft_of(given)
+    return _changes(writes.changes(10.0, job, cache.jobs[job].copy(), PRIORITY_ASSIGNMENTS))
 
 
 def write_grants(given: Any) -> Any:
     """The keys of a job of which a part is granted some tasks."""
-    writes, mirror, job = _draft_of(given)
-    draft = mirror.jobs[job].copy()
+    writes, cache, job = _draft_of(given)
+    draft = cache.jobs[job].copy()
     draft.assignments.setdefault(given["part"], set()).update(given["tasks"])
     return _changes(writes.changes(10.0, job, draft, PRIORITY_ASSIGNMENTS))
 
@@ -185,21 +185,21 @@
 
 def write_widened(given: Any) -> Any:
     """A cancelled job whose grants do not fit into a value."""
-    _, mirror, job = _draft_of(given)
-    return text(mirror.jobs[job].dump(given["most"]))
+    _, cache, job = _draft_of(given)
+    return text(cache.jobs[job].dump(given["most"]))
 
 
 def write_machines(given: Any) -> Any:
     """A group of which a machine is doomed, and one of which machines go to another share."""
-    mirror = mirror_of(given["records"])
-    book = MachineBook(mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
-    book.begin()
+    cache = mirror_of(given["records"])
+    machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0)  # type: ignore[arg-type]
+    machine_lifecycle.begin()
     if "doom" in given:
-        book.terminate(MachineId(given["doom"]), "golden")
-        return _changes(book.changes())
+        machine_lifecycle.terminate(MachineId(given["doom"]), "golden")
+        return _changes(machine_lifecycle.changes())
     floors = {MachineId(name): floor for name, floor in given["floors"]}
-    going = book.move(floors, given["share"], "tie")
-    return [neutral(going), _changes(book.moves("tie"))]
+    going = machine_lifecycle.move(floors, given["share"], "tie")
+    return [neutral(going), _changes(machine_lifecycle.moves("tie"))]
 
 
 # A controller of its own
@@ -272,15 +272,15 @@
     controller.current_at = controller.contact_at = now()
     controller.lease, controller.lease_until = 7, now() + 5.0
     revision = max((version for _, _, version in records), default=0)
-    controller.mirror.reload({key: (value, version) for key, value, version in records}, revision)
-    assert not controller.mirror.unreadable
+    controller.cache.reload({key: (value, version) for key, value, version in records}, revision)
+    assert not controller.cache.unreadable
     controller._apply_changed()
     return controller, service, link
 
 
 def _leads(controller: Controller) -> LeaderPlanner:
     leader = LeaderPlanner(
-        controller.mirror,
+        controller.cache,
         controller.settings,
         controller.estimates,
         FencingToken(3),
@@ -304,7 +304,7 @@
             await controller._gossip_loop()
         shards: list[Any] = []
         if leader is not None:
-            leader.catalog(list(controller.mirror.types.values()))
+            leader.catalog(list(controller.cache.types.values()))
             unreachable = leader.unreachable_shards()
             shards = neutral(
                 [
@@ -326,7 +326,7 @@
                 ]
             )
             shards.append(_changes(leader.plan(now(), now())))
-        cancelled = controller.mirror.cancellations(0)
+        cancelled = controller.cache.cancellations(0)
         read = neutral(
             [
                 controller._peer_state,
@@ -335,7 +335,7 @@
                 controller._confirmed,
                 cancelled,
                 controller.cancellations.known_at(now()),
-                [job.stage for job in controller.mirror.jobs.values()],
+                [job.stage for job in controller.cache.jobs.values()],
             ]
         )
         frames = [None if answer is None else cbor2.dumps(answer).hex() for answer in answers]
@@ -411,17 +411,17 @@
             "one": state.get,
             "all": state.listing,
             "changes": state.changes,
-            "transaction": state.txn,
+            "transaction": state.transaction,
             "lease": state.new_lease,
             "renewal": state.renew,
         }
         refusals: dict[type[Exception], str] = {
-            Refused: "refused",
-            Unknown: "unknown",
-            Conflict: "conflict",
-            TooLarge: "too large",
-            NoLease: "no lease",
-            TooOld: "too old",
+            RequestRefusedError: "refused",
+            OutcomeUnknownError: "unknown",
+            TransactionConflictError: "conflict",
+            ValueTooLargeError: "too large",
+            LeaseExpiredError: "no lease",
+            RevisionCompactedError: "too old",
         }
         try:
             said = neutral(await calls[given["call"]](*arguments))
@@ -435,13 +435,16 @@
 
 def transactions(given: Any) -> Any:
     """How writes are cut into transactions, and which of them a budget lets through."""
-    changes = [Change(key, value, 0, 0, (), tie) for key, value, tie in given["changes"]]
+    changes = [
+        ConditionalWrite(key, value, 0, 0, (), transaction_group_name)
+        for key, value, transaction_group_name in given["changes"]
+    ]
     limits = settings("n0").deployment.state.lowest()
-    cut = batches(changes, lambda change: size_of(change.value), limits)
+    cut = split_into_transactions(changes, lambda change: size_of(change.value), limits)
     return {
         "cut": [[neutral(change)[0] for change in batch] for batch in cut],
         "first": [
-            [neutral(change)[0] for change in first_whole(changes, most)]
+            [neutral(change)[0] for change in first_whole_groups(changes, most)]
             for most in range(len(changes) + 1)
         ],
     }
@@ -455,14 +458,19 @@
         leader = _leads(controller)
         calls = CloudCalls(controller)
         if given["call"] == "rent":
-            await calls._rent(leader, given["name"])
+            await calls._provision(leader, given["name"])
         elif given["call"] == "delete":
             await calls._delete(leader, [MachineId(name) for name in given["machines"]])
         elif given["call"] == "catalogue":
             await calls._catalog(leader)
         else:
             await calls._list(leader)
-        read = [leader.rented, leader.book.deleted, leader.book.listed, leader.types]
+        read = [
+            leader.provisioned,
+            leader.machine_lifecycle.deleted,
+            leader.machine_lifecycle.listed,
+            leader.types,
+        ]
         writes = _changes(leader.plan(now(), now()))
         return {"asked": service.asked, "read": neutral(read), "writes": writes}
 
@@ -476,7 +484,7 @@
     """What is read of a submission, or why it is refused."""
     try:
         return neutral(wire.parse_submission(given.encode()))
-    except wire.Malformed as err:
+    except wire.MalformedMessageError as err:
         return ["refused", str(err)]
 
 
@@ -496,12 +504,12 @@
 
 def redirection(given: Any) -> Any:
     """The answer to a worker that names the owner of its part."""
-    return wire.redirect(given).decode()
+    return wire.encode_redirect(given).decode()
 
 
 def user_answer(given: Any) -> Any:
     """The answer to a user."""
-    return wire.job_view(*given).decode()
+    return wire.encode_job_state(*given).decode()
 
 
 def plan_script(given: Any) -> Any:
--- a/tests/make_golden_data.py
+++ b/tests/make_golden_data.py
@@ -49,7 +49,7 @@
 GANG: dict[str, Any] = SPEC | {"gang": True, "tasks": 2}
 LONG: dict[str, Any] = SPEC | {"gang": True, "tasks": 12}
 SERVICE: dict[str, Any] = SPEC | {"rank": 3, "tasks": 2, "estimate": 0.0, "daemon": True}
-PLACES = [["a", "vm-1"], ["b", "vm-2"]]
+GANG_PLACEMENTS = [["a", "vm-1"], ["b", "vm-2"]]
 LONG_PLACES = [["a" if n < 8 else "a/~night", f"vm-{n:06d}"] for n in range(12)]
 OFFERED = {
     "sku": "c8",
@@ -96,7 +96,7 @@
     return job(LONG, is_gang={"attempt": 4194305, "places": [], **more, "shares": 2})
 
 
-def places(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
+def placements(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
     """A share of that place."""
     return {"attempt": attempt, "places": LONG_PLACES[first:last]}
 
@@ -119,18 +119,21 @@
         "array that is done": ("dw/j/run-1", job(SPEC, "done", assignments={"b": "8"})),
         "array that is cancelled": ("dw/j/run-1", job(SPEC, "cancelled", assignments=assignments)),
         "gang as it came": ("dw/j/run-1", job(GANG)),
-        "gang with a place": ("dw/j/run-1", job(GANG, is_gang={"attempt": 7, "places": PLACES})),
+        "gang with a place": (
+            "dw/j/run-1",
+            job(GANG, is_gang={"attempt": 7, "places": GANG_PLACEMENTS}),
+        ),
         "gang that preempts": (
             "dw/j/run-1",
-            job(GANG, is_gang={"attempt": 7, "places": PLACES, "preempt": True}),
+            job(GANG, is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "preempt": True}),
         ),
         "gang that is cancelled": (
             "dw/j/run-1",
-            job(GANG, "cancelled", is_gang={"attempt": 7, "places": PLACES, "over": True}),
+            job(GANG, "cancelled", is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "over": True}),
         ),
         "gang that is done": (
             "dw/j/run-1",
-            job(GANG, "done", is_gang={"attempt": 7, "places": PLACES, "over": True}),
+            job(GANG, "done", is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "over": True}),
         ),
         "service": ("dw/j/run-1", job(SERVICE, assignments={"a": "0", "b": "1"})),
         "service that is cancelled": (
@@ -199,8 +202,8 @@
     out["array in chunks"] = chunks
     out["gang with a long place"] = [
         ["dw/j/run-1", long_gang(), 5],
-        ["dw/g/run-1/0", places(0, 7), 6],
-        ["dw/g/run-1/1", places(7, 12), 7],
+        ["dw/g/run-1/0", placements(0, 7), 6],
+        ["dw/g/run-1/1", placements(7, 12), 7],
     ]
     return out
 
@@ -215,8 +218,8 @@
         ],
         "place of another attempt": [
             ["dw/j/run-1", long_gang(over=True), 5],
-            ["dw/g/run-1/0", places(0, 7), 6],
-            ["dw/g/run-1/1", places(7, 12, 9), 7],
+            ["dw/g/run-1/0", placements(0, 7), 6],
+            ["dw/g/run-1/1", placements(7, 12, 9), 7],
         ],
     }
 
@@ -268,7 +271,7 @@
                     ["dw/j/run-1", job(array, "done", chunk=200), 5],
                     ["dw/d/run-1/1", {"done": "200-399"}, 6],
                     ["dw/j/run-2", job(LONG), 7],
-                    ["dw/g/run-2/0", places(0, 7), 8],
+                    ["dw/g/run-2/0", placements(0, 7), 8],
                 ],
                 "job": "run-1",
                 "most": 900,
@@ -588,7 +591,12 @@
     """Writes of which some go into one transaction: key, value and tie of each."""
 
     def some(ties: str) -> dict[str, Any]:
-        return {"changes": [[f"dw/{n}", "x", tie.strip(".")] for n, tie in enumerate(ties)]}
+        return {
+            "changes": [
+                [f"dw/{n}", "x", transaction_group_name.strip(".")]
+                for n, transaction_group_name in enumerate(ties)
+            ]
+        }
 
     large = [["dw/0", "x" * 5000, ""], ["dw/1", "x", "a"], ["dw/2", "x" * 5000, "a"]]
     return {
--- a/tests/production.py
+++ b/tests/production.py
@@ -64,8 +64,8 @@
     return SimpleNamespace(
         Controller=module("node").Node,  # type: ignore[attr-defined]
         config=module("config"),
-        http_client=SimpleNamespace(HttpError=client.HttpError, NotSent=client.NotSent),
-        Mirror=module("storage.records").Mirror,  # type: ignore[attr-defined]
+        http_client=SimpleNamespace(HttpError=client.HttpError, RequestNotSentError=client.NotSent),
+        WatchCache=module("storage.records").Mirror,  # type: ignore[attr-defined]
         machines=module("core.machines"),
         records=module("storage.records"),
         wire=module("protocol.wire"),
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -18,7 +18,7 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.bookings: dict[str, list[str]] = {}
+        self.provisioning_requests: dict[str, list[str]] = {}
         self.next_name = 0
         self.down = False
         self.lacking: set[tuple[str, bool]] = set()  # types that it has none of
@@ -35,15 +35,15 @@
             asked = json.loads(body or b"{}")
             if (asked["build"], asked["borrowed"]) in self.lacking:
                 return 503, b'{"error":"no capacity"}'
-            if asked["booking"] not in self.bookings:
+            if asked["booking"] not in self.provisioning_requests:
                 names = []
                 for _ in range(asked["how_many"]):
                     name = f"vm-{self.next_name:06d}"
                     self.next_name += 1
                     self.world.new_machine(name, asked["build"], asked["yard"], asked["borrowed"])
                     names.append(name)
-                self.bookings[asked["booking"]] = names
-            return 200, json.dumps({"looms": self.bookings[asked["booking"]]}).encode()
+                self.provisioning_requests[asked["booking"]] = names
+            return 200, json.dumps({"looms": self.provisioning_requests[asked["booking"]]}).encode()
         if path == "/hosts/delete":
             for name in json.loads(body or b"{}")["looms"]:
                 self.world.remove_machine(name)
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -63,7 +63,7 @@
         if mode == "cut":
             await anyio.sleep(within)
             known = random_.random() >= 0.5
-            raise (self.errors.NotSent if known else self.errors.HttpError)("timeout")
+            raise (self.errors.RequestNotSentError if known else self.errors.HttpError)("timeout")
         lossy = mode == "lossy" and "/changes" not in target
         if lossy and random_.random() < 0.3:
             # The request is carried out late, or its answer is lost.
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -17,13 +17,13 @@
 from dapplewick.coordination.cancellations import CancellationWatch
 from dapplewick.node import Controller
 from dapplewick.protocol.wire import Event, JobSpec
-from dapplewick.storage.client import Refused, StateClient
+from dapplewick.storage.client import RequestRefusedError, StateClient
 from dapplewick.storage.records import (
-    BOOKINGS,
     JOBS,
+    PROVISIONING_REQUESTS,
     REMOVALS_LEAST,
     JobRecord,
-    Mirror,
+    WatchCache,
 )
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import ControllerName, JobId
@@ -59,7 +59,7 @@
     while (await world.ask_controller("n0", POLL))[1]["stage"] != stage:
         await anyio.sleep(0.5)
     del world.modes[("n2", "state")]
-    assert JOB not in world.controllers["n2"].mirror.jobs
+    assert JOB not in world.controllers["n2"].cache.jobs
 
 
 # A submission whose transaction gets no answer
@@ -323,7 +323,7 @@
 
     async def script() -> None:
         client = StateClient(PagesWithoutEnd(), 100.0, 100.0)  # type: ignore[arg-type]
-        with pytest.raises(Refused):
+        with pytest.raises(RequestRefusedError):
             await client.listing("dw/")
 
     run_day(script)
@@ -342,9 +342,9 @@
         await over_elsewhere(world, request, "withdrawn")
         small = {
             name: replace(kind, cpus=0.1)
-            for name, kind in world.controllers["n2"].mirror.types.items()
+            for name, kind in world.controllers["n2"].cache.types.items()
         }
-        world.controllers["n2"].mirror.types = small
+        world.controllers["n2"].cache.types = small
         answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 40.0, script)
@@ -416,24 +416,24 @@
     ],
 )
 def test_a_malformed_list_of_cancellations_cancels_nothing(change: dict[str, Any]) -> None:
-    peer, mirror = ControllerName("b"), Mirror()
-    mirror.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
+    peer, cache = ControllerName("b"), WatchCache()
+    cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
     watch = CancellationWatch("boot-a", [peer], 2)
-    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, Mirror(), True)
+    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
     with pytest.raises(ValueError):
-        watch.hear(6.0, ControllerName("a"), peer, message | change, mirror)
-    assert mirror.jobs[JobId(JOB)].open and mirror.cancellations(0) == []
+        watch.hear(6.0, ControllerName("a"), peer, message | change, cache)
+    assert cache.jobs[JobId(JOB)].open and cache.cancellations(0) == []
     assert watch.known_at(7.0) < 0
 
 
 def test_a_list_of_cancellations_is_taken_over() -> None:
     """The same message, well-formed: what the test before changes is what matters."""
-    peer, mirror = ControllerName("b"), Mirror()
-    mirror.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
-    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, Mirror(), True)
+    peer, cache = ControllerName("b"), WatchCache()
+    cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
+    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
     listed = message | {"cancelled": [[7, JOB]]}
-    CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, mirror)
-    assert not mirror.jobs[JobId(JOB)].open and mirror.cancellations(0) == [(7, JOB)]
+    CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, cache)
+    assert not cache.jobs[JobId(JOB)].open and cache.cancellations(0) == [(7, JOB)]
 
 
 # Changes that are told late
@@ -443,33 +443,33 @@
     """More keys were removed since than are remembered; a watch that was asked before tells of
     what was there before that."""
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
-    mirror, keys = Mirror(), [f"{BOOKINGS}{n}" for n in range(REMOVALS_LEAST + 10)]
+    cache, keys = WatchCache(), [f"{PROVISIONING_REQUESTS}{n}" for n in range(REMOVALS_LEAST + 10)]
     late = [Event(n + 1, put=key, value=value) for n, key in enumerate(keys)]
     removals = [Event(len(keys) + n + 1, delete=key) for n, key in enumerate(keys)]
-    mirror.follow([*late, *removals], 20 * len(keys))
-    mirror.follow([], 40 * len(keys))
-    mirror.remove(f"{BOOKINGS}last", 40 * len(keys) + 1)
-    mirror.follow(late, len(keys))
-    assert mirror.bookings == {} and mirror.versions == {}
-    assert mirror.revision == 40 * len(keys)
+    cache.follow([*late, *removals], 20 * len(keys))
+    cache.follow([], 40 * len(keys))
+    cache.remove(f"{PROVISIONING_REQUESTS}last", 40 * len(keys) + 1)
+    cache.follow(late, len(keys))
+    assert cache.provisioning_requests == {} and cache.versions == {}
+    assert cache.revision == 40 * len(keys)
 
 
 def test_an_own_write_known_after_a_listing_brings_no_removed_key_back() -> None:
     """The key was written and removed before the listing, which therefore lacks it; the answer to
     the write comes after it, and no watch will tell of the removal any more."""
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
-    mirror = Mirror()
-    mirror.reload({}, 2)
-    mirror.put(f"{BOOKINGS}x", value, 1)
-    assert mirror.bookings == {}
+    cache = WatchCache()
+    cache.reload({}, 2)
+    cache.put(f"{PROVISIONING_REQUESTS}x", value, 1)
+    assert cache.provisioning_requests == {}
 
 
 def test_removed_keys_are_not_remembered_for_ever() -> None:
-    mirror = Mirror()
+    cache = WatchCache()
     for n in range(1, 60_000):
-        mirror.remove(f"{BOOKINGS}{n}", n)
-        mirror.follow([], n)
-    assert len(mirror._removals) <= REMOVALS_LEAST + 1
+        cache.remove(f"{PROVISIONING_REQUESTS}{n}", n)
+        cache.follow([], n)
+    assert len(cache._removals) <= REMOVALS_LEAST + 1
 
 
 # Drawn days
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -471,15 +471,15 @@
         await anyio.sleep(27)
         controller = world.controllers["n0"]
         heard = {
-            z: sum(w.zone == z for w in world.workers.values()) for z in controller.mirror.shards
+            z: sum(w.zone == z for w in world.workers.values()) for z in controller.cache.shards
         }
         zone = max(heard, key=lambda z: heard[z])
-        owner = controller.mirror.shards[zone].owner
+        owner = controller.cache.shards[zone].owner
         seen["before"] = (heard[zone] >= 2, owner)
         machines = {w.name for w in world.workers.values() if w.zone == zone}
         world.cut_workers.add(owner)
         await anyio.sleep(25)
-        seen["after"] = world.controllers["n0"].mirror.shards[zone].owner
+        seen["after"] = world.controllers["n0"].cache.shards[zone].owner
         seen["kept"] = len(machines & world.workers.keys()) / len(machines)
 
     run_script(world, 60.0, script)
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.fleet import Fleet, Need
+from dapplewick.core.fleet import CapacityRequest, Provisioner
 from dapplewick.core.model import ShardCapacity, View, fit_all
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import IMAGES_MOST
@@ -20,7 +20,7 @@
     JobSpec,
     MachineType,
     TaskStatus,
-    types_value,
+    encode_machine_types,
 )
 from dapplewick.storage.ranges import pack, unpack
 from dapplewick.storage.records import (
@@ -28,9 +28,9 @@
     JOBS,
     MACHINES,
     TYPES,
-    GangPlace,
+    GangPlacement,
     JobRecord,
-    Mirror,
+    WatchCache,
 )
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
@@ -84,21 +84,21 @@
     """A part on four-CPU machines, its records, and its workers."""
 
     def __init__(self, machines: int, threshold: Seconds = 0.0) -> None:
-        self.mirror = Mirror()
+        self.cache = WatchCache()
         self.version = 100
-        self.put(TYPES, types_value([KIND]))
+        self.put(TYPES, encode_machine_types([KIND]))
         self.names = [MachineId(f"vm-{i}") for i in range(machines)]
         for name in self.names:
             self.put(MACHINES + name, group(name))
         self.scheduler = ShardScheduler(
-            ZONE, TOKEN, self.mirror, Estimates(), 0.0, tuning=Tuning(threshold_s=threshold), seed=1
+            ZONE, TOKEN, self.cache, Estimates(), 0.0, tuning=Tuning(threshold_s=threshold), seed=1
         )
         self.sequence = 0
         self.on: dict[MachineId, dict[TaskRef, Attempt]] = {n: {} for n in self.names}
 
     def put(self, key: str, value: object) -> None:
         self.version += 1
-        self.mirror.put(key, value, self.version)
+        self.cache.put(key, value, self.version)
 
     def grant(self, job: str, asked: JobSpec, at: Seconds) -> None:
         record = JobRecord(asked, at)
@@ -106,9 +106,11 @@
         self.put(JOBS + job, record.dump())
         self.scheduler.job_changed(at, JobId(job))
 
-    def reservation(self, job: str, asked: JobSpec, places: list[MachineId], at: Seconds) -> None:
+    def reservation(
+        self, job: str, asked: JobSpec, placements: list[MachineId], at: Seconds
+    ) -> None:
         record = JobRecord(asked, at)
-        record.gang = GangPlace(7, [("a", m) for m in places])
+        record.gang = GangPlacement(7, [("a", m) for m in placements])
         self.put(JOBS + job, record.dump())
         self.scheduler.job_changed(at, JobId(job))
 
@@ -140,7 +142,7 @@
     def store(self, done: set[TaskRef], at: Seconds) -> None:
         """What the leader does with results: they are stored, and the grants are over."""
         for job in {t.job for t in done}:
-            record = JobRecord.load(self.mirror.jobs[job].dump(), 0)
+            record = JobRecord.load(self.cache.jobs[job].dump(), 0)
             numbers = {int(t.number) for t in done if t.job == job}
             record.done |= numbers
             record.assignments = {"a": record.assigned("a") - numbers}
@@ -259,13 +261,13 @@
     import standins
     from dapplewick.core.leader import LeaderPlanner
 
-    mirror = Mirror()
-    mirror.put(TYPES, types_value([KIND]), 1)
-    mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    scheduler = LeaderPlanner(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
+    cache = WatchCache()
+    cache.put(TYPES, encode_machine_types([KIND]), 1)
+    cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
+    scheduler = LeaderPlanner(cache, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
     machines = {}
     for n in range(idle):
-        mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
+        cache.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
         machines[f"vm-{n}"] = {
             "free": (4.0, 0.0, 64.0),
             "ends": [],
@@ -278,7 +280,7 @@
         }
     gangs = [(tasks, float(n)) for n, tasks in enumerate(sizes)]
     for n, (tasks, at) in enumerate(gangs):
-        mirror.put(f"dw/j/run-{n}", JobRecord(spec(tasks, 4.0, 10.0, True), at).dump(), 100 + n)
+        cache.put(f"dw/j/run-{n}", JobRecord(spec(tasks, 4.0, 10.0, True), at).dump(), 100 + n)
     scheduler.shard_status(
         1.0,
         {
@@ -337,35 +339,40 @@
 
 def test_a_need_that_fits_machines_that_are_up_rents_nothing() -> None:
     """A gang that something else keeps from starting once rented machines without end."""
-    mirror = Mirror()
-    mirror.put(TYPES, types_value([KIND]), 1)
-    fleet = Fleet(mirror, ["a"], 1)
+    cache = WatchCache()
+    cache.put(TYPES, encode_machine_types([KIND]), 1)
+    provisioner = Provisioner(cache, ["a"], 1)
     gang = spec(2, 4.0, 10.0, True)
-    needs = [Need(gang, 2, True)]
+    capacity_requests = [CapacityRequest(gang, 2, True)]
 
     def rooms(*names: str) -> list[ShardCapacity]:
         return [ShardCapacity(ZONE, [view(name, 4.0) for name in names])]
 
-    assert fleet.rent(0.0, 0.0, needs, rooms("x", "y")) == ([], [])
-    bookings, unmet = fleet.rent(0.0, 0.0, needs, rooms("x"))
-    assert [(b.type, b.count) for b in bookings] == [("k", 1)]
+    assert provisioner.scale_out(0.0, 0.0, capacity_requests, rooms("x", "y")) == ([], [])
+    provisioning_requests, unmet = provisioner.scale_out(0.0, 0.0, capacity_requests, rooms("x"))
+    assert [(b.type, b.count) for b in provisioning_requests] == [("k", 1)]
     assert unmet == []
 
 
 def test_a_pass_asks_for_as_many_machines_as_the_cloud_takes_calls_for() -> None:
     """At the start of a day hundreds are missing: a fixed number a pass cost half a minute."""
-    mirror = Mirror()
+    cache = WatchCache()
     kinds = [
         MachineType(name=f"k{n}", cpus=4.0, ram_gb=64.0, price=1.0 + n, zones=["a", "b"])
         for n in range(4)
     ]
-    need = Need(spec(3000, 4.0, 30.0), 3000, False)
+    need = CapacityRequest(spec(3000, 4.0, 30.0), 3000, False)
     for calls, machines in ((0.3, 50), (1.0, 50), (4.0, 200), (100.0, 400)):
-        fleet = Fleet(mirror, ["a", "b"], 1, requests_per_pass=calls)
-        fleet.catalog(kinds)
-        bookings, _ = fleet.rent(0.0, 0.0, [need], [])
-        assert sum(booking.count for booking in bookings) == machines
-        assert all(booking.count <= 50 for booking in bookings)
+        provisioner = Provisioner(cache, ["a", "b"], 1, requests_per_pass=calls)
+        provisioner.catalog(kinds)
+        provisioning_requests, _ = provisioner.scale_out(0.0, 0.0, [need], [])
+        assert (
+            sum(provisioning_request.count for provisioning_request in provisioning_requests)
+            == machines
+        )
+        assert all(
+            provisioning_request.count <= 50 for provisioning_request in provisioning_requests
+        )
 
 
 def test_estimates_follow_a_day_of_estimates_that_are_all_too_low() -> None:
@@ -420,7 +427,7 @@
         old.report(name, 0.0)
     old.grant("run-1", spec(2, 4.0, 10.0), 0.0)
     assert len(starts(old.report(old.names[0], 1.0))) == 1
-    scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
 
     def report(
         name: MachineId, sequence: int, token: int, on: dict[TaskRef, Attempt]
@@ -444,11 +451,11 @@
 def test_a_deleted_machine_counts_as_heard() -> None:
     old = Bench(2)
     old.grant("run-1", spec(1, 4.0, 10.0), 0.0)
-    scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
     name, silent = old.names
     said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
     assert starts(scheduler.handle_heartbeat(3.0, said, True)) == []
-    old.mirror.remove(MACHINES + silent, 10_000)
+    old.cache.remove(MACHINES + silent, 10_000)
     scheduler.machine_changed(4.0, silent)
     said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
     assert len(starts(scheduler.handle_heartbeat(5.0, said, True))) == 1
@@ -462,7 +469,7 @@
     (task,) = starts(bench.report(machine, 1.0))
     bench.report(machine, 2.0, {task})
     assert bench.scheduler.status(2.0)["gangs"]["run-1"][1] == "done"
-    record = JobRecord.load(bench.mirror.jobs[JobId("run-1")].dump(), 0)
+    record = JobRecord.load(bench.cache.jobs[JobId("run-1")].dump(), 0)
     record.stage = CANCELLED
     bench.put(JOBS + "run-1", record.dump())
     bench.scheduler.job_changed(3.0, JobId("run-1"))
@@ -499,10 +506,10 @@
     """It counted as started on a machine whose deletion the new owner was never told of."""
     old = Bench(2)
     record = JobRecord(spec(2, 2.0, 10.0, is_gang=True), 0.0)
-    record.gang = GangPlace(7, [("a", old.names[0]), ("a", old.names[1])])
+    record.gang = GangPlacement(7, [("a", old.names[0]), ("a", old.names[1])])
     old.put(JOBS + "run-1", record.dump())
-    old.mirror.remove(MACHINES + old.names[0], 10_000)
-    scheduler = ShardScheduler(ZONE, FencingToken(60), old.mirror, Estimates(), 2.0)
+    old.cache.remove(MACHINES + old.names[0], 10_000)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
     assert scheduler.status(3.0)["gangs"]["run-1"][1] == "bad"
 
 
@@ -517,7 +524,7 @@
     for name in bench.names:
         bench.report(name, 1.0)
     record = JobRecord(replace(spec(2, 4.0, 30.0, is_gang=True), priority=2), 1.0)
-    record.gang = GangPlace(7, [("a", m) for m in bench.names], preempt=True)
+    record.gang = GangPlacement(7, [("a", m) for m in bench.names], preempt=True)
     bench.put(JOBS + "run-g", record.dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
     short = next(n for n in bench.names if len(bench.on[n]) == 4)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,9 +18,9 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader import LeaderPlanner
 from dapplewick.core.part import ShardScheduler
-from dapplewick.protocol.wire import Heartbeat, MachineType, types_value
-from dapplewick.storage.client import batches
-from dapplewick.storage.records import TYPES, GangPlace, JobRecord, Mirror
+from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
+from dapplewick.storage.client import split_into_transactions
+from dapplewick.storage.records import TYPES, GangPlacement, JobRecord, WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
 from test_four_points import IN_ZONE, KIND, ZONE, Bench, spec
 
@@ -53,8 +53,8 @@
             bench.report(name, 1.0)
         bench.scheduler.tick(1.0)
     for n in range(machines // 20):
-        places = bench.names[n * 10 : n * 10 + 5]
-        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, is_gang=True), places, 1.5)
+        placements = bench.names[n * 10 : n * 10 + 5]
+        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, is_gang=True), placements, 1.5)
     bench.scheduler.tick(2.5)
     return bench
 
@@ -114,8 +114,8 @@
 
 
 def leader_of(bench: Bench, now: float) -> LeaderPlanner:
-    bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
-    return LeaderPlanner(bench.mirror, standins.settings("n0"), Estimates(), FencingToken(9), now)
+    bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
+    return LeaderPlanner(bench.cache, standins.settings("n0"), Estimates(), FencingToken(9), now)
 
 
 def test_a_pass_costs_little_more_for_each_gang_that_waits() -> None:
@@ -137,22 +137,22 @@
 
 def test_a_group_of_machines_is_one_record_that_changes_machine_by_machine() -> None:
     """A write for each machine that came up used the whole budget for a minute at the start."""
-    mirror = Mirror()
-    mirror.put(TYPES, types_value([KIND]), 1)
+    cache = WatchCache()
+    cache.put(TYPES, encode_machine_types([KIND]), 1)
     group = {"type": "k", "zone": "a", "spot": False}
-    mirror.put("dw/m/r-1", group | {"machines": {"vm-1": "b100", "vm-2": "b101"}}, 2)
-    assert mirror.changed_machines == ["vm-1", "vm-2"]
-    mirror.changed_machines.clear()
-    mirror.put("dw/m/r-1", group | {"machines": {"vm-1": "u", "vm-2": "b101"}}, 3)
-    assert mirror.changed_machines == ["vm-1"]
-    assert mirror.machines[MachineId("vm-2")].at == 101.0
-    assert mirror.machines[MachineId("vm-1")].up and not mirror.machines[MachineId("vm-2")].up
-    mirror.changed_machines.clear()
-    mirror.put("dw/m/r-1", group | {"machines": {"vm-2": "d"}}, 4)
-    assert mirror.changed_machines == ["vm-1", "vm-2"]
-    assert "vm-1" not in mirror.machines and mirror.machines[MachineId("vm-2")].terminating
-    mirror.remove("dw/m/r-1", 5)
-    assert not mirror.machines and not mirror.group_of
+    cache.put("dw/m/r-1", group | {"machines": {"vm-1": "b100", "vm-2": "b101"}}, 2)
+    assert cache.changed_machines == ["vm-1", "vm-2"]
+    cache.changed_machines.clear()
+    cache.put("dw/m/r-1", group | {"machines": {"vm-1": "u", "vm-2": "b101"}}, 3)
+    assert cache.changed_machines == ["vm-1"]
+    assert cache.machines[MachineId("vm-2")].at == 101.0
+    assert cache.machines[MachineId("vm-1")].up and not cache.machines[MachineId("vm-2")].up
+    cache.changed_machines.clear()
+    cache.put("dw/m/r-1", group | {"machines": {"vm-2": "d"}}, 4)
+    assert cache.changed_machines == ["vm-1", "vm-2"]
+    assert "vm-1" not in cache.machines and cache.machines[MachineId("vm-2")].terminating
+    cache.remove("dw/m/r-1", 5)
+    assert not cache.machines and not cache.group_of
 
 
 def test_transactions_stay_within_what_the_state_service_takes() -> None:
@@ -161,7 +161,7 @@
     limits = standins.settings("n0").deployment.state
     kb = 1024
     sizes = [5 * kb] * 40 + [int(limits.value_kb * kb) + 1] + [100] * 40
-    cut = list(batches(sizes, lambda size: size, limits))
+    cut = list(split_into_transactions(sizes, lambda size: size, limits))
     assert sum(len(batch) for batch in cut) == 80
     assert all(len(batch) <= limits.txn_ops and sum(batch) <= 48 * kb for batch in cut)
 
@@ -190,14 +190,14 @@
     bench.scheduler.job_changed(1.0, JobId("run-g"))
     leader = leader_of(bench, 1.0)
 
-    def placed(now: float) -> GangPlace | None:
-        bench.mirror.revision = Revision(bench.version)
+    def placed(now: float) -> GangPlacement | None:
+        bench.cache.revision = Revision(bench.version)
         leader.shard_status(now, bench.scheduler.status(now))
         for change in leader.plan(now, now):
             if change.key == "dw/j/run-g":
                 bench.put(change.key, change.value)
                 bench.scheduler.job_changed(now, JobId("run-g"))
-        return bench.mirror.jobs[JobId("run-g")].gang
+        return bench.cache.jobs[JobId("run-g")].gang
 
     first = placed(2.0)
     assert first is not None and not first.preempt
@@ -211,10 +211,10 @@
 def test_rented_machines_are_written_before_their_booking_ends() -> None:
     """A pass that the write budget cut off in between lost sight of them."""
     bench = Bench(0)
-    booking = {"type": "k", "zone": "a", "spot": False, "count": 2, "at": 0.0}
-    bench.put("dw/b/r-9-1", booking)
+    provisioning_request = {"type": "k", "zone": "a", "spot": False, "count": 2, "at": 0.0}
+    bench.put("dw/b/r-9-1", provisioning_request)
     leader = leader_of(bench, 1.0)
-    leader.booking_answered("r-9-1", [MachineId("vm-1"), MachineId("vm-2")])
+    leader.provisioning_answered("r-9-1", [MachineId("vm-1"), MachineId("vm-2")])
     changes = leader.plan(2.0, 2.0)
     assert [c.key for c in changes] == ["dw/m/r-9-1", "dw/b/r-9-1"]
     assert set(changes[0].value["machines"]) == {"vm-1", "vm-2"}
@@ -229,8 +229,8 @@
         bench.report(name, 0.0)
     told = standins.settings("n0")
     told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
-    bench.mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
-    leader = LeaderPlanner(bench.mirror, told, Estimates(), FencingToken(9), 0.0)
+    bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
+    leader = LeaderPlanner(bench.cache, told, Estimates(), FencingToken(9), 0.0)
     waits = replace(spec(9, 4.0, 30.0, is_gang=True), job_class="gangs")
     bench.put("dw/j/run-g", JobRecord(waits, 0.0).dump())
     bench.put("dw/j/run-s", JobRecord(spec(2, 1.0, 100.0), 0.0).dump())
@@ -248,10 +248,10 @@
     were up a few seconds sooner, and kept most accelerators idle for minutes."""
     kinds = [KIND, MachineType(name="g", cpus=4.0, gpus=2.0, ram_gb=64.0, zones=["a"])]
     bench = Bench(0)
-    bench.put(TYPES, types_value(kinds))
+    bench.put(TYPES, encode_machine_types(kinds))
     bench.put("dw/m/r-1", {"type": "g", "zone": "a", "spot": False, "machines": {"vm-1": "u"}})
     bench.put("dw/m/r-2", {"type": "k", "zone": "a", "spot": False, "machines": {"vm-2": "b9"}})
-    bench.scheduler = ShardScheduler(ZONE, bench.scheduler.token, bench.mirror, Estimates(), 0.0)
+    bench.scheduler = ShardScheduler(ZONE, bench.scheduler.token, bench.cache, Estimates(), 0.0)
     said = Heartbeat(
         MachineId("vm-1"), TypeName("g"), IN_ZONE, False, 1, 1, bench.scheduler.token, None, "", []
     )
@@ -268,7 +268,7 @@
         return any(c.key == "dw/j/run-g" for c in leader.plan(now, now))
 
     assert not placed(10.0)
-    bench.mirror.remove("dw/m/r-2", 10_000)
+    bench.cache.remove("dw/m/r-2", 10_000)
     assert placed(11.0)
 
 
@@ -276,7 +276,7 @@
     """Reading all records back, rebuilding a part, and the first report of each machine."""
 
     def cost(size: int) -> list[float]:
-        items: dict[str, tuple[Any, int]] = {TYPES: (types_value([KIND]), 1)}
+        items: dict[str, tuple[Any, int]] = {TYPES: (encode_machine_types([KIND]), 1)}
         names = [MachineId(f"vm-{n:06d}") for n in range(size)]
         for n in range(0, size, 100):
             group = {"type": "k", "zone": "a", "spot": False}
@@ -285,12 +285,12 @@
             record = JobRecord(spec(8, 1.0, 30.0), 1.0)
             record.assignments = {"a": {0, 1, 2, 3}}
             items[f"dw/j/run-{n}"] = (record.dump(), 3)
-        mirror = Mirror()
-        read = calls(lambda: mirror.reload(items, 4))
+        cache = WatchCache()
+        read = calls(lambda: cache.reload(items, 4))
         shard_schedulers: list[ShardScheduler] = []
 
         def rebuild() -> None:
-            shard_schedulers.append(ShardScheduler(ZONE, FencingToken(5), mirror, Estimates(), 0.0))
+            shard_schedulers.append(ShardScheduler(ZONE, FencingToken(5), cache, Estimates(), 0.0))
 
         rebuilt = calls(rebuild)
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -18,7 +18,7 @@
     MAX_QUEUED,
     READ_BYTES,
     Answer,
-    MalformedRequest,
+    MalformedRequestError,
     Request,
     RequestParser,
     serve_connection,
@@ -104,7 +104,7 @@
 def test_what_is_no_request_is_refused_within_bounds(data: bytes) -> None:
     parser = RequestParser()
     parser.feed(data)
-    with pytest.raises(MalformedRequest):
+    with pytest.raises(MalformedRequestError):
         for _ in range(MAX_QUEUED + 2):
             if parser.take() is None:
                 return
@@ -136,7 +136,7 @@
     for _ in range(MAX_ENCODED_BODY // READ_BYTES + 1):
         assert parser.take() is None
         parser.feed(b"b" * READ_BYTES)
-    with pytest.raises(MalformedRequest):
+    with pytest.raises(MalformedRequestError):
         parser.take()
     parser = RequestParser()
     parser.feed(head)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -197,9 +197,9 @@
     """Two controllers' watches and the messages between them."""
 
     def __init__(self) -> None:
-        from dapplewick.storage.records import Mirror
+        from dapplewick.storage.records import WatchCache
 
-        self.mirrors = {name: Mirror() for name in "ab"}
+        self.mirrors = {name: WatchCache() for name in "ab"}
         self.watches = {
             "a": CancellationWatch("boot-a", ["b"], 2),  # type: ignore[list-item]
             "b": CancellationWatch("boot-b", ["a"], 2),  # type: ignore[list-item]
@@ -252,17 +252,17 @@
     bench.report(machine, 0.0)
     bench.grant("run-1", spec(1, 1.0, 10.0), 0.0)
     assert len(bench.report(machine, 1.0)) == 1
-    version = bench.mirror.jobs["run-1"].version  # type: ignore[index]
-    bench.mirror.told_cancelled("run-1", version + 5)  # type: ignore[arg-type]
+    version = bench.cache.jobs["run-1"].version  # type: ignore[index]
+    bench.cache.told_cancelled("run-1", version + 5)  # type: ignore[arg-type]
     bench.scheduler.job_changed(2.0, "run-1")  # type: ignore[arg-type]
     assert [o.op for o in bench.report(machine, 2.0)] == ["stop"]
     # A record that is older than what the peer told changes nothing.
-    old = bench.mirror.jobs["run-1"].copy()  # type: ignore[index]
+    old = bench.cache.jobs["run-1"].copy()  # type: ignore[index]
     old.stage = "open"
-    bench.mirror.put("dw/j/run-1", old.dump(), version + 1)
-    assert not bench.mirror.jobs["run-1"].open  # type: ignore[index]
-    assert bench.mirror.cancellations(version) == [(version + 5, "run-1")]
-    assert bench.mirror.cancellations(version + 5) == []
+    bench.cache.put("dw/j/run-1", old.dump(), version + 1)
+    assert not bench.cache.jobs["run-1"].open  # type: ignore[index]
+    assert bench.cache.cancellations(version) == [(version + 5, "run-1")]
+    assert bench.cache.cancellations(version + 5) == []
 
 
 # Late and old
@@ -375,7 +375,7 @@
     bench = Bench(2)
     first, second = bench.names
     bench.grant("run-1", spec(1, 1.0, 100.0), 0.0)
-    scheduler = ShardScheduler(ZONE, FencingToken(60), bench.mirror, Estimates(), 2.0)
+    scheduler = ShardScheduler(ZONE, FencingToken(60), bench.cache, Estimates(), 2.0)
     task = TaskRef("run-1", TaskIndex(0))  # type: ignore[arg-type]
 
     def report(name: str, sequence: int, token: int, attempt: int, at: float) -> list[Any]:
@@ -481,14 +481,14 @@
         await anyio.sleep(5)
         name = leader(world)
         controller = world.controllers[name]
-        epoch = controller.mirror.version(LEADER)
+        epoch = controller.cache.version(LEADER)
         # Another leader's key, as the watch would bring it.
-        controller.mirror.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
+        controller.cache.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         try:
-            from dapplewick.core.machines import Change
+            from dapplewick.core.machines import ConditionalWrite
             from dapplewick.types import FencingToken
 
-            await controller._write(FencingToken(epoch), [Change("dw/x", {}, 0, 0)])
+            await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
         except Exception as err:
             seen.append(repr(err))
         last = world.writes[-1][2]["if"]
@@ -618,12 +618,12 @@
     """Jobs bound to one zone, arrays too, lose all machines of it."""
     await anyio.sleep(3)
     for n in range(9):
-        places: list[dict[str, Any]] = [
+        placements: list[dict[str, Any]] = [
             {"yard": "a"},
             {"same_place": True},
             {"same_place": True, "yard": "b"},
         ]
-        place = places[n % 3]
+        place = placements[n % 3]
         body = world.job(
             name_id=f"run-{n:06d}",
             pieces=3,
@@ -930,7 +930,7 @@
 
 def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
     async def settle(self: Controller) -> Any:
-        return self.mirror.version(LEADER)
+        return self.cache.version(LEADER)
 
     patch.setattr(Controller, "_settle_epoch", settle)
 
--- a/tests/test_mirror_model.py
+++ b/tests/test_mirror_model.py
@@ -13,22 +13,22 @@
 
 from dapplewick.protocol.wire import Event, JobSpec
 from dapplewick.storage.records import (
-    BOOKINGS,
     CANCELLED,
     DONE,
     JOBS,
     OPEN,
+    PROVISIONING_REQUESTS,
     JobRecord,
-    Mirror,
+    WatchCache,
 )
 from dapplewick.types import JobId
 
 JOB_IDS = [JobId("run-1"), JobId("run-2"), JobId("run-3")]
-BOOKING_KEYS = [BOOKINGS + "x", BOOKINGS + "y"]
+BOOKING_KEYS = [PROVISIONING_REQUESTS + "x", PROVISIONING_REQUESTS + "y"]
 SPEC = JobSpec("x", "red", False, 1, 2, 1.0, 0.0, 1.0, "img", 1.0, 5.0)
 PRIORITIES = {"none": 0, OPEN: 1, DONE: 2, CANCELLED: 2}
 
-Change = tuple[int, str, Any]  # the revision, the key, and its value or None
+ConditionalWrite = tuple[int, str, Any]  # the revision, the key, and its value or None
 
 
 def job_value(stage: str) -> Any:
@@ -41,7 +41,7 @@
     """What happened in the state service: every change, in order."""
 
     def __init__(self) -> None:
-        self.changes: list[Change] = []
+        self.changes: list[ConditionalWrite] = []
 
     @property
     def revision(self) -> int:
@@ -84,7 +84,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.history = History()
-        self.mirror = Mirror()
+        self.cache = WatchCache()
         self.answers: list[tuple[list[Event], int]] = []
         self.listings: list[Listing] = []
         self.facts: dict[str, list[tuple[int, Any]]] = {}  # all that was delivered, by key
@@ -112,7 +112,7 @@
 
     @rule()
     def watch_is_answered(self) -> None:
-        since = int(self.mirror.revision)
+        since = int(self.cache.revision)
         events = [
             Event(
                 number,
@@ -130,7 +130,7 @@
         if not self.answers:
             return
         events, revision = self.answers[which % len(self.answers)]
-        self.mirror.follow(events, revision)
+        self.cache.follow(events, revision)
         for event in events:
             key = event.put if event.put is not None else event.delete
             assert key is not None
@@ -146,7 +146,7 @@
             return
         listing = self.listings.pop(which % len(self.listings))
         listing.finish(self.history)
-        self.mirror.reload(listing.items, listing.first)
+        self.cache.reload(listing.items, listing.first)
         for key in [*map(JOBS.__add__, JOB_IDS), *BOOKING_KEYS]:
             value, version = listing.items.get(key, (None, listing.first))
             self.learn(key, version, value)
@@ -158,9 +158,9 @@
             return
         number, key, value = self.history.changes[-1 - back]
         if value is None:
-            self.mirror.remove(key, number)
+            self.cache.remove(key, number)
         else:
-            self.mirror.put(key, value, number)
+            self.cache.put(key, value, number)
         self.learn(key, number, value)
 
     @rule(job_id=st.sampled_from(JOB_IDS), latest=st.booleans())
@@ -175,7 +175,7 @@
         if not versions:
             return
         version = versions[-1 if latest else 0]
-        self.mirror.told_cancelled(job_id, version)
+        self.cache.told_cancelled(job_id, version)
         self.told[job_id] = max(version, self.told.get(job_id, 0))
 
     def learn(self, key: str, version: int, value: Any) -> None:
@@ -192,7 +192,7 @@
     def is_as_the_model_says(self) -> None:
         for job_id in JOB_IDS:
             value = self.newest(JOBS + job_id)
-            job = self.mirror.jobs.get(job_id)
+            job = self.cache.jobs.get(job_id)
             if value is None:
                 assert job is None
             else:
@@ -202,12 +202,12 @@
                 cancelled = self.told.get(job_id, 0) > version
                 assert job.stage == (CANCELLED if cancelled else stage)
         for key in BOOKING_KEYS:
-            assert (key in self.mirror.versions) == (self.newest(key) is not None)
+            assert (key in self.cache.versions) == (self.newest(key) is not None)
 
     @invariant()
     def no_job_goes_back(self) -> None:
         for job_id in JOB_IDS:
-            job = self.mirror.jobs.get(job_id)
+            job = self.cache.jobs.get(job_id)
             stage = "none" if job is None else job.stage
             before = self.seen.get(job_id, "none")
             assert PRIORITIES[stage] >= PRIORITIES[before]
@@ -217,8 +217,8 @@
     @invariant()
     def is_not_older_than_its_revision(self) -> None:
         for job_id in JOB_IDS:
-            known = self.history.stage(job_id, int(self.mirror.revision))
-            job = self.mirror.jobs.get(job_id)
+            known = self.history.stage(job_id, int(self.cache.revision))
+            job = self.cache.jobs.get(job_id)
             assert PRIORITIES[known] <= PRIORITIES["none" if job is None else job.stage]
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -150,9 +150,9 @@
             group.start_soon(day.user, "run-service", service, None)
             await anyio.sleep(25)
             for controller in day.controllers.values():
-                before = controller.mirror.revision
+                before = controller.cache.revision
                 seen.append(controller_status(controller))
-                assert controller.mirror.revision == before
+                assert controller.cache.revision == before
 
     async def main_() -> None:
         await day.play(60.0, script_)
--- a/tests/test_previous_main.py
+++ b/tests/test_previous_main.py
@@ -9,14 +9,14 @@
 import pytest
 
 import production
-from dapplewick.core.machines import MachineBook
+from dapplewick.core.machines import MachineLifecycle
 from dapplewick.storage.records import (
     FORMAT,
     FORMAT_NOW,
     MACHINES,
-    GroupRecord,
+    MachineGroupRecord,
     MachineRecord,
-    Mirror,
+    WatchCache,
     size_of,
 )
 from rolls import TROUBLES, Trouble, play_roll
@@ -50,28 +50,28 @@
     """Machine groups as the state service has them, with a mirror that follows."""
 
     def __init__(self, count: int) -> None:
-        self.mirror = Mirror()
+        self.cache = WatchCache()
         self.revision = 0
         self.keys: dict[str, tuple[Any, int]] = {}
         self.write(FORMAT, {"version": FORMAT_NOW})
         self.write(MACHINES + "r-1", group(count))
-        self.machines = dict(self.mirror.machines)
+        self.machines = dict(self.cache.machines)
 
     def write(self, key: str, value: Any) -> None:
         self.revision += 1
         if value is None:
             del self.keys[key]
-            self.mirror.remove(key, self.revision)
+            self.cache.remove(key, self.revision)
         else:
             self.keys[key] = (value, self.revision)
-            self.mirror.put(key, value, self.revision)
+            self.cache.put(key, value, self.revision)
 
-    def book(self) -> MachineBook:
-        return MachineBook(self.mirror, None, 14.0, 4.0, VALUE_BYTES, TXN_OPS)  # type: ignore[arg-type]
+    def machine_lifecycle(self) -> MachineLifecycle:
+        return MachineLifecycle(self.cache, None, 14.0, 4.0, VALUE_BYTES, TXN_OPS)  # type: ignore[arg-type]
 
-    def read_anew(self, mirror: Any) -> Any:
-        mirror.reload(dict(sorted(self.keys.items())), self.revision)
-        return mirror
+    def read_anew(self, cache: Any) -> Any:
+        cache.reload(dict(sorted(self.keys.items())), self.revision)
+        return cache
 
 
 def states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
@@ -93,21 +93,21 @@
     reads the records anew, of this version or of the main before, finds the same machines."""
     pick = random.Random(seed)
     store, earlier = Store(count), production.load_commit(production.PREVIOUS_MAIN)
-    followed = store.read_anew(earlier.Mirror())
-    machines, book = dict(store.machines), store.book()
+    followed = store.read_anew(earlier.WatchCache())
+    machines, machine_lifecycle = dict(store.machines), store.machine_lifecycle()
     for _ in range(400):
         if pick.random() < 0.2:
-            book = store.book()  # another leader
-        book.begin()
+            machine_lifecycle = store.machine_lifecycle()  # another leader
+        machine_lifecycle.begin()
         # One machine is to be deleted, if its record can be written by now.
         name = pick.choice(sorted(machines))
-        book.terminate(name, "test")
-        changes = book.changes()
+        machine_lifecycle.terminate(name, "test")
+        changes = machine_lifecycle.changes()
         if not changes:
             break
-        tied = [c for c in changes if c.tied]
-        assert len(tied) <= TXN_OPS
-        for change in tied or changes[: pick.randint(1, len(changes))]:
+        transaction_group = [c for c in changes if c.transaction_group]
+        assert len(transaction_group) <= TXN_OPS
+        for change in transaction_group or changes[: pick.randint(1, len(changes))]:
             assert change.value is None or size_of(change.value) <= VALUE_BYTES
             store.write(change.key, change.value)
             if change.value is None:
@@ -115,38 +115,38 @@
             else:
                 followed.put(change.key, change.value, store.revision)
             if change.value is not None and change.value["machines"].get(name) == "d":
-                machines[name] = msgspec.convert(change.value, type=GroupRecord).record(name)
-        for mirror in (
-            store.mirror,
+                machines[name] = msgspec.convert(change.value, type=MachineGroupRecord).record(name)
+        for cache in (
+            store.cache,
             followed,
-            store.read_anew(Mirror()),
-            store.read_anew(earlier.Mirror()),
+            store.read_anew(WatchCache()),
+            store.read_anew(earlier.WatchCache()),
         ):
-            assert states(mirror.machines) == states(machines)
+            assert states(cache.machines) == states(machines)
         if all(size_of(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
             break
     assert all(size_of(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT)
-    listed = [m for g in store.mirror.groups.values() for m in g.machines]
+    listed = [m for g in store.cache.groups.values() for m in g.machines]
     assert len(listed) == len(set(listed)) == count
 
 
 def test_the_newer_of_two_groups_that_list_a_machine_counts_in_any_order() -> None:
     old, new = group(3), group(3) | {"machines": {"vm-000000": "d"}}
     for order in ([("r-9", old, 4), ("r-1", new, 5)], [("r-1", new, 5), ("r-9", old, 4)]):
-        mirror = Mirror()
+        cache = WatchCache()
         for name, value, version in order:
-            mirror.put(MACHINES + name, value, version)
-        machine = next(iter(mirror.machines))
-        assert mirror.machines[machine].terminating and mirror.group_of[machine] == "r-1"
-        mirror.remove(MACHINES + "r-1", 6)
-        assert not mirror.machines[machine].terminating and mirror.group_of[machine] == "r-9"
-        mirror.remove(MACHINES + "r-9", 7)
-        assert mirror.machines == {} and mirror.group_of == {}
+            cache.put(MACHINES + name, value, version)
+        machine = next(iter(cache.machines))
+        assert cache.machines[machine].terminating and cache.group_of[machine] == "r-1"
+        cache.remove(MACHINES + "r-1", 6)
+        assert not cache.machines[machine].terminating and cache.group_of[machine] == "r-9"
+        cache.remove(MACHINES + "r-9", 7)
+        assert cache.machines == {} and cache.group_of == {}
 
 
 def test_a_group_within_the_limit_is_left_alone() -> None:
-    book = Store(20).book()
-    book.begin()
-    assert book.changes() == []
-    record = GroupRecord("c8", "a", False, {"m": "u"}).record("m")
+    machine_lifecycle = Store(20).machine_lifecycle()
+    machine_lifecycle.begin()
+    assert machine_lifecycle.changes() == []
+    record = MachineGroupRecord("c8", "a", False, {"m": "u"}).record("m")
     assert record == MachineRecord("c8", "a", False, 0.0, True, False)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -11,8 +11,8 @@
 import pytest
 from msgspec.structs import replace
 
-from dapplewick.core.fleet import Fleet
-from dapplewick.core.machines import MachineBook, Silence
+from dapplewick.core.fleet import Provisioner
+from dapplewick.core.machines import MachineLifecycle, Silence
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import Machine
 from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
@@ -305,13 +305,13 @@
 
 
 def test_a_dear_machine_is_not_kept_for_replicas_alone() -> None:
-    from dapplewick.protocol.wire import MachineType, types_value
+    from dapplewick.protocol.wire import MachineType, encode_machine_types
     from dapplewick.storage.records import TYPES
 
     bench = Bench(1)
     dear = MachineType(name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, price=20.0, zones=["a"])
     cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, price=0.5, zones=["a"])
-    bench.put(TYPES, types_value([cheap, dear]))
+    bench.put(TYPES, encode_machine_types([cheap, dear]))
     large = MachineId("vm-large")
     value = {"type": "dear", "zone": "a", "spot": False, "machines": {large: "u"}}
     bench.put(MACHINES + "large", value)
@@ -435,8 +435,12 @@
 ) -> None:
     bench = Bench(1)
     name = bench.names[0]
-    book = MachineBook(bench.mirror, Fleet(bench.mirror, ["a"], 1), 14.0, 4.0, report_s=2.5)
-    book.begin()
-    book.review(100.0, 100.0, {}, {name: silence}, ["a"])
-    states = [v["machines"][name] for c in book.changes() if (v := c.value) is not None]
+    machine_lifecycle = MachineLifecycle(
+        bench.cache, Provisioner(bench.cache, ["a"], 1), 14.0, 4.0, report_s=2.5
+    )
+    machine_lifecycle.begin()
+    machine_lifecycle.review(100.0, 100.0, {}, {name: silence}, ["a"])
+    states = [
+        v["machines"][name] for c in machine_lifecycle.changes() if (v := c.value) is not None
+    ]
     assert states == (["d"] if goes else [])
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -1,6 +1,6 @@
 """The keeping of shares against a slow plain model of machines, owners and workers.
 
-The real leader's side (`ShareKeeper`, `MachineBook`, `Mirror`)
+The real leader's side (`ShareKeeper`, `MachineLifecycle`, `WatchCache`)
 writes to a store in which any write may be lost, come late, or be the last of its leader. Owners
 are plain: each has its own cache, which lags behind, and starts work on whatever that shows to be
 its own. Workers keep the highest token that they have seen.
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 from msgspec import to_builtins
 
-from dapplewick.core.fleet import Fleet
-from dapplewick.core.machines import Change, MachineBook
+from dapplewick.core.fleet import Provisioner
+from dapplewick.core.machines import ConditionalWrite, MachineLifecycle
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.protocol.wire import Event
 from dapplewick.shares.index import MachineIndex
@@ -26,7 +26,7 @@
 from dapplewick.shares.plan import Share, SharePlan, ShareRule
 from dapplewick.shares.selection import MachineSelection
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, Mirror
+from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import (
     FencingToken,
@@ -60,11 +60,11 @@
         self.keys: dict[str, tuple[Any, int]] = {}
         self.log: list[tuple[int, str, Any, bool]] = []
 
-    def write(self, changes: list[Change]) -> bool:
+    def write(self, changes: list[ConditionalWrite]) -> bool:
         """Carry out a transaction, if everything still has the version that it names."""
         assert len(changes) <= TXN_OPS
         for change in changes:
-            for key, version in ((change.key, change.version), *change.needs):
+            for key, version in ((change.key, change.version), *change.preconditions):
                 if self.keys.get(key, (None, 0))[1] != version:
                     return False
         self.revision += 1
@@ -77,17 +77,17 @@
         return True
 
     def put(self, key: str, value: Any) -> None:
-        assert self.write([Change(key, value, self.keys.get(key, (None, 0))[1], 0)])
+        assert self.write([ConditionalWrite(key, value, self.keys.get(key, (None, 0))[1], 0)])
 
-    def follow(self, mirror: Mirror, most: int | None = None) -> None:
+    def follow(self, cache: WatchCache, most: int | None = None) -> None:
         """Let a mirror read on, perhaps not up to the newest revision."""
-        end = self.revision if most is None else min(self.revision, mirror.revision + most)
+        end = self.revision if most is None else min(self.revision, cache.revision + most)
         events = [
             Event(revision, delete=key) if gone else Event(revision, put=key, value=value)
             for revision, key, value, gone in self.log
-            if mirror.revision < revision <= end
+            if cache.revision < revision <= end
         ]
-        mirror.follow(events, end)
+        cache.follow(events, end)
 
 
 class Worker:
@@ -104,23 +104,23 @@
     def __init__(self, shard: ShardName, token: int) -> None:
         self.shard = shard
         self.token = FencingToken(token)
-        self.mirror = Mirror()
+        self.cache = WatchCache()
         self.heard: dict[MachineId, set[str]] = {}  # what each worker reported under our token
 
     def command(self, machine: MachineId, worker: Worker, start: bool) -> None:
         """A worker reports to this owner, which may start work in its answer."""
-        record = self.mirror.machines.get(machine)
+        record = self.cache.machines.get(machine)
         if record is None or record.shard != self.shard:
             self.heard.pop(machine, None)
             return
-        token = self.mirror.token_for(machine, self.token)
+        token = self.cache.token_for(machine, self.token)
         if token < worker.token:
             return  # refused: another owner is entitled
         settled = worker.token == token
         worker.token = token
         if not settled:
             return
-        free = self.mirror.transfers.drains(machine) is None
+        free = self.cache.transfers.drains(machine) is None
         if start and free and record.up and not record.terminating:
             worker.running.add(self.shard)
         self.heard[machine] = set(worker.running)
@@ -140,7 +140,7 @@
         }
         drained = [
             machine
-            for machine in self.mirror.transfers.drained()
+            for machine in self.cache.transfers.drained()
             if self.heard.get(machine) == set()
         ]
         view.apply(
@@ -149,7 +149,7 @@
                 "number": number,
                 "base": 0,
                 "at": 0.0,
-                "seen": self.mirror.revision,
+                "seen": self.cache.revision,
                 "machines": machines,
                 "jobs": {},
                 "gangs": {},
@@ -178,7 +178,7 @@
         self.former: list[Owner] = []
         for shard in PARTS_OF_ZONE:
             self.new_owner(shard)
-        self.late: list[list[Change]] = []  # transactions without an answer
+        self.late: list[list[ConditionalWrite]] = []  # transactions without an answer
         self.orders = 0
         self.statuses = 0
         self.views: dict[ShardName, ObservedShard] = {}
@@ -188,11 +188,13 @@
         """A new leader reads all records before it plans; nothing of an earlier one comes later:
         its writes name its epoch."""
         self.late.clear()
-        self.mirror = Mirror()
-        self.store.follow(self.mirror)
-        fleet = Fleet(self.mirror, ["a"], 1)
-        self.book = MachineBook(self.mirror, fleet, 14.0, 4.0, VALUE_BYTES, TXN_OPS)
-        self.keeper = ShareKeeper(self.mirror, MachineIndex(self.mirror), ["a"], MoveTimes())
+        self.cache = WatchCache()
+        self.store.follow(self.cache)
+        provisioner = Provisioner(self.cache, ["a"], 1)
+        self.machine_lifecycle = MachineLifecycle(
+            self.cache, provisioner, 14.0, 4.0, VALUE_BYTES, TXN_OPS
+        )
+        self.keeper = ShareKeeper(self.cache, MachineIndex(self.cache), ["a"], MoveTimes())
         self.keeper.plan = PLAN
         self.keeper.targets.known = True
         self.views.clear()
@@ -202,7 +204,7 @@
             self.former.append(self.owners[shard])  # it may go on for as long as it likes
         self.store.put(SHARDS + shard, {"owner": f"n{self.store.revision}", "boot": "x"})
         owner = self.owners[shard] = Owner(shard, self.store.revision)
-        self.store.follow(owner.mirror)
+        self.store.follow(owner.cache)
 
     def order(self, source: ShardName, target: ShardName, count: int) -> None:
         self.orders += 1
@@ -223,14 +225,14 @@
         """A pass of the leader, whose writes may be lost, cut off or come late. After one without
         an answer the next pass writes under a new epoch, so that it can't come any more."""
         self.late.clear()
-        self.store.follow(self.mirror)
+        self.store.follow(self.cache)
         if trouble and not self.keeper.orders and self.random.random() < 0.05:
             self.keeper.orders = [
-                Order(name, None) for name, r in self.mirror.transfers.records.items() if r.open
+                Order(name, None) for name, r in self.cache.transfers.records.items() if r.open
             ]
-        self.book.begin()
-        views = [v for p, v in self.views.items() if v.token == self.mirror.version(SHARDS + p)]
-        changes = self.keeper.changes(self.now, self.now, views, set(), self.book)
+        self.machine_lifecycle.begin()
+        views = [v for p, v in self.views.items() if v.token == self.cache.version(SHARDS + p)]
+        changes = self.keeper.changes(self.now, self.now, views, set(), self.machine_lifecycle)
         self.keeper.orders = []
         for shard in self.keeper.wanted_shards():
             if SHARDS + shard not in self.store.keys:
@@ -243,10 +245,14 @@
             return
 
     @staticmethod
-    def transactions(changes: list[Change]) -> list[list[Change]]:
-        out: list[list[Change]] = []
+    def transactions(changes: list[ConditionalWrite]) -> list[list[ConditionalWrite]]:
+        out: list[list[ConditionalWrite]] = []
         for change in changes:
-            if change.tied and out and out[-1][-1].tied == change.tied:
+            if (
+                change.transaction_group
+                and out
+                and out[-1][-1].transaction_group == change.transaction_group
+            ):
                 out[-1].append(change)
             else:
                 out.append([change])
@@ -262,7 +268,7 @@
             self.lead(trouble)
         elif pick < 0.45:
             owner = self.random.choice(list(self.owners.values()))
-            self.store.follow(owner.mirror, None if not trouble else self.random.randint(0, 4))
+            self.store.follow(owner.cache, None if not trouble else self.random.randint(0, 4))
         elif pick < 0.55:
             owner = self.random.choice(list(self.owners.values()))
             if not trouble or self.random.random() < 0.8:
@@ -292,7 +298,7 @@
         for _ in range(steps):
             self.now += 0.5
             for owner in self.owners.values():
-                self.store.follow(owner.mirror)
+                self.store.follow(owner.cache)
                 for name, worker in self.workers.items():
                     owner.command(name, worker, start=False)
                 self.statuses += 1
@@ -303,8 +309,8 @@
             self.lead(trouble=False)
             self.check()
         for name, worker in self.workers.items():
-            holder = self.owners[self.mirror.machines[name].shard]
-            token = holder.mirror.token_for(name, holder.token)
+            holder = self.owners[self.cache.machines[name].shard]
+            token = holder.cache.token_for(name, holder.token)
             assert worker.token == token, f"{name} does not listen to {holder.shard}"
 
 
@@ -359,13 +365,15 @@
     assert ShareHistory().check(play.store.log) == []
 
 
-def untied(self: Any, transfer: Any, record: Any, tie: str = "") -> Change:
+def untied(
+    self: Any, transfer: Any, record: Any, transaction_group_name: str = ""
+) -> ConditionalWrite:
     key = f"dw/s/{transfer}"
-    return Change(key, to_builtins(record), self._mirror.version(key), 1)
+    return ConditionalWrite(key, to_builtins(record), self._cache.version(key), 1)
 
 
 GUARDS: dict[str, tuple[Any, str, Any]] = {
-    "a floor above all tokens": (Mirror, "token_for", lambda self, machine, token: token),
+    "a floor above all tokens": (WatchCache, "token_for", lambda self, machine, token: token),
     "a machine that is proven empty": (MachineSelection, "is_empty", lambda *_: True),
     "one transaction": (ShareKeeper, "_write", untied),
 }
@@ -397,7 +405,7 @@
     worker = play.workers[machine]
 
     def catch_up(start: bool) -> None:
-        play.store.follow(owner.mirror)
+        play.store.follow(owner.cache)
         owner.command(machine, worker, start)
         owner.command(machine, worker, start)
 
@@ -406,7 +414,7 @@
     catch_up(start=False)
     play.views[OWN] = owner.status(1)
     assert play.views[OWN].fresh["drained"] == [machine]
-    (first,) = play.mirror.transfers.records or [TransferId("o-1")]
+    (first,) = play.cache.transfers.records or [TransferId("o-1")]
     play.keeper.orders = [Order(first, None)]
     play.lead(trouble=False)
     catch_up(start=True)
@@ -414,8 +422,8 @@
     play.order(OWN, NIGHT, 1)
     for _ in range(3):
         play.lead(trouble=False)
-    play.store.follow(play.mirror)
-    assert (play.mirror.machines[machine].shard == OWN) is guarded
+    play.store.follow(play.cache)
+    assert (play.cache.machines[machine].shard == OWN) is guarded
 
 
 def test_the_model_notices_a_start_by_a_former_holder() -> None:
@@ -424,7 +432,7 @@
     play.order(OWN, NIGHT, 2)
     play.calm(10)
     former = Owner(OWN, int(play.owners[OWN].token))
-    play.store.follow(former.mirror, 5)  # as it was before the transfer
+    play.store.follow(former.cache, 5)  # as it was before the transfer
     machine, worker = play.names[0], play.workers[play.names[0]]
     play.owners[NIGHT].command(machine, worker, start=True)
     former.command(machine, worker, start=True)
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -6,13 +6,13 @@
 
 import anyio
 
-from dapplewick.core.machines import Change, MachineBook
+from dapplewick.core.machines import ConditionalWrite, MachineLifecycle
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares import plan as plans
 from dapplewick.shares.index import MachineIndex
 from dapplewick.shares.keeper import OPERATOR, Order, ShareKeeper
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, Mirror
+from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import MachineId, Revision, ShardName, TransferId, partition_of, shard_name
 from share_history import ShareHistory
@@ -34,11 +34,11 @@
 MOVED = 40
 
 
-class Fleet:
+class Provisioner:
     """A leader's side of shares over many machines, all of them idle."""
 
     def __init__(self, machines: int) -> None:
-        self.mirror = Mirror()
+        self.cache = WatchCache()
         self.revision = 0
         self.put(FORMAT, {"version": SHARES_FORMAT})
         self.shards = [shard_name("a", name) for name in ["", *SHARES]]
@@ -50,9 +50,9 @@
             value["machines"] = dict.fromkeys(names, "u")
             share = partition_of(self.shards[first // 100 % len(self.shards)])
             self.put(f"{MACHINES}r-{first}", value | ({"share": share} if share else {}))
-        self.book = MachineBook(self.mirror, None, 14.0, 4.0)  # type: ignore[arg-type]
-        index = MachineIndex(self.mirror)
-        self.keeper = ShareKeeper(self.mirror, index, ["a"], MoveTimes())
+        self.machine_lifecycle = MachineLifecycle(self.cache, None, 14.0, 4.0)  # type: ignore[arg-type]
+        index = MachineIndex(self.cache)
+        self.keeper = ShareKeeper(self.cache, index, ["a"], MoveTimes())
         self.keeper.plan = plans.convert(
             {
                 "shares": {
@@ -68,15 +68,15 @@
     def put(self, key: str, value: Any) -> None:
         self.revision += 1
         if value is None:
-            self.mirror.remove(key, self.revision)
+            self.cache.remove(key, self.revision)
         else:
-            self.mirror.put(key, value, self.revision)
-        self.mirror.revision = Revision(self.revision)
+            self.cache.put(key, value, self.revision)
+        self.cache.revision = Revision(self.revision)
 
     def view(self, shard: ShardName) -> ObservedShard:
-        view = ObservedShard(shard, self.mirror.version(SHARDS + shard))
+        view = ObservedShard(shard, self.cache.version(SHARDS + shard))
         body = {"heard": True, "leaving": False, "faulty": False, "ends": []}
-        machines = {m: body for m, r in self.mirror.machines.items() if r.shard == shard}
+        machines = {m: body for m, r in self.cache.machines.items() if r.shard == shard}
         view.apply(
             0.0,
             {
@@ -104,20 +104,20 @@
         """Passes until the move is complete; owners see each write at once. Gives how many
         function calls the keeping of shares made."""
         made = 0
-        changes: list[Change] = []
+        changes: list[ConditionalWrite] = []
 
         def plan() -> None:
-            changes[:] = self.keeper.changes(1.0, 1.0, self.views, set(), self.book)
+            changes[:] = self.keeper.changes(1.0, 1.0, self.views, set(), self.machine_lifecycle)
 
         for _ in range(8):
             for view in self.views:
                 view.seen = Revision(self.revision)
                 view.fresh["drained"] = [
                     m
-                    for m in self.mirror.transfers.drained()
-                    if self.mirror.machines[m].shard == view.shard
+                    for m in self.cache.transfers.drained()
+                    if self.cache.machines[m].shard == view.shard
                 ]
-            self.book.begin()
+            self.machine_lifecycle.begin()
             made += calls(plan)
             self.keeper.orders = []
             for change in changes:
@@ -127,11 +127,11 @@
 
 def test_a_move_costs_the_same_among_five_times_as_many_machines() -> None:
     def cost(machines: int) -> float:
-        fleet = Fleet(machines)
-        before = fleet.mirror.machines.copy()
-        fleet.order()
-        spent = fleet.passes()
-        there = [m for m, r in fleet.mirror.machines.items() if r.shard != before[m].shard]
+        provisioner = Provisioner(machines)
+        before = provisioner.cache.machines.copy()
+        provisioner.order()
+        spent = provisioner.passes()
+        there = [m for m, r in provisioner.cache.machines.items() if r.shard != before[m].shard]
         assert len(there) == MOVED
         return spent
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -369,11 +369,11 @@
 
 
 def test_random_bytes_are_no_report() -> None:
-    from dapplewick.protocol.wire import Malformed, parse_heartbeat, parse_submission
+    from dapplewick.protocol.wire import MalformedMessageError, parse_heartbeat, parse_submission
 
     pick = random.Random(5)
     for _ in range(300):
         junk = bytes(pick.randrange(256) for _ in range(pick.randrange(60)))
         for parse in (parse_heartbeat, parse_submission):
-            with pytest.raises(Malformed):
+            with pytest.raises(MalformedMessageError):
                 parse(junk)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.machines import MachineBook
+from dapplewick.core.machines import MachineLifecycle
 from dapplewick.storage.ranges import unpack
 from dapplewick.storage.records import (
     CHUNKS,
@@ -27,9 +27,9 @@
     FORMAT_NOW,
     JOBS,
     MACHINES,
-    GangPlace,
+    GangPlacement,
     JobRecord,
-    Mirror,
+    WatchCache,
     chunk_tasks,
     size_of,
 )
@@ -64,14 +64,14 @@
     """`tests/data/production.json` holds what controllers of that commit wrote and sent."""
     data = json.loads(DATA.read_text())
     assert data["commit"] == production.commit()
-    mirror = Mirror()
-    mirror.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
+    cache = WatchCache()
+    cache.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
     assert "record_refused" not in caplog.text
-    assert mirror.format == FIRST_FORMAT and mirror.upgraded_controllers == set()
-    assert len(mirror.jobs) > 10 and len(mirror.machines) > 3 and len(mirror.shards) == 2
-    assert any(job.assignments for job in mirror.jobs.values())
-    assert any(job.done for job in mirror.jobs.values())
-    assert any(job.gang for job in mirror.jobs.values())
+    assert cache.format == FIRST_FORMAT and cache.upgraded_controllers == set()
+    assert len(cache.jobs) > 10 and len(cache.machines) > 3 and len(cache.shards) == 2
+    assert any(job.assignments for job in cache.jobs.values())
+    assert any(job.done for job in cache.jobs.values())
+    assert any(job.gang for job in cache.jobs.values())
     world = World(1)
 
     async def script() -> None:
@@ -106,10 +106,10 @@
 
     run_script(world, 70.0, script)
     assert world.broken == [] and FORMAT not in world.state.keys
-    old = production.load().records
-    theirs, ours = old.Mirror(), Mirror()
-    for mirror in (theirs, ours):
-        mirror.reload(stored(world), world.state.ledger)
+    old = production.load()
+    theirs, ours = old.WatchCache(), WatchCache()
+    for cache in (theirs, ours):
+        cache.reload(stored(world), world.state.ledger)
     for event in world.state.log:
         assert event[1].startswith(
             ("dw/leader", "dw/types", "dw/n/", "dw/p/", "dw/m/", "dw/b/", JOBS)
@@ -131,18 +131,18 @@
 
 
 def test_a_controller_that_was_not_heard_of_counts_as_old() -> None:
-    mirror = Mirror()
-    assert mirror.format == FIRST_FORMAT
+    cache = WatchCache()
+    assert cache.format == FIRST_FORMAT
     for version, (name, says) in enumerate(
         [("a", FORMAT_NOW), ("b", None), ("b", FORMAT_NOW), ("a", None)], start=1
     ):
         value = {"boot": str(version), "zone": "z"} | ({"version": says} if says else {})
-        mirror.put(CONTROLLERS + name, value, version)
-    assert mirror.upgraded_controllers == {"b"}  # one that came back old is old
-    mirror.put(FORMAT, {"version": FORMAT_NOW}, 9)
-    mirror.put(FORMAT, {"version": FIRST_FORMAT}, 10)
-    mirror.remove(FORMAT, 11)
-    assert mirror.format == FORMAT_NOW  # it never goes back
+        cache.put(CONTROLLERS + name, value, version)
+    assert cache.upgraded_controllers == {"b"}  # one that came back old is old
+    cache.put(FORMAT, {"version": FORMAT_NOW}, 9)
+    cache.put(FORMAT, {"version": FIRST_FORMAT}, 10)
+    cache.remove(FORMAT, 11)
+    assert cache.format == FORMAT_NOW  # it never goes back
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -269,15 +269,15 @@
         job.chunk_size = chunk_tasks(tasks, ["a", "b"], room)
         values = job.chunk_values()
         assert max(size_of(v) for v in values.values()) <= room
-        mirror, keys = Mirror(), [(JOBS + "run-1", job.dump())]
+        cache, keys = WatchCache(), [(JOBS + "run-1", job.dump())]
         keys += [(f"{CHUNKS}run-1/{n}", v) for n, v in values.items()]
         if tasks < 5000:
             random.Random(seed).shuffle(keys)
             for version, (key, value) in enumerate(keys, start=1):
-                mirror.put(key, value, version)
+                cache.put(key, value, version)
         else:
-            mirror.reload({k: (v, n) for n, (k, v) in enumerate(keys, start=1)}, 10**6)
-        read = mirror.jobs["run-1"]  # type: ignore[index]
+            cache.reload({k: (v, n) for n, (k, v) in enumerate(keys, start=1)}, 10**6)
+        read = cache.jobs["run-1"]  # type: ignore[index]
         assert (read.done, read.assignments) == (job.done, job.assignments)
         assert read.version == len(keys)
 
@@ -321,22 +321,22 @@
 def test_the_place_of_a_long_gang_from_before_the_upgrade_is_moved_to_shares() -> None:
     """Its record is larger than the lower limit allows: once that has fallen, a cancellation,
     which keeps the places, was refused until the gang had ended."""
-    mirror = Mirror()
-    mirror.put(FORMAT, {"version": FORMAT_NOW}, 1)
+    cache = WatchCache()
+    cache.put(FORMAT, {"version": FORMAT_NOW}, 1)
     job = JobRecord(spec(60, 1.0, 10.0, is_gang=True), 0.0)
-    places = [("a", f"vm-{n:06d}") for n in range(60)]
-    job.gang = GangPlace(77, places)
-    mirror.put(JOBS + "run-1", job.dump(), 2)
+    placements = [("a", f"vm-{n:06d}") for n in range(60)]
+    job.gang = GangPlacement(77, placements)
+    cache.put(JOBS + "run-1", job.dump(), 2)
     room = int(float(NEXT["value_kb"]) * 1024)
     assert size_of(job.dump()) > room
-    leader = LeaderPlanner(mirror, settings("n0"), Estimates(), FencingToken(1), 0.0)
+    leader = LeaderPlanner(cache, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
     assert changes[-1].key == JOBS + "run-1" and len(changes) > 2
     for version, change in enumerate(changes, start=3):
         assert size_of(change.value) <= room
-        mirror.put(change.key, change.value, version)
-    read = mirror.jobs[JobId("run-1")]
-    assert read.gang is not None and read.gang.places == places and read.gang.attempt == 77
+        cache.put(change.key, change.value, version)
+    read = cache.jobs[JobId("run-1")]
+    assert read.gang is not None and read.gang.placements == placements and read.gang.attempt == 77
     cancelled = read.copy()
     cancelled.stage = "cancelled"
     assert size_of(cancelled.dump(room)) <= room
@@ -344,39 +344,39 @@
 
 
 def test_a_long_gangs_place_is_read_from_its_shares_whatever_order_they_come_in() -> None:
-    mirror = Mirror()
+    cache = WatchCache()
     job = JobRecord(spec(5, 1.0, 10.0, is_gang=True), 0.0)
-    places = [("a", f"vm-{n:06d}") for n in range(5)]
-    job.gang = GangPlace(77, places, shares=2)
+    placements = [("a", f"vm-{n:06d}") for n in range(5)]
+    job.gang = GangPlacement(77, placements, shares=2)
     assert job.dump()["gang"]["places"] == []
-    mirror.put("dw/g/run-1/1", {"attempt": 77, "places": places[3:]}, 1)
-    mirror.put(JOBS + "run-1", job.dump(), 3)
-    mirror.put("dw/g/run-1/0", {"attempt": 77, "places": places[:3]}, 2)
-    gang = mirror.jobs["run-1"].gang  # type: ignore[index]
-    assert gang is not None and gang.places == places
+    cache.put("dw/g/run-1/1", {"attempt": 77, "places": placements[3:]}, 1)
+    cache.put(JOBS + "run-1", job.dump(), 3)
+    cache.put("dw/g/run-1/0", {"attempt": 77, "places": placements[:3]}, 2)
+    gang = cache.jobs["run-1"].gang  # type: ignore[index]
+    assert gang is not None and gang.placements == placements
     # What a leader that ended on the way left of another attempt is not read.
-    mirror.put("dw/g/run-1/0", {"attempt": 76, "places": places[:1]}, 4)
-    gang = mirror.jobs["run-1"].gang  # type: ignore[index]
-    assert gang is not None and gang.places == places[3:]
+    cache.put("dw/g/run-1/0", {"attempt": 76, "places": placements[:1]}, 4)
+    gang = cache.jobs["run-1"].gang  # type: ignore[index]
+    assert gang is not None and gang.placements == placements[3:]
 
 
 def test_a_group_of_machines_is_cut_at_once_and_none_is_lost() -> None:
-    mirror = Mirror()
-    mirror.put(FORMAT, {"version": FORMAT_NOW}, 1)
+    cache = WatchCache()
+    cache.put(FORMAT, {"version": FORMAT_NOW}, 1)
     machines = {f"vm-{n:06d}": "u" if n % 3 else "b17" for n in range(150)}
     value = {"type": "c8", "zone": "a", "spot": False, "machines": machines}
-    mirror.put(MACHINES + "r-1", value, 2)
-    before = dict(mirror.machines)
-    book = MachineBook(mirror, None, 14.0, 4.0, 1884, 4)  # type: ignore[arg-type]
-    book.begin()
-    changes = book.changes()
-    assert 1 < len(changes) <= 4 and len({c.tied for c in changes}) == 1
+    cache.put(MACHINES + "r-1", value, 2)
+    before = dict(cache.machines)
+    machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0, 1884, 4)  # type: ignore[arg-type]
+    machine_lifecycle.begin()
+    changes = machine_lifecycle.changes()
+    assert 1 < len(changes) <= 4 and len({c.transaction_group for c in changes}) == 1
     assert all(size_of(c.value) <= 1884 for c in changes)
     for change in changes:
-        mirror.put(change.key, change.value, 3)
-    assert mirror.machines == before
-    book.begin()
-    assert book.changes() == []
+        cache.put(change.key, change.value, 3)
+    assert cache.machines == before
+    machine_lifecycle.begin()
+    assert machine_lifecycle.changes() == []
 
 
 # What is read of strangers
@@ -387,14 +387,14 @@
     ["dw/d/run-1", "dw/d/run-1/x", "dw/g/run-1/-1", "dw/format", "dw/t/c8", "dw/z/unknown", "dw/"],
 )
 def test_malformed_and_unknown_records_end_nothing(key: str) -> None:
-    mirror = Mirror()
+    cache = WatchCache()
     job = JobRecord(spec(5, 1.0, 10.0), 0.0)
-    mirror.put(JOBS + "run-1", job.dump() | {"unknown": 1}, 1)
+    cache.put(JOBS + "run-1", job.dump() | {"unknown": 1}, 1)
     values: list[Any] = [{}, [], None, 7, {"done": 5}, {"version": "x"}]
     for version, value in enumerate(values, start=2):
-        mirror.put(key, value, version)
-        mirror.remove(key, version)
-    assert mirror.jobs["run-1"].open and mirror.format == FIRST_FORMAT  # type: ignore[index]
+        cache.put(key, value, version)
+        cache.remove(key, version)
+    assert cache.jobs["run-1"].open and cache.format == FIRST_FORMAT  # type: ignore[index]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -12,8 +12,8 @@
 from dapplewick.core.model import ONE_GROUP_TIMES, EndGroup, ShardCapacity, View, fit_behind
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, ShardReservation
-from dapplewick.protocol.wire import Heartbeat, MachineType, types_value
-from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, Mirror
+from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
+from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
 from test_four_points import KIND, group, spec
 
@@ -24,31 +24,31 @@
 SINGLES = spec(40, 1.0, 60.0)
 
 
-def records(gang_rank: int = 1) -> Mirror:
+def records(gang_rank: int = 1) -> WatchCache:
     """A gang that waits at the leader, and an array."""
-    mirror = Mirror()
+    cache = WatchCache()
     kinds = [
         MachineType(name="large", cpus=16.0, ram_gb=64.0, zones=["a"]),
         MachineType(name="small", cpus=8.0, ram_gb=16.0, zones=["a"]),
     ]
-    mirror.put(TYPES, types_value(kinds), 1)
-    mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
+    cache.put(TYPES, encode_machine_types(kinds), 1)
+    cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
     gang = JobRecord(replace(GANG, priority=gang_rank), 0.0)
-    mirror.put(JOBS + "run-gang", gang.dump(), 3)
+    cache.put(JOBS + "run-gang", gang.dump(), 3)
     array = JobRecord(SINGLES, 0.0)
     array.assignments = {"a": set(range(SINGLES.task_count))}
-    mirror.put(JOBS + "run-array", array.dump(), 4)
-    return mirror
+    cache.put(JOBS + "run-array", array.dump(), 4)
+    return cache
 
 
-def demand(mirror: Mirror) -> GangDemand:
-    made = GangDemand(mirror)
+def demand(cache: WatchCache) -> GangDemand:
+    made = GangDemand(cache)
     made.update(0.0)
     return made
 
 
 def view(name: str, size: Resources) -> View:
-    none_wanted = AcceleratorDemand(Mirror())
+    none_wanted = AcceleratorDemand(WatchCache())
     return View(MachineId(name), TypeName(name), ZONE, False, size, size, [], 0, none_wanted)
 
 
@@ -64,9 +64,9 @@
 def test_the_leader_keeps_slots_for_waiting_gangs_where_singles_have_smaller_machines(
     machines: dict[str, Resources], taken: int
 ) -> None:
-    mirror = records()
+    cache = records()
     rooms = ShardCapacity(ZONE, [view(name, size) for name, size in machines.items()])
-    rooms.keep_for_gangs(demand(mirror), 1.0)
+    rooms.keep_for_gangs(demand(cache), 1.0)
     assert rooms.take_most(SINGLES, SINGLES.task_count) == taken
 
 
@@ -77,11 +77,11 @@
 
 def launched(machines: dict[str, str]) -> dict[str, int]:
     """How many singles a part starts on each of its machines, which are of these types."""
-    mirror = records()
+    cache = records()
     for n, (name, kind) in enumerate(machines.items()):
         value = {"type": kind, "zone": "a", "spot": False, "machines": {name: "u"}}
-        mirror.put(MACHINES + name, value, 10 + n)
-    scheduler = ShardScheduler(ZONE, FencingToken(50), mirror, Estimates(), 0.0, seed=1)
+        cache.put(MACHINES + name, value, 10 + n)
+    scheduler = ShardScheduler(ZONE, FencingToken(50), cache, Estimates(), 0.0, seed=1)
     counts = dict.fromkeys(machines, 0)
     for turn in (1, 2):
         for name, kind in machines.items():
@@ -170,16 +170,16 @@
     waited: float, placed: list[set[str]]
 ) -> None:
     """Against the leader's real passes: the large gang needs six slots, small ones two."""
-    mirror = Mirror()
-    mirror.put(TYPES, types_value([KIND]), 1)
-    mirror.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
-    scheduler = LeaderPlanner(mirror, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
+    cache = WatchCache()
+    cache.put(TYPES, encode_machine_types([KIND]), 1)
+    cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
+    scheduler = LeaderPlanner(cache, standins.settings("n0"), Estimates(), FencingToken(9), 0.0)
     for n in range(6):
-        mirror.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
+        cache.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
     gangs = {"run-big": (6, 0.0), "run-small0": (2, waited), "run-small1": (2, waited)}
     for n, (job, (tasks, at)) in enumerate(gangs.items()):
         record = JobRecord(spec(tasks, 4.0, 10.0, is_gang=True), at)
-        mirror.put(JOBS + job, record.dump(), 100 + n)
+        cache.put(JOBS + job, record.dump(), 100 + n)
 
     def a_pass(number: int, idle: int) -> set[str]:
         """The gangs that get a place when so many machines are idle; it is written."""
@@ -220,7 +220,7 @@
         for change in scheduler.plan(now, now):
             if change.key.startswith(JOBS) and change.value.get("gang"):
                 found.add(change.key.removeprefix(JOBS))
-                mirror.put(change.key, change.value, 200 + number)
+                cache.put(change.key, change.value, 200 + number)
         return found
 
     # What was placed in a pass keeps its two machines busy in the next.
@@ -232,11 +232,11 @@
 
 def test_gangs_that_are_over_are_forgotten_and_those_that_live_are_counted_once() -> None:
     """However many live at once: a fixed number of them counted the oldest again and again."""
-    mirror, made = Mirror(), GangDemand(Mirror())
-    made.mirror = mirror
+    cache, made = WatchCache(), GangDemand(WatchCache())
+    made.cache = cache
     made.update(0.0)
     for n in range(6000):
-        mirror.put(f"{JOBS}run-{n}", JobRecord(GANG, 0.0).dump(), n + 1)
+        cache.put(f"{JOBS}run-{n}", JobRecord(GANG, 0.0).dump(), n + 1)
     made.update(1.0)
     counted = made._count
     made.update(1.0)
@@ -244,6 +244,6 @@
     for n in range(6000):
         over = JobRecord(GANG, 0.0)
         over.stage = DONE
-        mirror.put(f"{JOBS}run-{n}", over.dump(), 6001 + n)
+        cache.put(f"{JOBS}run-{n}", over.dump(), 6001 + n)
     made.update(2.0)
     assert not made._seen
--- a/tests/test_whole_transactions.py
+++ b/tests/test_whole_transactions.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from dapplewick.config import StateLimits
-from dapplewick.core.machines import Change
-from dapplewick.storage.client import batches, first_whole
+from dapplewick.core.machines import ConditionalWrite
+from dapplewick.storage.client import first_whole_groups, split_into_transactions
 from dapplewick.storage.records import size_of
 from test_previous_main import Store
 
@@ -18,16 +18,16 @@
     """One piece alone lost the machines of the others from the records: the budget of writes cut
     the list of changes wherever it ended."""
     store = Store(60)
-    known = set(store.mirror.machines)
-    book = store.book()
-    book.begin()
-    changes = book.changes()
-    assert len(changes) > 1 and len({change.tied for change in changes}) == 1
+    known = set(store.cache.machines)
+    machine_lifecycle = store.machine_lifecycle()
+    machine_lifecycle.begin()
+    changes = machine_lifecycle.changes()
+    assert len(changes) > 1 and len({change.transaction_group for change in changes}) == 1
     for room in range(len(changes)):
-        assert first_whole(changes, room) == []
-    for change in first_whole(changes, len(changes)):
+        assert first_whole_groups(changes, room) == []
+    for change in first_whole_groups(changes, len(changes)):
         store.write(change.key, change.value)
-    assert set(store.mirror.machines) == known
+    assert set(store.cache.machines) == known
 
 
 @given(
@@ -38,18 +38,31 @@
     runs: list[tuple[bool, int]], room: int
 ) -> None:
     changes = [
-        Change(f"k/{n}/{m}", m, 0, 0, tied=f"t{n}" if tied else "")
-        for n, (tied, length) in enumerate(runs)
+        ConditionalWrite(
+            f"k/{n}/{m}", m, 0, 0, transaction_group=f"t{n}" if transaction_group else ""
+        )
+        for n, (transaction_group, length) in enumerate(runs)
         for m in range(length)
     ]
-    kept = first_whole(changes, room)
+    kept = first_whole_groups(changes, room)
     assert kept == changes[: len(kept)] and len(kept) <= max(room, 0)
     rest = changes[len(kept) :]
-    assert not (kept and rest and kept[-1].tied and kept[-1].tied == rest[0].tied)
+    assert not (
+        kept
+        and rest
+        and kept[-1].transaction_group
+        and kept[-1].transaction_group == rest[0].transaction_group
+    )
     # No shorter than it has to be: the next run would not fit.
     if rest:
-        following = [c for c in rest if c.tied == rest[0].tied] if rest[0].tied else rest[:1]
+        following = (
+            [c for c in rest if c.transaction_group == rest[0].transaction_group]
+            if rest[0].transaction_group
+            else rest[:1]
+        )
         assert len(kept) + len(following) > room
-    for batch in batches(kept, lambda change: size_of(change.value), LIMITS):
-        for tied in {change.tied for change in batch} - {""}:
-            assert [c for c in kept if c.tied == tied] == [c for c in batch if c.tied == tied]
+    for batch in split_into_transactions(kept, lambda change: size_of(change.value), LIMITS):
+        for transaction_group in {change.transaction_group for change in batch} - {""}:
+            assert [c for c in kept if c.transaction_group == transaction_group] == [
+                c for c in batch if c.transaction_group == transaction_group
+            ]
