--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/fleet.py
@@ -7,7 +7,7 @@
 import random
 from typing import NamedTuple
 
-from dapplewick.core.model import ShardCapacity, View, take_times
+from dapplewick.core.model import MachineCapacity, ShardCapacity, take_times
 from dapplewick.protocol.wire import JobSpec, MachineType
 from dapplewick.storage.records import ProvisioningRequest, WatchCache
 from dapplewick.tuning import Tuning
@@ -68,21 +68,21 @@
             (provisioning_request.type, provisioning_request.zone, provisioning_request.spot)
         ] = now
 
-    def coming(self, wall: Seconds) -> list[View]:
+    def coming(self, wall: Seconds) -> list[MachineCapacity]:
         """Machines that are rented or asked for and not yet up, as empty rooms. One that is
         long overdue may never come: nothing is left waiting for it."""
-        views = []
+        capacities = []
         for machine_id, record in self.cache.machines.items():
             kind = self.cache.types.get(record.type)
             if kind is None or record.up or record.terminating:
                 continue
             if wall - record.at < OVERDUE_TIMES * kind.boot_s:
-                views.append(self._empty(machine_id, kind, record.zone, record.spot))
+                capacities.append(self._empty(machine_id, kind, record.zone, record.spot))
         for name, provisioning_request in self.cache.provisioning_requests.items():
             kind = self.cache.types.get(provisioning_request.type)
             if kind is not None:
                 for n in range(provisioning_request.count):
-                    views.append(
+                    capacities.append(
                         self._empty(
                             f"{name}#{n}",
                             kind,
@@ -90,10 +90,10 @@
                             provisioning_request.spot,
                         )
                     )
-        return views
+        return capacities
 
-    def _empty(self, name: str, kind: MachineType, zone: str, spot: bool) -> View:
-        return View(
+    def _empty(self, name: str, kind: MachineType, zone: str, spot: bool) -> MachineCapacity:
+        return MachineCapacity(
             MachineId(name),
             TypeName(kind.name),
             ShardName(zone),
@@ -138,7 +138,7 @@
         now: Seconds,
         wall: Seconds,
         capacity_requests: list[CapacityRequest],
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
     ) -> tuple[list[ProvisioningRequest], list[CapacityRequest]]:
         """What to ask for, beyond the rooms that there are and what is already coming; and
         the needs for which nothing is left to be asked.
@@ -146,12 +146,12 @@
         A need that finds room in machines that are up rents nothing, whatever else keeps it
         from starting: otherwise it would rent again in every pass.
         """
-        pool = _rooms_by_zone(rooms)
+        pool = _capacities_by_zone(shard_capacities)
         for zone in self.zones:
             pool.setdefault(Zone(zone), ShardCapacity(ShardName(zone), []))
-        for view in self.coming(wall):
-            if view.zone in pool:
-                pool[view.zone].add(view)
+        for capacity in self.coming(wall):
+            if capacity.zone in pool:
+                pool[capacity.zone].add(capacity)
         asked: dict[tuple[str, str, bool], int] = {}
         unmet: list[CapacityRequest] = []
         for need in capacity_requests:
@@ -195,16 +195,16 @@
         for zone in zones:
             shard = pool[Zone(zone)]
             taken = False
-            for view in shard.candidates(spec):
+            for capacity in shard.candidates(spec):
                 if count <= 0 or left[zone] <= 0:
                     break
                 # Singles that need no accelerators don't count on machines that are rented
                 # for theirs: room for them is to be had for much less.
-                if spec.gpus == 0 and not spec.is_gang and view.capacity.gpus > 0:
+                if spec.gpus == 0 and not spec.is_gang and capacity.total.gpus > 0:
                     continue
-                fit = min(count, left[zone], view.times(spec))
+                fit = min(count, left[zone], capacity.times(spec))
                 if fit > 0:
-                    take_times(view, spec, fit)
+                    take_times(capacity, spec, fit)
                     left[zone] -= fit
                     count -= fit
                     taken = True
@@ -217,12 +217,12 @@
                 return False
             key = (offer.type.name, offer.zone, offer.spot)
             asked[key] = asked.get(key, 0) + 1
-            view = self._empty(f"new#{asked[key]}", offer.type, offer.zone, offer.spot)
-            fit = min(count, left[offer.zone], view.times(spec))
-            take_times(view, spec, fit)
+            capacity = self._empty(f"new#{asked[key]}", offer.type, offer.zone, offer.spot)
+            fit = min(count, left[offer.zone], capacity.times(spec))
+            take_times(capacity, spec, fit)
             left[offer.zone] -= fit
             count -= fit
-            pool[Zone(offer.zone)].add(view)
+            pool[Zone(offer.zone)].add(capacity)
         return count <= 0
 
     def _hourly(self, type_: str, spot: bool) -> float:
@@ -277,18 +277,20 @@
         return max(BOOT_LEAST_S, BOOT_TIMES * (kind.boot_s if kind is not None else 60.0))
 
 
-def _rooms_by_zone(rooms: list[ShardCapacity]) -> dict[Zone, ShardCapacity]:
+def _capacities_by_zone(shard_capacities: list[ShardCapacity]) -> dict[Zone, ShardCapacity]:
     """The rooms of each zone, whose machines may be in several parts."""
     shards: dict[Zone, list[ShardCapacity]] = {}
-    for room in rooms:
+    for room in shard_capacities:
         shards.setdefault(room.zone, []).append(room)
     return {zone: _joined(zone, some) for zone, some in shards.items()}
 
 
-def _joined(zone: Zone, rooms: list[ShardCapacity]) -> ShardCapacity:
-    if len(rooms) == 1:
-        return rooms[0]
-    return ShardCapacity(ShardName(zone), [view for room in rooms for view in room.views])
+def _joined(zone: Zone, shard_capacities: list[ShardCapacity]) -> ShardCapacity:
+    if len(shard_capacities) == 1:
+        return shard_capacities[0]
+    return ShardCapacity(
+        ShardName(zone), [capacity for room in shard_capacities for capacity in room.capacities]
+    )
 
 
 def wanted_slots(work: Seconds, running: int, horizon: Seconds) -> int:
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -25,7 +25,7 @@
     JobWrites,
 )
 from dapplewick.core.machines import ConditionalWrite, MachineLifecycle, Silence
-from dapplewick.core.model import GANG_PRIORITY, ShardCapacity, view_of
+from dapplewick.core.model import GANG_PRIORITY, ShardCapacity, machine_capacity
 from dapplewick.core.needs import CapacityRequestPlanner, Waiting
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.core.placing import LONG_RESERVATION_S, place_gang
@@ -231,11 +231,11 @@
         usage = self._usage()
         if self.shares is not None:
             self.shares.note_waiting(wall, map(self._job, self.cache.live_jobs))
-        rooms = self._rooms(now)
-        self._place_gangs(now, wall, rooms, usage)
+        shard_capacities = self._shard_capacities(now)
+        self._place_gangs(now, wall, shard_capacities, usage)
         ordered = self._pending_arrays(wall)
-        self._assign_array_tasks(rooms, usage, self._let_gangs_first(wall, ordered))
-        provisioner = self._fleet_changes(now, wall, rooms, ordered)
+        self._assign_array_tasks(shard_capacities, usage, self._let_gangs_first(wall, ordered))
+        provisioner = self._fleet_changes(now, wall, shard_capacities, ordered)
         moves = self._share_changes(now, wall)
         # Machines before the end of the booking that rented them: what the budget cuts off is
         # the end of this list, and a machine without record or booking is found only later.
@@ -255,7 +255,7 @@
         changes.sort(key=lambda c: c.priority)
         if log.isEnabledFor(logging.DEBUG) and now - self._load_at > LOAD_LOG_S:
             self._load_at = now
-            self._log_load(wall, rooms, ordered)
+            self._log_load(wall, shard_capacities, ordered)
         return changes
 
     def _share_changes(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
@@ -296,16 +296,18 @@
     def _log_load(
         self,
         wall: Seconds,
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
         ordered: list[Waiting],
     ) -> None:
         """What there is and what waits, for those who look for a cause."""
         kinds: dict[str, list[float]] = {}
-        for view in (v for shard in rooms for v in shard.views):
-            row = kinds.setdefault(view.type + ("/spot" if view.spot else ""), [0, 0.0, 0.0])
+        for capacity in (v for shard in shard_capacities for v in shard.capacities):
+            row = kinds.setdefault(
+                capacity.type + ("/spot" if capacity.spot else ""), [0, 0.0, 0.0]
+            )
             row[0] += 1
-            row[1] += view.free.cpus
-            row[2] += view.free.gpus
+            row[1] += capacity.free.cpus
+            row[2] += capacity.free.gpus
         waiting: dict[str, int] = {}
         for _, job, left in ordered:
             waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + left
@@ -436,26 +438,26 @@
     def _spend(self, spec: JobSpec, count: int, usage: dict[str, Resources]) -> None:
         usage[spec.team] = usage[spec.team].plus(spec.resources.times(count))
 
-    def _rooms(self, now: Seconds) -> list[ShardCapacity]:
+    def _shard_capacities(self, now: Seconds) -> list[ShardCapacity]:
         """The parts' rooms, less what was given to them that their statuses don't show."""
-        rooms: list[ShardCapacity] = []
+        shard_capacities: list[ShardCapacity] = []
         by_shard: dict[str, ShardCapacity] = {}
         for shard in self._owned():
             if now - shard.at > STATUS_S:
                 continue
-            views = []
+            capacities = []
             for machine_id, body in shard.machines.items():
                 record = self.cache.machines.get(machine_id)
                 if record is None or record.terminating or not body["usable"]:
                     continue
                 if record.shard != shard.shard or self.cache.transfers.drains(machine_id):
                     continue  # handed over, or chosen to be, since its status
-                view = shard.views.get(machine_id)
-                if view is None:
+                capacity = shard.capacities.get(machine_id)
+                if capacity is None:
                     kind = self.cache.types.get(record.type)
                     if kind is None:
                         continue
-                    view = shard.views[machine_id] = view_of(
+                    capacity = shard.capacities[machine_id] = machine_capacity(
                         machine_id,
                         record.type,
                         shard.shard,
@@ -465,13 +467,13 @@
                         self.demand,
                         shard.clock,
                     )
-                view.begin(now)
-                view.kept = None
-                views.append(view)
-            room = ShardCapacity(shard.shard, views)
+                capacity.begin(now)
+                capacity.kept = None
+                capacities.append(capacity)
+            room = ShardCapacity(shard.shard, capacities)
             if self.shares is not None:
                 room.reserve(self.shares.served_teams(shard.shard))
-            rooms.append(room)
+            shard_capacities.append(room)
             by_shard[shard.shard] = room
         for job_id in self.cache.live_jobs:
             job = self._job(job_id)
@@ -480,7 +482,7 @@
                     said = self.shards.get(ShardName(name))
                     if name not in by_shard or said is None or said.seen >= job.version:
                         continue
-                    taken = said.views.get(MachineId(machine))
+                    taken = said.capacities.get(MachineId(machine))
                     if taken is not None:
                         by_shard[name].take([taken], job.resources)
             for name, tasks in job.assignments.items():
@@ -489,12 +491,16 @@
                 backlog = len(tasks) - self.shards[ShardName(name)].placed(job_id)
                 if backlog > 0:
                     by_shard[name].take_most(job.spec, backlog)
-        return rooms
+        return shard_capacities
 
     # Gangs
 
     def _place_gangs(
-        self, now: Seconds, wall: Seconds, rooms: list[ShardCapacity], usage: dict[str, Resources]
+        self,
+        now: Seconds,
+        wall: Seconds,
+        shard_capacities: list[ShardCapacity],
+        usage: dict[str, Resources],
     ) -> None:
         """The largest fitting gang first, the oldest among equals, until none fits."""
         waiting = [
@@ -506,16 +512,16 @@
             key=lambda w: (-w[1].spec.priority, -w[1].spec.task_count, w[1].submitted_at, w[0])
         )
         self._reservation.begin()
-        left = self._place_each(waiting, wall, rooms, usage)
+        left = self._place_each(waiting, wall, shard_capacities, usage)
         above = [w for w in left if w[1].spec.priority > self.demand.priority]
         if above and self.demand.wanted():
             above = self._not_awaited(wall, above)
         if above and self.demand.wanted():
             # Nothing without accelerators is to be had soon, and this work goes before theirs.
-            for room in rooms:
+            for room in shard_capacities:
                 room.set_demand(None)
-            self._place_each(above, wall, rooms, usage)
-            for room in rooms:
+            self._place_each(above, wall, shard_capacities, usage)
+            for room in shard_capacities:
                 room.set_demand(self.demand)
 
     def _not_awaited(
@@ -524,9 +530,9 @@
         """Gangs for which no machines without accelerators are about to come up. At the start
         of a day all come up together, and those that were there first kept gangs for minutes."""
         coming = {Zone(z): ShardCapacity(ShardName(z), []) for z in self.settings.zones}
-        for view in self.provisioner.coming(wall):
-            if view.capacity.gpus == 0 and view.zone in coming:
-                coming[view.zone].add(view)
+        for capacity in self.provisioner.coming(wall):
+            if capacity.total.gpus == 0 and capacity.zone in coming:
+                coming[capacity.zone].add(capacity)
         out = []
         for job_id, job in gangs:
             spec, placement_key = job.spec, job.spec.placement_key
@@ -548,12 +554,12 @@
         self,
         waiting: list[tuple[JobId, JobRecord]],
         wall: Seconds,
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
         usage: dict[str, Resources],
     ) -> list[tuple[JobId, JobRecord]]:
         """Place gangs in this order; gives those for which there was no room."""
         left = []
-        by_shard = {room.shard: room for room in rooms}
+        by_shard = {room.shard: room for room in shard_capacities}
         for job_id, job in waiting:
             spec = job.spec
             if self._within_limit(spec, usage) < spec.task_count:
@@ -563,16 +569,16 @@
                 LONG_RESERVATION_S,
                 RESERVATION_FRACTION * max(waited, self.estimates.run_time(spec)),
             )
-            open_rooms = self._reservation.open_shards(rooms)
-            found = place_gang(spec, open_rooms, limit, self.tuning.patience_s)
+            open_shard_capacities = self._reservation.open_shards(shard_capacities)
+            found = place_gang(spec, open_shard_capacities, limit, self.tuning.patience_s)
             if found is None:
                 left.append((job_id, job))
-                self._reservation.ask(wall, spec, waited, rooms, limit)
+                self._reservation.ask(wall, spec, waited, shard_capacities, limit)
                 continue
             chosen, preempt = found
-            for view in chosen:
-                by_shard[view.shard].take([view], job.resources)
-            self._reservation.placed(wall, {view.shard for view in chosen})
+            for capacity in chosen:
+                by_shard[capacity.shard].take([capacity], job.resources)
+            self._reservation.placed(wall, {capacity.shard for capacity in chosen})
             self._spend(spec, spec.task_count, usage)
             self._counter += 1
             attempt = self.epoch * IDS_PER_TOKEN + self._counter
@@ -671,12 +677,12 @@
 
     def _assign_array_tasks(
         self,
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
         usage: dict[str, Resources],
         ordered: list[Waiting],
     ) -> None:
         """Parts get singles by their free room, and a few more for their queues."""
-        queue_room = self._queue_room(rooms)
+        queue_room = self._queue_room(shard_capacities)
         # Rooms go first to work whose image is there: a fetch keeps them from all work.
         for warm in (True, False):
             full: set[Any] = set()  # where one job got less than it wanted, one alike gets none
@@ -693,7 +699,7 @@
                 count = min(left, self._within_limit(spec, usage))
                 if count <= 0:
                     continue
-                shares = self._shares(spec, job, rooms, queue_room, count, warm)
+                shares = self._shares(spec, job, shard_capacities, queue_room, count, warm)
                 total = sum(shares.values())
                 if total < count and not (spec.same_zone or spec.spread):
                     full.add(kind)
@@ -724,11 +730,11 @@
             or wall - entry.job.submitted_at > UNAIMED_WAIT_S
         ]
 
-    def _queue_room(self, rooms: list[ShardCapacity]) -> dict[ShardName, int]:
+    def _queue_room(self, shard_capacities: list[ShardCapacity]) -> dict[ShardName, int]:
         room = {}
-        for shard in rooms:
+        for shard in shard_capacities:
             said = self.shards[shard.shard]
-            running = sum(view.array_tasks for view in shard.views)
+            running = sum(capacity.array_tasks for capacity in shard.capacities)
             waiting = 0
             for job_id in self.cache.live_jobs:
                 job = self._job(job_id)
@@ -742,13 +748,13 @@
         self,
         spec: JobSpec,
         job: JobRecord,
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
         queue_room: dict[ShardName, int],
         count: int,
         warm: bool,
     ) -> dict[ShardName, int]:
         placement_key = spec.placement_key
-        shards = [p for p in rooms if any(v.allows(spec) for v in p.views)]
+        shards = [p for p in shard_capacities if any(v.allows(spec) for v in p.capacities)]
         if spec.same_zone:
             zones = {zone_of(name) for name, tasks in job.assignments.items() if tasks}
             if not zones and shards:
@@ -759,7 +765,7 @@
         # A share kept for its team goes before what all use; by idle room else.
         shards.sort(key=lambda p: (p.teams is None, -p.idle(spec, placement_key)))
         for shard in shards:
-            shard.keep_for_gangs(self.gangs, 1.0 / len(rooms))
+            shard.keep_for_gangs(self.gangs, 1.0 / len(shard_capacities))
             share = shard.take_most(spec, min(count, left[shard.zone]), warm)
             shares[shard.shard] = share
             left[shard.zone] -= share
@@ -803,7 +809,7 @@
         self,
         now: Seconds,
         wall: Seconds,
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
         ordered: list[Waiting],
     ) -> list[ConditionalWrite]:
         changes: list[ConditionalWrite] = []
@@ -824,9 +830,9 @@
         if now - self._fleet_at >= FLEET_S and self._ready(now):
             self._fleet_at = now
             capacity_requests = self._need_planner.capacity_requests(wall, ordered)
-            spare = self._spare_slots(rooms)
+            spare = self._spare_slots(shard_capacities)
             provisioning_requests, unmet = self.provisioner.scale_out(
-                now, wall, capacity_requests, rooms
+                now, wall, capacity_requests, shard_capacities
             )
             for asked in provisioning_requests:
                 self._counter += 1
@@ -895,9 +901,9 @@
                 spare -= slots
                 self.machine_lifecycle.terminate(machine_id, "idle", 2)
 
-    def _spare_slots(self, rooms: list[ShardCapacity]) -> int:
+    def _spare_slots(self, shard_capacities: list[ShardCapacity]) -> int:
         """How many idle slots of the gangs' size there are beyond those to be kept."""
-        idle = sum(self.gangs.resources.count_in(v.free) for p in rooms for v in p.open)
+        idle = sum(self.gangs.resources.count_in(v.free) for p in shard_capacities for v in p.open)
         return idle - math.ceil(self.gangs.slots)
 
     def _gang_slots(self, record: MachineRecord) -> int:
--- a/src/dapplewick/core/model.py
+++ b/src/dapplewick/core/model.py
@@ -32,12 +32,11 @@
     group: str  # tasks with the same one end together: a gang's
 
 
-class View:
+class MachineCapacity:
     """One machine as the leader plans with it."""
 
     __slots__ = (
         "array_tasks",
-        "capacity",
         "could_be",
         "demand",
         "ends",
@@ -52,6 +51,7 @@
         "spot",
         "teams",
         "told",
+        "total",
         "type",
         "usable",
         "zone",
@@ -63,7 +63,7 @@
         type_: TypeName,
         shard: ShardName,
         spot: bool,
-        capacity: Resources,
+        total: Resources,
         free: Resources,
         ends: list[End],
         queued: int,
@@ -76,7 +76,7 @@
         self.zone = zone_of(shard)
         self.teams: frozenset[str] | None = None  # whose work it takes; None: everybody's
         self.spot = spot
-        self.capacity = capacity
+        self.total = total
         self.free = free
         self.told = free  # the free room as its part told it
         self.ends = ends  # in the order of their times
@@ -109,7 +109,7 @@
             return free
         if self.kept is not None and self.kept.applies(spec):
             free = self.kept.rest(free)
-        reserve = self.demand.reserve(self.capacity, self.free)
+        reserve = self.demand.reserve(self.total, self.free)
         return free if reserve is NO_RESOURCES else free.minus(reserve)
 
     def keeps_accelerators(self, spec: JobSpec) -> bool:
@@ -197,44 +197,50 @@
         return count
 
 
-def spare_key(view: View, spec: JobSpec) -> tuple[float, ...]:
+def spare_key(capacity: MachineCapacity, spec: JobSpec) -> tuple[float, ...]:
     """Prefers rooms without accelerators that are not needed, then those with the image, then
     the cheap ones, then the
     tightest."""
     return (
-        view.capacity.gpus if spec.gpus == 0 else 0.0,
-        0.0 if view.warm(spec) else 1.0,
-        0.0 if view.spot else 1.0,
-        view.free.cpus,
-        view.free.ram_gb,
+        capacity.total.gpus if spec.gpus == 0 else 0.0,
+        0.0 if capacity.warm(spec) else 1.0,
+        0.0 if capacity.spot else 1.0,
+        capacity.free.cpus,
+        capacity.free.ram_gb,
     )
 
 
-def fit_all(views: Iterable[View], spec: JobSpec, count: int) -> list[View] | None:
+def fit_all(
+    capacities: Iterable[MachineCapacity], spec: JobSpec, count: int
+) -> list[MachineCapacity] | None:
     """Machines for `count` tasks in idle room, or None; takes nothing yet."""
     able = sorted(
-        (v for v in views if v.allows(spec) and v.times(spec) > 0),
+        (v for v in capacities if v.allows(spec) and v.times(spec) > 0),
         key=lambda v: spare_key(v, spec),
     )
-    chosen: list[View] = []
-    for view in able:
-        chosen.extend([view] * min(count - len(chosen), view.times(spec)))
+    chosen: list[MachineCapacity] = []
+    for capacity in able:
+        chosen.extend([capacity] * min(count - len(chosen), capacity.times(spec)))
         if len(chosen) == count:
             return chosen
     return None
 
 
 def fit_reserved(
-    views: Iterable[View], spec: JobSpec, count: int, patience: Seconds, limit: Seconds
-) -> tuple[list[View], bool] | None:
+    capacities: Iterable[MachineCapacity],
+    spec: JobSpec,
+    count: int,
+    patience: Seconds,
+    limit: Seconds,
+) -> tuple[list[MachineCapacity], bool] | None:
     """Slots to hold for `count` tasks until they are idle, and whether to stop work of lower
     priority for them because waiting would take longer than `patience`. Slots that would be
     busy for longer than `limit` are left alone."""
-    options: list[tuple[float, Seconds, tuple[float, ...], int, View]] = []
-    for n, view in enumerate(views):
-        if not view.allows(spec):
+    options: list[tuple[float, Seconds, tuple[float, ...], int, MachineCapacity]] = []
+    for n, capacity in enumerate(capacities):
+        if not capacity.allows(spec):
             continue
-        times = view.room_in(spec)
+        times = capacity.room_in(spec)
         if times is None:
             continue
         natural, forced = times
@@ -242,83 +248,85 @@
         if wait > limit:
             continue
         if forced >= natural:
-            wait += view.queued  # who waits there has to wait longer; nobody who is stopped does
-        spare_gpus = view.capacity.gpus if spec.gpus == 0 else 0.0
-        options.append((spare_gpus, wait, spare_key(view, spec), n, view))
+            wait += (
+                capacity.queued
+            )  # who waits there has to wait longer; nobody who is stopped does
+        spare_gpus = capacity.total.gpus if spec.gpus == 0 else 0.0
+        options.append((spare_gpus, wait, spare_key(capacity, spec), n, capacity))
     options.sort(key=lambda o: o[:4])
-    chosen: list[View] = []
+    chosen: list[MachineCapacity] = []
     preempt = False
-    for *_, view in options:
-        saved = view.free
+    for *_, capacity in options:
+        saved = capacity.free
         while len(chosen) < count:
-            times = view.room_in(spec)
+            times = capacity.room_in(spec)
             if times is None or min(times) > limit:
                 break
             if times[0] > patience and times[1] < times[0]:
                 preempt = True
-            view.take(spec.resources)
-            chosen.append(view)
-        view.free = saved
+            capacity.take(spec.resources)
+            chosen.append(capacity)
+        capacity.free = saved
         if len(chosen) == count:
             return chosen, preempt
     return None
 
 
-def view_of(
+def machine_capacity(
     machine: MachineId,
     type_: str,
     shard: ShardName,
     spot: bool,
-    capacity: Resources,
+    total: Resources,
     status: dict[str, Any],
     demand: AcceleratorDemand,
     clock: Seconds = 0.0,
-) -> View:
+) -> MachineCapacity:
     """A machine as a part's status tells it; `clock` is our clock less the part's."""
     ends = [
         End(float(end) + clock, Resources(cpus, gpus, ram_gb), int(priority), str(group))
         for end, cpus, gpus, ram_gb, priority, group in status["ends"]
     ]
-    view = View(
+    capacity = MachineCapacity(
         machine,
         TypeName(type_),
         shard,
         spot,
-        capacity,
+        total,
         Resources(*status["free"]),
         ends,
         int(status["queued"]),
         demand,
         status["images"],
     )
-    view.usable = bool(status["usable"])
-    return view
+    capacity.usable = bool(status["usable"])
+    return capacity
 
 
 class EndGroup(NamedTuple):
     """Slots that become idle together."""
 
     wait: Seconds
-    views: list[View]
+    capacities: list[MachineCapacity]
 
 
 def fit_behind(
-    idle: list[View], groups: list[EndGroup], count: int, limit: Seconds
-) -> list[View] | None:
+    idle: list[MachineCapacity], groups: list[EndGroup], count: int, limit: Seconds
+) -> list[MachineCapacity] | None:
     """Slots for a gang to hold behind others. Behind one gang that is large enough nothing
     stands idle, however wrong its estimate is. Else the fewest, largest groups: the more of
     them, the longer the last is waited for by all that ended before it."""
-    enough = [g for g in groups if len(g.views) >= count and g.wait <= ONE_GROUP_TIMES * limit]
+    enough = [g for g in groups if len(g.capacities) >= count and g.wait <= ONE_GROUP_TIMES * limit]
     if enough:
         # The smallest of them: the others stay whole for gangs that need as many slots.
-        return min(enough, key=lambda g: (len(g.views), g.wait)).views[:count]
-    chosen: list[View] = []
-    for group in sorted(groups, key=lambda g: (-len(g.views), g.wait)):
+        return min(enough, key=lambda g: (len(g.capacities), g.wait)).capacities[:count]
+    chosen: list[MachineCapacity] = []
+    for group in sorted(groups, key=lambda g: (-len(g.capacities), g.wait)):
         missing = count - len(chosen)
         if missing <= len(idle):
             break
         if group.wait <= limit:
-            chosen.extend(group.views[:missing])
+            chosen.extend(group.capacities[:missing])
     chosen.extend(idle[: count - len(chosen)])
     return chosen if len(chosen) == count else None
 
@@ -326,15 +334,15 @@
 class ShardCapacity:
     """One part's rooms within a pass."""
 
-    def __init__(self, shard: ShardName, views: list[View]) -> None:
+    def __init__(self, shard: ShardName, capacities: list[MachineCapacity]) -> None:
         self.shard = shard
         self.zone = zone_of(shard)
         self.teams: frozenset[str] | None = None  # whose work may come here; None: everybody's
-        self.views = views
-        self.open = [v for v in views if v.free.cpus > 1e-6]
+        self.capacities = capacities
+        self.open = [v for v in capacities if v.free.cpus > 1e-6]
         self._totals: dict[PlacementKey, int] = {}
         self._waits: dict[PlacementKey, list[Seconds]] = {}
-        self._groups: dict[PlacementKey, tuple[list[View], list[EndGroup]]] = {}
+        self._groups: dict[PlacementKey, tuple[list[MachineCapacity], list[EndGroup]]] = {}
         self._lowest: int | None = None
         self._kept: GangDemand | None = None
         self._idle: int | None = None
@@ -347,9 +355,9 @@
         self._groups.clear()
         self._idle = None
 
-    def add(self, view: View) -> None:
-        self.views.append(view)
-        self.open.append(view)
+    def add(self, capacity: MachineCapacity) -> None:
+        self.capacities.append(capacity)
+        self.open.append(capacity)
         self._totals.clear()
         self._waits.clear()
         self._groups.clear()
@@ -358,8 +366,8 @@
     def reserve(self, teams: frozenset[str] | None) -> None:
         """Keep these rooms for the work of some teams, in this pass."""
         self.teams = teams
-        for view in self.views:
-            view.teams = teams
+        for capacity in self.capacities:
+            capacity.teams = teams
 
     def serves(self, spec: JobSpec) -> bool:
         """Whether work of this team may come here."""
@@ -383,54 +391,56 @@
         waits = self._waits.get(placement_key)
         if waits is None:
             waits = self._waits[placement_key] = sorted(
-                wait for view in self.views for wait in view.slot_waits(spec, placement_key)
+                wait
+                for capacity in self.capacities
+                for wait in capacity.slot_waits(spec, placement_key)
             )
         return bisect_right(waits, limit)
 
     def could_reserve(self, spec: JobSpec) -> bool:
         """Whether this part's machines, if they were empty, would take all of a gang."""
-        slots = (spec.resources.count_in(v.capacity) for v in self.views if v.allows(spec))
+        slots = (spec.resources.count_in(v.total) for v in self.capacities if v.allows(spec))
         return sum(slots) >= spec.task_count
 
     def groups(
         self, spec: JobSpec, placement_key: PlacementKey
-    ) -> tuple[list[View], list[EndGroup]]:
+    ) -> tuple[list[MachineCapacity], list[EndGroup]]:
         """The idle slots of this shape, and those that become idle together."""
         if not self.serves(spec):
             return [], []
         found = self._groups.get(placement_key)
         if found is None:
-            idle: list[View] = []
+            idle: list[MachineCapacity] = []
             by_name: dict[str, EndGroup] = {}
-            for view in self.views:
-                for wait, name in view.slot_ends(spec, placement_key):
+            for capacity in self.capacities:
+                for wait, name in capacity.slot_ends(spec, placement_key):
                     if not name:
-                        idle.append(view)
+                        idle.append(capacity)
                         continue
                     group = by_name.get(name)
                     if group is None:
                         group = by_name[name] = EndGroup(wait, [])
-                    group.views.append(view)
+                    group.capacities.append(capacity)
             found = self._groups[placement_key] = (idle, list(by_name.values()))
         return found
 
     def set_demand(self, demand: AcceleratorDemand | None) -> None:
         """Whether room beside accelerators is kept for the work that needs these."""
-        for view in self.views:
-            if view.capacity.gpus > 0:
-                view.demand = demand
-                view.memo.clear()
+        for capacity in self.capacities:
+            if capacity.total.gpus > 0:
+                capacity.demand = demand
+                capacity.memo.clear()
         self.changed()
 
     def preemptable(self, priority: int) -> bool:
         """Whether any work here has a lower rank."""
         if self._lowest is None:
             self._lowest = min(
-                (end.priority for v in self.views for end in v.ends), default=GANG_PRIORITY
+                (end.priority for v in self.capacities for end in v.ends), default=GANG_PRIORITY
             )
         return self._lowest < priority
 
-    def candidates(self, spec: JobSpec) -> list[View]:
+    def candidates(self, spec: JobSpec) -> list[MachineCapacity]:
         cpus, gpus = spec.cpus - 1e-6, spec.gpus - 1e-6
         return [
             v for v in self.open if v.free.cpus >= cpus and v.free.gpus >= gpus and v.allows(spec)
@@ -441,17 +451,17 @@
         how many there was some."""
         if most <= 0:
             return 0
-        views = self.candidates(spec)
+        capacities = self.candidates(spec)
         if warm:
-            views = [v for v in views if spec.image in v.images]
-        if not views:
+            capacities = [v for v in capacities if spec.image in v.images]
+        if not capacities:
             return 0
-        views.sort(key=lambda v: spare_key(v, spec))
+        capacities.sort(key=lambda v: spare_key(v, spec))
         taken = 0
-        for view in views:
-            count = min(most - taken, view.times(spec))
+        for capacity in capacities:
+            count = min(most - taken, capacity.times(spec))
             if count > 0:
-                take_times(view, spec, count)
+                take_times(capacity, spec, count)
                 taken += count
                 if taken == most:
                     break
@@ -463,27 +473,27 @@
         """Room for replicas that work of lower priority makes when it is stopped, one for each
         machine; gives for how many there was some."""
         taken = 0
-        for view in self.views:
+        for capacity in self.capacities:
             if taken >= most:
                 break
-            if view.allows(spec):
-                times = view.room_in(spec)
+            if capacity.allows(spec):
+                times = capacity.room_in(spec)
                 if times is not None and min(times) <= 0.0:
-                    view.take(spec.resources)
+                    capacity.take(spec.resources)
                     taken += 1
         if taken:
             self.changed()
         return taken
 
-    def take(self, views: Iterable[View], resources: Resources) -> None:
-        for view in views:
-            view.take(resources)
+    def take(self, capacities: Iterable[MachineCapacity], resources: Resources) -> None:
+        for capacity in capacities:
+            capacity.take(resources)
         self.changed()
 
     def keep_for_gangs(self, gangs: GangDemand, share: float) -> None:
         """Mark the rooms if there are no more idle slots than are to be kept for gangs."""
         if self._elsewhere is None:
-            self._elsewhere = any(not gangs.resources.fits_in(v.capacity) for v in self.views)
+            self._elsewhere = any(not gangs.resources.fits_in(v.total) for v in self.capacities)
         slots = gangs.kept_slots(self._elsewhere)
         if slots < 0.5:
             return
@@ -495,11 +505,11 @@
             self._totals.clear()
             self._waits.clear()
             self._groups.clear()
-            for view in self.views:
-                view.kept = kept
-                view.memo.clear()
+            for capacity in self.capacities:
+                capacity.kept = kept
+                capacity.memo.clear()
 
 
-def take_times(view: View, spec: JobSpec, count: int) -> None:
+def take_times(capacity: MachineCapacity, spec: JobSpec, count: int) -> None:
     """Take the room of `count` tasks."""
-    view.take(spec.resources.times(count))
+    capacity.take(spec.resources.times(count))
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -1002,7 +1002,7 @@
         """The jobs of which a single may start on this machine now, those first whose image
         is there: among queues that are equally long it decides."""
         held = self.reserved_resources(machine.id)
-        rooms: dict[tuple[bool, int, bool], Resources] = {}
+        shard_capacities: dict[tuple[bool, int, bool], Resources] = {}
         warm: dict[JobId, None] = {}
         cold: dict[JobId, None] = {}
         for job_id in jobs:
@@ -1013,9 +1013,9 @@
             if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
                 continue  # away from the others of its service, where there is a choice
             kind = (spec.gpus > 0, spec.priority, spec.is_service)
-            room = rooms.get(kind)
+            room = shard_capacities.get(kind)
             if room is None:
-                room = rooms[kind] = self._free_for(machine, spec)
+                room = shard_capacities[kind] = self._free_for(machine, spec)
             if not job.resources.fits_in(room):
                 continue
             beside = held is NO_RESOURCES or job.resources.fits_in(room.minus(held))
--- a/src/dapplewick/core/part_view.py
+++ b/src/dapplewick/core/part_view.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from dapplewick.core.model import View
+from dapplewick.core.model import MachineCapacity
 from dapplewick.types import JobId, MachineId, Revision, Seconds, ShardName, zone_of
 
 
@@ -20,7 +20,7 @@
         self.clock = 0.0  # our clock less the part's
         self.seen = Revision(0)
         self.machines: dict[MachineId, dict[str, Any]] = {}
-        self.views: dict[MachineId, View] = {}
+        self.capacities: dict[MachineId, MachineCapacity] = {}
         self.jobs: dict[JobId, dict[str, Any]] = {}
         self.gangs: dict[JobId, tuple[int, str, float]] = {}
         self.fresh: dict[str, Any] = {}  # what each status tells in full
@@ -34,7 +34,7 @@
             return True
         if base == 0:
             self.machines.clear()
-            self.views.clear()
+            self.capacities.clear()
             self.jobs.clear()
             self.gangs.clear()
         self.number = number
@@ -42,7 +42,7 @@
         self.clock = now - float(body["at"])
         self.seen = Revision(body["seen"])
         for machine_id, machine in body["machines"].items():
-            self.views.pop(machine_id, None)
+            self.capacities.pop(machine_id, None)
             if machine is None:
                 self.machines.pop(machine_id, None)
             else:
--- a/src/dapplewick/core/placing.py
+++ b/src/dapplewick/core/placing.py
@@ -6,8 +6,8 @@
 
 from dapplewick.core.model import (
     ONE_GROUP_TIMES,
+    MachineCapacity,
     ShardCapacity,
-    View,
     fit_all,
     fit_behind,
     fit_reserved,
@@ -20,7 +20,7 @@
 
 def place_gang(
     spec: JobSpec, shards: Iterable[ShardCapacity], limit: Seconds, patience: Seconds
-) -> tuple[list[View], bool] | None:
+) -> tuple[list[MachineCapacity], bool] | None:
     """Machines for a gang's tasks, and whether singles of lower priority stop for it: one
     part's idle slots, else slots of one part to be held, else idle slots of several parts.
 
@@ -30,13 +30,13 @@
     shards, count, placement_key = list(shards), spec.task_count, spec.placement_key
     one_shard = spec.zone_cap >= count
     if one_shard:
-        best: tuple[float, list[View]] | None = None
+        best: tuple[float, list[MachineCapacity]] | None = None
         for shard in shards:
             if shard.idle(spec, placement_key) < count:
                 continue
             chosen = fit_all(shard.candidates(spec), spec, count)
             if chosen is not None:
-                spare = sum(v.capacity.gpus for v in chosen) if spec.gpus == 0 else 0.0
+                spare = sum(v.total.gpus for v in chosen) if spec.gpus == 0 else 0.0
                 if best is None or spare < best[0]:
                     best = (spare, chosen)
         if best is not None:
@@ -54,7 +54,7 @@
     return None
 
 
-def _spanning(spec: JobSpec, shards: list[ShardCapacity]) -> list[View] | None:
+def _spanning(spec: JobSpec, shards: list[ShardCapacity]) -> list[MachineCapacity] | None:
     """Idle slots of several parts, in each zone no more than the gang may have there."""
     placement_key = spec.placement_key
     idle: dict[Zone, int] = {}
@@ -62,7 +62,7 @@
         idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, placement_key)
     if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.task_count:
         return None
-    chosen: list[View] = []
+    chosen: list[MachineCapacity] = []
     left = dict.fromkeys(idle, spec.zone_cap)
     for shard in sorted(shards, key=lambda p: -p.idle(spec, placement_key)):
         most = min(spec.task_count - len(chosen), left[shard.zone], shard.idle(spec, placement_key))
@@ -77,10 +77,10 @@
 
 def _held(
     spec: JobSpec, shards: list[ShardCapacity], limit: Seconds, patience: Seconds
-) -> tuple[list[View], bool] | None:
+) -> tuple[list[MachineCapacity], bool] | None:
     # Slots behind long work are no place to wait: those that are idle already would stay so.
     placement_key = spec.placement_key
-    best: tuple[float, list[View], bool] | None = None
+    best: tuple[float, list[MachineCapacity], bool] | None = None
     for shard in shards:
         if not shard.preemptable(spec.priority):
             if shard.held(spec, placement_key, ONE_GROUP_TIMES * limit) < spec.task_count:
@@ -93,7 +93,7 @@
             continue
         if shard.held(spec, placement_key, limit) < spec.task_count:
             continue
-        option = fit_reserved(shard.views, spec, spec.task_count, patience, limit)
+        option = fit_reserved(shard.capacities, spec, spec.task_count, patience, limit)
         if option is None:
             continue
         wait = _wait(spec, option[0], option[1])
@@ -102,10 +102,10 @@
     return (best[1], best[2]) if best is not None else None
 
 
-def _wait(spec: JobSpec, views: list[View], preempt: bool = False) -> Seconds:
+def _wait(spec: JobSpec, capacities: list[MachineCapacity], preempt: bool = False) -> Seconds:
     wait = 0.0
-    for view in views:
-        times = view.room_in(spec)
+    for capacity in capacities:
+        times = capacity.room_in(spec)
         if times is not None:
             wait = max(wait, times[1] if preempt else times[0])
     return wait
--- a/src/dapplewick/core/reservation.py
+++ b/src/dapplewick/core/reservation.py
@@ -31,9 +31,9 @@
         """A new pass over the gangs that wait."""
         self._last, self._shard = self._shard, None
 
-    def open_shards(self, rooms: list[ShardCapacity]) -> list[ShardCapacity]:
+    def open_shards(self, shard_capacities: list[ShardCapacity]) -> list[ShardCapacity]:
         """The parts in which the next gang may be placed."""
-        return [room for room in rooms if room.shard != self._shard]
+        return [room for room in shard_capacities if room.shard != self._shard]
 
     def placed(self, wall: Seconds, shards: set[ShardName]) -> None:
         """A gang was placed in these parts."""
@@ -45,7 +45,7 @@
         wall: Seconds,
         spec: JobSpec,
         waited: Seconds,
-        rooms: list[ShardCapacity],
+        shard_capacities: list[ShardCapacity],
         limit: Seconds,
     ) -> None:
         """A gang found no room: reserve the part in which it will find some soonest, counting
@@ -54,7 +54,7 @@
             return
         if not OVERDUE_S <= waited < HOPELESS_S:
             return
-        able = [room for room in rooms if room.could_reserve(spec)]
+        able = [room for room in shard_capacities if room.could_reserve(spec)]
         if not able:
             return
         shard = max(able, key=lambda room: room.held(spec, spec.placement_key, limit)).shard
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -11,7 +11,7 @@
 
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.fleet import CapacityRequest, Provisioner
-from dapplewick.core.model import ShardCapacity, View, fit_all
+from dapplewick.core.model import MachineCapacity, ShardCapacity, fit_all
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.part_state import IMAGES_MOST
 from dapplewick.protocol.wire import (
@@ -309,9 +309,9 @@
     assert placed == set(plain_largest_first(gangs, idle))
 
 
-def view(name: str, cpus: float) -> View:
+def view(name: str, cpus: float) -> MachineCapacity:
     room = Resources(cpus, 0.0, 64.0)
-    return View(MachineId(name), TypeName("k"), ZONE, False, room, room, [], 0)
+    return MachineCapacity(MachineId(name), TypeName("k"), ZONE, False, room, room, [], 0)
 
 
 @given(
@@ -324,12 +324,12 @@
     rooms: list[int], cpus: int, count: int
 ) -> None:
     """Point two, its first step."""
-    views = [view(str(n), float(room)) for n, room in enumerate(rooms)]
-    chosen = fit_all(views, spec(count, float(cpus), 1.0, True), count)
+    capacities = [view(str(n), float(room)) for n, room in enumerate(rooms)]
+    chosen = fit_all(capacities, spec(count, float(cpus), 1.0, True), count)
     assert (chosen is not None) == (sum(room // cpus for room in rooms) >= count)
     for v in chosen or []:
         v.take(Resources(float(cpus), 0.0, 1.0))
-    assert all(v.free.cpus >= 0 for v in views)
+    assert all(v.free.cpus >= 0 for v in capacities)
 
 
 @given(st.sets(st.integers(0, 300)))
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -181,7 +181,7 @@
         self.late: list[list[ConditionalWrite]] = []  # transactions without an answer
         self.orders = 0
         self.statuses = 0
-        self.views: dict[ShardName, ObservedShard] = {}
+        self.capacities: dict[ShardName, ObservedShard] = {}
         self.new_leader()
 
     def new_leader(self) -> None:
@@ -197,7 +197,7 @@
         self.keeper = ShareKeeper(self.cache, MachineIndex(self.cache), ["a"], MoveTimes())
         self.keeper.plan = PLAN
         self.keeper.targets.known = True
-        self.views.clear()
+        self.capacities.clear()
 
     def new_owner(self, shard: ShardName) -> None:
         if shard in self.owners:
@@ -231,8 +231,10 @@
                 Order(name, None) for name, r in self.cache.transfers.records.items() if r.open
             ]
         self.machine_lifecycle.begin()
-        views = [v for p, v in self.views.items() if v.token == self.cache.version(SHARDS + p)]
-        changes = self.keeper.changes(self.now, self.now, views, set(), self.machine_lifecycle)
+        capacities = [
+            v for p, v in self.capacities.items() if v.token == self.cache.version(SHARDS + p)
+        ]
+        changes = self.keeper.changes(self.now, self.now, capacities, set(), self.machine_lifecycle)
         self.keeper.orders = []
         for shard in self.keeper.wanted_shards():
             if SHARDS + shard not in self.store.keys:
@@ -273,7 +275,7 @@
             owner = self.random.choice(list(self.owners.values()))
             if not trouble or self.random.random() < 0.8:
                 self.statuses += 1
-                self.views[owner.shard] = owner.status(self.statuses)
+                self.capacities[owner.shard] = owner.status(self.statuses)
         elif pick < 0.88:
             lives = [*self.owners.values(), *self.former] if trouble else [*self.owners.values()]
             self.random.choice(lives).command(machine, worker, self.random.random() < 0.5)
@@ -302,7 +304,7 @@
                 for name, worker in self.workers.items():
                     owner.command(name, worker, start=False)
                 self.statuses += 1
-                self.views[owner.shard] = owner.status(self.statuses)
+                self.capacities[owner.shard] = owner.status(self.statuses)
             for worker in self.workers.values():
                 if self.random.random() < 0.3:
                     worker.running.clear()
@@ -412,8 +414,8 @@
     play.order(OWN, NIGHT, 1)
     play.lead(trouble=False)
     catch_up(start=False)
-    play.views[OWN] = owner.status(1)
-    assert play.views[OWN].fresh["drained"] == [machine]
+    play.capacities[OWN] = owner.status(1)
+    assert play.capacities[OWN].fresh["drained"] == [machine]
     (first,) = play.cache.transfers.records or [TransferId("o-1")]
     play.keeper.orders = [Order(first, None)]
     play.lead(trouble=False)
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -62,7 +62,7 @@
                 "hold_orders_s": 600000.0,
             }
         )
-        self.views = [self.view(shard) for shard in self.shards]
+        self.capacities = [self.view(shard) for shard in self.shards]
         index.refresh()
 
     def put(self, key: str, value: Any) -> None:
@@ -107,10 +107,12 @@
         changes: list[ConditionalWrite] = []
 
         def plan() -> None:
-            changes[:] = self.keeper.changes(1.0, 1.0, self.views, set(), self.machine_lifecycle)
+            changes[:] = self.keeper.changes(
+                1.0, 1.0, self.capacities, set(), self.machine_lifecycle
+            )
 
         for _ in range(8):
-            for view in self.views:
+            for view in self.capacities:
                 view.seen = Revision(self.revision)
                 view.fresh["drained"] = [
                     m
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -9,7 +9,13 @@
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.model import ONE_GROUP_TIMES, EndGroup, ShardCapacity, View, fit_behind
+from dapplewick.core.model import (
+    ONE_GROUP_TIMES,
+    EndGroup,
+    MachineCapacity,
+    ShardCapacity,
+    fit_behind,
+)
 from dapplewick.core.part import ShardScheduler
 from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, ShardReservation
 from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
@@ -47,9 +53,11 @@
     return made
 
 
-def view(name: str, size: Resources) -> View:
+def view(name: str, size: Resources) -> MachineCapacity:
     none_wanted = AcceleratorDemand(WatchCache())
-    return View(MachineId(name), TypeName(name), ZONE, False, size, size, [], 0, none_wanted)
+    return MachineCapacity(
+        MachineId(name), TypeName(name), ZONE, False, size, size, [], 0, none_wanted
+    )
 
 
 @pytest.mark.parametrize(
@@ -117,10 +125,10 @@
     two = EndGroup(5.0, [view(f"c{n}", LARGE) for n in range(2)])
     groups = [sixteen, eight, two]
     for count, expected in ((16, sixteen), (7, eight), (2, two)):
-        assert fit_behind([], groups, count, 20.0) == expected.views[:count]
+        assert fit_behind([], groups, count, 20.0) == expected.capacities[:count]
     # One that ends too late is no place to wait, however well it fits.
-    late = EndGroup(20.0 * ONE_GROUP_TIMES + 1.0, eight.views)
-    assert fit_behind([], [sixteen, late], 8, 20.0) == sixteen.views[:8]
+    late = EndGroup(20.0 * ONE_GROUP_TIMES + 1.0, eight.capacities)
+    assert fit_behind([], [sixteen, late], 8, 20.0) == sixteen.capacities[:8]
 
 
 def two_parts(machines: int) -> list[ShardCapacity]:
