--- a/src/dapplewick/client.py
+++ b/src/dapplewick/client.py
@@ -60,7 +60,7 @@
     return await _ask(at, {"kind": "status"})
 
 
-async def shares(at: str, verb: str, **fields: Any) -> dict[str, Any]:
+async def partitions(at: str, verb: str, **fields: Any) -> dict[str, Any]:
     """Put a command on shares to a controller, on its peer address. What it refuses is in the
     answer: a `status` of 400 and more, and an `error`."""
     return await _ask(at, {"kind": "shares", "verb": verb, **fields})
--- a/src/dapplewick/coordination/parts.py
+++ b/src/dapplewick/coordination/parts.py
@@ -24,8 +24,8 @@
 
     def shards(self) -> list[ShardName]:
         """Every part that has or needs an owner: the zones, and the shares of them."""
-        shares = [shard for shard in self.cache.shards if partition_of(shard)]
-        return list(dict.fromkeys([*self._zones, *self.wanted, *shares]))
+        partitions = [shard for shard in self.cache.shards if partition_of(shard)]
+        return list(dict.fromkeys([*self._zones, *self.wanted, *partitions]))
 
     def changes(self, now: Seconds, unreachable: set[ShardName]) -> dict[ShardName, ShardRecord]:
         """The parts that get a new owner now. `unreachable` are those whose owner hears none of its
--- a/src/dapplewick/core/job_writes.py
+++ b/src/dapplewick/core/job_writes.py
@@ -104,14 +104,14 @@
         """The keys for a long gang's place, written before the record that names their number.
         They name the attempt: what a leader that ended on the way left behind is not read."""
         gang = job.gang
-        if gang is None or gang.shares or self._cache.format < FORMAT_NOW:
+        if gang is None or gang.placement_keys or self._cache.format < FORMAT_NOW:
             return []
         if size_of(job.dump()) <= self._value_bytes:
             return []
         longest = max(size_of(place) + 1 for place in gang.placements)
         most = max(1, (self._value_bytes - SHARE_BYTES) // longest)
         shares = [gang.placements[i : i + most] for i in range(0, len(gang.placements), most)]
-        job.gang = msgspec.structs.replace(gang, shares=len(shares))
+        job.gang = msgspec.structs.replace(gang, placement_keys=len(shares))
         out = []
         for number, placements in enumerate(shares):
             key = f"{GANG_PLACEMENTS}{job_id}/{number}"
@@ -130,7 +130,7 @@
             return
         for job_id, job in self._cache.each_live():
             gang = job.gang
-            if gang is None or gang.shares or len(gang.placements) < MANY_PLACES:
+            if gang is None or gang.placement_keys or len(gang.placements) < MANY_PLACES:
                 continue
             if self._fitting_places.get(job_id) == gang.attempt:
                 continue
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -75,7 +75,7 @@
 FLEET_S = 1.0  # renting and returning is thought about this often
 
 
-class ShareKeeper(Protocol):
+class PartitionRebalancer(Protocol):
     """What the leader needs of the shares of zones, where there are any."""
 
     def note_waiting(self, wall: Seconds, jobs: Iterable[JobRecord]) -> None:
@@ -148,7 +148,7 @@
         self._fleet_at = -1e9
         self._reservation = ShardReservation()
         self._reserved_since: dict[JobId, Seconds] = {}  # gangs that stop nothing for their slots
-        self.shares: ShareKeeper | None = None  # where zones have shares
+        self.partitions: PartitionRebalancer | None = None  # where zones have shares
 
     # Inputs
 
@@ -229,14 +229,14 @@
         self.demand.update(now, wall)
         self.gangs.update(now)
         usage = self._usage()
-        if self.shares is not None:
-            self.shares.note_waiting(wall, map(self._job, self.cache.live_jobs))
+        if self.partitions is not None:
+            self.partitions.note_waiting(wall, map(self._job, self.cache.live_jobs))
         shard_capacities = self._shard_capacities(now)
         self._place_gangs(now, wall, shard_capacities, usage)
         ordered = self._pending_arrays(wall)
         self._assign_array_tasks(shard_capacities, usage, self._let_gangs_first(wall, ordered))
         provisioner = self._fleet_changes(now, wall, shard_capacities, ordered)
-        moves = self._share_changes(now, wall)
+        moves = self._partition_changes(now, wall)
         # Machines before the end of the booking that rented them: what the budget cuts off is
         # the end of this list, and a machine without record or booking is found only later.
         writes = self._job_writes
@@ -258,10 +258,10 @@
             self._log_load(wall, shard_capacities, ordered)
         return changes
 
-    def _share_changes(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
+    def _partition_changes(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
         """Moves of machines between shares: after all else of this pass, so that no group is
         written for a move and for another reason at once."""
-        if self.shares is None:
+        if self.partitions is None:
             return []
         placed = {
             MachineId(machine)
@@ -269,7 +269,7 @@
             if (gang := self._job(job_id).gang) is not None
             for _, machine in gang.placements
         }
-        return self.shares.changes(now, wall, self._owned(), placed, self.machine_lifecycle)
+        return self.partitions.changes(now, wall, self._owned(), placed, self.machine_lifecycle)
 
     def _raise_format(self) -> list[ConditionalWrite]:
         """Once every controller named in the settings was seen with a version that understands
@@ -471,8 +471,8 @@
                 capacity.kept = None
                 capacities.append(capacity)
             room = ShardCapacity(shard.shard, capacities)
-            if self.shares is not None:
-                room.reserve(self.shares.served_teams(shard.shard))
+            if self.partitions is not None:
+                room.reserve(self.partitions.served_teams(shard.shard))
             shard_capacities.append(room)
             by_shard[shard.shard] = room
         for job_id in self.cache.live_jobs:
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -237,7 +237,7 @@
         return group
 
     def move(
-        self, floors: Mapping[MachineId, int], share: str, transaction_group_name: str
+        self, floors: Mapping[MachineId, int], partition: str, transaction_group_name: str
     ) -> list[MachineId]:
         """Draft that machines of one group go over to another share, each with the least token
         for its worker from then on: they leave their group and join one of that share in the same
@@ -250,10 +250,10 @@
         if name in self._drafts or name == self._splitting or self._over(group) or not once:
             return []
         most = self._most(floors, floors=True)
-        target = self._group_with_room(group.type, group.zone, group.spot, share, most - 1)
+        target = self._group_with_room(group.type, group.zone, group.spot, partition, most - 1)
         if target is None:
             (target,) = self._free_names(name, 1)
-            empty = MachineGroupRecord(group.type, group.zone, group.spot, {}, share=share)
+            empty = MachineGroupRecord(group.type, group.zone, group.spot, {}, partition=partition)
             self._drafts[target] = (empty, PRIORITY_NORMAL)
         elif target in self._drafts or target in (name, self._splitting):
             return []
@@ -333,11 +333,16 @@
         )
 
     def _group_with_room(
-        self, type_: str, zone: str, spot: bool, share: str, most: int
+        self, type_: str, zone: str, spot: bool, partition: str, most: int
     ) -> str | None:
         """A group of this kind that has no more than so many machines."""
         for name, group in self.cache.groups.items():
-            if (group.type, group.zone, group.spot, group.share) != (type_, zone, spot, share):
+            if (group.type, group.zone, group.spot, group.partition) != (
+                type_,
+                zone,
+                spot,
+                partition,
+            ):
                 continue
             draft = self._drafts.get(name)
             if len(draft[0].machines if draft is not None else group.machines) <= most:
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -45,9 +45,9 @@
     FORMAT_NOW,
     JOBS,
     LEADER,
+    PARTITIONS_FORMAT,
     ROOT,
     SHARDS,
-    SHARES_FORMAT,
     WatchCache,
     job_of,
     size_of,
@@ -60,7 +60,7 @@
 from dapplewick.types import ControllerName, FencingToken, JobId, Seconds, ShardName, partition_of
 
 if TYPE_CHECKING:
-    from dapplewick.shares.service import ShareService
+    from dapplewick.shares.service import PartitionService
 
 log = logging.getLogger("dapplewick.node")
 
@@ -112,7 +112,7 @@
         clock: Callable[[], Seconds] = time.monotonic,
         seed: int | None = None,
         tuning: Tuning | None = None,
-        shares: ShareService | None = None,
+        partitions: PartitionService | None = None,
     ) -> None:
         self.tuning = tuning or Tuning()
         self.latencies = Latencies()
@@ -173,35 +173,35 @@
         # Up to which status of which part's owner the leader (a boot of a node) has them.
         self._confirmed: dict[ShardName, tuple[FencingToken, str, int]] = {}
         self._cloud_calls = CloudCalls(self)
-        self.shares = shares  # None where they are switched off
-        self._dissolver: ShareService | None = None
-        if shares is not None:
-            shares.attach(self)
+        self.partitions = partitions  # None where they are switched off
+        self._dissolver: PartitionService | None = None
+        if partitions is not None:
+            partitions.attach(self)
 
     # Shares of zones
 
     def _format(self) -> int:
         """The newest format that this controller says it understands."""
-        return SHARES_FORMAT if self.shares is not None else FORMAT_NOW
+        return PARTITIONS_FORMAT if self.partitions is not None else FORMAT_NOW
 
-    def _share_service(self) -> ShareService | None:
+    def _partition_service(self) -> PartitionService | None:
         """What moves machines between shares. Where they are switched off, but some are left from
         before, one without a plan brings all machines back to the zones' own parts."""
-        if self.shares is not None:
-            return self.shares
+        if self.partitions is not None:
+            return self.partitions
         if not self.cache.transfers and not any(map(partition_of, self.cache.shards)):
             self._dissolver = None
         elif self._dissolver is None:
-            from dapplewick.shares.service import ShareService
+            from dapplewick.shares.service import PartitionService
 
-            self._dissolver = ShareService(None)
+            self._dissolver = PartitionService(None)
             self._dissolver.attach(self)
         return self._dissolver
 
     def shard_names(self) -> list[str]:
         """The parts that records of jobs may have to name."""
         zones = self.settings.deployment.zones
-        return zones if self.shares is None else self.shares.shard_names(zones)
+        return zones if self.partitions is None else self.partitions.shard_names(zones)
 
     # Time
 
@@ -482,10 +482,10 @@
             self.state.writes.rate = self._many_writes
             log.info("event=leader_won node=%s epoch=%d", self.own_name, epoch)
         self.leader.epoch = epoch
-        service = self._share_service()
+        service = self._partition_service()
         if service is not None:
             service.lead(self.leader)
-        self.leader.shares = service.keeper if service is not None else None
+        self.leader.partitions = service.keeper if service is not None else None
         self.assigner.wanted = service.wanted_shards() if service is not None else []
         for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
             key = SHARDS + name
@@ -665,7 +665,7 @@
     async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A message on a peer connection; some are answered on it."""
         if message.get("kind") == "shares":
-            return await self._answer_shares(message)
+            return await self._answer_partition_command(message)
         if message.get("kind") != "ask":
             return self.on_message(message)
         request = Request(
@@ -674,11 +674,11 @@
         answer = await self.api.answer(request) or NO_PATH
         return {"status": answer.status, "body": answer.body, "retry": answer.retry_after}
 
-    async def _answer_shares(self, message: dict[str, Any]) -> dict[str, Any]:
+    async def _answer_partition_command(self, message: dict[str, Any]) -> dict[str, Any]:
         """An operator's command on shares."""
-        if self.shares is None:
+        if self.partitions is None:
             return {"status": 404, "error": "shares are not switched on here"}
-        answer: dict[str, Any] = await self.shares.answer(message)
+        answer: dict[str, Any] = await self.partitions.answer(message)
         return answer
 
     async def ask_peer(self, request: Request) -> Answer | None:
@@ -856,8 +856,8 @@
         async with anyio.create_task_group() as group:
             for link in self.links.values():
                 group.start_soon(link.run)
-            if self.shares is not None:
-                group.start_soon(self._forever, self.shares.run)
+            if self.partitions is not None:
+                group.start_soon(self._forever, self.partitions.run)
             for loop in (
                 self._lease_loop,
                 self._watch_loop,
--- a/src/dapplewick/service.py
+++ b/src/dapplewick/service.py
@@ -16,7 +16,7 @@
 from dapplewick.tuning import Tuning
 
 if TYPE_CHECKING:
-    from dapplewick.shares.service import ShareService
+    from dapplewick.shares.service import PartitionService
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 SCRIPT_VARIABLE = "DAPPLEWICK_SCRIPT"
@@ -56,28 +56,28 @@
         logging.getLogger("dapplewick").info("event=file_limit_kept reason=%r", err)
 
 
-async def _run(settings: Settings, tuning: Tuning, shares: ShareService | None) -> None:
-    await Controller(settings, tuning=tuning, shares=shares).run()
+async def _run(settings: Settings, tuning: Tuning, partitions: PartitionService | None) -> None:
+    await Controller(settings, tuning=tuning, partitions=partitions).run()
 
 
-def _load_shares(path: str, settings: Settings) -> ShareService:
+def _load_partitions(path: str, settings: Settings) -> PartitionService:
     """What keeps the shares of zones, by the plan in this file. Loaded only here: controllers
     without shares do without it."""
     from dapplewick.shares.plan import PlanError, load, unknown_names
-    from dapplewick.shares.service import ShareService
+    from dapplewick.shares.service import PartitionService
 
     plan = load(path)
     deployment = settings.deployment
     complaint = unknown_names(plan, (t.name for t in deployment.teams), deployment.zones, None)
     if complaint:
         raise PlanError(f"{path}: {complaint}")
-    return ShareService(plan)
+    return PartitionService(plan)
 
 
-def run_controller(config: str, script: str | None, shares_plan: str | None = None) -> int:
+def run_controller(config: str, script: str | None, partition_plan_path: str | None = None) -> int:
     """Run until killed; bad settings, a bad script or a bad plan end the start with one line."""
     tuning = Tuning()
-    shares = None
+    partitions = None
     try:
         settings = load(config)
     except SettingsError as err:
@@ -92,11 +92,11 @@
         except ScriptError as err:
             print(f"dapplewick: script: {err}", file=sys.stderr)
             return 2
-    if shares_plan:
+    if partition_plan_path:
         from dapplewick.shares.plan import PlanError
 
         try:
-            shares = _load_shares(shares_plan, settings)
+            partitions = _load_partitions(partition_plan_path, settings)
         except PlanError as err:
             print(f"dapplewick: shares: {err}", file=sys.stderr)
             return 2
@@ -106,7 +106,7 @@
         logging.getLogger("dapplewick").error("event=bad_log_level error=%r", complaint)
     raise_file_limit(settings.deployment.machine_limits.fd_limit)
     try:
-        anyio.run(_run, settings, tuning, shares, backend_options={"use_uvloop": True})
+        anyio.run(_run, settings, tuning, partitions, backend_options={"use_uvloop": True})
     except OSError as err:
         print(f"dapplewick: can't listen: {err}", file=sys.stderr)
         return 1
@@ -116,10 +116,10 @@
 def start(arguments: list[str]) -> int:
     """The platform's way to start: `--config FILE` last, before it perhaps `--shares PLAN`, and a
     script only from the environment."""
-    shares_plan = None
+    partition_plan_path = None
     if len(arguments) == 4 and arguments[0] == "--shares":
-        shares_plan, arguments = arguments[1], arguments[2:]
+        partition_plan_path, arguments = arguments[1], arguments[2:]
     if len(arguments) != 2 or arguments[0] != "--config":
         print("usage: run.py [--shares PLAN] --config FILE", file=sys.stderr)
         return 2
-    return run_controller(arguments[1], os.environ.get(SCRIPT_VARIABLE), shares_plan)
+    return run_controller(arguments[1], os.environ.get(SCRIPT_VARIABLE), partition_plan_path)
--- a/src/dapplewick/shares/commands.py
+++ b/src/dapplewick/shares/commands.py
@@ -23,7 +23,7 @@
     """Put a command to a controller; a refusal ends the command with one line."""
 
     async def ask() -> dict[str, Any]:
-        return await client.shares(at, verb, **fields)
+        return await client.partitions(at, verb, **fields)
 
     try:
         said = anyio.run(ask)
@@ -49,14 +49,14 @@
 def show(at: str, as_json: bool) -> None:
     """Show the shares, their machines, and what is moving and why it waits."""
     said = _call(at, "show")
-    _print(said, as_json, share_lines(said))
+    _print(said, as_json, partition_lines(said))
 
 
 def _name(share: str) -> str:
     return share or "(no share)"
 
 
-def share_lines(said: dict[str, Any]) -> list[str]:
+def partition_lines(said: dict[str, Any]) -> list[str]:
     """What a controller tells of shares, as text."""
     lines = []
     if not said["targets_known"]:
@@ -127,7 +127,7 @@
 @click.option("--type", "type_", required=True, help="Type of the machines.")
 @click.option("--from", "source", required=True, help=f"Share that gives; {OWN} for no share.")
 @click.option("--to", "target", required=True, help=f"Share that gets; {OWN} for no share.")
-@click.option("--id", "order", help="Name of this order: a repeated one is carried out once.")
+@click.option("--id", "command", help="Name of this order: a repeated one is carried out once.")
 @click.argument("count", type=int)
 def move(
     at: str,
@@ -136,14 +136,14 @@
     type_: str,
     source: str,
     target: str,
-    order: str | None,
+    command: str | None,
     count: int,
 ) -> None:
     """Move COUNT machines from one share of a zone to another, as their work ends."""
     said = _call(
         at,
         "move",
-        id=order or f"o-{secrets.token_hex(6)}",
+        id=command or f"o-{secrets.token_hex(6)}",
         zone=zone,
         type=type_,
         count=count,
--- a/src/dapplewick/shares/demand.py
+++ b/src/dapplewick/shares/demand.py
@@ -7,7 +7,7 @@
 
 from dapplewick.config import Team
 from dapplewick.core.estimates import Estimates
-from dapplewick.shares.plan import SharePlan
+from dapplewick.shares.plan import PartitionPlan
 from dapplewick.storage.records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources, Seconds
 
@@ -15,7 +15,7 @@
 SOON_TIMES = 2.0  # work that is due within this times its run time is pressing
 
 
-class ShareDemand(NamedTuple):
+class PartitionDemand(NamedTuple):
     """Room that a share's work would use if it had it all. Pressing is what is due soon or is
     within its team's guarantee."""
 
@@ -62,12 +62,12 @@
 
 
 def measure(
-    plan: SharePlan,
+    plan: PartitionPlan,
     teams: Iterable[Team],
     jobs: Iterable[JobRecord],
     estimates: Estimates,
     wall: Seconds,
-) -> dict[str, ShareDemand]:
+) -> dict[str, PartitionDemand]:
     """The demand of each share, from all open jobs, the oldest first."""
     sums = {team.name: _TeamDemand(team) for team in teams}
     for job in sorted((j for j in jobs if j.open), key=lambda j: j.submitted_at):
@@ -75,13 +75,13 @@
         if team is not None:
             team.add(job, _due_soon(job, estimates, wall))
     out = {}
-    for name, share in plan.shares.items():
+    for name, partition in plan.partitions.items():
         pressing = other = NO_RESOURCES
-        for team_name in share.teams:
+        for team_name in partition.teams:
             if team_name in sums:
                 pressing = pressing.plus(sums[team_name].pressing)
                 other = other.plus(sums[team_name].other)
-        out[name] = ShareDemand(pressing, other)
+        out[name] = PartitionDemand(pressing, other)
     return out
 
 
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -21,12 +21,12 @@
 )
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.plan import SharePlan
+from dapplewick.shares.plan import PartitionPlan
 from dapplewick.shares.selection import MachineSelection
 from dapplewick.shares.solver import Cell
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import SHARDS, SHARES_FORMAT, TRANSFERS, JobRecord, WatchCache
+from dapplewick.storage.records import PARTITIONS_FORMAT, SHARDS, TRANSFERS, JobRecord, WatchCache
 from dapplewick.storage.transfers import (
     CANCELLED,
     COMPLETE,
@@ -62,14 +62,14 @@
 PLAN, OPERATOR, AGAIN = "plan", "operator", "again"
 
 
-class Order(NamedTuple):
+class TransferCommand(NamedTuple):
     """An operator's move or cancellation that is to be written in the next pass."""
 
     transfer: TransferId
     record: TransferRecord | None  # None: the transfer is to be cancelled
 
 
-class ShareKeeper:
+class PartitionRebalancer:
     """Moves machines between the shares of zones, as one term's leader."""
 
     def __init__(
@@ -79,9 +79,9 @@
         self._index = index
         self._zones = list(zones)
         self._times = times
-        self.plan = SharePlan()
+        self.plan = PartitionPlan()
         self.targets = TargetsInForce()
-        self.orders: list[Order] = []
+        self.commands: list[TransferCommand] = []
         self._starving: frozenset[str] = frozenset()
         self._avoid: dict[MachineId, Seconds] = {}  # until when
         self._drained_at: dict[MachineId, Seconds] = {}
@@ -112,20 +112,20 @@
         name = partition_of(shard)
         if not name:
             return None
-        share = self.plan.shares.get(name)
-        return frozenset(share.teams) | self._starving if share is not None else frozenset()
+        partition = self.plan.partitions.get(name)
+        return frozenset(partition.teams) | self._starving if partition is not None else frozenset()
 
     def wanted_shards(self) -> list[ShardName]:
         """The parts of shares that are to get machines, or have some."""
-        if self._cache.format < SHARES_FORMAT:
+        if self._cache.format < PARTITIONS_FORMAT:
             return []
         wanted = {
-            shard_name(cell.zone, cell.share): None
+            shard_name(cell.zone, cell.partition): None
             for cell, count in self.targets.items()
-            if count > 0 and cell.share in self.plan.shares
+            if count > 0 and cell.partition in self.plan.partitions
         }
         for record in self._open().values():
-            if partition_of(record.target) in self.plan.shares:
+            if partition_of(record.target) in self.plan.partitions:
                 wanted[ShardName(record.target)] = None
         return list(wanted)
 
@@ -138,7 +138,7 @@
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
         """The writes of this pass."""
-        if self._cache.format < SHARES_FORMAT:
+        if self._cache.format < PARTITIONS_FORMAT:
             return []
         self._drafts = {}
         self._ties = {}
@@ -147,7 +147,7 @@
         self._avoid = {m: until for m, until in self._avoid.items() if until > now}
         self._index.refresh()
         selection = MachineSelection(now, self._cache, self._index, shards, placed)
-        self._take_orders()
+        self._take_commands()
         self._follow_targets(wall)
         transaction_group: list[ConditionalWrite] = []
         in_order = sorted(self._open().items(), key=lambda item: item[1].generation)
@@ -219,10 +219,10 @@
 
     # Orders and targets
 
-    def _take_orders(self) -> None:
+    def _take_commands(self) -> None:
         """Draft what operators have ordered. Whoever ordered it takes the order back when its
         record is there, or when it is given up on."""
-        for transfer, record in self.orders:
+        for transfer, record in self.commands:
             if record is None:
                 known = self._record(transfer)
                 if known is not None and known.state != CANCELLED:
@@ -279,20 +279,22 @@
     def _holds(self, record: TransferRecord, wall: Seconds) -> bool:
         """Whether an operator's move that has ended still keeps the plan from its machines."""
         ordered = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
-        return ordered and bool(self.plan.shares) and wall < record.at + self.plan.hold_orders_s
+        return ordered and bool(self.plan.partitions) and wall < record.at + self.plan.hold_orders_s
 
     def _balance(self, wall: Seconds, zone: str, type_: str) -> None:
         """Pair shares that have too many machines of a kind with those that have too few."""
-        shares = {partition_of(k.shard) for k, _ in self._index.kinds() if zone_of(k.shard) == zone}
-        shares |= {cell.share for cell, _ in self.targets.items() if cell.zone == zone}
+        partitions = {
+            partition_of(k.shard) for k, _ in self._index.kinds() if zone_of(k.shard) == zone
+        }
+        partitions |= {cell.partition for cell, _ in self.targets.items() if cell.zone == zone}
         coming, going = self._in_flight(zone, type_)
         spare: dict[str, int] = {}
         short: dict[str, int] = {}
-        for share in sorted(shares - {""}):
-            name = shard_name(zone, share)
+        for partition in sorted(partitions - {""}):
+            name = shard_name(zone, partition)
             have = self._index.count(name, type_)
             differ = have + coming.get(name, 0) - going.get(name, 0)
-            differ -= self._target(Cell(share, zone, type_))
+            differ -= self._target(Cell(partition, zone, type_))
             if differ > 0:
                 spare[name] = differ
             elif differ < 0:
@@ -315,7 +317,7 @@
 
     def _target(self, cell: Cell) -> int:
         """A share that is not in the plan gives all that it has."""
-        return self.targets[cell] if cell.share in self.plan.shares else 0
+        return self.targets[cell] if cell.partition in self.plan.partitions else 0
 
     def _in_flight(self, zone: str, type_: str) -> tuple[dict[str, int], dict[str, int]]:
         """How many machines of a kind are on their way to each part, and from each."""
--- a/src/dapplewick/shares/plan.py
+++ b/src/dapplewick/shares/plan.py
@@ -18,7 +18,7 @@
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,19}")
 CLOCK = re.compile(r"([01]\d|2[0-3]):([0-5]\d)")
 DAY_MINUTES = 24 * 60
-SHARES_MOST = 100
+MAX_PARTITIONS = 100
 RULES_MOST = 200
 WEIGHT_MOST = 1000.0
 
@@ -27,7 +27,7 @@
     """A plan can't be used; the text is one line that names the field."""
 
 
-class ShareRule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class PartitionRule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """What a share gets of some types of machines: at least and at most these parts of those that
     there are in each zone, and in between what its work wants. The first rule of a share that
     holds for a type, a zone and a time of day counts."""
@@ -50,22 +50,22 @@
         return minute >= begin or minute < end
 
 
-class Share(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class Partition(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """A share: whose work it is for, and what it gets."""
 
     teams: list[str]
-    rules: list[ShareRule]
+    rules: list[PartitionRule]
     weight: float = 1.0  # where there is too little for all, heavier shares miss less
 
-    def rule(self, type_: str, zone: str, minute: int) -> ShareRule | None:
+    def rule(self, type_: str, zone: str, minute: int) -> PartitionRule | None:
         """The rule that holds for machines of a type in a zone at a minute of the day."""
         return next((r for r in self.rules if r.covers(type_, zone, minute)), None)
 
 
-class SharePlan(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class PartitionPlan(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """All shares, and how they change."""
 
-    shares: dict[str, Share] = msgspec.field(name="shares", default_factory=dict)
+    partitions: dict[str, Partition] = msgspec.field(name="shares", default_factory=dict)
     margin: float = 0.1  # of a zone's machines of a type that a new plan must differ by
     move_within_s: float = 300.0  # a machine that is not empty by then is left where it is
     hold_orders_s: float = 3600.0  # the plan leaves alone for so long what an operator has moved
@@ -79,7 +79,7 @@
     return int(match[1]) * 60 + int(match[2])
 
 
-def parse(name: str, text: str) -> SharePlan:
+def parse(name: str, text: str) -> PartitionPlan:
     """Run a plan's script and check what can be checked without the deployment."""
     try:
         assigned_lines(name, text, SETTINGS)
@@ -89,7 +89,7 @@
     return convert(values, f"{name}: ")
 
 
-def load(path: str) -> SharePlan:
+def load(path: str) -> PartitionPlan:
     """Read and check a plan's file."""
     try:
         text = read_script(path)
@@ -98,10 +98,10 @@
     return parse(path, text)
 
 
-def convert(values: Any, place: str = "") -> SharePlan:
+def convert(values: Any, place: str = "") -> PartitionPlan:
     """A plan of plain values, as a script sets them or a record keeps them."""
     try:
-        plan = msgspec.convert(values, type=SharePlan)
+        plan = msgspec.convert(values, type=PartitionPlan)
     except msgspec.ValidationError as err:
         raise PlanError(f"{place}{_one_line(err)}") from None
     complaint = _complaint(plan)
@@ -116,7 +116,7 @@
     return f"{field.rstrip('`')}: {reason}" if field else reason
 
 
-def _complaint(plan: SharePlan) -> str:
+def _complaint(plan: PartitionPlan) -> str:
     """What is wrong with a plan, by itself; empty if nothing is."""
     if not 0.0 <= plan.margin <= 1.0:
         return "margin: must be from 0 to 1"
@@ -124,26 +124,26 @@
         return "move_within_s: must be from 10 to 86400"
     if not 0.0 <= plan.hold_orders_s <= 7 * 86400.0:
         return "hold_orders_s: must be from 0 to 604800"
-    if len(plan.shares) > SHARES_MOST:
-        return f"shares: more than {SHARES_MOST}"
-    for name, share in plan.shares.items():
+    if len(plan.partitions) > MAX_PARTITIONS:
+        return f"shares: more than {MAX_PARTITIONS}"
+    for name, partition in plan.partitions.items():
         field = f"shares[{name!r}]"
         if NAME.fullmatch(name) is None:
             return f"{field}: a name has up to 20 of a-z, 0-9 and -"
-        if not share.teams or len(set(share.teams)) < len(share.teams):
+        if not partition.teams or len(set(partition.teams)) < len(partition.teams):
             return f"{field}.teams: name each team once, and at least one"
-        if not 0.0 < share.weight <= WEIGHT_MOST:
+        if not 0.0 < partition.weight <= WEIGHT_MOST:
             return f"{field}.weight: must be over 0 and at most {WEIGHT_MOST:g}"
-        if not 0 < len(share.rules) <= RULES_MOST:
+        if not 0 < len(partition.rules) <= RULES_MOST:
             return f"{field}.rules: from 1 to {RULES_MOST} are needed"
-        for number, rule in enumerate(share.rules):
+        for number, rule in enumerate(partition.rules):
             complaint = _rule_complaint(rule)
             if complaint:
                 return f"{field}.rules[{number}].{complaint}"
     return _sum_complaint(plan)
 
 
-def _rule_complaint(rule: ShareRule) -> str:
+def _rule_complaint(rule: PartitionRule) -> str:
     if not rule.types:
         return "types: at least one is needed"
     if rule.zones is not None and not rule.zones:
@@ -157,9 +157,9 @@
     return ""
 
 
-def _sum_complaint(plan: SharePlan) -> str:
+def _sum_complaint(plan: PartitionPlan) -> str:
     """Whether the shares ask for more than there is of some type, in a zone, at some time."""
-    rules = [rule for share in plan.shares.values() for rule in share.rules]
+    rules = [rule for partition in plan.partitions.values() for rule in partition.rules]
     types = dict.fromkeys(type_ for rule in rules for type_ in rule.types)
     # A zone that no rule names stands for all the others.
     zones = dict.fromkeys(zone for rule in rules for zone in rule.zones or [])
@@ -168,8 +168,8 @@
         for type_ in types:
             for zone in [*zones, ""]:
                 total = 0.0
-                for name, share in plan.shares.items():
-                    rule = share.rule(type_, zone, minute)
+                for name, partition in plan.partitions.items():
+                    rule = partition.rule(type_, zone, minute)
                     total += rule.least if rule is not None else 0.0
                     if total > 1.0 + 1e-9:
                         return (
@@ -180,18 +180,18 @@
 
 
 def unknown_names(
-    plan: SharePlan, teams: Iterable[str], zones: Iterable[str], types: Iterable[str] | None
+    plan: PartitionPlan, teams: Iterable[str], zones: Iterable[str], types: Iterable[str] | None
 ) -> str:
     """The first team, zone or type of a plan that the deployment does not have; empty if there is
     none. Types are not looked at where they are not known yet."""
     known_teams, known_zones = set(teams), set(zones)
     known_types = set(types) if types is not None else None
-    for name, share in plan.shares.items():
+    for name, partition in plan.partitions.items():
         field = f"shares[{name!r}]"
-        for team in share.teams:
+        for team in partition.teams:
             if team not in known_teams:
                 return f"{field}.teams: unknown team {team!r}"
-        for number, rule in enumerate(share.rules):
+        for number, rule in enumerate(partition.rules):
             for zone in rule.zones or ():
                 if zone not in known_zones:
                     return f"{field}.rules[{number}].zones: unknown zone {zone!r}"
--- a/src/dapplewick/shares/selection.py
+++ b/src/dapplewick/shares/selection.py
@@ -16,7 +16,7 @@
 
 NAMES_BYTES = 480  # of those drained, in a record: half of the smallest value
 SAMPLE = 200  # machines that are looked at, beside the idle ones
-BUSY_SHARE = 0.25  # of a part's busy machines of a type that are drained at the same time
+BUSY_FRACTION = 0.25  # of a part's busy machines of a type that are drained at the same time
 UNRECONCILED_WAIT_S = 30.0  # what a machine of which nothing is known yet counts as
 
 
@@ -93,7 +93,7 @@
     def _busy_left(
         self, transfer: TransferRecord, candidates: int, waited_for: Set[MachineId]
     ) -> int:
-        most = max(1, math.ceil(BUSY_SHARE * (candidates + len(transfer.draining))))
+        most = max(1, math.ceil(BUSY_FRACTION * (candidates + len(transfer.draining))))
         busy = sum(not self.is_empty(transfer, machine) for machine in waited_for)
         return most - busy
 
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/shares/service.py
@@ -12,20 +12,20 @@
 
 from dapplewick.shares.demand import measure
 from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.keeper import Order, ShareKeeper
-from dapplewick.shares.orders import OrderRefused, cancellation, move_order
-from dapplewick.shares.plan import PlanError, SharePlan, convert, unknown_names
+from dapplewick.shares.keeper import PartitionRebalancer, TransferCommand
+from dapplewick.shares.orders import TransferRefusedError, cancellation, move_command
+from dapplewick.shares.plan import PartitionPlan, PlanError, convert, unknown_names
 from dapplewick.shares.solver import Problem, Targets, solve
 from dapplewick.shares.targets import holdings, supply
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.shares.view import ShareView
+from dapplewick.shares.view import PartitionDescription
 from dapplewick.storage.client import (
     OutcomeUnknownError,
     RequestRefusedError,
     TransactionConflictError,
     ValueTooLargeError,
 )
-from dapplewick.storage.records import LEADER, SHARE_PLAN, SHARES_FORMAT, size_of
+from dapplewick.storage.records import LEADER, PARTITION_PLAN, PARTITIONS_FORMAT, size_of
 from dapplewick.storage.transfers import CANCELLED
 from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
 
@@ -50,18 +50,18 @@
     return await anyio.to_thread.run_sync(solve, problem)
 
 
-class ShareService:
+class PartitionService:
     """One controller's part in the shares of zones. Without a plan it only dissolves them."""
 
-    def __init__(self, plan: SharePlan | None, solver: Solver = solve_in_thread) -> None:
+    def __init__(self, plan: PartitionPlan | None, solver: Solver = solve_in_thread) -> None:
         self._initial = plan
         self._solver = solver
-        self._plan = plan or SharePlan()
+        self._plan = plan or PartitionPlan()
         self._plan_version = 0
         self._complained_at: dict[str, Seconds] = {}
         self._leader: LeaderPlanner | None = None
         self._times = MoveTimes()
-        self.keeper: ShareKeeper | None = None
+        self.keeper: PartitionRebalancer | None = None
 
     def attach(self, controller: Controller) -> None:
         """Belong to a controller."""
@@ -72,8 +72,11 @@
 
     def shard_names(self, zones: list[str]) -> list[str]:
         """The parts that records of jobs may have to name: those of all shares, in all zones."""
-        shares = self._plan.shares
-        return [*zones, *(shard_name(zone, share) for zone in zones for share in shares)]
+        partitions = self._plan.partitions
+        return [
+            *zones,
+            *(shard_name(zone, partition) for zone in zones for partition in partitions),
+        ]
 
     def wanted_shards(self) -> list[ShardName]:
         """The parts of shares that are to have an owner."""
@@ -84,7 +87,9 @@
         if self._leader is not leader:
             self._leader = leader
             zones = self._controller.settings.deployment.zones
-            self.keeper = ShareKeeper(self._controller.cache, self._index, zones, self._times)
+            self.keeper = PartitionRebalancer(
+                self._controller.cache, self._index, zones, self._times
+            )
         self._read_plan()
         assert self.keeper is not None
         self.keeper.plan = self._plan
@@ -98,12 +103,12 @@
         if self._initial is None:
             return
         cache = self._controller.cache
-        version = cache.version(SHARE_PLAN)
+        version = cache.version(PARTITION_PLAN)
         if version == self._plan_version:
             return
         self._plan_version = version
         try:
-            plan = convert(cache.share_plan) if version else self._initial
+            plan = convert(cache.partition_plan) if version else self._initial
             complaint = self._unknown_names(plan)
         except PlanError as err:
             complaint = str(err)
@@ -111,9 +116,9 @@
             self._complain("stored_plan_refused", complaint)
             return
         self._plan = plan
-        log.info("event=plan_in_force version=%d shares=%s", version, ",".join(plan.shares))
+        log.info("event=plan_in_force version=%d shares=%s", version, ",".join(plan.partitions))
 
-    def _unknown_names(self, plan: SharePlan) -> str:
+    def _unknown_names(self, plan: PartitionPlan) -> str:
         deployment = self._controller.settings.deployment
         types = self._controller.cache.types or None
         return unknown_names(plan, (t.name for t in deployment.teams), deployment.zones, types)
@@ -133,9 +138,9 @@
                 await self._solve(self.keeper)
             await anyio.sleep(max(PLAN_S, PLAN_REST * (self._controller.now() - begun)))
 
-    async def _solve(self, keeper: ShareKeeper) -> None:
+    async def _solve(self, keeper: PartitionRebalancer) -> None:
         controller = self._controller
-        if controller.cache.format < SHARES_FORMAT or not controller.cache.types:
+        if controller.cache.format < PARTITIONS_FORMAT or not controller.cache.types:
             return
         complaint = self._unknown_names(self._plan)
         if complaint:
@@ -164,7 +169,7 @@
         if keeper.targets.adopt(problem, solution):
             log.info(
                 "event=targets targets=%s",
-                ",".join(f"{c.zone}/{c.share}/{c.type}:{n}" for c, n in keeper.targets.items()),
+                ",".join(f"{c.zone}/{c.partition}/{c.type}:{n}" for c, n in keeper.targets.items()),
             )
             controller.wake_leader()
 
@@ -189,7 +194,7 @@
                 return await self._order_move(message)
             if verb == "cancel":
                 return await self._order_cancel(message)
-        except OrderRefused as err:
+        except TransferRefusedError as err:
             return {"status": err.status, "error": str(err)}
         return {"status": 400, "error": "verb: show, plan, move or cancel is needed"}
 
@@ -207,7 +212,7 @@
     def _show(self) -> dict[str, Any]:
         controller, keeper = self._controller, self.keeper
         assert keeper is not None and controller.leader is not None
-        view = ShareView(
+        view = PartitionDescription(
             controller.now(),
             controller.wall(),
             controller.cache,
@@ -228,10 +233,10 @@
         given = message.get("plan")
         changes: dict[str, Any] = {}
         if given is not None:
-            changes[SHARE_PLAN] = self._checked_plan(given)
-        version = controller.cache.version(SHARE_PLAN)
-        conditions = {SHARE_PLAN: version, LEADER: controller.cache.version(LEADER)}
-        deletes = [] if changes or not version else [SHARE_PLAN]
+            changes[PARTITION_PLAN] = self._checked_plan(given)
+        version = controller.cache.version(PARTITION_PLAN)
+        conditions = {PARTITION_PLAN: version, LEADER: controller.cache.version(LEADER)}
+        deletes = [] if changes or not version else [PARTITION_PLAN]
         if not changes and not deletes:
             return {"status": 200}
         try:
@@ -239,13 +244,13 @@
         except TransactionConflictError:
             return _unavailable("the plan or the leader has changed meanwhile")
         except ValueTooLargeError:
-            raise OrderRefused("plan: it is too large") from None
+            raise TransferRefusedError("plan: it is too large") from None
         except (RequestRefusedError, OutcomeUnknownError):
             return _unavailable("the state service did not confirm it; look with `shares show`")
         for key, value in changes.items():
             controller.stored(key, value, revision)
         if deletes:
-            controller.cache.remove(SHARE_PLAN, revision)
+            controller.cache.remove(PARTITION_PLAN, revision)
         return {"status": 200, "revision": revision}
 
     def _checked_plan(self, given: Any) -> Any:
@@ -259,51 +264,53 @@
         except (PlanError, TypeError) as err:
             complaint = " ".join(str(err).split())
         if complaint:
-            raise OrderRefused(complaint)
+            raise TransferRefusedError(complaint)
         return msgspec.to_builtins(plan)
 
     async def _order_move(self, message: dict[str, Any]) -> dict[str, Any]:
         controller, keeper = self._controller, self.keeper
         assert keeper is not None
-        if controller.cache.format < SHARES_FORMAT:
+        if controller.cache.format < PARTITIONS_FORMAT:
             return _unavailable("some controllers do not understand shares yet")
-        order = move_order(
+        command = move_command(
             message,
             controller.cache,
             self._plan,
             controller.settings.deployment,
             controller.wall(),
         )
-        if order.transfer not in controller.cache.transfers.records:
-            return await self._carry_out(keeper, order)
-        return self._said(order)
+        if command.transfer not in controller.cache.transfers.records:
+            return await self._carry_out(keeper, command)
+        return self._said(command)
 
     async def _order_cancel(self, message: dict[str, Any]) -> dict[str, Any]:
         keeper = self.keeper
         assert keeper is not None
         return await self._carry_out(keeper, cancellation(message, self._controller.cache))
 
-    async def _carry_out(self, keeper: ShareKeeper, order: Order) -> dict[str, Any]:
+    async def _carry_out(
+        self, keeper: PartitionRebalancer, command: TransferCommand
+    ) -> dict[str, Any]:
         """Have an order written, and answer once its record is known to be stored."""
-        keeper.orders.append(order)
+        keeper.commands.append(command)
         try:
             with anyio.move_on_after(KNOWN_WITHIN_S):
-                while not self._is_known(order):
+                while not self._is_known(command):
                     self._controller.wake_leader(at_once=True)
                     await anyio.sleep(LOOK_S)
-                return self._said(order)
+                return self._said(command)
         finally:
-            if order in keeper.orders:
-                keeper.orders.remove(order)
+            if command in keeper.commands:
+                keeper.commands.remove(command)
         return _unavailable("it is not known to be stored yet; look with `shares show`")
 
-    def _is_known(self, order: Order) -> bool:
-        record = self._controller.cache.transfers.records.get(order.transfer)
-        return record is not None and (order.record is not None or record.state == CANCELLED)
+    def _is_known(self, command: TransferCommand) -> bool:
+        record = self._controller.cache.transfers.records.get(command.transfer)
+        return record is not None and (command.record is not None or record.state == CANCELLED)
 
-    def _said(self, order: Order) -> dict[str, Any]:
-        record = self._controller.cache.transfers.records[order.transfer]
-        return {"status": 200, "id": order.transfer, "state": record.state}
+    def _said(self, command: TransferCommand) -> dict[str, Any]:
+        record = self._controller.cache.transfers.records[command.transfer]
+        return {"status": 200, "id": command.transfer, "state": record.state}
 
 
 def _unavailable(reason: str) -> dict[str, Any]:
--- a/src/dapplewick/shares/solver.py
+++ b/src/dapplewick/shares/solver.py
@@ -9,8 +9,8 @@
 import math
 from typing import Any, NamedTuple
 
-from dapplewick.shares.demand import ShareDemand
-from dapplewick.shares.plan import SharePlan
+from dapplewick.shares.demand import PartitionDemand
+from dapplewick.shares.plan import PartitionPlan
 from dapplewick.types import Resources, Seconds
 
 SOLVE_WITHIN_S = 0.5
@@ -22,7 +22,7 @@
 class Cell(NamedTuple):
     """Machines of one type in one zone that belong to one share."""
 
-    share: str
+    partition: str
     zone: str
     type: str
 
@@ -37,10 +37,10 @@
 class Problem(NamedTuple):
     """What a solution is to be found for."""
 
-    plan: SharePlan
+    plan: PartitionPlan
     minute: int  # of the day, in UTC
     supply: dict[tuple[str, str], Supply]  # by zone and type
-    demand: dict[str, ShareDemand]
+    demand: dict[str, PartitionDemand]
     have: dict[Cell, int]  # what each share has now
 
 
@@ -56,9 +56,9 @@
     """How many machines each share may have of each kind. Parts of machines are rounded down for
     what is promised, so that the promises of all shares together never exceed what there is."""
     out = {}
-    for name, share in problem.plan.shares.items():
+    for name, partition in problem.plan.partitions.items():
         for (zone, type_), supply in problem.supply.items():
-            rule = share.rule(type_, zone, problem.minute)
+            rule = partition.rule(type_, zone, problem.minute)
             if rule is not None and rule.most > 0.0 and supply.machines > 0:
                 least = math.floor(rule.least * supply.machines + 1e-9)
                 most = max(least, math.floor(rule.most * supply.machines + 1e-9))
@@ -120,9 +120,9 @@
 def _shortfalls(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
     """The cost of room that shares want and do not get, for CPUs and accelerators."""
     out: list[Any] = []
-    for name, share in problem.plan.shares.items():
-        mine = [(cell, column) for cell, column in columns.items() if cell.share == name]
-        demand = problem.demand.get(name, ShareDemand())
+    for name, partition in problem.plan.partitions.items():
+        mine = [(cell, column) for cell, column in columns.items() if cell.partition == name]
+        demand = problem.demand.get(name, PartitionDemand())
         for field in ("cpus", "gpus"):
             total = getattr(demand.total, field)
             pressing = getattr(demand.pressing, field)
@@ -138,8 +138,8 @@
             model.addConstr(room + missing >= total / scale)
             model.addConstr(room + missing_pressing >= pressing / scale)
             out += [
-                share.weight * missing,
-                share.weight * PRESSING_COST * missing_pressing,
+                partition.weight * missing,
+                partition.weight * PRESSING_COST * missing_pressing,
             ]
     return out
 
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/shares/view.py
@@ -8,7 +8,7 @@
 
 from dapplewick.core.estimates import NEVER
 from dapplewick.core.part_view import ObservedShard
-from dapplewick.shares.plan import SharePlan
+from dapplewick.shares.plan import PartitionPlan
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.storage.records import SHARDS, TRANSFERS, WatchCache
 from dapplewick.storage.transfers import TransferRecord
@@ -17,7 +17,7 @@
 SILENT_S = 4.0
 
 
-class ShareView:
+class PartitionDescription:
     """Reads the records and the parts' statuses; changes nothing."""
 
     def __init__(
@@ -28,28 +28,28 @@
         self._cache = cache
         self._shards = {shard.shard: shard for shard in shards}
 
-    def describe(self, plan: SharePlan, targets: TargetsInForce) -> dict[str, Any]:
+    def describe(self, plan: PartitionPlan, targets: TargetsInForce) -> dict[str, Any]:
         """All shares, their machines and targets, and the transfers, as plain values."""
         counts = Counter(
-            (record.zone, record.share, record.type)
+            (record.zone, record.partition, record.type)
             for record in self._cache.machines.values()
             if not record.terminating
         )
-        wanted = {(cell.zone, cell.share, cell.type): count for cell, count in targets.items()}
+        wanted = {(cell.zone, cell.partition, cell.type): count for cell, count in targets.items()}
         rows = [
             {
                 "zone": zone,
-                "share": share,
+                "share": partition,
                 "type": type_,
-                "machines": counts.get((zone, share, type_), 0),
-                "target": wanted.get((zone, share, type_), 0) if share else None,
+                "machines": counts.get((zone, partition, type_), 0),
+                "target": wanted.get((zone, partition, type_), 0) if partition else None,
             }
-            for zone, share, type_ in sorted(counts.keys() | wanted.keys())
+            for zone, partition, type_ in sorted(counts.keys() | wanted.keys())
         ]
         return {
             "format": self._cache.format,
             "targets_known": targets.known,
-            "teams": {name: share.teams for name, share in plan.shares.items()},
+            "teams": {name: partition.teams for name, partition in plan.partitions.items()},
             "machines": rows,
             "owners": {shard: record.owner for shard, record in self._cache.shards.items()},
             "transfers": [
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -38,7 +38,7 @@
 SHARDS = ROOT + "p/"
 CONTROLLERS = ROOT + "n/"
 PROVISIONING_REQUESTS = ROOT + "b/"
-SHARE_PLAN = ROOT + "shares"  # the operators' plan of shares, if they have stored one
+PARTITION_PLAN = ROOT + "shares"  # the operators' plan of shares, if they have stored one
 TRANSFERS = ROOT + "s/"  # machines that change from one share to another
 
 OPEN, DONE, CANCELLED = "open", "done", "cancelled"
@@ -48,7 +48,7 @@
 # What a controller understands. A version that says nothing of itself is of the first one, and
 # until the record of the format says otherwise only what that understands is written or sent.
 FIRST_FORMAT, FORMAT_NOW = 2, 3
-SHARES_FORMAT = 4  # with shares of zones; announced only where they are switched on
+PARTITIONS_FORMAT = 4  # with shares of zones; announced only where they are switched on
 
 
 class GangPlacement(msgspec.Struct, omit_defaults=True):
@@ -60,7 +60,7 @@
     over: bool = msgspec.field(name="over", default=False)
     preempt: bool = False
     # Of how many keys the places are to be read, if they are not here.
-    shares: int = msgspec.field(name="shares", default=0)
+    placement_keys: int = msgspec.field(name="shares", default=0)
 
     def shards(self) -> set[str]:
         return {shard for shard, _ in self.placements}
@@ -166,7 +166,7 @@
         return value
 
     def _short_gang(self) -> GangPlacement | None:
-        if self.gang is None or not self.gang.shares:
+        if self.gang is None or not self.gang.placement_keys:
             return self.gang
         return msgspec.structs.replace(self.gang, placements=[])
 
@@ -272,13 +272,13 @@
     at: float
     up: bool = False
     terminating: bool = False
-    share: str = ""
+    partition: str = ""
     floor: int = 0  # commands to its worker carry at least this token
 
     @property
     def shard(self) -> ShardName:
         """The part that schedules this machine."""
-        return shard_name(self.zone, self.share)
+        return shard_name(self.zone, self.partition)
 
 
 BOOTING, UP, TERMINATING = "b", "u", "d"
@@ -296,7 +296,7 @@
     zone: str
     spot: bool
     machines: dict[str, str]
-    share: str = msgspec.field(name="share", default="")
+    partition: str = msgspec.field(name="share", default="")
     floors: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
 
     def without(self, machine: str) -> MachineGroupRecord:
@@ -317,7 +317,7 @@
             at=float(text[1:] or 0),
             up=state != BOOTING,
             terminating=state == TERMINATING,
-            share=self.share,
+            partition=self.partition,
             floor=self.floors.get(machine, 0),
         )
 
@@ -382,7 +382,7 @@
         self._group_versions: dict[str, int] = {}
         self.shards: dict[ShardName, ShardRecord] = {}
         self.transfers = Transfers()
-        self.share_plan: Any = None  # as it was stored: the shares' package reads it
+        self.partition_plan: Any = None  # as it was stored: the shares' package reads it
         self.controllers: dict[ControllerName, ControllerRecord] = {}
         self.provisioning_requests: dict[str, ProvisioningRequest] = {}
         self.format = FIRST_FORMAT
@@ -499,8 +499,8 @@
         elif key.startswith(TRANSFERS):
             record = msgspec.convert(value, type=TransferRecord)
             self.changed_machines += self.transfers.put(TransferId(name), record)
-        elif key == SHARE_PLAN:
-            self.share_plan = value
+        elif key == PARTITION_PLAN:
+            self.partition_plan = value
         elif key == LEADER:
             self.leader = msgspec.convert(value, type=LeaderRecord)
         elif key == TYPES:
@@ -518,7 +518,7 @@
             return
         shares = self.chunks.get(job_id, {}) if main.chunk_size else {}
         job = main
-        if main.chunk_size or (main.gang is not None and main.gang.shares):
+        if main.chunk_size or (main.gang is not None and main.gang.placement_keys):
             job = main.copy()
         if main.chunk_size:
             job.done, job.assignments = set(), {}
@@ -530,10 +530,10 @@
                 if job.stage != DONE:
                     for zone, tasks in chunk.assignments.items():
                         job.assignments.setdefault(zone, set()).update(tasks)
-        if main.gang is not None and main.gang.shares:
+        if main.gang is not None and main.gang.placement_keys:
             read = self.placements.get(job_id, {})
             placements: list[tuple[str, str]] = []
-            for number in range(main.gang.shares):
+            for number in range(main.gang.placement_keys):
                 share = read.get(number)
                 if share is not None and share.attempt == main.gang.attempt:
                     placements += share.placements
@@ -559,7 +559,7 @@
         moved = (
             old is not None
             and group is not None
-            and (old.share, old.floors) != (group.share, group.floors)
+            and (old.partition, old.floors) != (group.partition, group.floors)
         )
         if group is not None:
             self.groups[name] = group
--- a/src/dapplewick/types.py
+++ b/src/dapplewick/types.py
@@ -25,9 +25,9 @@
 PARTITION_SEPARATOR = "/~"  # between the zone and the share in the name of a share's part
 
 
-def shard_name(zone: str, share: str = "") -> ShardName:
+def shard_name(zone: str, partition: str = "") -> ShardName:
     """The part that schedules a share of a zone; without a share, the zone's own part."""
-    return ShardName(f"{zone}{PARTITION_SEPARATOR}{share}" if share else zone)
+    return ShardName(f"{zone}{PARTITION_SEPARATOR}{partition}" if partition else zone)
 
 
 def zone_of(shard: str) -> Zone:
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -48,9 +48,9 @@
     JOBS,
     LEADER,
     MACHINES,
+    PARTITION_PLAN,
     PROVISIONING_REQUESTS,
     SHARDS,
-    SHARE_PLAN,
     TRANSFERS,
     TYPE_KEYS,
     TYPES,
@@ -124,8 +124,8 @@
         return wire.encode_machine_types(list(cache.types.values()))
     if key == FORMAT:
         return {"version": cache.format}
-    if key == SHARE_PLAN:
-        return msgspec.to_builtins(plan.convert(cache.share_plan))
+    if key == PARTITION_PLAN:
+        return msgspec.to_builtins(plan.convert(cache.partition_plan))
     if key == LEADER:
         return msgspec.to_builtins(cache.leader)
     tables: list[tuple[str, Any]] = [
@@ -523,10 +523,10 @@
     async def said(*_: Any, **__: Any) -> Any:
         return given["said"]
 
-    asked = client.shares if given["arguments"][0] == "shares" else client.status
+    asked = client.partitions if given["arguments"][0] == "shares" else client.status
     with patch.object(client, asked.__name__, said):
         result = CliRunner().invoke(cli.main, given["arguments"])
-    lines = commands.share_lines if given["arguments"][0] == "shares" else cli.status_lines
+    lines = commands.partition_lines if given["arguments"][0] == "shares" else cli.status_lines
     return {"printed": result.output, "code": result.exit_code, "lines": lines(given["said"])}
 
 
@@ -811,7 +811,7 @@
     """What is sent on a day on which machines change from one share to another."""
     kept = Kept()
     world = World(11)
-    world.share_plan = plan.parse("plan.star", PLAN)
+    world.partition_plan = plan.parse("plan.star", PLAN)
     world.boot_s = (0.5, 2.0)
     shares = {"kind": "shares"}
 
@@ -835,7 +835,7 @@
         await _operator(world, kept, "cancel", {**shares, "verb": "cancel", "id": "o-000000f3"})
         await _operator(world, kept, "cancel", {**shares, "verb": "cancel", "id": "o-000000f9"})
         await _operator(world, kept, "unknown", {**shares, "verb": "none"})
-        given = msgspec.to_builtins(world.share_plan)
+        given = msgspec.to_builtins(world.partition_plan)
         await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": given})
         await anyio.sleep(10.0)
         await _operator(world, kept, "show", {**shares, "verb": "show"})
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -14,7 +14,7 @@
 import anyio
 import msgspec
 
-from dapplewick.storage.records import FORMAT, MACHINES, SHARES_FORMAT
+from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT
 from standins import World, now, run_day
 from test_shares_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
 
@@ -44,7 +44,7 @@
         world.new_machine(name, "c8", "a", False)
     world.cloud.next_name = len(names)
     await until(
-        lambda: world.state.keys.get(FORMAT, ({"version": 0},))[0]["version"] == SHARES_FORMAT
+        lambda: world.state.keys.get(FORMAT, ({"version": 0},))[0]["version"] == PARTITIONS_FORMAT
     )
     await anyio.sleep(6.0)
     # No more are rented, so that what moves is busy where there is work.
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -11,8 +11,8 @@
 
 from dapplewick import config
 from dapplewick.node import Controller
-from dapplewick.shares.plan import SharePlan
-from dapplewick.shares.service import ShareService
+from dapplewick.shares.plan import PartitionPlan
+from dapplewick.shares.service import PartitionService
 from dapplewick.shares.solver import Problem, Targets, solve
 from dapplewick.transport import http_client
 from dapplewick.transport.http import Answer, Request
@@ -73,8 +73,10 @@
         self.copied = 0
         self.old: Any = None  # the version in production
         self.old_names: set[str] = set()  # controllers that start with it
-        self.share_plan: SharePlan | None = None  # of controllers on which shares are switched on
-        self.without_shares: set[str] = set()  # controllers on which they are off all the same
+        self.partition_plan: PartitionPlan | None = (
+            None  # of controllers on which shares are switched on
+        )
+        self.without_partitions: set[str] = set()  # controllers on which they are off all the same
         self.frozen: set[str] = set()  # controllers that stand still
         self.held: dict[str, list[Any]] = {}  # frames and reports for them
         self.group: Any = None
@@ -208,15 +210,15 @@
 
         self.group.start_soon(run)
 
-    def _partitions(self, name: str) -> ShareService | None:
+    def _partitions(self, name: str) -> PartitionService | None:
         """A controller's shares. The solver runs in its turn: threads know no virtual time."""
-        if self.share_plan is None or name in self.without_shares:
+        if self.partition_plan is None or name in self.without_partitions:
             return None
 
         async def solve_here(problem: Problem) -> Targets | None:
             return solve(problem)
 
-        return ShareService(self.share_plan, solve_here)
+        return PartitionService(self.partition_plan, solve_here)
 
     def crash(self, name: str) -> None:
         self.controllers.pop(name, None)
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -1,6 +1,6 @@
 """The keeping of shares against a slow plain model of machines, owners and workers.
 
-The real leader's side (`ShareKeeper`, `MachineLifecycle`, `WatchCache`)
+The real leader's side (`PartitionRebalancer`, `MachineLifecycle`, `WatchCache`)
 writes to a store in which any write may be lost, come late, or be the last of its leader. Owners
 are plain: each has its own cache, which lags behind, and starts work on whatever that shows to be
 its own. Workers keep the highest token that they have seen.
@@ -22,11 +22,11 @@
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.protocol.wire import Event
 from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.keeper import OPERATOR, Order, ShareKeeper
-from dapplewick.shares.plan import Share, SharePlan, ShareRule
+from dapplewick.shares.keeper import OPERATOR, PartitionRebalancer, TransferCommand
+from dapplewick.shares.plan import Partition, PartitionPlan, PartitionRule
 from dapplewick.shares.selection import MachineSelection
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, WatchCache
+from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import (
     FencingToken,
@@ -40,9 +40,9 @@
 OWN = ShardName("a")
 NIGHT, DAY = shard_name("a", "night"), shard_name("a", "day")
 PARTS_OF_ZONE = [OWN, NIGHT, DAY]
-PLAN = SharePlan(
-    shares={
-        name: Share(teams=[name], rules=[ShareRule(types=["m"], most=0.0)])
+PLAN = PartitionPlan(
+    partitions={
+        name: Partition(teams=[name], rules=[PartitionRule(types=["m"], most=0.0)])
         for name in ("night", "day")
     },
     move_within_s=30.0,
@@ -167,7 +167,7 @@
         self.random = random.Random(seed)
         self.now = 0.0
         self.store = Store()
-        self.store.put(FORMAT, {"version": SHARES_FORMAT})
+        self.store.put(FORMAT, {"version": PARTITIONS_FORMAT})
         self.names = [MachineId(f"vm-{n:06d}") for n in range(machines)]
         self.workers = {name: Worker() for name in self.names}
         for first in range(0, machines, 7):
@@ -179,7 +179,7 @@
         for shard in PARTS_OF_ZONE:
             self.new_owner(shard)
         self.late: list[list[ConditionalWrite]] = []  # transactions without an answer
-        self.orders = 0
+        self.commands = 0
         self.statuses = 0
         self.capacities: dict[ShardName, ObservedShard] = {}
         self.new_leader()
@@ -194,7 +194,7 @@
         self.machine_lifecycle = MachineLifecycle(
             self.cache, provisioner, 14.0, 4.0, VALUE_BYTES, TXN_OPS
         )
-        self.keeper = ShareKeeper(self.cache, MachineIndex(self.cache), ["a"], MoveTimes())
+        self.keeper = PartitionRebalancer(self.cache, MachineIndex(self.cache), ["a"], MoveTimes())
         self.keeper.plan = PLAN
         self.keeper.targets.known = True
         self.capacities.clear()
@@ -207,7 +207,7 @@
         self.store.follow(owner.cache)
 
     def order(self, source: ShardName, target: ShardName, count: int) -> None:
-        self.orders += 1
+        self.commands += 1
         record = TransferRecord(
             0,
             source,
@@ -219,23 +219,25 @@
             self.now + PLAN.move_within_s,
             origin=OPERATOR,
         )
-        self.keeper.orders = [Order(TransferId(f"o-{self.orders}"), record)]
+        self.keeper.commands = [TransferCommand(TransferId(f"o-{self.commands}"), record)]
 
     def lead(self, trouble: bool) -> None:
         """A pass of the leader, whose writes may be lost, cut off or come late. After one without
         an answer the next pass writes under a new epoch, so that it can't come any more."""
         self.late.clear()
         self.store.follow(self.cache)
-        if trouble and not self.keeper.orders and self.random.random() < 0.05:
-            self.keeper.orders = [
-                Order(name, None) for name, r in self.cache.transfers.records.items() if r.open
+        if trouble and not self.keeper.commands and self.random.random() < 0.05:
+            self.keeper.commands = [
+                TransferCommand(name, None)
+                for name, r in self.cache.transfers.records.items()
+                if r.open
             ]
         self.machine_lifecycle.begin()
         capacities = [
             v for p, v in self.capacities.items() if v.token == self.cache.version(SHARDS + p)
         ]
         changes = self.keeper.changes(self.now, self.now, capacities, set(), self.machine_lifecycle)
-        self.keeper.orders = []
+        self.keeper.commands = []
         for shard in self.keeper.wanted_shards():
             if SHARDS + shard not in self.store.keys:
                 self.new_owner(shard)  # as the leader's choice of owners does
@@ -377,7 +379,7 @@
 GUARDS: dict[str, tuple[Any, str, Any]] = {
     "a floor above all tokens": (WatchCache, "token_for", lambda self, machine, token: token),
     "a machine that is proven empty": (MachineSelection, "is_empty", lambda *_: True),
-    "one transaction": (ShareKeeper, "_write", untied),
+    "one transaction": (PartitionRebalancer, "_write", untied),
 }
 
 
@@ -401,7 +403,7 @@
     """A cancelled transfer's machine has got work again, and the next transfer of it must not rest
     on the status from before; a status may be seconds old."""
     if not guarded:
-        monkeypatch.setattr(ShareKeeper, "_owner_knows", lambda *_: True)
+        monkeypatch.setattr(PartitionRebalancer, "_owner_knows", lambda *_: True)
     play = Play(1, 1)
     machine, owner = play.names[0], play.owners[OWN]
     worker = play.workers[machine]
@@ -417,7 +419,7 @@
     play.capacities[OWN] = owner.status(1)
     assert play.capacities[OWN].fresh["drained"] == [machine]
     (first,) = play.cache.transfers.records or [TransferId("o-1")]
-    play.keeper.orders = [Order(first, None)]
+    play.keeper.commands = [TransferCommand(first, None)]
     play.lead(trouble=False)
     catch_up(start=True)
     assert worker.running == {OWN}
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dapplewick.shares import plan as plans
-from dapplewick.storage.records import FORMAT, SHARDS, SHARES_FORMAT
+from dapplewick.storage.records import FORMAT, PARTITIONS_FORMAT, SHARDS
 from dapplewick.types import shard_name
 from share_history import ShareHistory
 from standins import World, now, run_day
@@ -39,9 +39,9 @@
 )
 
 
-def new_world(seed: int, plan: plans.SharePlan = PLAN, count: int = 3) -> World:
+def new_world(seed: int, plan: plans.PartitionPlan = PLAN, count: int = 3) -> World:
     world = World(seed, count)
-    world.share_plan = plan
+    world.partition_plan = plan
     return world
 
 
@@ -94,7 +94,7 @@
 async def shares_begun(world: World) -> None:
     def begun() -> bool:
         record = world.state.keys.get(FORMAT)
-        return record is not None and record[0]["version"] == SHARES_FORMAT
+        return record is not None and record[0]["version"] == PARTITIONS_FORMAT
 
     await until(begun)
 
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -17,8 +17,8 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.service import start
-from dapplewick.shares.demand import ShareDemand, measure
-from dapplewick.shares.plan import PlanError, SharePlan, convert, parse, unknown_names
+from dapplewick.shares.demand import PartitionDemand, measure
+from dapplewick.shares.plan import PartitionPlan, PlanError, convert, parse, unknown_names
 from dapplewick.shares.solver import Cell, Problem, Supply, bounds, solve
 from dapplewick.shares.targets import TargetsInForce
 from dapplewick.shares.timing import MoveTimes
@@ -34,19 +34,19 @@
     return {"types": ["m"], **fields}
 
 
-def plan_of(**shares: list[dict[str, Any]]) -> SharePlan:
+def plan_of(**shares: list[dict[str, Any]]) -> PartitionPlan:
     return convert({"shares": {n: {"teams": [f"team-{n}"], "rules": r} for n, r in shares.items()}})
 
 
 def problem(
-    plan: SharePlan,
+    plan: PartitionPlan,
     machines: int,
     demand: dict[str, float] | None = None,
     have: dict[str, int] | None = None,
     minute: int = 0,
 ) -> Problem:
     wanted = {
-        name: ShareDemand(NO_RESOURCES, Resources(cpus, 0.0, 0.0))
+        name: PartitionDemand(NO_RESOURCES, Resources(cpus, 0.0, 0.0))
         for name, cpus in (demand or {}).items()
     }
     cells = {Cell(name, "a", "m"): count for name, count in (have or {}).items()}
@@ -158,8 +158,8 @@
     plan = plan_of(x=[rule()], y=[rule()])
     asked = problem(plan, 4)._replace(
         demand={
-            "x": ShareDemand(Resources(24.0, 0.0, 0.0), NO_RESOURCES),
-            "y": ShareDemand(NO_RESOURCES, Resources(800.0, 0.0, 0.0)),
+            "x": PartitionDemand(Resources(24.0, 0.0, 0.0), NO_RESOURCES),
+            "y": PartitionDemand(NO_RESOURCES, Resources(800.0, 0.0, 0.0)),
         }
     )
     solution = solve(asked)
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -10,9 +10,9 @@
 from dapplewick.core.part_view import ObservedShard
 from dapplewick.shares import plan as plans
 from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.keeper import OPERATOR, Order, ShareKeeper
+from dapplewick.shares.keeper import OPERATOR, PartitionRebalancer, TransferCommand
 from dapplewick.shares.timing import MoveTimes
-from dapplewick.storage.records import FORMAT, MACHINES, SHARDS, SHARES_FORMAT, WatchCache
+from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import MachineId, Revision, ShardName, TransferId, partition_of, shard_name
 from share_history import ShareHistory
@@ -40,7 +40,7 @@
     def __init__(self, machines: int) -> None:
         self.cache = WatchCache()
         self.revision = 0
-        self.put(FORMAT, {"version": SHARES_FORMAT})
+        self.put(FORMAT, {"version": PARTITIONS_FORMAT})
         self.shards = [shard_name("a", name) for name in ["", *SHARES]]
         for shard in self.shards:
             self.put(SHARDS + shard, {"owner": "n0", "boot": "x"})
@@ -52,7 +52,7 @@
             self.put(f"{MACHINES}r-{first}", value | ({"share": share} if share else {}))
         self.machine_lifecycle = MachineLifecycle(self.cache, None, 14.0, 4.0)  # type: ignore[arg-type]
         index = MachineIndex(self.cache)
-        self.keeper = ShareKeeper(self.cache, index, ["a"], MoveTimes())
+        self.keeper = PartitionRebalancer(self.cache, index, ["a"], MoveTimes())
         self.keeper.plan = plans.convert(
             {
                 "shares": {
@@ -98,7 +98,7 @@
         record = TransferRecord(
             0, "a", self.shards[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
         )
-        self.keeper.orders = [Order(TransferId("o-00000001"), record)]
+        self.keeper.commands = [TransferCommand(TransferId("o-00000001"), record)]
 
     def passes(self) -> int:
         """Passes until the move is complete; owners see each write at once. Gives how many
@@ -121,7 +121,7 @@
                 ]
             self.machine_lifecycle.begin()
             made += calls(plan)
-            self.keeper.orders = []
+            self.keeper.commands = []
             for change in changes:
                 self.put(change.key, change.value)
         return made
@@ -144,7 +144,7 @@
 def test_four_thousand_machines_and_twenty_shares_come_to_their_targets() -> None:
     """The plan gives each of twenty shares its part while all machines report."""
     world = World(seed=6)
-    world.share_plan = PLAN
+    world.partition_plan = PLAN
 
     async def script() -> None:
         world.boot_s = (0.1, 0.5)
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -11,7 +11,7 @@
 import pytest
 
 import production
-from dapplewick.storage.records import FORMAT, FORMAT_NOW, SHARDS, SHARES_FORMAT, TRANSFERS
+from dapplewick.storage.records import FORMAT, FORMAT_NOW, PARTITIONS_FORMAT, SHARDS, TRANSFERS
 from dapplewick.types import partition_of
 from standins import World, now
 from test_shares_moves import (
@@ -75,7 +75,7 @@
 
 def test_one_controller_without_shares_keeps_all_from_them() -> None:
     world = new_world(22, FIXED_PLAN)
-    world.without_shares = {"n1"}
+    world.without_partitions = {"n1"}
     seen: list[list[str]] = []
 
     async def script(world: World) -> None:
@@ -83,7 +83,7 @@
         pinned(world, "run-000001", 16, 10.0)
         await anyio.sleep(45.0)
         seen.append(traces(world))
-        world.without_shares = set()
+        world.without_partitions = set()
         world.crash("n1")
         world.start_controller("n1")
         pinned(world, "run-000002", 16, 10.0)
@@ -104,7 +104,7 @@
         pinned(world, "run-000002", 16, 15.0)
         assert (await move(world, "o-000000f1", "", "night", 3))["status"] == 200
         await anyio.sleep(after)
-        world.share_plan = None
+        world.partition_plan = None
         for name in list(world.names):
             world.crash(name)
             await anyio.sleep(2.0)
@@ -139,7 +139,7 @@
     assert traces(world) == []
     assert said[0]["status"] == 404
     assert world.state.keys[FORMAT][0] == {"version": FORMAT_NOW}
-    assert FORMAT_NOW < SHARES_FORMAT
+    assert FORMAT_NOW < PARTITIONS_FORMAT
 
 
 def test_switched_off_nothing_of_shares_is_loaded() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -347,7 +347,7 @@
     cache = WatchCache()
     job = JobRecord(spec(5, 1.0, 10.0, is_gang=True), 0.0)
     placements = [("a", f"vm-{n:06d}") for n in range(5)]
-    job.gang = GangPlacement(77, placements, shares=2)
+    job.gang = GangPlacement(77, placements, placement_keys=2)
     assert job.dump()["gang"]["places"] == []
     cache.put("dw/g/run-1/1", {"attempt": 77, "places": placements[3:]}, 1)
     cache.put(JOBS + "run-1", job.dump(), 3)
