--- a/src/dapplewick/core/placing.py
+++ b/src/dapplewick/core/placing.py
@@ -85,11 +85,11 @@
         if not shard.preemptable(spec.priority):
             if shard.held(spec, placement_key, ONE_GROUP_TIMES * limit) < spec.task_count:
                 continue
-            behind = fit_behind(*shard.groups(spec, placement_key), spec.task_count, limit)
-            if behind is not None:
-                wait = _wait(spec, behind)
+            overload_s = fit_behind(*shard.groups(spec, placement_key), spec.task_count, limit)
+            if overload_s is not None:
+                wait = _wait(spec, overload_s)
                 if best is None or wait < best[0]:
-                    best = (wait, behind, False)
+                    best = (wait, overload_s, False)
             continue
         if shard.held(spec, placement_key, limit) < spec.task_count:
             continue
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -54,7 +54,7 @@
 )
 from dapplewick.transport.http import Answer, Request, serve_connection
 from dapplewick.transport.http_client import HttpClient
-from dapplewick.transport.listen import Door, Mark
+from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
 from dapplewick.transport.peer import PeerLink, receive_frames
 from dapplewick.tuning import Tuning
 from dapplewick.types import ControllerName, FencingToken, JobId, Seconds, ShardName, partition_of
@@ -71,7 +71,7 @@
 FOLLOWED_S = 6.0  # an open watch answers sooner than that, unless there is an outage
 MARGIN_S = 3.0
 PASS_S = 0.25
-STAND_S = 0.3  # a controller that does not lead looks this often whether it should
+CAMPAIGN_INTERVAL_S = 0.3  # a controller that does not lead looks this often whether it should
 TICK_S = 0.2  # parts tick, and tell what changed, this often
 TICK_MOST_S = 0.5  # or less often where that costs much; reports steal what joined no queue yet
 TICK_REST = 40.0  # after a tick this times its length passes
@@ -87,8 +87,8 @@
 LEAST_BURST = 6.0  # users come at once, so each node may accept some at once
 WATCH_SHARE = 0.35  # of this node's requests: a watch is opened anew after each change
 PROGRESS_RESERVE = 0.3  # of a second's writes are left by them for what users wait for
-PULSE_S = 0.25
-BEHIND_S = 1.0  # a node that is later than this with what is due takes nothing from users
+OVERLOAD_SAMPLE_S = 0.25
+MAX_OVERLOAD_S = 1.0  # a node that is later than this with what is due takes nothing from users
 OWN_SOCKETS = 64  # kept for the state service, the cloud and what a process has open anyway
 LEAST_SOCKETS = 16  # for workers and users, however low the limit is
 REST = 20.0  # after a pass the leader leaves the processor alone for this times as long
@@ -97,7 +97,7 @@
 STANDBY_WATCH_S = 0.4  # a controller that neither leads nor owns a part follows in these steps
 
 
-BEHIND = Answer(503, b'{"error":"overloaded"}', 2)
+OVERLOADED = Answer(503, b'{"error":"overloaded"}', 2)
 
 
 class Controller:
@@ -167,7 +167,7 @@
         self._planned_epoch = FencingToken(0)  # the newest under which this process planned
         self._doubted_epoch = FencingToken(0)  # one under which a write may still come late
         self._leader_wake = anyio.Event()
-        self._hurry = anyio.Event()
+        self._urgent_wake = anyio.Event()
         self._pass_took = 0.0
         self._status_at: dict[ShardName, Seconds] = {}
         # Up to which status of which part's owner the leader (a boot of a node) has them.
@@ -228,7 +228,7 @@
             self._update_owned_shards(now)
         jobs = dict.fromkeys(job for key in keys if (job := job_of(key)) is not None)
         if self.leader is not None and any(self._is_new_service(job) for job in jobs):
-            self._hurry.set()
+            self._urgent_wake.set()
         for scheduler in self.shard_schedulers.values():
             for job_id in jobs:
                 scheduler.job_changed(now, job_id)
@@ -368,7 +368,7 @@
         record = self.cache.controllers.get(self.own_name)
         return self.ready and (record is None or record.incarnation != self.incarnation)
 
-    def _leads(self) -> bool:
+    def _is_leader(self) -> bool:
         record = self.cache.leader
         return (
             record is not None
@@ -377,7 +377,7 @@
             and self.lease_valid()
         )
 
-    async def _stand(self) -> None:
+    async def _campaign(self) -> None:
         """Try to become leader: the key must not exist, or be of an earlier life of ours."""
         record = self.cache.leader
         mine = (
@@ -412,11 +412,11 @@
                 if not self.ready:
                     await anyio.sleep(0.1)
                     continue
-                if not self._leads():
+                if not self._is_leader():
                     if self.leader is not None:
-                        self._step_down()
-                    await self._stand()
-                if self._leads():
+                        self._resign()
+                    await self._campaign()
+                if self._is_leader():
                     await self._lead()
             except (
                 RequestRefusedError,
@@ -430,16 +430,16 @@
                 log.exception("event=leader_pass_broken")
                 await anyio.sleep(0.5)
             if self.leader is None:
-                await anyio.sleep(STAND_S)
+                await anyio.sleep(CAMPAIGN_INTERVAL_S)
                 continue
             with anyio.move_on_after(0.5):
                 self._leader_wake = anyio.Event()
                 await self._leader_wake.wait()
             with anyio.move_on_after(max(PASS_S, min(REST_MOST_S, REST * self._pass_took))):
-                await self._hurry.wait()
-            self._hurry = anyio.Event()
+                await self._urgent_wake.wait()
+            self._urgent_wake = anyio.Event()
 
-    def _step_down(self) -> None:
+    def _resign(self) -> None:
         log.info("event=leader_lost node=%s", self.own_name)
         self.leader = None
         self.state.writes.rate = self._few_writes
@@ -575,7 +575,7 @@
         """There is something to plan; at once if work waits for it."""
         self._leader_wake.set()
         if at_once:
-            self._hurry.set()
+            self._urgent_wake.set()
 
     async def _cloud_loop(self) -> None:
         await self._cloud_calls.run()
@@ -624,13 +624,13 @@
         """A leader has this part's statuses up to a number; another life of it has none."""
         self._confirmed[shard] = (token, incarnation, number)
 
-    async def _pulse_loop(self) -> None:
+    async def _overload_loop(self) -> None:
         while True:
-            self._due = self.now() + PULSE_S
-            await anyio.sleep(PULSE_S)
+            self._due = self.now() + OVERLOAD_SAMPLE_S
+            await anyio.sleep(OVERLOAD_SAMPLE_S)
             self._late = max(self.now() - self._due, self._late * 0.8)
 
-    def behind(self) -> Seconds:
+    def overload_s(self) -> Seconds:
         """How far this node is behind: it stood still, or has more to do than it can. Known at
         once, in the turn in which it goes on."""
         return max(self._late, self.now() - self._due)
@@ -749,7 +749,7 @@
 
     def _healthy(self) -> bool:
         """Whether users are served here as well as anywhere."""
-        if not self.ready or self.behind() > BEHIND_S:
+        if not self.ready or self.overload_s() > MAX_OVERLOAD_S:
             return False
         now = self.now()
         if now - self.contact_at < UNHEALTHY_S:
@@ -820,9 +820,9 @@
                 return NO_METHOD
             return Answer(200) if self._healthy() else Answer(503, b"{}", 1)
         begun = self.now()
-        if self.behind() > BEHIND_S and path.startswith(PATH):
+        if self.overload_s() > MAX_OVERLOAD_S and path.startswith(PATH):
             # Answering costs most of what a refusal does not, and workers' leases need it.
-            return BEHIND
+            return OVERLOADED
         answer = await self.api.handle(request)
         if answer is None:
             return NO_PATH
@@ -840,16 +840,16 @@
         host, port = host_port(self.settings.peer_listen, "peer_listen")
         peers = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=64)
 
-        def serve(stream: anyio.abc.ByteStream, mark: Mark) -> Awaitable[None]:
+        def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> Awaitable[None]:
             return serve_connection(stream, self.handle, mark)
 
-        def hear(stream: anyio.abc.ByteStream, mark: Mark) -> Awaitable[None]:
+        def hear(stream: anyio.abc.ByteStream, mark: IdleCallback) -> Awaitable[None]:
             return receive_frames(stream, self.on_request)
 
         async with anyio.create_task_group() as group:
             group.start_soon(self.run_loops)
-            group.start_soon(Door(8 + 4 * limits.count, hear).run, peers)
-            await Door(most, serve).run(clients)
+            group.start_soon(ConnectionAcceptor(8 + 4 * limits.count, hear).run, peers)
+            await ConnectionAcceptor(most, serve).run(clients)
 
     async def run_loops(self) -> None:
         """All that a controller does besides answering."""
@@ -857,7 +857,7 @@
             for link in self.links.values():
                 group.start_soon(link.run)
             if self.partitions is not None:
-                group.start_soon(self._forever, self.partitions.run)
+                group.start_soon(self._run_supervised, self.partitions.run)
             for loop in (
                 self._lease_loop,
                 self._watch_loop,
@@ -866,11 +866,11 @@
                 self._cloud_loop,
                 self._shard_loop,
                 self._gossip_loop,
-                self._pulse_loop,
+                self._overload_loop,
             ):
-                group.start_soon(self._forever, loop)
+                group.start_soon(self._run_supervised, loop)
 
-    async def _forever(self, loop: Any) -> None:
+    async def _run_supervised(self, loop: Any) -> None:
         """Run a loop; one that breaks is logged and started again, and ends nothing else."""
         while True:
             try:
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -17,7 +17,7 @@
 import anyio.abc
 import httptools
 
-from dapplewick.transport.listen import Mark
+from dapplewick.transport.listen import IdleCallback
 
 log = logging.getLogger("dapplewick.http")
 
@@ -188,7 +188,7 @@
 
 
 async def serve_connection(
-    stream: anyio.abc.ByteStream, handler: Handler, mark: Mark = lambda idle: None
+    stream: anyio.abc.ByteStream, handler: Handler, mark: IdleCallback = lambda idle: None
 ) -> None:
     """Serve one connection until it ends. What is broken on it ends nothing else. `mark` is
     told whether the next request is waited for."""
@@ -225,7 +225,7 @@
 
 
 async def _serve(
-    stream: anyio.abc.ByteStream, handler: Handler, scope: anyio.CancelScope, mark: Mark
+    stream: anyio.abc.ByteStream, handler: Handler, scope: anyio.CancelScope, mark: IdleCallback
 ) -> None:
     parser = RequestParser()
     while True:
--- a/src/dapplewick/transport/listen.py
+++ b/src/dapplewick/transport/listen.py
@@ -17,11 +17,11 @@
 LOG_S = 10.0  # the log tells of such failures this often
 GIVE_UP = 8  # connections given up when there is no socket left
 
-Mark = Callable[[bool], None]  # whether a connection waits for its next request
-Serve = Callable[[anyio.abc.ByteStream, Mark], Awaitable[None]]
+IdleCallback = Callable[[bool], None]  # whether a connection waits for its next request
+Serve = Callable[[anyio.abc.ByteStream, IdleCallback], Awaitable[None]]
 
 
-class Door:
+class ConnectionAcceptor:
     """The connections that a listener has accepted, `most` at a time.
 
     Beyond that the connections that were idle for longest are given up: half-open ones behind
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -278,7 +278,7 @@
     return controller, service, link
 
 
-def _leads(controller: Controller) -> LeaderPlanner:
+def _is_leader(controller: Controller) -> LeaderPlanner:
     leader = LeaderPlanner(
         controller.cache,
         controller.settings,
@@ -297,7 +297,7 @@
 
     async def scene() -> Any:
         controller, _, link = _controller(given["records"], [])
-        leader = _leads(controller) if given.get("leads") else None
+        leader = _is_leader(controller) if given.get("leads") else None
         answers = [controller.on_message(through_frame(message)) for message in given["messages"]]
         controller._gossip_wake.set()
         with anyio.move_on_after(0.2):
@@ -455,7 +455,7 @@
 
     async def scene() -> Any:
         controller, service, _ = _controller(given["records"], given["answers"])
-        leader = _leads(controller)
+        leader = _is_leader(controller)
         calls = CloudCalls(controller)
         if given["call"] == "rent":
             await calls._provision(leader, given["name"])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -23,7 +23,7 @@
 from dapplewick.transport import listen
 from dapplewick.transport.http import Answer, Request, serve_connection
 from dapplewick.transport.http_client import HttpClient, HttpError
-from dapplewick.transport.listen import Door, Mark
+from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
 from dapplewick.transport.stream import MOST_READ, accept
 from standins import ZONES, World, deployment, now
 
@@ -279,7 +279,7 @@
                 await held.wait()
             return Answer(200)
 
-        async def serve(stream: anyio.abc.ByteStream, mark: Mark) -> None:
+        async def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> None:
             await serve_connection(stream, handle, mark)
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
@@ -299,7 +299,7 @@
             return stream
 
         async with anyio.create_task_group() as group:
-            group.start_soon(Door(4, serve).run, listener)
+            group.start_soon(ConnectionAcceptor(4, serve).run, listener)
             with anyio.fail_after(20):
                 busy = [await connect(b"/held") for _ in range(2)]
                 quiet = []
