--- a/src/dapplewick/api.py
+++ b/src/dapplewick/api.py
@@ -116,7 +116,7 @@
         try:
             return await call()
         except (RequestRefusedError, OutcomeUnknownError) as err:
-            log.debug("event=unavailable reason=%s", err)
+            log.debug("event=request_unavailable reason=%s", err)
             return UNAVAILABLE
 
     def _why_never(self, spec: JobSpec) -> str | None:
@@ -199,7 +199,7 @@
             # job is found the write may still come late; the user's retry finds it then.
             return await self._state_or(job_id, UNAVAILABLE)
         self.controller.stored(key, value, version)
-        log.info("event=accepted job=%s tasks=%d", job_id, tasks)
+        log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
         return self._short(201, job_id, self.states.latest(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Answer) -> Answer:
@@ -262,6 +262,6 @@
                 # Read again in the next round; a late write fails or does the same.
                 continue
             self.controller.stored(key, value, version)
-            log.info("event=cancelled job=%s", job_id)
+            log.info("event=job_cancelled job=%s", job_id)
             return self._short(200, job_id, self.states.latest(job_id))
         return UNAVAILABLE
--- a/src/dapplewick/cloud.py
+++ b/src/dapplewick/cloud.py
@@ -129,11 +129,11 @@
             elif status == 400 or (status == 503 and b"no capacity" in answer):
                 leader.provisioning_answered(name, None)
             else:
-                log.info("event=rent_failed booking=%s status=%d", name, status)
+                log.info("event=provisioning_failed request=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_PAUSE_S)
             self._controller.wake_leader()
         except Exception:
-            log.exception("event=rent_broken booking=%s", name)
+            log.exception("event=provisioning_crashed request=%s", name)
         finally:
             self._provisioning.discard(name)
 
@@ -147,10 +147,10 @@
                 # What was on them can start elsewhere once the records say that they are gone.
                 self._controller.wake_leader(at_once=True)
             else:
-                log.info("event=delete_failed count=%d status=%d", len(machines), status)
+                log.info("event=deletion_failed count=%d status=%d", len(machines), status)
                 await anyio.sleep(FAILURE_PAUSE_S)
         except Exception:
-            log.exception("event=delete_broken")
+            log.exception("event=deletion_crashed")
         finally:
             self._deleting.difference_update(machines)
 
@@ -162,7 +162,7 @@
                 self._controller.wake_leader()
                 return True
         except Exception as err:
-            log.error("event=catalog_refused error=%s", err)
+            log.error("event=catalog_malformed error=%s", err)
         return False
 
     async def _list(self, leader: LeaderPlanner) -> None:
@@ -181,4 +181,4 @@
                 since = page.machines[-1].machine
             leader.machines_listed(self._controller.now(), wire.MachineList(machines))
         except Exception as err:
-            log.error("event=list_refused error=%s", err)
+            log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/core/job_writes.py
+++ b/src/dapplewick/core/job_writes.py
@@ -173,7 +173,7 @@
         stored = {n: chunk.value for n, chunk in self._cache.chunks.get(job_id, {}).items()}
         differ = [n for n in sorted(wanted | stored) if wanted.get(n) != stored.get(n)]
         if not differ:
-            log.info("event=job_cut job=%s chunks=%d", job_id, len(wanted))
+            log.info("event=job_record_chunked job=%s chunks=%d", job_id, len(wanted))
             return [
                 ConditionalWrite(
                     JOBS + job_id, target.dump(), job.main_version, PRIORITY_ASSIGNMENTS
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader.py
@@ -318,7 +318,8 @@
                 gangs += job.gang is None
                 held += job.gang is not None
         log.debug(
-            "event=load rooms=%s coming=%d ungranted=%s gangs_waiting=%d gangs_placed=%d",
+            "event=load_reported free=%s provisioning=%d unassigned=%s gangs_waiting=%d "
+            "gangs_placed=%d",
             kinds,
             len(self.provisioner.coming(wall)),
             waiting,
@@ -394,7 +395,7 @@
             elif (gang.over or not old.open) and all(s == "clear" for s in states):
                 self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = None
             elif old.open and not gang.over and "bad" in states:
-                log.info("event=gang_over job=%s attempt=%d", job_id, gang.attempt)
+                log.info("event=gang_ended job=%s attempt=%d", job_id, gang.attempt)
                 self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = msgspec.structs.replace(
                     gang, over=True
                 )
@@ -402,7 +403,7 @@
                 # Its slots were to be idle soon by estimates that were too low.
                 held[job_id] = self._reserved_since.get(job_id, now)
                 if now - held[job_id] > self.tuning.patience_s:
-                    log.info("event=gang_hurried job=%s attempt=%d", job_id, gang.attempt)
+                    log.info("event=gang_preempting job=%s attempt=%d", job_id, gang.attempt)
                     self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = msgspec.structs.replace(
                         gang, preempt=True
                     )
@@ -840,7 +841,7 @@
                 value = msgspec.to_builtins(asked)
                 changes.append(ConditionalWrite(PROVISIONING_REQUESTS + name, value, 0, 1))
                 log.info(
-                    "event=rent booking=%s type=%s zone=%s spot=%s count=%d",
+                    "event=provisioning_requested request=%s type=%s zone=%s spot=%s count=%d",
                     name,
                     asked.type,
                     asked.zone,
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/machines.py
@@ -182,7 +182,7 @@
         stored = self.cache.groups[name]
         left = [m for m in stored.machines if self.cache.group_of.get(MachineId(m)) == name]
         if not left:
-            log.info("event=group_split group=%s", name)
+            log.info("event=machine_group_split group=%s", name)
             return [self._removal(name)]
         pieces = self._pieces(stored, left)
         names = self._free_names(name, len(pieces))
@@ -280,7 +280,7 @@
         self._draft(self.cache.group_of[machine_id], priority).machines[machine_id] = state
 
     def terminate(self, machine_id: MachineId, why: str, priority: int = PRIORITY_URGENT) -> None:
-        log.info("event=machine_doomed machine=%s reason=%s", machine_id, why)
+        log.info("event=machine_terminating machine=%s reason=%s", machine_id, why)
         self._set(machine_id, TERMINATING, priority)
 
     def provisioned(
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/part.py
@@ -247,7 +247,7 @@
         for job_id, reservation in self._reservations_on.get(machine_id, {}).items():
             if not reservation.bad:
                 reservation.bad = "machine gone"
-                log.info("event=gang_broken job=%s reason=machine_gone", job_id)
+                log.info("event=gang_failed job=%s reason=machine_gone", job_id)
         self._release_unconfirmed(now)
         self.dirty = True
         if had_replicas:
@@ -259,7 +259,7 @@
         self.images.clear(machine)
         self._requeue_slots(machine)
         for task in machine.task_attempts:
-            log.error("event=handed_over_with_task task=%s/%d", task.job, task.number)
+            log.error("event=machine_transferred_with_task task=%s/%d", task.job, task.number)
         self.unreconciled.discard(machine.id)
         del self.machines[machine.id]
         self.dirty = True
@@ -320,7 +320,7 @@
                 or now - machine.last_confirmed_at < self._lease_s * UNREACHABLE_LEASE_FRACTION
             ):
                 machine.unreachable = True
-                log.info("event=machine_deaf machine=%s", machine.id)
+                log.info("event=machine_unreachable machine=%s", machine.id)
             machine.renewed = now
         machine.newest = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
@@ -639,10 +639,12 @@
         if array_task is not None:
             if array_task.state == ON_MACHINE:
                 if array_task.machine != machine.id:
-                    log.error("event=two_places task=%s/%d", item.task.job, item.task.number)
+                    log.error(
+                        "event=task_on_two_machines task=%s/%d", item.task.job, item.task.number
+                    )
                 return
             if array_task.state in (WAITING, ASSIGNED, RELEASED):
-                log.error("event=unexpected_task task=%s/%d", item.task.job, item.task.number)
+                log.error("event=task_unexpected task=%s/%d", item.task.job, item.task.number)
             if array_task.state != FINISHED:
                 self._drop(item.task, array_task)
                 self._set(item.task, array_task, ON_MACHINE)
@@ -690,7 +692,7 @@
                 return forget
             return []
         log.debug(
-            "event=ended task=%s/%d attempt=%d machine=%s cause=%s",
+            "event=task_exited task=%s/%d attempt=%d machine=%s cause=%s",
             task.job,
             task.number,
             item.attempt,
@@ -700,7 +702,7 @@
         reservation = self.reservations.get(task.job)
         if reservation is not None and reservation.attempt == item.attempt and not reservation.bad:
             reservation.bad = item.cause or "exited"
-            log.info("event=gang_broken job=%s reason=%s", task.job, reservation.bad)
+            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.bad)
         if item.cause in ("error", "no_such"):
             machine.failures[task.job] = now
         self._remove_task_attempt(machine, task)
@@ -1149,7 +1151,7 @@
         machine.idle_since = now
         self._changed(machine)
         log.debug(
-            "event=launch task=%s/%d attempt=%d machine=%s",
+            "event=task_launched task=%s/%d attempt=%d machine=%s",
             task.job,
             task.number,
             attempt,
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/node.py
@@ -253,7 +253,7 @@
             scheduler = self.shard_schedulers.get(name)
             if scheduler is not None and (not mine or scheduler.token != token):
                 del self.shard_schedulers[name]
-                log.info("event=part_lost zone=%s token=%d", name, scheduler.token)
+                log.info("event=shard_lost shard=%s token=%d", name, scheduler.token)
             if mine and (scheduler is None or scheduler.token != token):
                 self.shard_schedulers[name] = ShardScheduler(
                     name,
@@ -266,7 +266,7 @@
                     lease_s=self.settings.deployment.workers.lease_s,
                     report_s=self.settings.deployment.workers.report_s,
                 )
-                log.info("event=part_owned zone=%s token=%d", name, token)
+                log.info("event=shard_acquired shard=%s token=%d", name, token)
 
     def stored(self, key: str, value: object, version: int) -> None:
         """A write of our own is known done."""
@@ -284,7 +284,7 @@
         self._apply_changed()
         if not self.ready:
             self.ready = True
-            log.info("event=ready node=%s revision=%d", self.own_name, revision)
+            log.info("event=controller_ready controller=%s revision=%d", self.own_name, revision)
 
     async def _follow(self, wait_ms: int) -> None:
         """Bring the mirror up to the newest changes."""
@@ -327,7 +327,7 @@
             sent = self.now()
             try:
                 if self.lease is not None and self._record_lost():
-                    log.info("event=presence_lost node=%s", self.own_name)
+                    log.info("event=presence_overwritten controller=%s", self.own_name)
                     self.lease = None
                 if self.lease is None:
                     lease = await self.state.new_lease(int(TTL_S * 1000))
@@ -351,14 +351,14 @@
                 self.lease_until = sent + TTL_S * 0.998 - 0.1
                 self.contact_at = self.now()
             except LeaseExpiredError:
-                log.info("event=lease_lost node=%s", self.own_name)
+                log.info("event=presence_lease_expired controller=%s", self.own_name)
                 self.lease = None
                 continue
             except TransactionConflictError:
                 await anyio.sleep(0.05 + self.random.random() * 0.1)
                 continue
             except (RequestRefusedError, OutcomeUnknownError) as err:
-                log.debug("event=renew_failed error=%s", err)
+                log.debug("event=presence_renewal_failed error=%s", err)
                 await anyio.sleep(0.3 + self.random.random() * 0.2)
                 continue
             await anyio.sleep(RENEW_S)
@@ -424,10 +424,10 @@
                 TransactionConflictError,
                 LeaseExpiredError,
             ) as err:
-                log.debug("event=leader_pass_failed error=%r", err)
+                log.debug("event=planning_pass_failed error=%r", err)
                 await anyio.sleep(0.1 + self.random.random() * 0.1)
             except Exception:
-                log.exception("event=leader_pass_broken")
+                log.exception("event=planning_pass_crashed")
                 await anyio.sleep(0.5)
             if self.leader is None:
                 await anyio.sleep(CAMPAIGN_INTERVAL_S)
@@ -440,7 +440,7 @@
             self._urgent_wake = anyio.Event()
 
     def _resign(self) -> None:
-        log.info("event=leader_lost node=%s", self.own_name)
+        log.info("event=leadership_lost controller=%s", self.own_name)
         self.leader = None
         self.state.writes.rate = self._few_writes
 
@@ -480,7 +480,7 @@
                 self.shard_names(),
             )
             self.state.writes.rate = self._many_writes
-            log.info("event=leader_won node=%s epoch=%d", self.own_name, epoch)
+            log.info("event=leadership_acquired controller=%s epoch=%d", self.own_name, epoch)
         self.leader.epoch = epoch
         service = self._partition_service()
         if service is not None:
@@ -505,7 +505,7 @@
         least = sum(c.priority < PRIORITY_PROGRESS for c in changes)
         room = min(room, max(least, int(level - PROGRESS_RESERVE * self.state.writes.rate)))
         if room < len(changes):
-            log.debug("event=writes_put_off count=%d", len(changes) - room)
+            log.debug("event=writes_deferred count=%d", len(changes) - room)
             changes = first_whole_groups(changes, room)
         for batch in split_into_transactions(
             changes, lambda change: size_of(change.value), self.limits_now()
@@ -531,7 +531,7 @@
         except ValueTooLargeError:
             transaction_group = any(change.transaction_group for change in batch)
             if len(batch) == 1 or transaction_group:
-                log.error("event=value_refused key=%s", batch[0].key)
+                log.error("event=value_rejected key=%s", batch[0].key)
                 return
             for change in batch:
                 await self._write_some(epoch, now, [change])
@@ -559,10 +559,10 @@
         except OutcomeUnknownError:
             # The write may still be applied later. Writing the leader key anew ends that: the
             # write's condition on the old epoch can't hold any more. Then we look again.
-            log.info("event=write_unknown keys=%d", len(changes))
+            log.info("event=write_outcome_unknown keys=%d", len(changes))
             self._doubted_epoch = epoch
             raise
-        log.debug("event=written revision=%d keys=%s", version, ",".join(conditions))
+        log.debug("event=write_committed revision=%d keys=%s", version, ",".join(conditions))
         for key, value in puts.items():
             self.cache.put(key, value, version)
         for key in deletes:
@@ -595,7 +595,7 @@
                         self._status_at[name] = now
                         self._send_status(now, scheduler)
                 except Exception:
-                    log.exception("event=part_broken zone=%s", name)
+                    log.exception("event=shard_tick_failed shard=%s", name)
             gap = max(TICK_S, min(TICK_MOST_S, TICK_REST * (self.now() - now)))
 
     def _send_status(self, now: Seconds, scheduler: ShardScheduler) -> None:
@@ -765,7 +765,7 @@
         try:
             heartbeat = wire.parse_heartbeat(request.body)
         except wire.MalformedMessageError as err:
-            log.error("event=report_refused error=%s", err)
+            log.error("event=heartbeat_malformed error=%s", err)
             return Answer(400, b'{"error":"malformed report"}')
         now = self.now()
         name = self.cache.shard_of(heartbeat.machine, heartbeat.zone)
@@ -876,5 +876,5 @@
             try:
                 await loop()
             except Exception:
-                log.exception("event=loop_broken loop=%s", loop.__name__)
+                log.exception("event=loop_crashed loop=%s", loop.__name__)
                 await anyio.sleep(0.5)
--- a/src/dapplewick/service.py
+++ b/src/dapplewick/service.py
@@ -53,7 +53,7 @@
         if soft != resource.RLIM_INFINITY and soft < wanted:
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     except (OSError, ValueError) as err:
-        logging.getLogger("dapplewick").info("event=file_limit_kept reason=%r", err)
+        logging.getLogger("dapplewick").info("event=file_limit_unchanged reason=%r", err)
 
 
 async def _run(settings: Settings, tuning: Tuning, partitions: PartitionService | None) -> None:
@@ -103,7 +103,7 @@
     configure_memory()
     complaint = configure_logging()
     if complaint:
-        logging.getLogger("dapplewick").error("event=bad_log_level error=%r", complaint)
+        logging.getLogger("dapplewick").error("event=log_level_invalid error=%r", complaint)
     raise_file_limit(settings.deployment.machine_limits.fd_limit)
     try:
         anyio.run(_run, settings, tuning, partitions, backend_options={"use_uvloop": True})
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/shares/keeper.py
@@ -488,7 +488,7 @@
             if machine in self._drained_at:
                 self._times.machine(now - self._drained_at.pop(machine))
         log.info(
-            "event=handed_over transfer=%s source=%s target=%s machines=%s state=%s",
+            "event=machines_transferred transfer=%s source=%s target=%s machines=%s state=%s",
             transfer,
             record.source,
             record.target,
@@ -533,6 +533,6 @@
         out = []
         for shard in sorted(unwanted):
             key = SHARDS + shard
-            log.info("event=share_part_removed part=%s", shard)
+            log.info("event=partition_shard_removed shard=%s", shard)
             out.append(ConditionalWrite(key, None, self._cache.version(key), PRIORITY_LOW))
         return out
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/shares/service.py
@@ -116,7 +116,7 @@
             self._complain("stored_plan_refused", complaint)
             return
         self._plan = plan
-        log.info("event=plan_in_force version=%d shares=%s", version, ",".join(plan.partitions))
+        log.info("event=plan_adopted version=%d partitions=%s", version, ",".join(plan.partitions))
 
     def _unknown_names(self, plan: PartitionPlan) -> str:
         deployment = self._controller.settings.deployment
@@ -168,7 +168,7 @@
             solution = None
         if keeper.targets.adopt(problem, solution):
             log.info(
-                "event=targets targets=%s",
+                "event=targets_adopted targets=%s",
                 ",".join(f"{c.zone}/{c.partition}/{c.type}:{n}" for c, n in keeper.targets.items()),
             )
             controller.wake_leader()
--- a/src/dapplewick/shares/targets.py
+++ b/src/dapplewick/shares/targets.py
@@ -60,7 +60,7 @@
         """Take over a solution, for each kind of machine by itself; says whether anything
         changed. Without a solution the targets in force stay."""
         if solution is None:
-            log.info("event=plan_not_solved targets=%d", len(self._targets))
+            log.info("event=plan_unsolved targets=%d", len(self._targets))
             return False
         if not self.known:
             # A new leader goes on from what the shares have.
--- a/src/dapplewick/storage/client.py
+++ b/src/dapplewick/storage/client.py
@@ -158,7 +158,7 @@
         try:
             return decoder.decode(answer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as err:
-            log.error("event=state_answer_refused error=%s answer=%r", err, answer[:200])
+            log.error("event=state_response_malformed error=%s answer=%r", err, answer[:200])
             raise OutcomeUnknownError("malformed answer") from None
 
     def _spend(self, amount: float = 1.0, reserve: float = 0.0) -> None:
@@ -240,7 +240,7 @@
         if status == 400 and b"no such lease" in answer:
             raise LeaseExpiredError
         log.error(
-            "event=state_rejected status=%d answer=%r keys=%s",
+            "event=state_request_rejected status=%d answer=%r keys=%s",
             status,
             answer[:200],
             ",".join([*puts, *deletes]),
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/records.py
@@ -435,7 +435,7 @@
             self._store(key, value, version)
         except (msgspec.ValidationError, ValueError, TypeError) as err:
             # The record before it stands, but is not the newest: users are not told of it.
-            log.error("event=record_refused key=%s error=%s", key, err)
+            log.error("event=record_malformed key=%s error=%s", key, err)
             self.unreadable[key] = version
             return
         self.unreadable.pop(key, None)
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -197,7 +197,7 @@
             try:
                 await _serve(stream, handler, scope, mark)
             except MalformedRequestError as err:
-                log.debug("event=bad_http error=%s", err)
+                log.debug("event=request_malformed error=%s", err)
                 await _refuse(stream)
             except STREAM_ERRORS:
                 return
@@ -237,7 +237,7 @@
         try:
             answer = await handler(request)
         except Exception:
-            log.exception("event=handler_failed target=%s", request.target)
+            log.exception("event=request_handler_crashed target=%s", request.target)
             answer = Answer(503, b'{"error":"internal"}', 1)
         close, head_only = not request.keep_alive, request.method == "HEAD"
         await stream.send(response_bytes(answer, close=close, head_only=head_only))
--- a/src/dapplewick/transport/listen.py
+++ b/src/dapplewick/transport/listen.py
@@ -83,7 +83,7 @@
             with scope:
                 await self._serve(stream, mark)
         except Exception:
-            log.exception("event=connection_broken")
+            log.exception("event=connection_crashed")
         finally:
             self._open.pop(scope, None)
             self._idle.pop(scope, None)
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -40,7 +40,7 @@
                     await send_frame(stream, message)
                     return await read_frame(stream, bytearray())
         except Exception as err:
-            log.debug("event=ask_failed error=%r", err)
+            log.debug("event=peer_request_failed error=%r", err)
             return None
 
     async def run(self) -> None:
@@ -119,6 +119,6 @@
             ):
                 return
             except Exception as err:
-                log.error("event=peer_refused reason=malformed error=%r", err)
+                log.error("event=peer_message_malformed reason=malformed error=%r", err)
                 if isinstance(err, FrameTooLargeError):
                     return
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -182,7 +182,7 @@
 ) -> None:
     world = day(kept_for_the_next_leader, seed, 330.0)
     assert world.copied > 200
-    assert "event=unexpected_task" not in caplog.text  # no owner finds what it thought elsewhere
+    assert "event=task_unexpected" not in caplog.text  # no owner finds what it thought elsewhere
     assert world.broken == [] and end_of_day(world) == [] and finished(world) == {}
 
 
@@ -207,7 +207,7 @@
     """Tasks that run were waiting to be started by then."""
     old_reports_settle(monkeypatch)
     day(kept_for_the_next_leader, 1, 330.0)
-    assert "event=unexpected_task" in caplog.text
+    assert "event=task_unexpected" in caplog.text
 
 
 # Direct commands
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -66,7 +66,7 @@
     assert data["commit"] == production.commit()
     cache = WatchCache()
     cache.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
-    assert "record_refused" not in caplog.text
+    assert "record_malformed" not in caplog.text
     assert cache.format == FIRST_FORMAT and cache.upgraded_controllers == set()
     assert len(cache.jobs) > 10 and len(cache.machines) > 3 and len(cache.shards) == 2
     assert any(job.assignments for job in cache.jobs.values())
@@ -114,7 +114,7 @@
         assert event[1].startswith(
             ("dw/leader", "dw/types", "dw/n/", "dw/p/", "dw/m/", "dw/b/", JOBS)
         )
-    assert "record_refused" not in caplog.text
+    assert "record_malformed" not in caplog.text
     assert theirs.jobs.keys() == ours.jobs.keys() and theirs.machines.keys() == ours.machines.keys()
     for job_id, job in ours.jobs.items():
         assert theirs.jobs[job_id].dump() == job.dump()
@@ -161,7 +161,7 @@
     largest = max(size_of(value) for value, _ in stored(world).values())
     assert largest <= float(NEXT["value_kb"]) * 1024
     # Records stored before were cut, and chunks were used for those that came later.
-    assert "event=job_cut" in caplog.text
+    assert "event=job_record_chunked" in caplog.text
     assert any(
         value.get("chunk") for key, (value, _) in stored(world).items() if key.startswith(JOBS)
     )
