--- a/run.py
+++ b/run.py
@@ -11,7 +11,7 @@
 DEPS = [os.path.join(ROOT, "target", "deps"), os.path.join(os.path.dirname(ROOT), "deps")]
 sys.path[:0] = [os.path.join(ROOT, "src"), *filter(os.path.isdir, DEPS)]
 
-from dapplewick.service import start  # noqa: E402
+from dapplewick.controller.startup import start  # noqa: E402
 
 if __name__ == "__main__":
     sys.exit(start(sys.argv[1:]))
--- a/src/dapplewick/__main__.py
+++ b/src/dapplewick/__main__.py
@@ -1,3 +1,3 @@
-from dapplewick.cli import main
+from dapplewick.cli.main import main
 
 main()
--- a/src/dapplewick/cli.py
+++ b/src/dapplewick/cli/main.py
@@ -13,9 +13,9 @@
 
 from dapplewick import __version__, client
 from dapplewick.config import SettingsError, load
+from dapplewick.controller.startup import SCRIPT_VARIABLE, run_controller
 from dapplewick.script import ScriptError
 from dapplewick.script import load as load_script
-from dapplewick.service import SCRIPT_VARIABLE, run_controller
 
 
 class CommandError(click.ClickException):
@@ -168,7 +168,7 @@
     return lines
 
 
-@main.group(cls=LazyGroup, module="dapplewick.shares.commands")
+@main.group(cls=LazyGroup, module="dapplewick.cli.partitions")
 def shares() -> None:
     """Machines of a zone that are kept for some teams: show, plan, move, cancel."""
 
--- a/src/dapplewick/shares/commands.py
+++ b/src/dapplewick/cli/partitions.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from dapplewick import client
-from dapplewick.cli import CommandError, InvalidInputError
-from dapplewick.shares.plan import PlanError, load
+from dapplewick.cli.main import CommandError, InvalidInputError
+from dapplewick.partitions.plan import PlanError, load
 
 OWN = "-"  # stands for a zone's own part, the machines of no share
 
--- a/src/dapplewick/client.py
+++ b/src/dapplewick/client.py
@@ -8,8 +8,8 @@
 import cbor2
 import msgspec
 
-from dapplewick.api import PATH
 from dapplewick.config import SettingsError, host_port
+from dapplewick.controller.user_api import PATH
 from dapplewick.transport.http_client import HttpClient, HttpError
 from dapplewick.transport.peer import read_frame, send_frame
 
--- a/src/dapplewick/cloud.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -8,14 +8,14 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from dapplewick.core.leader import LeaderPlanner
+from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.protocol import wire
 from dapplewick.storage.client import RateLimiter
 from dapplewick.storage.records import WatchCache
 from dapplewick.transport.http_client import HttpError
 from dapplewick.types import MachineId, Seconds
 
-log = logging.getLogger("dapplewick.cloud")
+log = logging.getLogger("dapplewick.controller.cloud_calls")
 
 STEP_S = 0.1  # how often is looked for something to call the cloud for
 NO_LEADER_STEP_S = 0.3  # and where this controller does not lead
--- a/src/dapplewick/node.py
+++ b/src/dapplewick/controller/controller.py
@@ -12,19 +12,19 @@
 import anyio.abc
 import msgspec
 
-from dapplewick.api import NO_METHOD, NO_PATH, PATH, Api
-from dapplewick.cloud import CloudCalls
 from dapplewick.config import Settings, StateLimits, host_port
-from dapplewick.coordination.cancellations import CancellationWatch
-from dapplewick.coordination.parts import ShardAssigner
+from dapplewick.controller.cloud_calls import CloudCalls
+from dapplewick.controller.latencies import Latencies
+from dapplewick.controller.status import controller_status
+from dapplewick.controller.user_api import NO_METHOD, NO_PATH, PATH, Api
+from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.shard_assignment import ShardAssigner
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.job_writes import PRIORITY_PROGRESS
-from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.machines import ConditionalWrite
-from dapplewick.core.part import ShardScheduler
-from dapplewick.metrics import Latencies
+from dapplewick.core.leader.job_writes import PRIORITY_PROGRESS
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
+from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import wire
-from dapplewick.status import controller_status
 from dapplewick.storage.client import (
     CALL_S,
     LeaseExpiredError,
@@ -60,9 +60,9 @@
 from dapplewick.types import ControllerName, FencingToken, JobId, Seconds, ShardName, partition_of
 
 if TYPE_CHECKING:
-    from dapplewick.shares.service import PartitionService
+    from dapplewick.partitions.service import PartitionService
 
-log = logging.getLogger("dapplewick.node")
+log = logging.getLogger("dapplewick.controller.controller")
 
 TTL_S = 5.0
 RENEW_S = 1.3
@@ -192,7 +192,7 @@
         if not self.cache.transfers and not any(map(partition_of, self.cache.shards)):
             self._dissolver = None
         elif self._dissolver is None:
-            from dapplewick.shares.service import PartitionService
+            from dapplewick.partitions.service import PartitionService
 
             self._dissolver = PartitionService(None)
             self._dissolver.attach(self)
--- a/src/dapplewick/service.py
+++ b/src/dapplewick/controller/startup.py
@@ -12,11 +12,11 @@
 import anyio
 
 from dapplewick.config import Settings, SettingsError, load
-from dapplewick.node import Controller
+from dapplewick.controller.controller import Controller
 from dapplewick.tuning import Tuning
 
 if TYPE_CHECKING:
-    from dapplewick.shares.service import PartitionService
+    from dapplewick.partitions.service import PartitionService
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 SCRIPT_VARIABLE = "DAPPLEWICK_SCRIPT"
@@ -63,8 +63,8 @@
 def _load_partitions(path: str, settings: Settings) -> PartitionService:
     """What keeps the shares of zones, by the plan in this file. Loaded only here: controllers
     without shares do without it."""
-    from dapplewick.shares.plan import PlanError, load, unknown_names
-    from dapplewick.shares.service import PartitionService
+    from dapplewick.partitions.plan import PlanError, load, unknown_names
+    from dapplewick.partitions.service import PartitionService
 
     plan = load(path)
     deployment = settings.deployment
@@ -93,7 +93,7 @@
             print(f"dapplewick: script: {err}", file=sys.stderr)
             return 2
     if partition_plan_path:
-        from dapplewick.shares.plan import PlanError
+        from dapplewick.partitions.plan import PlanError
 
         try:
             partitions = _load_partitions(partition_plan_path, settings)
--- a/src/dapplewick/status.py
+++ b/src/dapplewick/controller/status.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING, Any
 
 from dapplewick import __version__
-from dapplewick.core.part import ShardScheduler
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.records import LEADER, SHARDS
 from dapplewick.types import Seconds
 
 if TYPE_CHECKING:
-    from dapplewick.node import Controller
+    from dapplewick.controller.controller import Controller
 
 
 def controller_status(controller: Controller) -> dict[str, Any]:
--- a/src/dapplewick/api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dapplewick.config import Deployment, StateLimits
-from dapplewick.job_states import JobStates, Records, UnreadableJobError
+from dapplewick.controller.job_states import JobStates, Records, UnreadableJobError
 from dapplewick.protocol.wire import (
     JobSpec,
     MalformedMessageError,
@@ -34,7 +34,7 @@
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import JobId, Seconds
 
-log = logging.getLogger("dapplewick.api")
+log = logging.getLogger("dapplewick.controller.user_api")
 
 PATH = "/v2/runs"
 TRIES = 4
--- a/src/dapplewick/core/needs.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -8,9 +8,9 @@
 
 from dapplewick.core.demand import GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.fleet import CapacityRequest, wanted_slots
-from dapplewick.core.part_view import ObservedShard
-from dapplewick.core.placing import LONG_RESERVATION_S
+from dapplewick.core.leader.gang_placement import LONG_RESERVATION_S
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.core.leader.provisioner import CapacityRequest, wanted_slots
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.storage.records import GangPlacement, JobRecord, WatchCache
 from dapplewick.tuning import Tuning
--- a/src/dapplewick/core/placing.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from dapplewick.core.model import (
+from dapplewick.core.leader.capacity import (
     ONE_GROUP_TIMES,
     MachineCapacity,
     ShardCapacity,
--- a/src/dapplewick/core/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dapplewick.core.machines import ConditionalWrite
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
 from dapplewick.storage.records import (
     CHUNKS,
     DONE,
--- a/src/dapplewick/core/machines.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dapplewick.core.fleet import Provisioner
+from dapplewick.core.leader.provisioner import Provisioner
 from dapplewick.protocol.wire import ListedMachine, MachineList
 from dapplewick.storage.records import (
     BOOTING,
--- a/src/dapplewick/core/part_view.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from dapplewick.core.model import MachineCapacity
+from dapplewick.core.leader.capacity import MachineCapacity
 from dapplewick.types import JobId, MachineId, Revision, Seconds, ShardName, zone_of
 
 
--- a/src/dapplewick/core/leader.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -16,20 +16,20 @@
 from dapplewick.config import Settings
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.fleet import CapacityRequest, Provisioner
-from dapplewick.core.job_writes import (
+from dapplewick.core.leader.capacity import GANG_PRIORITY, ShardCapacity, machine_capacity
+from dapplewick.core.leader.capacity_requests import CapacityRequestPlanner, Waiting
+from dapplewick.core.leader.gang_placement import LONG_RESERVATION_S, place_gang
+from dapplewick.core.leader.job_writes import (
     PRIORITY_ASSIGNMENTS,
     PRIORITY_CLEARED,
     PRIORITY_ENDS,
     PRIORITY_PROGRESS,
     JobWrites,
 )
-from dapplewick.core.machines import ConditionalWrite, MachineLifecycle, Silence
-from dapplewick.core.model import GANG_PRIORITY, ShardCapacity, machine_capacity
-from dapplewick.core.needs import CapacityRequestPlanner, Waiting
-from dapplewick.core.part_view import ObservedShard
-from dapplewick.core.placing import LONG_RESERVATION_S, place_gang
-from dapplewick.core.reservation import ShardReservation
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle, Silence
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
+from dapplewick.core.leader.shard_reservation import ShardReservation
 from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, encode_machine_types
 from dapplewick.storage.records import (
     DONE,
--- a/src/dapplewick/core/fleet.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -7,7 +7,7 @@
 import random
 from typing import NamedTuple
 
-from dapplewick.core.model import MachineCapacity, ShardCapacity, take_times
+from dapplewick.core.leader.capacity import MachineCapacity, ShardCapacity, take_times
 from dapplewick.protocol.wire import JobSpec, MachineType
 from dapplewick.storage.records import ProvisioningRequest, WatchCache
 from dapplewick.tuning import Tuning
--- a/src/dapplewick/core/reservation.py
+++ b/src/dapplewick/core/leader/shard_reservation.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from dapplewick.core.model import ShardCapacity
+from dapplewick.core.leader.capacity import ShardCapacity
 from dapplewick.protocol.wire import JobSpec
 from dapplewick.types import Seconds, ShardName
 
--- a/src/dapplewick/core/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dapplewick.core.part_state import Machine, TaskAttempt
+from dapplewick.core.shard.state import Machine, TaskAttempt
 from dapplewick.types import Resources, TaskRef
 
 
--- a/src/dapplewick/core/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Iterator
 from typing import Protocol
 
-from dapplewick.core.part_state import Machine
-from dapplewick.core.preemption import leaves, may_be_stopped
+from dapplewick.core.shard.preemption import leaves, may_be_stopped
+from dapplewick.core.shard.state import Machine
 from dapplewick.protocol.wire import JobSpec, MachineType
 from dapplewick.storage.records import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds
--- a/src/dapplewick/core/part.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -15,7 +15,10 @@
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import NEVER, Estimates
-from dapplewick.core.part_state import (
+from dapplewick.core.shard.preemption import stop_until_fits
+from dapplewick.core.shard.replicas import ReplicaPlacement
+from dapplewick.core.shard.slow_machines import SpeedComparison
+from dapplewick.core.shard.state import (
     ASSIGNED,
     FINISHED,
     ON_MACHINE,
@@ -30,10 +33,7 @@
     Slot,
     TaskAttempt,
 )
-from dapplewick.core.part_status import Touched, full_status
-from dapplewick.core.preemption import stop_until_fits
-from dapplewick.core.replicas import ReplicaPlacement
-from dapplewick.core.speed import SpeedComparison
+from dapplewick.core.shard.status import Touched, full_status
 from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
 from dapplewick.storage.records import JobRecord, WatchCache
 from dapplewick.tuning import Tuning
--- a/src/dapplewick/core/speed.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -7,7 +7,7 @@
 import statistics
 from collections.abc import Collection
 
-from dapplewick.core.part_state import SLOW_SAMPLES, Machine
+from dapplewick.core.shard.state import SLOW_SAMPLES, Machine
 from dapplewick.types import JobId, Seconds
 
 log = logging.getLogger("dapplewick.part")
--- a/src/dapplewick/core/part_status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from dapplewick.core.model import GANG_PRIORITY
-from dapplewick.core.part_state import (
+from dapplewick.core.leader.capacity import GANG_PRIORITY
+from dapplewick.core.shard.state import (
     ASSIGNED,
     FINISHED,
     ON_MACHINE,
@@ -16,7 +16,7 @@
 from dapplewick.types import JobId, MachineId, Seconds
 
 if TYPE_CHECKING:
-    from dapplewick.core.part import ShardScheduler
+    from dapplewick.core.shard.scheduler import ShardScheduler
 
 QUIET_S = 4.0  # a machine that was silent for longer is named in each status
 WAIT_S = 1.0  # the remaining wait of a held gang is counted anew after this time
--- a/src/dapplewick/shares/orders.py
+++ b/src/dapplewick/partitions/commands.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from dapplewick.config import Deployment
-from dapplewick.shares.keeper import OPERATOR, TransferCommand
-from dapplewick.shares.plan import PartitionPlan
+from dapplewick.partitions.plan import PartitionPlan
+from dapplewick.partitions.rebalancer import OPERATOR, TransferCommand
 from dapplewick.storage.records import WatchCache
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
 from dapplewick.types import Seconds, TransferId, shard_name
--- a/src/dapplewick/shares/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -7,7 +7,7 @@
 
 from dapplewick.config import Team
 from dapplewick.core.estimates import Estimates
-from dapplewick.shares.plan import PartitionPlan
+from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.storage.records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources, Seconds
 
--- a/src/dapplewick/shares/view.py
+++ b/src/dapplewick/partitions/description.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from dapplewick.core.estimates import NEVER
-from dapplewick.core.part_view import ObservedShard
-from dapplewick.shares.plan import PartitionPlan
-from dapplewick.shares.targets import TargetsInForce
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.partitions.plan import PartitionPlan
+from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.storage.records import SHARDS, TRANSFERS, WatchCache
 from dapplewick.storage.transfers import TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
--- a/src/dapplewick/shares/keeper.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -13,19 +13,19 @@
 
 import msgspec
 
-from dapplewick.core.machines import (
+from dapplewick.core.leader.machine_lifecycle import (
     PRIORITY_LOW,
     PRIORITY_NORMAL,
     ConditionalWrite,
     MachineLifecycle,
 )
-from dapplewick.core.part_view import ObservedShard
-from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.plan import PartitionPlan
-from dapplewick.shares.selection import MachineSelection
-from dapplewick.shares.solver import Cell
-from dapplewick.shares.targets import TargetsInForce
-from dapplewick.shares.timing import MoveTimes
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.partitions.index import MachineIndex
+from dapplewick.partitions.plan import PartitionPlan
+from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.solver import Cell
+from dapplewick.partitions.targets import TargetsInForce
+from dapplewick.partitions.timing import MoveTimes
 from dapplewick.storage.records import PARTITIONS_FORMAT, SHARDS, TRANSFERS, JobRecord, WatchCache
 from dapplewick.storage.transfers import (
     CANCELLED,
@@ -48,7 +48,7 @@
     zone_of,
 )
 
-log = logging.getLogger("dapplewick.shares")
+log = logging.getLogger("dapplewick.partitions")
 
 LEND_S = 30.0  # a job of which nothing has started for so long may use other teams' idle room
 BUSY_S = 20.0  # a busy machine keeps others from being drained for so long
--- a/src/dapplewick/shares/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -8,8 +8,8 @@
 from typing import Any, NamedTuple
 
 from dapplewick.core.estimates import NEVER
-from dapplewick.core.part_view import ObservedShard
-from dapplewick.shares.index import MachineIndex
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.partitions.index import MachineIndex
 from dapplewick.storage.records import MachineRecord, WatchCache
 from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName
--- a/src/dapplewick/shares/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -10,15 +10,15 @@
 import anyio.to_thread
 import msgspec
 
-from dapplewick.shares.demand import measure
-from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.keeper import PartitionRebalancer, TransferCommand
-from dapplewick.shares.orders import TransferRefusedError, cancellation, move_command
-from dapplewick.shares.plan import PartitionPlan, PlanError, convert, unknown_names
-from dapplewick.shares.solver import Problem, Targets, solve
-from dapplewick.shares.targets import holdings, supply
-from dapplewick.shares.timing import MoveTimes
-from dapplewick.shares.view import PartitionDescription
+from dapplewick.partitions.commands import TransferRefusedError, cancellation, move_command
+from dapplewick.partitions.demand import measure
+from dapplewick.partitions.description import PartitionDescription
+from dapplewick.partitions.index import MachineIndex
+from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, unknown_names
+from dapplewick.partitions.rebalancer import PartitionRebalancer, TransferCommand
+from dapplewick.partitions.solver import Problem, Targets, solve
+from dapplewick.partitions.targets import holdings, supply
+from dapplewick.partitions.timing import MoveTimes
 from dapplewick.storage.client import (
     OutcomeUnknownError,
     RequestRefusedError,
@@ -30,10 +30,10 @@
 from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
 
 if TYPE_CHECKING:
-    from dapplewick.core.leader import LeaderPlanner
-    from dapplewick.node import Controller
+    from dapplewick.controller.controller import Controller
+    from dapplewick.core.leader.planner import LeaderPlanner
 
-log = logging.getLogger("dapplewick.shares")
+log = logging.getLogger("dapplewick.partitions")
 
 PLAN_S = 5.0  # the plan is solved anew this often
 PLAN_REST = 40.0  # or less often: after a run this times its length passes
--- a/src/dapplewick/shares/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -9,8 +9,8 @@
 import math
 from typing import Any, NamedTuple
 
-from dapplewick.shares.demand import PartitionDemand
-from dapplewick.shares.plan import PartitionPlan
+from dapplewick.partitions.demand import PartitionDemand
+from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.types import Resources, Seconds
 
 SOLVE_WITHIN_S = 0.5
--- a/src/dapplewick/shares/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -11,12 +11,12 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.solver import Bounds, Cell, Problem, Supply, Targets, bounds
+from dapplewick.partitions.index import MachineIndex
+from dapplewick.partitions.solver import Bounds, Cell, Problem, Supply, Targets, bounds
 from dapplewick.storage.records import WatchCache
 from dapplewick.types import partition_of, zone_of
 
-log = logging.getLogger("dapplewick.shares")
+log = logging.getLogger("dapplewick.partitions")
 
 Kind = tuple[str, str]  # a zone and a type of machine
 V = TypeVar("V")
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -20,15 +20,17 @@
 import msgspec
 from click.testing import CliRunner
 
-from dapplewick import cli, client, config, script
-from dapplewick.cloud import CloudCalls
+from dapplewick import client, config, script
+from dapplewick.cli import main as cli
+from dapplewick.cli import partitions as commands
+from dapplewick.controller.cloud_calls import CloudCalls
+from dapplewick.controller.controller import Controller
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
-from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.machines import ConditionalWrite, MachineLifecycle
-from dapplewick.node import Controller
+from dapplewick.core.leader.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
+from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.partitions import plan
 from dapplewick.protocol import wire
-from dapplewick.shares import commands, plan
 from dapplewick.storage.client import (
     LeaseExpiredError,
     OutcomeUnknownError,
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -10,10 +10,10 @@
 import cbor2
 
 from dapplewick import config
-from dapplewick.node import Controller
-from dapplewick.shares.plan import PartitionPlan
-from dapplewick.shares.service import PartitionService
-from dapplewick.shares.solver import Problem, Targets, solve
+from dapplewick.controller.controller import Controller
+from dapplewick.partitions.plan import PartitionPlan
+from dapplewick.partitions.service import PartitionService
+from dapplewick.partitions.solver import Problem, Targets, solve
 from dapplewick.transport import http_client
 from dapplewick.transport.http import Answer, Request
 from standins import recorder
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -14,8 +14,8 @@
 from msgspec.structs import replace
 
 from answer_days import play_answers
-from dapplewick.coordination.cancellations import CancellationWatch
-from dapplewick.node import Controller
+from dapplewick.controller.controller import Controller
+from dapplewick.coordination.cancellation_exchange import CancellationWatch
 from dapplewick.protocol.wire import Event, JobSpec
 from dapplewick.storage.client import RequestRefusedError, StateClient
 from dapplewick.storage.records import (
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.part import ShardScheduler
-from dapplewick.node import Controller
+from dapplewick.controller.controller import Controller
+from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.types import Seconds
 from standins import World
 from test_days import Fault, all_crash, cut_from_state, lost_answers, play, quick_restarts, quiet
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -15,7 +15,7 @@
 import pytest
 
 import dapplewick
-from dapplewick.core.part import ShardScheduler
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.transport.http import Request
 from dapplewick.transport.http_client import HttpClient
 from day_checks import Onlooker, ask, end_of_day
@@ -251,7 +251,11 @@
     }
     sources = Path(dapplewick.__file__).parent.rglob("*.py")
     made = {path.name for path in sources if HttpClient.__name__ in path.read_text()}
-    assert made == {"client.py", "http_client.py", "node.py"}  # and no other code makes connections
+    assert made == {
+        "client.py",
+        "http_client.py",
+        "controller.py",
+    }  # and no other code makes connections
 
 
 # Machines that are up at once, while writes lag and the leader ends
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -10,10 +10,10 @@
 from msgspec.structs import replace
 
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.fleet import CapacityRequest, Provisioner
-from dapplewick.core.model import MachineCapacity, ShardCapacity, fit_all
-from dapplewick.core.part import ShardScheduler
-from dapplewick.core.part_state import IMAGES_MOST
+from dapplewick.core.leader.capacity import MachineCapacity, ShardCapacity, fit_all
+from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
+from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.core.shard.state import IMAGES_MOST
 from dapplewick.protocol.wire import (
     Command,
     Heartbeat,
@@ -259,7 +259,7 @@
 def test_the_largest_fitting_gang_is_placed_first(sizes: list[int], idle: int) -> None:
     """Point three, against the leader's real pass."""
     import standins
-    from dapplewick.core.leader import LeaderPlanner
+    from dapplewick.core.leader.planner import LeaderPlanner
 
     cache = WatchCache()
     cache.put(TYPES, encode_machine_types([KIND]), 1)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,8 +16,8 @@
 import standins
 from dapplewick.config import Objective
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.part import ShardScheduler
+from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
 from dapplewick.storage.client import split_into_transactions
 from dapplewick.storage.records import TYPES, GangPlacement, JobRecord, WatchCache
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,9 +12,9 @@
 import anyio
 import pytest
 
-from dapplewick.coordination.cancellations import CancellationWatch
-from dapplewick.core.part import ShardScheduler
-from dapplewick.node import Controller
+from dapplewick.controller.controller import Controller
+from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.records import LEADER
 from dapplewick.transport.http import Request
 from standins import WORKERS, World, now
@@ -485,7 +485,7 @@
         # Another leader's key, as the watch would bring it.
         controller.cache.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         try:
-            from dapplewick.core.machines import ConditionalWrite
+            from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
             from dapplewick.types import FencingToken
 
             await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
@@ -955,7 +955,7 @@
 
 
 def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("dapplewick.core.needs.STARVED_S", 1e9)
+    patch.setattr("dapplewick.core.leader.capacity_requests.STARVED_S", 1e9)
 
 
 GUARDS: list[tuple[Patch, Callable[[], None]]] = [
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,8 +14,8 @@
 from click.testing import CliRunner
 
 from dapplewick import client, script
-from dapplewick.cli import main, status_lines
-from dapplewick.status import controller_status
+from dapplewick.cli.main import main, status_lines
+from dapplewick.controller.status import controller_status
 from dapplewick.tuning import Tuning
 from standins import World, run_day
 from test_sockets import ROOT, RealWorld, until_healthy, world  # noqa: F401
--- a/tests/test_previous_main.py
+++ b/tests/test_previous_main.py
@@ -9,7 +9,7 @@
 import pytest
 
 import production
-from dapplewick.core.machines import MachineLifecycle
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.storage.records import (
     FORMAT,
     FORMAT_NOW,
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -11,10 +11,10 @@
 import pytest
 from msgspec.structs import replace
 
-from dapplewick.core.fleet import Provisioner
-from dapplewick.core.machines import MachineLifecycle, Silence
-from dapplewick.core.part import ShardScheduler
-from dapplewick.core.part_state import Machine
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, Silence
+from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.core.shard.state import Machine
 from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
 from dapplewick.storage.records import MACHINES, JobRecord
 from dapplewick.transport.http import Request
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -17,15 +17,15 @@
 from hypothesis import strategies as st
 from msgspec import to_builtins
 
-from dapplewick.core.fleet import Provisioner
-from dapplewick.core.machines import ConditionalWrite, MachineLifecycle
-from dapplewick.core.part_view import ObservedShard
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.partitions.index import MachineIndex
+from dapplewick.partitions.plan import Partition, PartitionPlan, PartitionRule
+from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
+from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.timing import MoveTimes
 from dapplewick.protocol.wire import Event
-from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.keeper import OPERATOR, PartitionRebalancer, TransferCommand
-from dapplewick.shares.plan import Partition, PartitionPlan, PartitionRule
-from dapplewick.shares.selection import MachineSelection
-from dapplewick.shares.timing import MoveTimes
 from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import (
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from dapplewick.shares import plan as plans
+from dapplewick.partitions import plan as plans
 from dapplewick.storage.records import FORMAT, PARTITIONS_FORMAT, SHARDS
 from dapplewick.types import shard_name
 from share_history import ShareHistory
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -12,16 +12,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dapplewick.cli import main
+from dapplewick.cli.main import main
 from dapplewick.config import Team
+from dapplewick.controller.startup import start
 from dapplewick.core.estimates import Estimates
+from dapplewick.partitions.demand import PartitionDemand, measure
+from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, parse, unknown_names
+from dapplewick.partitions.solver import Cell, Problem, Supply, bounds, solve
+from dapplewick.partitions.targets import TargetsInForce
+from dapplewick.partitions.timing import MoveTimes
 from dapplewick.protocol.wire import JobSpec
-from dapplewick.service import start
-from dapplewick.shares.demand import PartitionDemand, measure
-from dapplewick.shares.plan import PartitionPlan, PlanError, convert, parse, unknown_names
-from dapplewick.shares.solver import Cell, Problem, Supply, bounds, solve
-from dapplewick.shares.targets import TargetsInForce
-from dapplewick.shares.timing import MoveTimes
 from dapplewick.storage.records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources
 from test_operators import settings_file
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -6,12 +6,12 @@
 
 import anyio
 
-from dapplewick.core.machines import ConditionalWrite, MachineLifecycle
-from dapplewick.core.part_view import ObservedShard
-from dapplewick.shares import plan as plans
-from dapplewick.shares.index import MachineIndex
-from dapplewick.shares.keeper import OPERATOR, PartitionRebalancer, TransferCommand
-from dapplewick.shares.timing import MoveTimes
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
+from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.partitions import plan as plans
+from dapplewick.partitions.index import MachineIndex
+from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
+from dapplewick.partitions.timing import MoveTimes
 from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import MachineId, Revision, ShardName, TransferId, partition_of, shard_name
--- a/tests/test_shares_sockets.py
+++ b/tests/test_shares_sockets.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 
-from dapplewick.cli import main
+from dapplewick.cli.main import main
 from share_history import ShareHistory
 from standins import now
 from test_shares_moves import NIGHT, machines_of, owner, pinned, shares_begun, until
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -144,10 +144,10 @@
 
 def test_switched_off_nothing_of_shares_is_loaded() -> None:
     text = (
-        "import sys, dapplewick.service, dapplewick.cli\n"
+        "import sys, dapplewick.controller.startup, dapplewick.cli.main\n"
         "from click.testing import CliRunner\n"
-        "CliRunner().invoke(dapplewick.cli.main, ['--help'])\n"
-        "names = ('dapplewick.shares', 'highspy', 'numpy')\n"
+        "CliRunner().invoke(dapplewick.cli.main.main, ['--help'])\n"
+        "names = ('dapplewick.partitions', 'dapplewick.cli.partitions', 'highspy', 'numpy')\n"
         "bad = [m for m in sys.modules if m.startswith(names)]\n"
         "sys.exit(', '.join(bad) or 0)"
     )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,8 +16,8 @@
 import production
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.machines import MachineLifecycle
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
+from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.ranges import unpack
 from dapplewick.storage.records import (
     CHUNKS,
@@ -426,7 +426,7 @@
 
 
 def the_format_is_raised_by_guess(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.leader import LeaderPlanner
+    from dapplewick.core.leader.planner import LeaderPlanner
 
     raised = LeaderPlanner._raise_format
 
@@ -438,7 +438,7 @@
 
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.job_writes import JobWrites
+    from dapplewick.core.leader.job_writes import JobWrites
 
     patch.setattr(JobRecord, "outgrows", lambda self, zones, room: False)
     patch.setattr(JobWrites, "convert", lambda self: [])
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -8,16 +8,22 @@
 import standins
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader import LeaderPlanner
-from dapplewick.core.model import (
+from dapplewick.core.leader.capacity import (
     ONE_GROUP_TIMES,
     EndGroup,
     MachineCapacity,
     ShardCapacity,
     fit_behind,
 )
-from dapplewick.core.part import ShardScheduler
-from dapplewick.core.reservation import HOPELESS_S, MOST_S, OVERDUE_S, PAUSE_S, ShardReservation
+from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.leader.shard_reservation import (
+    HOPELESS_S,
+    MOST_S,
+    OVERDUE_S,
+    PAUSE_S,
+    ShardReservation,
+)
+from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
 from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
--- a/tests/test_whole_transactions.py
+++ b/tests/test_whole_transactions.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from dapplewick.config import StateLimits
-from dapplewick.core.machines import ConditionalWrite
+from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
 from dapplewick.storage.client import first_whole_groups, split_into_transactions
 from dapplewick.storage.records import size_of
 from test_previous_main import Store
