--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -11,20 +11,28 @@
 import anyio
 import anyio.abc
 import msgspec
+from msgspec import UnsetType
 
 from dapplewick.config import Settings, StateLimits, host_port
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.latencies import Latencies
 from dapplewick.controller.status import controller_status
 from dapplewick.controller.user_api import NO_METHOD, NO_PATH, PATH, Api
-from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
 from dapplewick.coordination.shard_assignment import ShardAssigner
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.job_writes import PRIORITY_PROGRESS
 from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.protocol import wire
+from dapplewick.protocol import peers, wire
+from dapplewick.protocol.peers import (
+    ForwardedRequest,
+    ForwardedResponse,
+    Gossip,
+    ShardStatus,
+    StatusConfirmation,
+)
 from dapplewick.storage.client import (
     CALL_S,
     LeaseExpiredError,
@@ -607,9 +615,8 @@
         link = self.links.get(ControllerName(record.controller)) if record is not None else None
         if link is not None:
             status = scheduler.status(now, self._base(scheduler.shard, scheduler))
-            link.post(
-                f"part:{scheduler.shard}", {**status, "node": self.own_name, "version": FORMAT_NOW}
-            )
+            status.controller, status.version = self.own_name, FORMAT_NOW
+            link.post(f"{status.kind}:{scheduler.shard}", peers.encode(status))
 
     def _base(self, shard: ShardName, scheduler: ShardScheduler) -> int:
         """The newest of a part's statuses that the present leader has confirmed."""
@@ -647,32 +654,38 @@
                     running[job] = running.get(job, 0) + count
             self._running[self.own_name] = running
             shards = {
-                name: (self.cache.version(SHARDS + name), shard.owner)
+                name: (
+                    FencingToken(self.cache.version(SHARDS + name)),
+                    ControllerName(shard.owner),
+                )
                 for name, shard in self.cache.shards.items()
             }
-            message = {
-                "kind": "node",
-                "node": self.own_name,
-                "version": FORMAT_NOW,
-                "running": running,
-                "parts": shards,
-                "state": self.now() - self.contact_at < CONTACT_S,
-                **self.cancellations.message(self.now(), self.cache, self.ready),
-            }
+            gossip = Gossip(
+                controller=self.own_name,
+                version=FORMAT_NOW,
+                running=running,
+                shards=shards,
+                reaches_state_service=self.now() - self.contact_at < CONTACT_S,
+            )
+            cancellations = self.cancellations.message(self.now(), self.cache, self.ready)
+            message = peers.encode(gossip) | peers.encode(cancellations)
             for link in self.links.values():
-                link.post("node", message)
+                link.post(gossip.kind, message)
 
     async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A message on a peer connection; some are answered on it."""
-        if message.get("kind") == "shares":
+        kind = message.get("kind")
+        if kind == peers.KIND_PARTITION_COMMAND:
             return await self._answer_partition_command(message)
-        if message.get("kind") != "ask":
+        if kind != peers.KIND_FORWARDED_REQUEST:
             return self.on_message(message)
-        request = Request(
-            str(message["method"]), str(message["target"]), bytes(message["body"]), False
-        )
+        forwarded = peers.decode(message, ForwardedRequest)
+        request = Request(forwarded.method, forwarded.target, forwarded.body, False)
         answer = await self.api.answer(request) or NO_PATH
-        return {"status": answer.status, "body": answer.body, "retry": answer.retry_after}
+        response = ForwardedResponse(
+            status=answer.status, body=answer.body, retry_after=answer.retry_after
+        )
+        return peers.encode(response)
 
     async def _answer_partition_command(self, message: dict[str, Any]) -> dict[str, Any]:
         """An operator's command on shares."""
@@ -691,57 +704,72 @@
         ]
         if not able:
             return None
-        message = {
-            "kind": "ask",
-            "method": request.method,
-            "target": request.target,
-            "body": request.body,
-        }
-        said = await self.links[self.random.choice(able)].ask(message, ASK_WITHIN_S)
+        forwarded = ForwardedRequest(
+            method=request.method, target=request.target, body=request.body
+        )
+        link = self.links[self.random.choice(able)]
+        said = await link.ask(peers.encode(forwarded), ASK_WITHIN_S)
         if said is None or said.get("status") in (None, 503):
             return None
-        return Answer(int(said["status"]), bytes(said["body"]), said.get("retry"))
+        response = peers.decode(said, ForwardedResponse)
+        return Answer(response.status, response.body, response.retry_after)
 
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
+        """A message that is answered at once or not at all.
+
+        Raises:
+            ValueError: it is malformed.
+        """
         kind = message.get("kind")
-        if kind == "status":
+        if kind == peers.KIND_CONTROLLER_STATUS:
             return controller_status(self)
-        if kind == "part":
+        if kind == peers.KIND_SHARD_STATUS:
             if self.leader is not None:
-                number = self.leader.shard_status(self.now(), message)
-                self._leader_wake.set()
-                link = self.links.get(ControllerName(str(message["node"])))
-                if link is not None:
-                    zone = str(message["zone"])
-                    link.post(
-                        f"have:{zone}",
-                        {
-                            "kind": "have",
-                            "zone": zone,
-                            "token": message["token"],
-                            "boot": self.incarnation,
-                            "number": number,
-                            "version": FORMAT_NOW,
-                        },
-                    )
-        elif kind == "have":
+                self._take_shard_status(self.leader, peers.decode(message, ShardStatus))
+        elif kind == peers.KIND_STATUS_CONFIRMATION:
+            confirmation = peers.decode(message, StatusConfirmation)
             self._confirm(
-                ShardName(message["zone"]),
-                FencingToken(message["token"]),
-                str(message["boot"]),
-                int(message["number"]),
+                confirmation.shard,
+                confirmation.token,
+                confirmation.incarnation,
+                confirmation.number,
             )
-        elif kind == "node":
-            controller = ControllerName(message["node"])
-            self._peer_state[controller] = (self.now(), bool(message["state"]))
-            self._running[controller] = {JobId(j): int(n) for j, n in message["running"].items()}
-            for shard, (token, owner) in message["parts"].items():
-                if token > self._peer_shards.get(shard, (0, ""))[0]:
-                    self._peer_shards[shard] = (FencingToken(token), ControllerName(owner))
-            self.cancellations.hear(self.now(), self.own_name, controller, message, self.cache)
-            self._apply_changed()
+        elif kind == peers.KIND_GOSSIP:
+            self._take_gossip(message)
         return None
 
+    def _take_shard_status(self, leader: LeaderPlanner, status: ShardStatus) -> None:
+        number = leader.shard_status(self.now(), status)
+        self._leader_wake.set()
+        if isinstance(status.controller, UnsetType):
+            return
+        link = self.links.get(status.controller)
+        if link is None:
+            return
+        confirmation = StatusConfirmation(
+            shard=status.shard,
+            token=status.token,
+            incarnation=self.incarnation,
+            number=number,
+            version=FORMAT_NOW,
+        )
+        link.post(f"{confirmation.kind}:{status.shard}", peers.encode(confirmation))
+
+    def _take_gossip(self, message: dict[str, Any]) -> None:
+        gossip = peers.decode(message, Gossip)
+        controller = gossip.controller
+        self._peer_state[controller] = (self.now(), gossip.reaches_state_service)
+        self._running[controller] = gossip.running
+        for shard, (token, owner) in gossip.shards.items():
+            if token > self._peer_shards.get(shard, (0, ""))[0]:
+                self._peer_shards[shard] = (token, owner)
+        if "heard" in message:  # the first versions tell nothing of cancellations
+            cancellations = peers.decode(message, CancellationMessage)
+            self.cancellations.hear(
+                self.now(), self.own_name, controller, cancellations, self.cache
+            )
+        self._apply_changed()
+
     def running_tasks(self, job: JobId) -> int:
         return sum(counts.get(job, 0) for counts in self._running.values())
 
@@ -838,7 +866,9 @@
         most = max(LEAST_SOCKETS, most)
         clients = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=most)
         host, port = host_port(self.settings.peer_listen, "peer_listen")
-        peers = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=64)
+        peer_listener = await anyio.create_tcp_listener(
+            local_host=host, local_port=port, backlog=64
+        )
 
         def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> Awaitable[None]:
             return serve_connection(stream, self.handle, mark)
@@ -848,7 +878,7 @@
 
         async with anyio.create_task_group() as group:
             group.start_soon(self.run_loops)
-            group.start_soon(ConnectionAcceptor(8 + 4 * limits.count, hear).run, peers)
+            group.start_soon(ConnectionAcceptor(8 + 4 * limits.count, hear).run, peer_listener)
             await ConnectionAcceptor(most, serve).run(clients)
 
     async def run_loops(self) -> None:
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -73,24 +73,23 @@
     unqueued = len(scheduler.queues.unqueued)
     return {
         "token": scheduler.token,
-        "unheard": status["unheard"],
+        "unheard": status.unreconciled,
         "loose": unqueued,
         "machines": {
             name: {
                 "type": scheduler.machines[name].type,
                 "tasks": len(scheduler.machines[name].task_attempts),
                 "slots": len(scheduler.machines[name].slots),
-                "queued": body["queued"],
-                "free": body["free"],
+                "queued": machine.queued,
+                "free": machine.free,
                 "silent": round(now - scheduler.machines[name].last_heartbeat_at, 1),
             }
-            for name, body in status["machines"].items()
-            if body is not None
+            for name, machine in status.machines.items()
+            if machine is not None
         },
         "held": {
-            job: {"attempt": attempt, "state": state, "wait_s": wait}
-            for job, gang in status["gangs"].items()
+            job: {"attempt": gang.attempt, "state": gang.state, "wait_s": gang.remaining_wait_s}
+            for job, gang in status.gangs.items()
             if gang is not None
-            for attempt, state, wait in [gang]
         },
     }
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -13,7 +13,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any
 
 import msgspec
 
@@ -26,19 +25,25 @@
 
 
 class CancellationMessage(msgspec.Struct):
-    """What a peer's message says of cancellations; `CancellationWatch.message` makes it."""
+    """What a controller tells its peers of cancellations; at the same time a question to them.
 
-    at: float = msgspec.field(name="at")
+    It stands in the same map as `dapplewick.protocol.peers.Gossip`.
+    """
+
+    at: Seconds
     incarnation: str = msgspec.field(name="boot")
-    revision: int
-    heard: dict[str, tuple[str, float]]
-    complete: bool
-    since: int
-    cancelled: list[tuple[int, str]]
-
-    def check(self) -> None:
-        """Raise ValueError for a list that no controller sends. It is refused whole: what it
-        names would count as cancelled."""
+    revision: Revision
+    heard: dict[ControllerName, tuple[str, Seconds]]  # the newest question of each peer
+    complete: bool  # whether the list is all that is known and is newer than `since`
+    since: Revision
+    cancelled: list[tuple[int, JobId]]
+
+    def __post_init__(self) -> None:
+        """Refuse a list that no controller sends, whole: what it names would count as cancelled.
+
+        Raises:
+            ValueError: it is too long, or an entry is not a cancellation.
+        """
         if len(self.cancelled) > MAX_LISTED:
             raise ValueError("too many cancellations")
         for version, job in self.cancelled:
@@ -58,44 +63,39 @@
         self._revisions: dict[ControllerName, tuple[Seconds, Revision]] = {}
         self._answered: dict[ControllerName, Seconds] = {}
 
-    def message(self, now: Seconds, cache: WatchCache, ready: bool) -> dict[str, Any]:
+    def message(self, now: Seconds, cache: WatchCache, ready: bool) -> CancellationMessage:
         """What to tell the peers now; at the same time a question to them."""
         read = [r for at, r in self._revisions.values() if now - at < HEARD_S]
         since = min(read, default=cache.revision)
         listed = cache.cancellations(since)
         if len(listed) > MAX_LISTED:
             ready = False
-        return {
-            "at": now,
-            "boot": self._incarnation,
-            "revision": cache.revision,
-            "heard": {
-                controller: list(question) for controller, question in self._questions.items()
-            },
-            # Whether the list is all that is known here and is newer than `since`.
-            "complete": ready,
-            "since": since,
-            "cancelled": [[version, job] for version, job in listed] if ready else [],
-        }
+        return CancellationMessage(
+            at=now,
+            incarnation=self._incarnation,
+            revision=cache.revision,
+            heard=dict(self._questions),
+            complete=ready,
+            since=since,
+            cancelled=listed if ready else [],
+        )
 
     def hear(
         self,
         now: Seconds,
         own_name: ControllerName,
         peer: ControllerName,
-        said: dict[str, Any],
+        message: CancellationMessage,
         cache: WatchCache,
     ) -> None:
-        """A peer's message; what it lists goes into the mirror. Raises if it is malformed."""
-        if peer not in self._peers or "heard" not in said:
-            return  # not of this deployment, or of a version that knows nothing of this
-        message = msgspec.convert(said, type=CancellationMessage)
-        message.check()
+        """Take over a peer's message; what it lists goes into the watch cache."""
+        if peer not in self._peers:
+            return  # not of this deployment
         incarnation, at = message.heard.get(own_name, ("", 0.0))
         self._questions[peer] = (message.incarnation, message.at)
-        self._revisions[peer] = (now, Revision(message.revision))
+        self._revisions[peer] = (now, message.revision)
         for version, job in message.cancelled:
-            cache.told_cancelled(JobId(job), version)
+            cache.told_cancelled(job, version)
         # A list that begins after what we have read may lack some.
         if (
             message.complete
--- a/src/dapplewick/core/leader/capacity.py
+++ b/src/dapplewick/core/leader/capacity.py
@@ -8,6 +8,7 @@
 from typing import Any, NamedTuple
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
+from dapplewick.protocol.peers import MachineStatus
 from dapplewick.protocol.wire import JobSpec, PlacementKey
 from dapplewick.types import (
     NO_RESOURCES,
@@ -278,28 +279,25 @@
     shard: ShardName,
     spot: bool,
     total: Resources,
-    status: dict[str, Any],
+    status: MachineStatus,
     demand: AcceleratorDemand,
     clock: Seconds = 0.0,
 ) -> MachineCapacity:
     """A machine as a part's status tells it; `clock` is our clock less the part's."""
-    ends = [
-        End(float(end) + clock, Resources(cpus, gpus, ram_gb), int(priority), str(group))
-        for end, cpus, gpus, ram_gb, priority, group in status["ends"]
-    ]
+    ends = [End(end.at + clock, end.resources, end.priority, end.gang) for end in status.ends]
     capacity = MachineCapacity(
         machine,
         TypeName(type_),
         shard,
         spot,
         total,
-        Resources(*status["free"]),
+        status.free,
         ends,
-        int(status["queued"]),
+        status.queued,
         demand,
-        status["images"],
+        status.images,
     )
-    capacity.usable = bool(status["usable"])
+    capacity.usable = status.usable
     return capacity
 
 
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -112,8 +112,13 @@
         for name in gang.shards():
             shard = self._shards.get(ShardName(name))
             if shard is not None:
-                attempt, state, wait = shard.gangs.get(job_id, (0, "", 0.0))
-                if attempt == gang.attempt and state == "held" and wait > LONG_RESERVATION_S:
+                status = shard.gangs.get(job_id)
+                if (
+                    status is not None
+                    and status.attempt == gang.attempt
+                    and status.state == "held"
+                    and status.remaining_wait_s > LONG_RESERVATION_S
+                ):
                     return True
         return False
 
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.protocol.peers import MachineStatus
 from dapplewick.protocol.wire import ListedMachine, MachineList
 from dapplewick.storage.records import (
     BOOTING,
@@ -364,11 +365,11 @@
         self,
         now: Seconds,
         wall: Seconds,
-        reconciled: dict[MachineId, Any],
+        statuses: Mapping[MachineId, MachineStatus],
         silent: dict[MachineId, Silence],
         zones: list[str],
     ) -> None:
-        """Look at every machine: `reconciled` is what the parts say of each, `silent` names those
+        """Look at every machine: `statuses` is what the shards say of each, `silent` names those
         they have not heard for a while."""
         came_up: dict[str, list[MachineId]] = {}
         for machine_id, record in self.cache.machines.items():
@@ -380,11 +381,11 @@
                     group.floors.pop(machine_id, None)
                     self._up_since.pop(machine_id, None)
                 continue
-            body = reconciled.get(machine_id)
-            why = self._why_go(now, machine_id, record, body, silent.get(machine_id))
+            status = statuses.get(machine_id)
+            why = self._why_go(now, machine_id, record, status, silent.get(machine_id))
             if why:
                 self.terminate(machine_id, why)
-            elif body is not None and body["heard"] and not record.up:
+            elif status is not None and status.reconciled and not record.up:
                 came_up.setdefault(self.cache.group_of[machine_id], []).append(machine_id)
         for name, machines in came_up.items():
             # All that came up in a while is written together: hundreds do at the start.
@@ -415,7 +416,7 @@
         now: Seconds,
         machine_id: MachineId,
         record: MachineRecord,
-        body: Any,
+        status: MachineStatus | None,
         silence: Silence | None,
     ) -> str:
         if not record.up:
@@ -431,7 +432,7 @@
                 # A hanging machine may hold a cancelled task until its deletion, and replicas of
                 # services start elsewhere only after it.
                 return "silent with cancelled tasks or replicas"
-        if body is not None and body["faulty"]:
+        if status is not None and status.faulty:
             return "faulty"
         return ""
 
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -30,6 +30,7 @@
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
 from dapplewick.core.leader.shard_reservation import ShardReservation
+from dapplewick.protocol.peers import MachineStatus, ShardStatus
 from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, encode_machine_types
 from dapplewick.storage.records import (
     DONE,
@@ -152,17 +153,17 @@
 
     # Inputs
 
-    def shard_status(self, now: Seconds, body: dict[str, Any]) -> int:
+    def shard_status(self, now: Seconds, status: ShardStatus) -> int:
         """A part's status; gives the number up to which this part is known here."""
-        name = ShardName(body["zone"])
+        name = status.shard
         token = self.cache.version(SHARDS + name)
-        if body["token"] != token:
+        if status.token != token:
             return 0
         shard = self.shards.get(name)
         if shard is None or shard.token != token:
             shard = self.shards[name] = ObservedShard(name, token)
-        if shard.apply(now, body):
-            self.estimates.adopt({k: (v[0], v[1]) for k, v in body["estimates"].items()})
+        if shard.apply(now, status):
+            self.estimates.adopt(status.estimates)
         return shard.number
 
     def _owned(self) -> list[ObservedShard]:
@@ -199,7 +200,7 @@
                 for m in shard.machines
                 if (record := self.cache.machines.get(m)) is not None
             )
-            if up >= UNREACHABLE_MIN_MACHINES and shard.fresh["heard_ago"] > UNREACHABLE_S:
+            if up >= UNREACHABLE_MIN_MACHINES and shard.latest.heard_ago_s > UNREACHABLE_S:
                 unreachable.add(shard.shard)
         return unreachable
 
@@ -331,7 +332,7 @@
         """Take over what the parts report of their jobs."""
         for shard in self._owned():
             self._reconcile_array_tasks(shard)
-            for job_id in shard.fresh["clear"]:
+            for job_id in shard.latest.drained_jobs:
                 old = self.cache.jobs.get(job_id)
                 if old is not None and not old.open and shard.shard in old.assignments:
                     self._edit(job_id, PRIORITY_CLEARED).assignments.pop(shard.shard, None)
@@ -339,19 +340,19 @@
 
     def _reconcile_array_tasks(self, shard: ObservedShard) -> None:
         name = shard.shard
-        for job_id, body in shard.jobs.items():
-            if not body["done"] and not body["returned"]:
+        for job_id, status in shard.jobs.items():
+            if not status.done and not status.released:
                 continue
             old = self.cache.jobs.get(job_id)
             if old is None or not old.open:
                 continue
             assigned = old.assigned(name)
-            done = [i for i in body["done"] if i not in old.done and i in assigned]
+            done = [i for i in status.done if i not in old.done and i in assigned]
             if old.spec.is_service:
                 done = []  # a service is never done, whatever its replicas report
             # What is given back counts only against the record that the part knew: a newer
             # one may have granted the same task anew.
-            released = body["returned"] if body["version"] == old.version else []
+            released = status.released if status.version == old.version else []
             if not done and not released:
                 continue
             job = self._edit(job_id, PRIORITY_ASSIGNMENTS if released else PRIORITY_PROGRESS)
@@ -385,8 +386,9 @@
                 shard = owned.get(ShardName(name))
                 state = "unknown"
                 if shard is not None and shard.seen >= old.version:
-                    attempt, said, _ = shard.gangs.get(job_id, (0, "unknown", 0.0))
-                    state = said if attempt == gang.attempt else "unknown"
+                    status = shard.gangs.get(job_id)
+                    if status is not None and status.attempt == gang.attempt:
+                        state = status.state
                 states.append(state)
             if old.open and "done" in states:
                 job = self._edit(job_id, PRIORITY_ENDS)
@@ -447,9 +449,9 @@
             if now - shard.at > STATUS_S:
                 continue
             capacities = []
-            for machine_id, body in shard.machines.items():
+            for machine_id, status in shard.machines.items():
                 record = self.cache.machines.get(machine_id)
-                if record is None or record.terminating or not body["usable"]:
+                if record is None or record.terminating or not status.usable:
                     continue
                 if record.shard != shard.shard or self.cache.transfers.drains(machine_id):
                     continue  # handed over, or chosen to be, since its status
@@ -464,7 +466,7 @@
                         shard.shard,
                         record.spot,
                         kind.resources,
-                        body,
+                        status,
                         self.demand,
                         shard.clock,
                     )
@@ -788,17 +790,19 @@
 
     def _review_machines(self, now: Seconds, wall: Seconds) -> None:
         """Machines that came up, turned out unknown, or have to go."""
-        heard: dict[MachineId, dict[str, Any]] = {}
+        heard: dict[MachineId, MachineStatus] = {}
         silent: dict[MachineId, Silence] = {}
         for shard in self._owned():
             heard.update(shard.machines)
-            others_heard = shard.fresh["heard_ago"] < self.settings.workers.report_s
+            others_heard = shard.latest.heard_ago_s < self.settings.workers.report_s
             # What a part has not heard for long is told in full each time; a status that is
             # itself old says less than its age.
-            for machine_id, (seconds, urgent) in shard.fresh["silent"].items():
+            for machine_id, silent_machine in shard.latest.silent.items():
                 if self._handed_over(machine_id, shard):
                     continue
-                silent[machine_id] = Silence(seconds, urgent, others_heard)
+                silent[machine_id] = Silence(
+                    silent_machine.silent_s, silent_machine.urgent, others_heard
+                )
         self.machine_lifecycle.review(now, wall, heard, silent, self.settings.zones)
 
     def _handed_over(self, machine_id: MachineId, shard: ObservedShard) -> bool:
@@ -884,16 +888,16 @@
             for _, machine in gang.placements
         }
         for shard in self._owned():
-            for machine_id, idle in shard.fresh["idle"].items():
+            for machine_id, idle in shard.latest.idle.items():
                 record = self.cache.machines.get(machine_id)
-                body = shard.machines.get(machine_id)
-                if record is None or body is None or record.terminating or not record.up:
+                status = shard.machines.get(machine_id)
+                if record is None or status is None or record.terminating or not record.up:
                     continue
                 if self._handed_over(machine_id, shard):
                     continue
                 if self.cache.transfers.drains(machine_id) is not None:
                     continue
-                over = idle > self.provisioner.patience(record.type) or body["leaving"]
+                over = idle > self.provisioner.patience(record.type) or status.leaving
                 if not over or machine_id in placed or self._wanted(record, capacity_requests):
                     continue
                 slots = self._gang_slots(record)
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -34,6 +34,7 @@
     TaskAttempt,
 )
 from dapplewick.core.shard.status import Touched, full_status
+from dapplewick.protocol.peers import ShardStatus
 from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
 from dapplewick.storage.records import JobRecord, WatchCache
 from dapplewick.tuning import Tuning
@@ -1309,7 +1310,7 @@
 
     # What the leader is told
 
-    def status(self, now: Seconds, base: int = 0) -> dict[str, Any]:
+    def status(self, now: Seconds, base: int = 0) -> ShardStatus:
         """What the leader needs to know of this part, if it has the status numbered `base`."""
         self.dirty = False
         return full_status(self, now, base)
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, TypeVar
+from collections.abc import Container
+from typing import TYPE_CHECKING, TypeVar
+
+from msgspec import UNSET
 
 from dapplewick.core.leader.capacity import GANG_PRIORITY
 from dapplewick.core.shard.state import (
@@ -13,6 +16,14 @@
     GangReservation,
     Machine,
 )
+from dapplewick.protocol.peers import (
+    GangStatus,
+    JobStatus,
+    MachineStatus,
+    ShardStatus,
+    SilentMachine,
+    TaskEnd,
+)
 from dapplewick.types import JobId, MachineId, Seconds
 
 if TYPE_CHECKING:
@@ -36,7 +47,7 @@
         self.machines: dict[MachineId, int] = {}
         self.jobs: dict[JobId, int] = {}
         self.gangs: dict[JobId, int] = {}
-        self.gang_said: dict[JobId, tuple[int, str, float]] = {}
+        self.gang_said: dict[JobId, GangStatus] = {}
 
     def machine(self, machine_id: MachineId) -> None:
         self.machines[machine_id] = self.number
@@ -52,13 +63,13 @@
     return [key for key, number in numbers.items() if number > base]
 
 
-def _forget(numbers: dict[K, int], there: Any, base: int) -> None:
+def _forget(numbers: dict[K, int], there: Container[K], base: int) -> None:
     """What is gone, and known by the leader to be, needs no mention any more."""
     for key in [k for k, number in numbers.items() if number <= base and k not in there]:
         del numbers[key]
 
 
-def full_status(scheduler: ShardScheduler, now: Seconds, base: int) -> dict[str, Any]:
+def full_status(scheduler: ShardScheduler, now: Seconds, base: int) -> ShardStatus:
     """All that changed after the status with number `base`; everything if that is 0."""
     touched = scheduler.touched
     _touch_gangs(scheduler, now)
@@ -79,7 +90,7 @@
     _forget(touched.gangs, scheduler.reservations, base)
     number = touched.number
     touched.number += 1
-    silent: dict[MachineId, tuple[float, bool]] = {}
+    silent: dict[MachineId, SilentMachine] = {}
     idle: dict[MachineId, float] = {}
     heard_ago = -1.0
     for m in scheduler.machines.values():
@@ -93,36 +104,32 @@
         if quiet > QUIET_S:
             # Replicas can start elsewhere only once it is gone: it is waited for less.
             hasty = scheduler.cancelled_there(m) or m.has_replicas()
-            silent[m.id] = (round(quiet, 1), hasty)
+            silent[m.id] = SilentMachine(round(quiet, 1), hasty)
         if record.up and not record.terminating and (heard_ago < 0.0 or quiet < heard_ago):
             heard_ago = quiet
         if not m.task_attempts and not m.slots and now - m.idle_since > 1.0:
             idle[m.id] = round(now - m.idle_since, 1)
-    transfers: dict[str, Any] = {}
-    if scheduler.cache.transfers:
-        transfers = {"drained": scheduler.drained()}
-    return {
-        "kind": "part",
-        "zone": scheduler.shard,
-        "token": scheduler.token,
-        "number": number,
-        "base": base,
-        "at": now,
-        "seen": scheduler.cache.revision,
-        "machines": machines,
-        "jobs": jobs,
-        "gangs": gangs,
-        "silent": silent,
-        "idle": idle,
-        "heard_ago": round(heard_ago, 1),
-        "clear": scheduler.clear_jobs(),
-        "unheard": len(scheduler.unreconciled),
-        "estimates": scheduler.estimates.dump(),
-        **transfers,
-    }
-
-
-def _machine(scheduler: ShardScheduler, now: Seconds, machine: Machine) -> dict[str, Any]:
+    return ShardStatus(
+        shard=scheduler.shard,
+        token=scheduler.token,
+        number=number,
+        base=base,
+        at=now,
+        seen_revision=scheduler.cache.revision,
+        machines=machines,
+        jobs=jobs,
+        gangs=gangs,
+        silent=silent,
+        idle=idle,
+        heard_ago_s=round(heard_ago, 1),
+        drained_jobs=scheduler.clear_jobs(),
+        unreconciled=len(scheduler.unreconciled),
+        estimates=scheduler.estimates.dump(),
+        drained=scheduler.drained() if scheduler.cache.transfers else UNSET,
+    )
+
+
+def _machine(scheduler: ShardScheduler, now: Seconds, machine: Machine) -> MachineStatus:
     ends = [
         (
             round(now + scheduler.expected_left(now, task_attempt), 1),
@@ -136,22 +143,22 @@
         if task_attempt.stage != "exited" and task_attempt.spec is not None
     ]
     ends.sort()
-    return {
-        "free": tuple(machine.free().minus(scheduler.reserved_resources(machine.id))),
-        "ends": ends,
-        "images": list(machine.images),
-        "queued": sum(len(s.queue) for s in machine.slots),
-        "usable": machine.was_usable,
-        "heard": machine.reconciled,
-        "leaving": machine.spot_notice_s is not None
+    return MachineStatus(
+        free=machine.free().minus(scheduler.reserved_resources(machine.id)),
+        ends=[TaskEnd(*end) for end in ends],
+        images=list(machine.images),
+        queued=sum(len(s.queue) for s in machine.slots),
+        usable=machine.was_usable,
+        reconciled=machine.reconciled,
+        leaving=machine.spot_notice_s is not None
         or machine.slow
         or machine.unreachable
         or machine.drain,
-        "faulty": scheduler.faulty(now, machine),
-    }
+        faulty=scheduler.faulty(now, machine),
+    )
 
 
-def _job(scheduler: ShardScheduler, job_id: JobId) -> dict[str, Any]:
+def _job(scheduler: ShardScheduler, job_id: JobId) -> JobStatus:
     placed = running = 0
     done, released = [], []
     for index, array_task in scheduler.array_tasks[job_id].items():
@@ -165,13 +172,13 @@
             done.append(index)
         elif state == RELEASED:
             released.append(index)
-    return {
-        "placed": placed,
-        "running": running,
-        "done": done,
-        "returned": released,
-        "version": scheduler.cache.jobs[job_id].version,
-    }
+    return JobStatus(
+        placed=placed,
+        running=running,
+        done=done,
+        released=released,
+        version=scheduler.cache.jobs[job_id].version,
+    )
 
 
 def _touch_gangs(scheduler: ShardScheduler, now: Seconds) -> None:
@@ -182,9 +189,10 @@
         touched.gang(job_id)
     for job_id, reservation in scheduler.reservations.items():
         state = scheduler.gang_state(job_id, reservation)
-        said = (reservation.attempt, state, _wait(scheduler, now, job_id, reservation, state))
-        if touched.gang_said.get(job_id) != said:
-            touched.gang_said[job_id] = said
+        wait = _wait(scheduler, now, job_id, reservation, state)
+        status = GangStatus(reservation.attempt, state, wait)
+        if touched.gang_said.get(job_id) != status:
+            touched.gang_said[job_id] = status
             touched.gang(job_id)
 
 
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -10,6 +10,7 @@
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.targets import TargetsInForce
+from dapplewick.protocol.peers import MachineStatus
 from dapplewick.storage.records import SHARDS, TRANSFERS, WatchCache
 from dapplewick.storage.transfers import TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
@@ -94,21 +95,23 @@
             return "the owner of the giving share has not been heard yet"
         if shard.seen < self._cache.version(TRANSFERS + name):
             return f"the owner of the giving share was last heard {self._age(shard)} ago"
-        silence = shard.fresh["silent"].get(machine_id)
-        if silence is not None and silence[0] > SILENT_S:
-            return f"it has been silent for {silence[0]:.0f} s, so that nothing is proven of it"
-        body = shard.machines.get(machine_id)
-        if body is None or not body["heard"]:
+        silence = shard.latest.silent.get(machine_id)
+        if silence is not None and silence.silent_s > SILENT_S:
+            return (
+                f"it has been silent for {silence.silent_s:.0f} s, so that nothing is proven of it"
+            )
+        status = shard.machines.get(machine_id)
+        if status is None or not status.reconciled:
             return "it has not reported to its present owner yet"
-        return self._work(shard, machine_id, body)
+        return self._work(shard, machine_id, status)
 
     def _age(self, shard: ObservedShard) -> str:
         return f"{max(0.0, self._now - shard.at):.0f} s"
 
-    def _work(self, shard: ObservedShard, machine_id: MachineId, body: dict[str, Any]) -> str:
-        ends = body["ends"]
+    def _work(self, shard: ObservedShard, machine_id: MachineId, status: MachineStatus) -> str:
+        ends = status.ends
         if ends:
-            last = max(float(end[0]) for end in ends) + shard.clock - self._now
+            last = max(end.at for end in ends) + shard.clock - self._now
             tasks = f"{len(ends)} task{'s' if len(ends) > 1 else ''} on it"
             if last >= NEVER / 2:
                 return f"{tasks}, a replica of a service among them, which moves first"
@@ -120,6 +123,6 @@
         ]
         if gangs:
             return f"the gang {gangs[0]} has slots on it that are not released yet"
-        if machine_id in shard.fresh.get("drained", ()):
+        if machine_id in shard.latest.drained_machines:
             return "it is empty and goes over with the next writes"
         return "results on it are not stored yet, or it was told to start a task a moment ago"
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -5,11 +5,12 @@
 import math
 import random
 from collections.abc import Iterable, Set
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from dapplewick.core.estimates import NEVER
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.index import MachineIndex
+from dapplewick.protocol.peers import MachineStatus
 from dapplewick.storage.records import MachineRecord, WatchCache
 from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
 from dapplewick.types import MachineId, Seconds, ShardName
@@ -85,7 +86,7 @@
         if len(there) <= SAMPLE:
             return there
         shard = self._shards.get(ShardName(transfer.source))
-        idle = shard.fresh["idle"] if shard is not None else {}
+        idle = shard.latest.idle if shard is not None else {}
         known_idle = [machine for machine in idle if machine in there][:MACHINES_MOST]
         draw = random.Random(transfer.generation * COUNT_MOST + transfer.moved)
         return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE)])
@@ -107,7 +108,7 @@
         if not record.up:
             return True  # nothing was ever started there
         shard = self._shards.get(ShardName(transfer.source))
-        return shard is not None and machine_id in shard.fresh.get("drained", ())
+        return shard is not None and machine_id in shard.latest.drained_machines
 
     def _expected_wait(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
         """In how many seconds a machine is expected to be empty; None if that can't be said, or
@@ -115,19 +116,19 @@
         if not record.up:
             return None if machine_id in self._placed else 0.0
         shard = self._shards.get(record.shard)
-        body = shard.machines.get(machine_id) if shard is not None else None
-        if shard is None or body is None or not body["heard"]:
+        status = shard.machines.get(machine_id) if shard is not None else None
+        if shard is None or status is None or not status.reconciled:
             return UNRECONCILED_WAIT_S
-        if body["leaving"] or body["faulty"]:
+        if status.leaving or status.faulty:
             return None  # it is about to go anyway
-        wait = self._last_end(shard, body)
+        wait = self._last_end(shard, status)
         if machine_id in self._placed:
             wait = max(wait, UNRECONCILED_WAIT_S)
         return wait
 
-    def _last_end(self, shard: ObservedShard, body: dict[str, Any]) -> Seconds:
-        if not body["ends"]:
+    def _last_end(self, shard: ObservedShard, status: MachineStatus) -> Seconds:
+        if not status.ends:
             return 0.0
         # Services never end: their machines go last, when the replicas have moved.
-        last = max(float(end[0]) for end in body["ends"])
+        last = max(end.at for end in status.ends)
         return min(NEVER, max(1.0, last + shard.clock - self._now))
--- a/tests/behaviour_days.py
+++ b/tests/behaviour_days.py
@@ -15,6 +15,7 @@
 import test_shares_versions as versions
 import test_upgrade as upgrade
 from answer_days import play_answers
+from dapplewick.protocol import peers
 from dapplewick.protocol.wire import encode_heartbeat_response
 from standins import World, recorder
 from test_four_points import TOKEN
@@ -84,7 +85,7 @@
     for step in range(12):
         at = 3.0 + step
         status = bench.scheduler.status(at)
-        recorder.record("part_status", part="a", message=status)
+        recorder.record("part_status", part="a", message=peers.encode(status))
         leader.shard_status(at, status)
         leader.plan(at, at)
         for name in bench.names[step::4]:
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -30,7 +30,7 @@
 from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.partitions import plan
-from dapplewick.protocol import wire
+from dapplewick.protocol import peers, wire
 from dapplewick.storage.client import (
     LeaseExpiredError,
     OutcomeUnknownError,
@@ -94,7 +94,9 @@
 
 
 def through_frame(message: Any) -> Any:
-    """A message as a peer gets it."""
+    """A message as a peer gets it; JSON has no bytes, so a body is kept as their numbers."""
+    if isinstance(message, dict) and isinstance(message.get("body"), list):
+        message = {**message, "body": bytes(message["body"])}
     return cbor2.loads(cbor2.dumps(message))
 
 
@@ -317,10 +319,10 @@
                         shard.number,
                         shard.clock,
                         shard.seen,
-                        shard.machines,
-                        shard.jobs,
+                        {name: peers.encode(status) for name, status in shard.machines.items()},
+                        {name: peers.encode(status) for name, status in shard.jobs.items()},
                         shard.gangs,
-                        shard.fresh,
+                        peers.encode(shard.latest) if shard.number else {},
                         unreachable,
                         [shard.placed(job) for job in shard.jobs],
                     ]
@@ -386,7 +388,7 @@
     """A user's request that a peer answers: the frame to it, and what is made of the answer."""
 
     async def scene() -> Any:
-        controller, _, link = _controller([], [], given["answer"])
+        controller, _, link = _controller([], [], through_frame(given["answer"]))
         for name in ("n1", "n2"):
             controller._peer_state[ControllerName(name)] = (now(), True)
         method, target, body = given["request"]
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,7 +15,8 @@
 
 from answer_days import play_answers
 from dapplewick.controller.controller import Controller
-from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
+from dapplewick.protocol import peers
 from dapplewick.protocol.wire import Event, JobSpec
 from dapplewick.storage.client import RequestRefusedError, StateClient
 from dapplewick.storage.records import (
@@ -421,7 +422,8 @@
     watch = CancellationWatch("boot-a", [peer], 2)
     message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
     with pytest.raises(ValueError):
-        watch.hear(6.0, ControllerName("a"), peer, message | change, cache)
+        malformed = peers.decode(peers.encode(message) | change, CancellationMessage)
+        watch.hear(6.0, ControllerName("a"), peer, malformed, cache)
     assert cache.jobs[JobId(JOB)].open and cache.cancellations(0) == []
     assert watch.known_at(7.0) < 0
 
@@ -431,7 +433,7 @@
     peer, cache = ControllerName("b"), WatchCache()
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
     message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
-    listed = message | {"cancelled": [[7, JOB]]}
+    listed = peers.decode(peers.encode(message) | {"cancelled": [[7, JOB]]}, CancellationMessage)
     CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, cache)
     assert not cache.jobs[JobId(JOB)].open and cache.cancellations(0) == [(7, JOB)]
 
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -4,6 +4,7 @@
 
 import math
 from collections.abc import Set
+from typing import Any
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,6 +15,8 @@
 from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import IMAGES_MOST
+from dapplewick.protocol import peers
+from dapplewick.protocol.peers import GangStatus, JobStatus, MachineStatus, ShardStatus
 from dapplewick.protocol.wire import (
     Command,
     Heartbeat,
@@ -80,6 +83,28 @@
     return {"type": "k", "zone": "a", "spot": False, "machines": {name: "u"}}
 
 
+def shard_status(machines: dict[str, Any], number: int = 1, at: Seconds = 1.0) -> ShardStatus:
+    """The first status of shard a, as the leader reads it from the wire, with these machines."""
+    message = {
+        "zone": "a",
+        "token": 2,
+        "number": number,
+        "base": 0,
+        "at": at,
+        "seen": 500,
+        "machines": machines,
+        "jobs": {},
+        "gangs": {},
+        "silent": {},
+        "idle": {},
+        "heard_ago": 0.0,
+        "clear": [],
+        "estimates": {},
+        "unheard": 0,
+    }
+    return peers.decode(message, ShardStatus)
+
+
 class Bench:
     """A part on four-CPU machines, its records, and its workers."""
 
@@ -114,6 +139,24 @@
         self.put(JOBS + job, record.dump())
         self.scheduler.job_changed(at, JobId(job))
 
+    def gang_state(self, at: Seconds, job: str) -> str:
+        """What the leader is told of a gang."""
+        status = self.scheduler.status(at).gangs[JobId(job)]
+        assert status is not None
+        return status.state
+
+    def job_status(self, at: Seconds, job: str) -> JobStatus:
+        """What the leader is told of a job's array tasks."""
+        status = self.scheduler.status(at).jobs[JobId(job)]
+        assert status is not None
+        return status
+
+    def machine_status(self, at: Seconds, name: MachineId) -> MachineStatus:
+        """What the leader is told of a machine."""
+        status = self.scheduler.status(at).machines[name]
+        assert status is not None
+        return status
+
     def report(
         self, name: MachineId, at: Seconds, done: Set[TaskRef] = frozenset()
     ) -> list[Command]:
@@ -283,23 +326,7 @@
         cache.put(f"dw/j/run-{n}", JobRecord(spec(tasks, 4.0, 10.0, True), at).dump(), 100 + n)
     scheduler.shard_status(
         1.0,
-        {
-            "zone": "a",
-            "token": 2,
-            "number": 1,
-            "base": 0,
-            "at": 1.0,
-            "seen": 500,
-            "machines": machines,
-            "jobs": {},
-            "gangs": {},
-            "silent": {},
-            "idle": {},
-            "heard_ago": 0.0,
-            "clear": [],
-            "estimates": {},
-            "unheard": 0,
-        },
+        shard_status(machines),
     )
     placed = {
         int(change.key.rpartition("-")[2])
@@ -416,9 +443,9 @@
     bench = Bench(0)
     bench.grant("run-1", spec(1, 1.0, 10.0), 0.0)
     bench.scheduler.tick(100.0)
-    assert bench.scheduler.status(100.0)["jobs"]["run-1"]["returned"] == [0]
+    assert bench.job_status(100.0, "run-1").released == [0]
     bench.grant("run-1", spec(1, 1.0, 10.0), 101.0)
-    assert bench.scheduler.status(101.0)["jobs"]["run-1"]["returned"] == []
+    assert bench.job_status(101.0, "run-1").released == []
 
 
 def test_a_new_owner_does_not_start_again_what_may_be_on_an_unheard_machine() -> None:
@@ -468,13 +495,13 @@
     bench.reservation("run-1", spec(1, 2.0, 10.0, is_gang=True), [machine], 0.0)
     (task,) = starts(bench.report(machine, 1.0))
     bench.report(machine, 2.0, {task})
-    assert bench.scheduler.status(2.0)["gangs"]["run-1"][1] == "done"
+    assert bench.gang_state(2.0, "run-1") == "done"
     record = JobRecord.load(bench.cache.jobs[JobId("run-1")].dump(), 0)
     record.stage = CANCELLED
     bench.put(JOBS + "run-1", record.dump())
     bench.scheduler.job_changed(3.0, JobId("run-1"))
     bench.report(machine, 3.0)
-    assert bench.scheduler.status(3.0)["gangs"]["run-1"][1] == "clear"
+    assert bench.gang_state(3.0, "run-1") == "clear"
 
 
 def test_a_machine_on_which_tasks_take_twice_as_long_gets_no_more_of_them() -> None:
@@ -499,7 +526,7 @@
         bench.scheduler.tick(at)
     assert bench.scheduler.machines[slow].slow
     assert sum(m.slow for m in bench.scheduler.machines.values()) == 1
-    assert bench.scheduler.status(at)["machines"][slow]["usable"] is False
+    assert bench.machine_status(at, slow).usable is False
 
 
 def test_a_gang_taken_over_after_its_machine_was_deleted_is_placed_anew() -> None:
@@ -510,7 +537,7 @@
     old.put(JOBS + "run-1", record.dump())
     old.cache.remove(MACHINES + old.names[0], 10_000)
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
-    assert scheduler.status(3.0)["gangs"]["run-1"][1] == "bad"
+    assert scheduler.status(3.0).gangs[JobId("run-1")] == GangStatus(7, "bad", 0.0)
 
 
 def test_no_single_passes_a_gang_for_which_singles_are_stopped() -> None:
@@ -586,6 +613,6 @@
         for name in bench.names:
             bench.report(name, 0.0)
         bench.reservation("run-g", spec(2, 4.0, 30.0, is_gang=True), bench.names, 1.0)
-        assert bench.scheduler.status(1.0)["gangs"]["run-g"][1] == "held"
+        assert bench.gang_state(1.0, "run-g") == "held"
         setattr(bench.scheduler.machines[bench.names[0]], trouble, True)
-        assert bench.scheduler.status(2.0)["gangs"]["run-g"][1] == "bad"
+        assert bench.gang_state(2.0, "run-g") == "bad"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,6 +18,7 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.protocol import peers
 from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
 from dapplewick.storage.client import split_into_transactions
 from dapplewick.storage.records import TYPES, GangPlacement, JobRecord, WatchCache
@@ -81,9 +82,9 @@
         first = bench.scheduler.status(3.0)
         name = bench.names[-1]
         bench.report(name, 3.5, {next(iter(bench.on[name]))})
-        second = bench.scheduler.status(4.0, first["number"])
-        assert set(second["machines"]) == {name}
-        return len(cbor2.dumps(first)), len(cbor2.dumps(second))
+        second = bench.scheduler.status(4.0, first.number)
+        assert set(second.machines) == {name}
+        return len(cbor2.dumps(peers.encode(first))), len(cbor2.dumps(peers.encode(second)))
 
     (small_full, small), (large_full, large) = size(40), size(400)
     assert large_full > 5 * small_full
@@ -103,9 +104,9 @@
     shard = next(iter(leader.shards.values()))
 
     def rooms(machines: dict[Any, Any]) -> dict[Any, Any]:
-        return {m: (body["free"], len(body["ends"])) for m, body in machines.items()}
+        return {m: (body.free, len(body.ends)) for m, body in machines.items()}
 
-    assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8)["machines"])
+    assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8).machines)
     # A leader that has nothing can't use a part of the picture, and says that it has none.
     fresh = leader_of(bench, 4.0)
     assert fresh.shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -198,7 +198,7 @@
     bench.scheduler.tick(40.3)
     assert starts(bench.report(machine, 41.0)) == [task]
     assert bench.on[machine][task] != first
-    assert bench.scheduler.status(41.0)["jobs"]["run-1"]["done"] == []
+    assert bench.job_status(41.0, "run-1").done == []
 
 
 def test_one_that_fails_everywhere_is_paused_for_longer_and_longer() -> None:
@@ -347,7 +347,7 @@
             stopped = at
             break
     assert 60.0 < stopped < 110.0
-    assert bench.scheduler.status(stopped)["machines"][large]["leaving"] is True
+    assert bench.machine_status(stopped, large).leaving is True
 
 
 # The checker can fail, and guards taken out are noticed
@@ -407,15 +407,15 @@
     while at < 6.0:
         at += 0.25
         bench.scheduler.tick(at)
-    heard_nothing = bench.scheduler.status(at)["silent"]
-    assert {seconds for seconds, _ in heard_nothing.values()} == {5.5}
-    assert all(urgent for _, urgent in heard_nothing.values())
+    heard_nothing = bench.scheduler.status(at).silent
+    assert {machine.silent_s for machine in heard_nothing.values()} == {5.5}
+    assert all(machine.urgent for machine in heard_nothing.values())
     bench.scheduler.tick(at + 5.0)
-    assert bench.scheduler.status(at + 5.0)["silent"] == {}
+    assert bench.scheduler.status(at + 5.0).silent == {}
     while at < 13.0:
         at += 0.25
         bench.scheduler.tick(at + 5.0)
-    assert bench.scheduler.status(at + 5.0)["silent"].keys() == set(bench.names)
+    assert bench.scheduler.status(at + 5.0).silent.keys() == set(bench.names)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -25,10 +25,12 @@
 from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
 from dapplewick.partitions.selection import MachineSelection
 from dapplewick.partitions.timing import MoveTimes
+from dapplewick.protocol.peers import MachineStatus, ShardStatus, TaskEnd
 from dapplewick.protocol.wire import Event
 from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.types import (
+    NO_RESOURCES,
     FencingToken,
     MachineId,
     ShardName,
@@ -129,13 +131,16 @@
         """What the leader knows of the part after this owner's newest status."""
         view = ObservedShard(self.shard, self.token)
         machines = {
-            machine: {
-                "heard": True,
-                "leaving": False,
-                "faulty": False,
-                "usable": True,
-                "ends": [(5.0, 1.0, 0.0, 1.0, 0, "")] * len(running),
-            }
+            machine: MachineStatus(
+                free=NO_RESOURCES,
+                ends=[TaskEnd(5.0, 1.0, 0.0, 1.0, 0, "")] * len(running),
+                images=[],
+                queued=0,
+                usable=True,
+                reconciled=True,
+                leaving=False,
+                faulty=False,
+            )
             for machine, running in self.heard.items()
         }
         drained = [
@@ -145,17 +150,23 @@
         ]
         view.apply(
             0.0,
-            {
-                "number": number,
-                "base": 0,
-                "at": 0.0,
-                "seen": self.cache.revision,
-                "machines": machines,
-                "jobs": {},
-                "gangs": {},
-                "drained": drained,
-                "silent": {},
-            },
+            ShardStatus(
+                shard=self.shard,
+                token=self.token,
+                number=number,
+                base=0,
+                at=0.0,
+                seen_revision=self.cache.revision,
+                machines=dict(machines),
+                jobs={},
+                gangs={},
+                silent={},
+                idle={},
+                heard_ago_s=0.0,
+                drained_jobs=[],
+                estimates={},
+                drained=drained,
+            ),
         )
         return view
 
@@ -417,7 +428,7 @@
     play.lead(trouble=False)
     catch_up(start=False)
     play.capacities[OWN] = owner.status(1)
-    assert play.capacities[OWN].fresh["drained"] == [machine]
+    assert play.capacities[OWN].latest.drained == [machine]
     (first,) = play.cache.transfers.records or [TransferId("o-1")]
     play.keeper.commands = [TransferCommand(first, None)]
     play.lead(trouble=False)
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -12,9 +12,19 @@
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
 from dapplewick.partitions.timing import MoveTimes
+from dapplewick.protocol.peers import MachineStatus, ShardStatus
 from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
-from dapplewick.types import MachineId, Revision, ShardName, TransferId, partition_of, shard_name
+from dapplewick.types import (
+    NO_RESOURCES,
+    FencingToken,
+    MachineId,
+    Revision,
+    ShardName,
+    TransferId,
+    partition_of,
+    shard_name,
+)
 from share_history import ShareHistory
 from standins import World
 from test_days import run_script
@@ -75,22 +85,37 @@
 
     def view(self, shard: ShardName) -> ObservedShard:
         view = ObservedShard(shard, self.cache.version(SHARDS + shard))
-        body = {"heard": True, "leaving": False, "faulty": False, "ends": []}
-        machines = {m: body for m, r in self.cache.machines.items() if r.shard == shard}
+        status = MachineStatus(
+            free=NO_RESOURCES,
+            ends=[],
+            images=[],
+            queued=0,
+            usable=True,
+            reconciled=True,
+            leaving=False,
+            faulty=False,
+        )
+        machines: dict[MachineId, MachineStatus | None]
+        machines = {m: status for m, r in self.cache.machines.items() if r.shard == shard}
         view.apply(
             0.0,
-            {
-                "number": 1,
-                "base": 0,
-                "at": 0.0,
-                "seen": 0,
-                "machines": machines,
-                "jobs": {},
-                "gangs": {},
-                "drained": [],
-                "silent": {},
-                "idle": dict.fromkeys(machines, 30.0),
-            },
+            ShardStatus(
+                shard=shard,
+                token=FencingToken(self.cache.version(SHARDS + shard)),
+                number=1,
+                base=0,
+                at=0.0,
+                seen_revision=Revision(0),
+                machines=machines,
+                jobs={},
+                gangs={},
+                silent={},
+                idle=dict.fromkeys(machines, 30.0),
+                heard_ago_s=0.0,
+                drained_jobs=[],
+                estimates={},
+                drained=[],
+            ),
         )
         return view
 
@@ -114,7 +139,7 @@
         for _ in range(8):
             for view in self.capacities:
                 view.seen = Revision(self.revision)
-                view.fresh["drained"] = [
+                view.latest.drained = [
                     m
                     for m in self.cache.transfers.drained()
                     if self.cache.machines[m].shard == view.shard
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -9,6 +9,7 @@
 
 import anyio
 import pytest
+from msgspec import UNSET
 
 import production
 from dapplewick.storage.records import FORMAT, FORMAT_NOW, PARTITIONS_FORMAT, SHARDS, TRANSFERS
@@ -133,7 +134,7 @@
         said.append(await command(world, "show"))
         for controller in world.controllers.values():
             for scheduler in controller.shard_schedulers.values():
-                assert "drained" not in scheduler.status(now())
+                assert scheduler.status(now()).drained is UNSET
 
     play_moves(world, script, 60.0)
     assert traces(world) == []
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,6 +5,7 @@
 import anyio
 import cbor2
 
+from dapplewick.protocol import peers
 from dapplewick.storage.records import FORMAT, FORMAT_NOW, MACHINES
 from dapplewick.transport.peer import MAX_FRAME
 from standins import World
@@ -67,7 +68,7 @@
     """A status that is refused for its length is refused again and again: the leader would never
     hear of the part. Long names, and as many tasks on each machine as the largest take."""
     bench = busy_part(40)
-    frame = len(cbor2.dumps(bench.scheduler.status(3.0)))
+    frame = len(cbor2.dumps(peers.encode(bench.scheduler.status(3.0))))
     tasks = sum(len(machine.task_attempts) for machine in bench.scheduler.machines.values())
     of_a_task = frame / tasks
     assert 100 * MACHINES_UP * of_a_task < MAX_FRAME
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -296,7 +296,7 @@
     bench.scheduler.tick(100.0)
 
     def released(at: float) -> list[int]:
-        return sorted(bench.scheduler.status(at)["jobs"]["run-1"]["returned"])
+        return sorted(bench.job_status(at, "run-1").released)
 
     assert released(100.0) == [0, 2]
     bench.put(f"{CHUNKS}run-1/0", {"grants": {"b": "0"}})
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -27,7 +27,7 @@
 from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
 from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
-from test_four_points import KIND, group, spec
+from test_four_points import KIND, group, shard_status, spec
 
 ZONE = ShardName("a")
 IN_ZONE = zone_of(ZONE)
@@ -212,23 +212,7 @@
             }
             for n in range(6)
         }
-        status = {
-            "zone": "a",
-            "token": 2,
-            "number": number,
-            "base": 0,
-            "at": now,
-            "seen": 500,
-            "machines": machines,
-            "jobs": {},
-            "gangs": {},
-            "silent": {},
-            "idle": {},
-            "heard_ago": 0.0,
-            "clear": [],
-            "estimates": {},
-            "unheard": 0,
-        }
+        status = shard_status(machines, number, now)
         scheduler.shard_status(now, status)
         found = set()
         for change in scheduler.plan(now, now):
