--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -9,9 +9,17 @@
 from anyio.abc import TaskGroup
 
 from dapplewick.core.leader.planner import LeaderPlanner
-from dapplewick.protocol import wire
-from dapplewick.storage.client import RateLimiter
-from dapplewick.storage.records import WatchCache
+from dapplewick.protocol.cloud import (
+    ListedMachine,
+    MachineList,
+    encode_deletion_request,
+    encode_provisioning_request,
+    parse_catalog,
+    parse_machine_list,
+    parse_provisioned_machines,
+)
+from dapplewick.storage.rate_limiter import RateLimiter
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http_client import HttpError
 from dapplewick.types import MachineId, Seconds
 
@@ -116,7 +124,7 @@
     async def _provision(self, leader: LeaderPlanner, name: str) -> None:
         try:
             provisioning_request = self._controller.cache.provisioning_requests[name]
-            body = wire.encode_provisioning_request(
+            body = encode_provisioning_request(
                 name,
                 provisioning_request.type,
                 provisioning_request.zone,
@@ -125,7 +133,7 @@
             )
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
-                leader.provisioning_answered(name, wire.parse_provisioned_machines(answer))
+                leader.provisioning_answered(name, parse_provisioned_machines(answer))
             elif status == 400 or (status == 503 and b"no capacity" in answer):
                 leader.provisioning_answered(name, None)
             else:
@@ -139,9 +147,7 @@
 
     async def _delete(self, leader: LeaderPlanner, machines: list[MachineId]) -> None:
         try:
-            status, _ = await self._call(
-                "POST", "/hosts/delete", wire.encode_deletion_request(machines)
-            )
+            status, _ = await self._call("POST", "/hosts/delete", encode_deletion_request(machines))
             if status == 200:
                 leader.machines_deleted(machines)
                 # What was on them can start elsewhere once the records say that they are gone.
@@ -158,7 +164,7 @@
         status, answer = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
-                leader.catalog(wire.parse_catalog(answer))
+                leader.catalog(parse_catalog(answer))
                 self._controller.wake_leader()
                 return True
         except Exception as err:
@@ -166,7 +172,7 @@
         return False
 
     async def _list(self, leader: LeaderPlanner) -> None:
-        machines: list[wire.ListedMachine] = []
+        machines: list[ListedMachine] = []
         since = ""
         try:
             while True:
@@ -174,11 +180,11 @@
                 status, answer = await self._call("GET", target, None)
                 if status != 200:
                     return
-                page = wire.parse_machine_list(answer)
+                page = parse_machine_list(answer)
                 machines += page.machines
                 if not page.more or not page.machines or len(machines) > MAX_LISTED:
                     break
                 since = page.machines[-1].machine
-            leader.machines_listed(self._controller.now(), wire.MachineList(machines))
+            leader.machines_listed(self._controller.now(), MachineList(machines))
         except Exception as err:
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -22,10 +22,10 @@
 from dapplewick.coordination.shard_assignment import ShardAssigner
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.job_writes import PRIORITY_PROGRESS
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.protocol import peers, wire
+from dapplewick.protocol import peers
+from dapplewick.protocol.errors import MalformedMessageError
 from dapplewick.protocol.peers import (
     ForwardedRequest,
     ForwardedResponse,
@@ -33,33 +33,25 @@
     ShardStatus,
     StatusConfirmation,
 )
-from dapplewick.storage.client import (
-    CALL_S,
+from dapplewick.protocol.workers import encode_heartbeat_response, encode_redirect, parse_heartbeat
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.errors import (
     LeaseExpiredError,
     OutcomeUnknownError,
-    RateLimiter,
     RequestRefusedError,
     RevisionCompactedError,
-    StateClient,
     TransactionConflictError,
     ValueTooLargeError,
-    first_whole_groups,
-    split_into_transactions,
 )
+from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
+from dapplewick.storage.job_records import CANCELLED
+from dapplewick.storage.keys import CONTROLLERS, JOBS, LEADER, ROOT, SHARDS, job_of
+from dapplewick.storage.rate_limiter import RateLimiter
 from dapplewick.storage.read_checks import ReadChecks
-from dapplewick.storage.records import (
-    CANCELLED,
-    CONTROLLERS,
-    FORMAT_NOW,
-    JOBS,
-    LEADER,
-    PARTITIONS_FORMAT,
-    ROOT,
-    SHARDS,
-    WatchCache,
-    job_of,
-    size_of,
-)
+from dapplewick.storage.state_client import CALL_S, StateClient
+from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Answer, Request, serve_connection
 from dapplewick.transport.http_client import HttpClient
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
@@ -516,7 +508,7 @@
             log.debug("event=writes_deferred count=%d", len(changes) - room)
             changes = first_whole_groups(changes, room)
         for batch in split_into_transactions(
-            changes, lambda change: size_of(change.value), self.limits_now()
+            changes, lambda change: encoded_size(change.value), self.limits_now()
         ):
             await self._write_some(epoch, now, batch)
 
@@ -791,8 +783,8 @@
         if request.too_large:
             return Answer(400, b'{"error":"body over 64 KiB"}')
         try:
-            heartbeat = wire.parse_heartbeat(request.body)
-        except wire.MalformedMessageError as err:
+            heartbeat = parse_heartbeat(request.body)
+        except MalformedMessageError as err:
             log.error("event=heartbeat_malformed error=%s", err)
             return Answer(400, b'{"error":"malformed report"}')
         now = self.now()
@@ -825,9 +817,7 @@
                     self._leader_wake.set()
                 return Answer(
                     200,
-                    wire.encode_heartbeat_response(
-                        scheduler.token_for(heartbeat.machine), commands
-                    ),
+                    encode_heartbeat_response(scheduler.token_for(heartbeat.machine), commands),
                 )
             scheduler.refuse(now)
             return Answer(503, b'{"error":"cut off"}', 1)
@@ -836,7 +826,7 @@
         if heard_token > self.cache.version(SHARDS + name):
             owner = heard_owner
         if owner and owner != self.own_name and (self.ready and owner in self.cache.controllers):
-            return Answer(421, wire.encode_redirect(owner))
+            return Answer(421, encode_redirect(owner))
         return Answer(503, b'{"error":"no owner"}', 1)
 
     async def handle(self, request: Request) -> Answer:
--- a/src/dapplewick/controller/job_states.py
+++ b/src/dapplewick/controller/job_states.py
@@ -15,8 +15,10 @@
 
 from typing import Protocol
 
-from dapplewick.storage.client import RequestRefusedError
-from dapplewick.storage.records import JOBS, JobRecord, WatchCache
+from dapplewick.storage.errors import RequestRefusedError
+from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.keys import JOBS
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import JobId, Seconds
 
 # Users wait 2 s for the answer to a question. What rests on an older read is not told any more:
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -6,7 +6,7 @@
 
 from dapplewick import __version__
 from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.storage.records import LEADER, SHARDS
+from dapplewick.storage.keys import LEADER, SHARDS
 from dapplewick.types import Seconds
 
 if TYPE_CHECKING:
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -10,27 +10,19 @@
 
 from dapplewick.config import Deployment, StateLimits
 from dapplewick.controller.job_states import JobStates, Records, UnreadableJobError
-from dapplewick.protocol.wire import (
-    JobSpec,
-    MalformedMessageError,
-    encode_job_state,
-    parse_submission,
-)
-from dapplewick.storage.client import (
+from dapplewick.protocol.errors import MalformedMessageError
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.protocol.users import encode_job_state, parse_submission
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.errors import (
     OutcomeUnknownError,
     RequestRefusedError,
-    StateClient,
     TransactionConflictError,
 )
-from dapplewick.storage.records import (
-    CANCELLED,
-    DONE,
-    FORMAT_NOW,
-    JOBS,
-    JobRecord,
-    chunk_tasks,
-    size_of,
-)
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.job_records import CANCELLED, DONE, JobRecord, chunk_tasks
+from dapplewick.storage.keys import JOBS
+from dapplewick.storage.state_client import StateClient
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import JobId, Seconds
 
@@ -171,7 +163,7 @@
             return await self._refuse(job_id, error(422, reason))
         job = self._new_record(spec)
         value = job.dump()
-        if size_of(value) > self.controller.limits_now().value_bytes:
+        if encoded_size(value) > self.controller.limits_now().value_bytes:
             return await self._refuse(job_id, error(400, "the texts are too long together"))
         return await self._accept(job_id, spec.task_count, value)
 
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -16,8 +16,9 @@
 
 import msgspec
 
-from dapplewick.protocol.wire import JOB_ID, MAX_COUNT
-from dapplewick.storage.records import WatchCache
+from dapplewick.protocol.job_spec import JOB_ID
+from dapplewick.protocol.workers import MAX_COUNT
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import ControllerName, JobId, Revision, Seconds
 
 HEARD_S = 10.0  # a peer not heard for longer is not waited for with what it has not read
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from dapplewick.storage.records import ShardRecord, WatchCache
+from dapplewick.storage.controller_records import ShardRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import ControllerName, Seconds, ShardName, partition_of, zone_of
 
 REASSIGNMENT_PAUSE_S = 20.0  # a part changes hands for silent workers at most this often
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -4,8 +4,8 @@
 
 import math
 
-from dapplewick.protocol.wire import JobSpec
-from dapplewick.storage.records import WatchCache
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds
 
 GANG_WINDOW_S = 45.0  # gang tasks that come in this time should find idle slots
--- a/src/dapplewick/core/estimates.py
+++ b/src/dapplewick/core/estimates.py
@@ -4,7 +4,7 @@
 
 import math
 
-from dapplewick.protocol.wire import JobSpec
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
 WEIGHT = 0.1
--- a/src/dapplewick/core/leader/capacity.py
+++ b/src/dapplewick/core/leader/capacity.py
@@ -8,8 +8,8 @@
 from typing import Any, NamedTuple
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
+from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.protocol.peers import MachineStatus
-from dapplewick.protocol.wire import JobSpec, PlacementKey
 from dapplewick.types import (
     NO_RESOURCES,
     MachineId,
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -11,8 +11,9 @@
 from dapplewick.core.leader.gang_placement import LONG_RESERVATION_S
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import CapacityRequest, wanted_slots
-from dapplewick.protocol.wire import JobSpec
-from dapplewick.storage.records import GangPlacement, JobRecord, WatchCache
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.storage.job_records import GangPlacement, JobRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import JobId, Seconds, ShardName, zone_of
 
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -12,7 +12,7 @@
     fit_behind,
     fit_reserved,
 )
-from dapplewick.protocol.wire import JobSpec
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds, Zone
 
 LONG_RESERVATION_S = 10.0  # gangs that hold slots for longer want more machines
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -12,18 +12,12 @@
 
 import msgspec
 
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
-from dapplewick.storage.records import (
-    CHUNKS,
-    DONE,
-    FORMAT_NOW,
-    GANG_PLACEMENTS,
-    JOBS,
-    JobRecord,
-    WatchCache,
-    chunk_tasks,
-    size_of,
-)
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.job_records import DONE, JobRecord, chunk_tasks
+from dapplewick.storage.keys import CHUNKS, GANG_PLACEMENTS, JOBS
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import JobId, Seconds
 
 log = logging.getLogger("dapplewick.leader")
@@ -72,7 +66,7 @@
             return []
         shares = self._split_placements(job_id, job, priority)
         value = job.dump(self._value_bytes)
-        if self._cache.format >= FORMAT_NOW and size_of(value) > self._value_bytes:
+        if self._cache.format >= FORMAT_NOW and encoded_size(value) > self._value_bytes:
             return []  # it is cut first; what is not written is found again
         return [*shares, ConditionalWrite(JOBS + job_id, value, job.main_version, priority)]
 
@@ -106,9 +100,9 @@
         gang = job.gang
         if gang is None or gang.placement_keys or self._cache.format < FORMAT_NOW:
             return []
-        if size_of(job.dump()) <= self._value_bytes:
+        if encoded_size(job.dump()) <= self._value_bytes:
             return []
-        longest = max(size_of(place) + 1 for place in gang.placements)
+        longest = max(encoded_size(place) + 1 for place in gang.placements)
         most = max(1, (self._value_bytes - SHARE_BYTES) // longest)
         shares = [gang.placements[i : i + most] for i in range(0, len(gang.placements), most)]
         job.gang = msgspec.structs.replace(gang, placement_keys=len(shares))
@@ -134,7 +128,7 @@
                 continue
             if self._fitting_places.get(job_id) == gang.attempt:
                 continue
-            if size_of(job.dump()) > self._value_bytes:
+            if encoded_size(job.dump()) > self._value_bytes:
                 yield job_id
             else:
                 self._fitting_places[job_id] = gang.attempt
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -4,28 +4,30 @@
 
 import logging
 from collections.abc import Iterable, Mapping
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
 from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.protocol.cloud import ListedMachine, MachineList
 from dapplewick.protocol.peers import MachineStatus
-from dapplewick.protocol.wire import ListedMachine, MachineList
-from dapplewick.storage.records import (
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.keys import MACHINES
+from dapplewick.storage.machine_records import (
     BOOTING,
-    FORMAT_NOW,
-    MACHINES,
     TERMINATING,
     UP,
     MachineGroupRecord,
     MachineRecord,
     ProvisioningRequest,
-    WatchCache,
 )
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds
 
 log = logging.getLogger("dapplewick.leader")
 
+
 PRIORITY_URGENT, PRIORITY_NORMAL, PRIORITY_LOW = 0, 1, 2  # ranks of changes
 UP_S = 1.0  # machines of a group that came up are told of this often
 GROUP_MOST = 150  # machines in a record, where a value may hold as many
@@ -38,19 +40,6 @@
 LOST_ANSWER_S = 6.2
 
 
-class ConditionalWrite(NamedTuple):
-    """A record to write (or remove, without a value) if it still has this version."""
-
-    key: str
-    value: Any
-    version: int
-    priority: int  # lower ones are written first
-    preconditions: tuple[
-        tuple[str, int], ...
-    ] = ()  # other keys that must still have these versions
-    transaction_group: str = ""  # changes in a row with the same text go into one transaction
-
-
 class Silence(NamedTuple):
     """For how long a machine has not been heard, and what that means for its part."""
 
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -26,29 +26,28 @@
     PRIORITY_PROGRESS,
     JobWrites,
 )
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle, Silence
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, Silence
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
 from dapplewick.core.leader.shard_reservation import ShardReservation
+from dapplewick.protocol.cloud import MachineList, MachineType, encode_machine_types
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.peers import MachineStatus, ShardStatus
-from dapplewick.protocol.wire import JobSpec, MachineList, MachineType, encode_machine_types
-from dapplewick.storage.records import (
-    DONE,
-    FIRST_FORMAT,
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.formats import FIRST_FORMAT, FORMAT_NOW
+from dapplewick.storage.job_records import DONE, GangPlacement, JobRecord
+from dapplewick.storage.keys import (
     FORMAT,
-    FORMAT_NOW,
     MACHINES,
     PROVISIONING_REQUESTS,
     SHARDS,
     TYPE_KEYS,
     TYPES,
-    GangPlacement,
-    JobRecord,
-    MachineRecord,
-    WatchCache,
     job_of,
-    size_of,
 )
+from dapplewick.storage.machine_records import MachineRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
     IDS_PER_TOKEN,
@@ -858,7 +857,7 @@
     def _types_changes(self) -> list[ConditionalWrite]:
         """The types, in one record or, where they are too many for it, with a key for each."""
         value = encode_machine_types(self.types)
-        if size_of(value) <= self._value_bytes or self.cache.format < FORMAT_NOW:
+        if encoded_size(value) <= self._value_bytes or self.cache.format < FORMAT_NOW:
             return [ConditionalWrite(TYPES, value, self.cache.version(TYPES), 0)]
         out = [
             ConditionalWrite(
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -8,8 +8,10 @@
 from typing import NamedTuple
 
 from dapplewick.core.leader.capacity import MachineCapacity, ShardCapacity, take_times
-from dapplewick.protocol.wire import JobSpec, MachineType
-from dapplewick.storage.records import ProvisioningRequest, WatchCache
+from dapplewick.protocol.cloud import MachineType
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.storage.machine_records import ProvisioningRequest
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import MachineId, Seconds, ShardName, TypeName, Zone
 
--- a/src/dapplewick/core/leader/shard_reservation.py
+++ b/src/dapplewick/core/leader/shard_reservation.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from dapplewick.core.leader.capacity import ShardCapacity
-from dapplewick.protocol.wire import JobSpec
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds, ShardName
 
 OVERDUE_S = 60.0  # a gang that found no room for so long may have a part reserved
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -12,8 +12,9 @@
 
 from dapplewick.core.shard.preemption import leaves, may_be_stopped
 from dapplewick.core.shard.state import Machine
-from dapplewick.protocol.wire import JobSpec, MachineType
-from dapplewick.storage.records import WatchCache
+from dapplewick.protocol.cloud import MachineType
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds
 
 log = logging.getLogger("dapplewick.part")
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -34,9 +34,11 @@
     TaskAttempt,
 )
 from dapplewick.core.shard.status import Touched, full_status
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.peers import ShardStatus
-from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
-from dapplewick.storage.records import JobRecord, WatchCache
+from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
+from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
     IDS_PER_TOKEN,
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Collection
 
-from dapplewick.protocol.wire import JobSpec
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import (
     NO_RESOURCES,
     Attempt,
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -8,8 +8,8 @@
 from dapplewick.config import Deployment
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.rebalancer import OPERATOR, TransferCommand
-from dapplewick.storage.records import WatchCache
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TransferId, shard_name
 
 COMMAND_ID = re.compile(r"o-[0-9a-f]{8,32}")
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -8,7 +8,7 @@
 from dapplewick.config import Team
 from dapplewick.core.estimates import Estimates
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.storage.records import JobRecord
+from dapplewick.storage.job_records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources, Seconds
 
 UNLIMITED = 1e12  # CPUs, accelerators or GB: more than any fleet has
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -11,8 +11,9 @@
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.protocol.peers import MachineStatus
-from dapplewick.storage.records import SHARDS, TRANSFERS, WatchCache
+from dapplewick.storage.keys import SHARDS, TRANSFERS
 from dapplewick.storage.transfers import TransferRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
 
 SILENT_S = 4.0
--- a/src/dapplewick/partitions/index.py
+++ b/src/dapplewick/partitions/index.py
@@ -9,7 +9,8 @@
 from collections.abc import Iterator, KeysView
 from typing import NamedTuple
 
-from dapplewick.storage.records import MACHINES, WatchCache
+from dapplewick.storage.keys import MACHINES
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, ShardName
 
 
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -13,12 +13,7 @@
 
 import msgspec
 
-from dapplewick.core.leader.machine_lifecycle import (
-    PRIORITY_LOW,
-    PRIORITY_NORMAL,
-    ConditionalWrite,
-    MachineLifecycle,
-)
+from dapplewick.core.leader.machine_lifecycle import PRIORITY_LOW, PRIORITY_NORMAL, MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import PartitionPlan
@@ -26,7 +21,10 @@
 from dapplewick.partitions.solver import Cell
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.partitions.timing import MoveTimes
-from dapplewick.storage.records import PARTITIONS_FORMAT, SHARDS, TRANSFERS, JobRecord, WatchCache
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.keys import SHARDS, TRANSFERS
 from dapplewick.storage.transfers import (
     CANCELLED,
     COMPLETE,
@@ -37,6 +35,7 @@
     REQUESTED,
     TransferRecord,
 )
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import (
     FencingToken,
     MachineId,
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -11,8 +11,9 @@
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.protocol.peers import MachineStatus
-from dapplewick.storage.records import MachineRecord, WatchCache
+from dapplewick.storage.machine_records import MachineRecord
 from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName
 
 NAMES_BYTES = 480  # of those drained, in a record: half of the smallest value
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -19,13 +19,15 @@
 from dapplewick.partitions.solver import Problem, Targets, solve
 from dapplewick.partitions.targets import holdings, supply
 from dapplewick.partitions.timing import MoveTimes
-from dapplewick.storage.client import (
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.errors import (
     OutcomeUnknownError,
     RequestRefusedError,
     TransactionConflictError,
     ValueTooLargeError,
 )
-from dapplewick.storage.records import LEADER, PARTITION_PLAN, PARTITIONS_FORMAT, size_of
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.keys import LEADER, PARTITION_PLAN
 from dapplewick.storage.transfers import CANCELLED
 from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
 
@@ -257,7 +259,7 @@
         """A plan that an operator gives, as it is stored. The command has run its script: what
         that may take of a processor is not taken from the controller's."""
         try:
-            if size_of(given) > self._controller.limits_now().value_bytes:
+            if encoded_size(given) > self._controller.limits_now().value_bytes:
                 raise PlanError("plan: it is larger than a value of the state service")
             plan = convert(given)
             complaint = self._unknown_names(plan)
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -13,7 +13,7 @@
 
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.solver import Bounds, Cell, Problem, Supply, Targets, bounds
-from dapplewick.storage.records import WatchCache
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import partition_of, zone_of
 
 log = logging.getLogger("dapplewick.partitions")
--- /dev/null
+++ b/src/dapplewick/protocol/job_spec.py
@@ -0,0 +1,66 @@
+"""What a job asks for."""
+
+from __future__ import annotations
+
+import re
+from functools import cached_property
+from typing import Any
+
+import msgspec
+
+from dapplewick.types import (
+    Resources,
+)
+
+JOB_ID = re.compile(r"run-[A-Za-z0-9_-]{1,100}\Z")
+
+
+PlacementKey = tuple[Any, ...]
+
+
+class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True, dict=True):
+    """What a user asks for. What is computed of it is computed once (`dict`)."""
+
+    job_class: str = msgspec.field(name="bundle")
+    team: str
+    is_gang: bool = msgspec.field(name="gang")
+    priority: int = msgspec.field(name="rank")
+    task_count: int = msgspec.field(name="tasks")
+    cpus: float
+    gpus: float
+    ram_gb: float = msgspec.field(name="ram")
+    image: str
+    image_gb: float
+    estimated_run_s: float = msgspec.field(name="estimate")
+    types: list[str] | None = msgspec.field(name="types", default=None)
+    zone: str | None = None
+    same_zone: bool = msgspec.field(name="one_zone", default=False)
+    spread: bool = False
+    spot: bool = False
+    checkpoint_interval_s: float = msgspec.field(name="checkpoint", default=0.0)
+    save_s: float = msgspec.field(name="save", default=0.0)
+    deadline_s: float | None = msgspec.field(name="deadline", default=None)
+    # A service: its tasks are replicas, and run until it is cancelled.
+    is_service: bool = msgspec.field(name="daemon", default=False)
+
+    @cached_property
+    def resources(self) -> Resources:
+        return Resources(self.cpus, self.gpus, self.ram_gb)
+
+    @cached_property
+    def placement_key(self) -> PlacementKey:
+        """What decides where a task fits: of jobs that are alike in it one is looked at."""
+        return (
+            self.resources,
+            tuple(self.types or ()),
+            self.spot,
+            self.zone,
+            self.priority,
+            self.is_gang,
+            self.is_service,
+        )
+
+    @property
+    def zone_cap(self) -> int:
+        """How many tasks may be in one zone."""
+        return (self.task_count + 1) // 2 if self.spread else self.task_count
--- a/src/dapplewick/storage/read_checks.py
+++ b/src/dapplewick/storage/read_checks.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from dapplewick.storage.client import OutcomeUnknownError, RequestRefusedError
+from dapplewick.storage.errors import OutcomeUnknownError, RequestRefusedError
 from dapplewick.types import Seconds
 
 
--- a/src/dapplewick/storage/client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -1,130 +1,38 @@
-"""The client of the state service, within this node's budget."""
+"""The client of the state service."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable, Iterator
-from itertools import groupby
-from typing import Any, TypeVar
+from typing import Any
 
-import anyio
 import msgspec
 
-from dapplewick.config import StateLimits
-from dapplewick.protocol import wire
+from dapplewick.protocol.state_service import (
+    CHANGES_DECODER,
+    KEY_ITEM_DECODER,
+    KEY_PAGE_DECODER,
+    LEASE_DECODER,
+    TRANSACTION_RESULT_DECODER,
+    Changes,
+    encode_lease_request,
+    encode_transaction,
+)
+from dapplewick.storage.errors import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    RevisionCompactedError,
+    TransactionConflictError,
+    ValueTooLargeError,
+)
+from dapplewick.storage.rate_limiter import RateLimiter
+from dapplewick.storage.transactions import C
 from dapplewick.transport.http_client import HttpClient, HttpError, RequestNotSentError
 
 log = logging.getLogger("dapplewick.state")
 
-CALL_S = 1.5
-TRANSACTION_BYTES = (
-    48 * 1024
-)  # of values in a transaction, which may hold 64 KiB with all around them
-
-
-class RequestRefusedError(Exception):
-    """The request was not carried out."""
-
-
-class OutcomeUnknownError(Exception):
-    """The request may or may not have been carried out, or may still be."""
-
-
-class TransactionConflictError(Exception):
-    """A condition of the transaction does not hold."""
-
-    def __init__(self, failed: list[str]) -> None:
-        super().__init__(",".join(failed))
-        self.failed = failed
-
-
-class ValueTooLargeError(RequestRefusedError):
-    """A value or the transaction is larger than the state service takes."""
-
-
-class LeaseExpiredError(Exception):
-    """The lease has ended."""
-
-
-class RevisionCompactedError(Exception):
-    """The changes asked for are no longer kept."""
 
-
-class RateLimiter:
-    """A bucket of requests, filled at `rate`, with a second's worth of burst, or a little."""
-
-    def __init__(self, rate: float, least: float = 0.0) -> None:
-        self.rate = rate
-        self._least = least
-        self._level = max(rate, least)
-        self._at = -1e9
-
-    def level(self) -> float:
-        """What is left now."""
-        most = max(self.rate, self._least)
-        return min(most, self._level + (anyio.current_time() - self._at) * self.rate)
-
-    def drain(self) -> None:
-        """The service itself says that it is too much: nothing is left for now."""
-        self._level = min(0.0, self.level())
-        self._at = anyio.current_time()
-
-    def overdraw(self, amount: float) -> None:
-        """Take an amount whether it is there or not."""
-        self._level = self.level() - amount
-        self._at = anyio.current_time()
-
-    def take(self, amount: float = 1.0, reserve: float = 0.0) -> bool:
-        """Take an amount; `reserve` is left for calls that matter more."""
-        self._level = self.level()
-        self._at = anyio.current_time()
-        if self._level < amount + reserve:
-            return False
-        self._level -= amount
-        return True
-
-
-C = TypeVar("C")
-
-
-def split_into_transactions(
-    changes: Iterable[C], sized: Callable[[C], int], limits: StateLimits
-) -> Iterator[list[C]]:
-    """Cut changes into transactions that the state service takes. One whose value is too large
-    by itself is left out: with it every transaction that it came in would be refused. Changes
-    in a row that name the same `transaction_group` go into one."""
-    batch: list[C] = []
-    total = 0
-    listed = enumerate(changes)
-    for _, run in groupby(listed, key=lambda c: getattr(c[1], "transaction_group", "") or c[0]):
-        unit = [change for _, change in run]
-        sizes = [sized(change) for change in unit]
-        if max(sizes) > limits.value_kb * 1024 or len(unit) > limits.txn_ops:
-            log.error("event=value_too_large bytes=%d change=%.120r", max(sizes), unit[0])
-            continue
-        more = len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TRANSACTION_BYTES
-        if batch and more:
-            yield batch
-            batch, total = [], 0
-        batch += unit
-        total += sum(sizes)
-    if batch:
-        yield batch
-
-
-def first_whole_groups(changes: list[C], most: int) -> list[C]:
-    """The first changes, at most so many, without part of those that go into one transaction:
-    of a group that is split, one piece alone would lose the machines of the others."""
-    if most >= len(changes):
-        return changes
-    transaction_group = getattr(changes[most], "transaction_group", "")
-    while (
-        transaction_group
-        and most > 0
-        and getattr(changes[most - 1], "transaction_group", "") == transaction_group
-    ):
-        most -= 1
-    return changes[:most]
+CALL_S = 1.5
 
 
 class StateClient:
@@ -173,7 +81,7 @@
             return None, 0
         if status != 200:
             raise RequestRefusedError(str(status))
-        item = self._decoded(wire.key_item, answer)
+        item = self._decoded(KEY_ITEM_DECODER, answer)
         return item.value, item.version
 
     async def listing(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
@@ -187,7 +95,7 @@
             status, answer = await self._call("GET", target, None, 5.0)
             if status != 200:
                 raise RequestRefusedError(str(status))
-            page = self._decoded(wire.key_page, answer)
+            page = self._decoded(KEY_PAGE_DECODER, answer)
             first = page.revision if first is None else first
             for item in page.items:
                 items[item.key] = (item.value, item.version)
@@ -198,7 +106,7 @@
                 # Taken for the end, all keys that come after would count as removed.
                 raise RequestRefusedError("a page without items that is not the last")
 
-    async def changes(self, prefix: str, since: int, wait_ms: int) -> wire.Changes:
+    async def changes(self, prefix: str, since: int, wait_ms: int) -> Changes:
         self._spend()
         target = f"/changes?starts={prefix}&since={since}&wait_ms={wait_ms}"
         status, answer = await self._call("GET", target, None, wait_ms / 1000 + CALL_S)
@@ -206,7 +114,7 @@
             raise RevisionCompactedError
         if status != 200:
             raise RequestRefusedError(str(status))
-        found = self._decoded(wire.changes, answer)
+        found = self._decoded(CHANGES_DECODER, answer)
         if found.revision < since:
             # Nothing is known to be current by an answer that is older than what was read.
             raise RequestRefusedError("the answer is older than the question")
@@ -231,12 +139,12 @@
             self._spend()
             if amount and not self.writes.take(amount):
                 raise RequestRefusedError("over the write budget")
-        body = wire.encode_transaction(conditions, puts, deletes, leases or {})
+        body = encode_transaction(conditions, puts, deletes, leases or {})
         status, answer = await self._call("POST", "/multi", body)
         if status == 200:
-            return self._decoded(wire.transaction_result, answer).revision
+            return self._decoded(TRANSACTION_RESULT_DECODER, answer).revision
         if status == 409:
-            raise TransactionConflictError(self._decoded(wire.transaction_result, answer).failed)
+            raise TransactionConflictError(self._decoded(TRANSACTION_RESULT_DECODER, answer).failed)
         if status == 400 and b"no such lease" in answer:
             raise LeaseExpiredError
         log.error(
@@ -251,10 +159,10 @@
 
     async def new_lease(self, ttl_ms: int) -> int:
         self._spend()
-        status, answer = await self._call("POST", "/leases", wire.encode_lease_request(ttl_ms))
+        status, answer = await self._call("POST", "/leases", encode_lease_request(ttl_ms))
         if status != 200:
             raise RequestRefusedError(str(status))
-        return self._decoded(wire.lease, answer).lease
+        return self._decoded(LEASE_DECODER, answer).lease
 
     async def renew(self, lease: int) -> None:
         # Renewals come before everything else: they may overdraw the budget.
--- /dev/null
+++ b/src/dapplewick/storage/transactions.py
@@ -0,0 +1,59 @@
+"""Cutting writes into transactions that the state service takes."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Iterable, Iterator
+from itertools import groupby
+from typing import TypeVar
+
+from dapplewick.config import StateLimits
+
+log = logging.getLogger("dapplewick.state")
+
+TRANSACTION_BYTES = (
+    48 * 1024
+)  # of values in a transaction, which may hold 64 KiB with all around them
+
+
+C = TypeVar("C")
+
+
+def split_into_transactions(
+    changes: Iterable[C], sized: Callable[[C], int], limits: StateLimits
+) -> Iterator[list[C]]:
+    """Cut changes into transactions that the state service takes. One whose value is too large
+    by itself is left out: with it every transaction that it came in would be refused. Changes
+    in a row that name the same `transaction_group` go into one."""
+    batch: list[C] = []
+    total = 0
+    listed = enumerate(changes)
+    for _, run in groupby(listed, key=lambda c: getattr(c[1], "transaction_group", "") or c[0]):
+        unit = [change for _, change in run]
+        sizes = [sized(change) for change in unit]
+        if max(sizes) > limits.value_kb * 1024 or len(unit) > limits.txn_ops:
+            log.error("event=value_too_large bytes=%d change=%.120r", max(sizes), unit[0])
+            continue
+        more = len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TRANSACTION_BYTES
+        if batch and more:
+            yield batch
+            batch, total = [], 0
+        batch += unit
+        total += sum(sizes)
+    if batch:
+        yield batch
+
+
+def first_whole_groups(changes: list[C], most: int) -> list[C]:
+    """The first changes, at most so many, without part of those that go into one transaction:
+    of a group that is split, one piece alone would lose the machines of the others."""
+    if most >= len(changes):
+        return changes
+    transaction_group = getattr(changes[most], "transaction_group", "")
+    while (
+        transaction_group
+        and most > 0
+        and getattr(changes[most - 1], "transaction_group", "") == transaction_group
+    ):
+        most -= 1
+    return changes[:most]
--- a/src/dapplewick/storage/records.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -1,4 +1,4 @@
-"""The records kept in the state service, and the mirror of them that each node has."""
+"""The watch cache: each controller's copy of all records, kept up to date by watches."""
 
 from __future__ import annotations
 
@@ -9,8 +9,41 @@
 
 import msgspec
 
-from dapplewick.protocol.wire import Event, JobSpec, MachineType, decode_machine_types
-from dapplewick.storage.ranges import pack, unpack
+from dapplewick.protocol.cloud import MachineType, decode_machine_types
+from dapplewick.protocol.state_service import Event
+from dapplewick.storage.controller_records import ControllerRecord, LeaderRecord, ShardRecord
+from dapplewick.storage.formats import FIRST_FORMAT, FORMAT_NOW, FormatRecord
+from dapplewick.storage.job_records import (
+    CANCELLED,
+    DONE,
+    OPEN,
+    Chunk,
+    GangPlacementPart,
+    JobRecord,
+)
+from dapplewick.storage.keys import (
+    CHUNKS,
+    CONTROLLERS,
+    FORMAT,
+    GANG_PLACEMENTS,
+    JOBS,
+    LEADER,
+    MACHINES,
+    PARTITION_PLAN,
+    PROVISIONING_REQUESTS,
+    ROOT,
+    SHARDS,
+    TRANSFERS,
+    TYPE_KEYS,
+    TYPES,
+    job_of,
+    split_numbered_key,
+)
+from dapplewick.storage.machine_records import (
+    MachineGroupRecord,
+    MachineRecord,
+    ProvisioningRequest,
+)
 from dapplewick.storage.transfers import TransferRecord, Transfers
 from dapplewick.types import (
     ControllerName,
@@ -20,353 +53,13 @@
     Revision,
     ShardName,
     TransferId,
-    shard_name,
-    zone_of,
 )
 
 log = logging.getLogger("dapplewick.records")
 
-ROOT = "dw/"
-FORMAT = ROOT + "format"
-CHUNKS = ROOT + "d/"  # shares of an array's done and granted tasks
-GANG_PLACEMENTS = ROOT + "g/"  # shares of a long gang's place
-TYPE_KEYS = ROOT + "t/"  # types, where they are too many for one value
-LEADER = ROOT + "leader"
-TYPES = ROOT + "types"
-JOBS = ROOT + "j/"
-MACHINES = ROOT + "m/"
-SHARDS = ROOT + "p/"
-CONTROLLERS = ROOT + "n/"
-PROVISIONING_REQUESTS = ROOT + "b/"
-PARTITION_PLAN = ROOT + "shares"  # the operators' plan of shares, if they have stored one
-TRANSFERS = ROOT + "s/"  # machines that change from one share to another
-
-OPEN, DONE, CANCELLED = "open", "done", "cancelled"
 
 REMOVALS_LEAST = 500  # removed keys that are remembered before any of them is dropped
 
-# What a controller understands. A version that says nothing of itself is of the first one, and
-# until the record of the format says otherwise only what that understands is written or sent.
-FIRST_FORMAT, FORMAT_NOW = 2, 3
-PARTITIONS_FORMAT = 4  # with shares of zones; announced only where they are switched on
-
-
-class GangPlacement(msgspec.Struct, omit_defaults=True):
-    """Where an attempt of a gang is held or runs. `over`: it is to end and be cleared."""
-
-    attempt: int
-    # (shard, machine) of each task
-    placements: list[tuple[str, str]] = msgspec.field(name="places")
-    over: bool = msgspec.field(name="over", default=False)
-    preempt: bool = False
-    # Of how many keys the places are to be read, if they are not here.
-    placement_keys: int = msgspec.field(name="shares", default=0)
-
-    def shards(self) -> set[str]:
-        return {shard for shard, _ in self.placements}
-
-
-class _RawJob(msgspec.Struct, omit_defaults=True):
-    spec: JobSpec
-    stage: str
-    submitted_at: float = msgspec.field(name="at")
-    done: str = ""
-    assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
-    gang: GangPlacement | None = None
-    chunk_size: int = msgspec.field(name="chunk", default=0)
-
-
-class _RawChunk(msgspec.Struct, omit_defaults=True):
-    done: str = ""
-    assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
-
-
-class _RawPlacements(msgspec.Struct):
-    attempt: int
-    placements: list[tuple[str, str]] = msgspec.field(name="places")
-
-
-class Chunk:
-    """A share of an array's tasks: what is done of it, and who may run what."""
-
-    __slots__ = ("assignments", "done", "value", "version")
-
-    def __init__(self, value: Any, version: int) -> None:
-        raw = msgspec.convert(value, type=_RawChunk)
-        self.value = value
-        self.done = unpack(raw.done)
-        self.assignments = {zone: unpack(text) for zone, text in raw.assignments.items()}
-        self.version = version
-
-
-def number_bytes(tasks: int) -> int:
-    """What each task number takes at most in a set written as ranges."""
-    return len(str(max(1, tasks - 1))) + 1
-
-
-def chunk_tasks(tasks: int, shard_names: list[str], value_bytes: int) -> int:
-    """How many tasks a chunk may hold, in the worst order in which they can be done."""
-    rest = value_bytes - 40 - sum(len(name.encode()) + 8 for name in shard_names)
-    return max(1, rest // number_bytes(tasks))
-
-
-class JobRecord:
-    """A job: what was asked, what is done, and who may run what.
-
-    Where its tasks' numbers may outgrow a value they are kept in chunks of `chunk` tasks, with
-    keys of their own; the record itself then says only what was asked and how it stands.
-    `version` is that of the newest of its keys, `main_version` that of the record itself.
-    """
-
-    __slots__ = (
-        "assignments",
-        "chunk_size",
-        "chunk_versions",
-        "done",
-        "gang",
-        "main_version",
-        "resources",
-        "spec",
-        "stage",
-        "submitted_at",
-        "version",
-    )
-
-    def __init__(self, spec: JobSpec, at: float) -> None:
-        self.spec = spec
-        self.resources = spec.resources  # of each task
-        self.stage = OPEN
-        self.submitted_at = at
-        self.done: set[int] = set()
-        self.assignments: dict[str, set[int]] = {}
-        self.gang: GangPlacement | None = None
-        self.chunk_size = 0
-        self.chunk_versions: dict[int, int] = {}
-        self.version = self.main_version = Revision(0)
-
-    def dump(self, value_bytes: int = 0) -> Any:
-        """The record as it is written. Of a job that is over the grants only say what may still
-        be there: where they don't fit, each is widened to all between its first and its last."""
-        whole = not self.chunk_size
-        assignments = {z: pack(tasks) for z, tasks in self.assignments.items() if tasks and whole}
-        raw = _RawJob(
-            spec=self.spec,
-            stage=self.stage,
-            submitted_at=self.submitted_at,
-            done=pack(self.done) if self.stage == OPEN and whole else "",
-            assignments=assignments,
-            gang=self._short_gang(),
-            chunk_size=self.chunk_size,
-        )
-        value = msgspec.to_builtins(raw)
-        if value_bytes and assignments and not self.open and size_of(value) > value_bytes:
-            value["grants"] = {
-                z: f"{min(tasks)}-{max(tasks)}" for z, tasks in self.assignments.items() if tasks
-            }
-        return value
-
-    def _short_gang(self) -> GangPlacement | None:
-        if self.gang is None or not self.gang.placement_keys:
-            return self.gang
-        return msgspec.structs.replace(self.gang, placements=[])
-
-    def outgrows(self, shard_names: list[str], value_bytes: int) -> bool:
-        """Whether its record, as one value, may come to be larger than this."""
-        most = size_of(
-            msgspec.to_builtins(
-                _RawJob(spec=self.spec, stage=CANCELLED, submitted_at=self.submitted_at)
-            )
-        )
-        if not self.spec.is_gang:
-            most += self.spec.task_count * number_bytes(self.spec.task_count) + 40
-            most += sum(len(name.encode()) + 8 for name in shard_names)
-        return most > value_bytes
-
-    def chunk_value(self, number: int) -> Any:
-        """What a chunk's key holds; None if nothing is to be said of its tasks."""
-        low, high = number * self.chunk_size, (number + 1) * self.chunk_size
-
-        def mine(tasks: set[int]) -> str:
-            return pack(i for i in tasks if low <= i < high)
-
-        assignments = {z: text for z, tasks in self.assignments.items() if (text := mine(tasks))}
-        raw = _RawChunk(done=mine(self.done) if self.open else "", assignments=assignments)
-        return msgspec.to_builtins(raw) or None
-
-    def chunk_values(self) -> dict[int, Any]:
-        """All of its chunks that say anything."""
-        count = -(-self.spec.task_count // self.chunk_size)
-        return {n: v for n in range(count) if (v := self.chunk_value(n)) is not None}
-
-    def chunks_changed(self, old: JobRecord) -> set[int]:
-        """The chunks in which this draft differs."""
-        tasks = self.done ^ old.done
-        for zone in self.assignments.keys() | old.assignments.keys():
-            tasks |= self.assigned(zone) ^ old.assigned(zone)
-        return {index // self.chunk_size for index in tasks}
-
-    @classmethod
-    def load(cls, value: Any, version: int) -> JobRecord:
-        raw = msgspec.convert(value, type=_RawJob)
-        job = cls(raw.spec, raw.submitted_at)
-        job.stage = raw.stage
-        job.done = unpack(raw.done)
-        job.assignments = {zone: unpack(text) for zone, text in raw.assignments.items()}
-        job.gang = raw.gang
-        job.chunk_size = raw.chunk_size
-        job.version = job.main_version = Revision(version)
-        return job
-
-    def copy(self) -> JobRecord:
-        """A draft of its next version."""
-        job = JobRecord(self.spec, self.submitted_at)
-        job.stage = self.stage
-        job.done = set(self.done)
-        job.assignments = {zone: set(tasks) for zone, tasks in self.assignments.items()}
-        job.gang = self.gang
-        job.chunk_size = self.chunk_size
-        job.chunk_versions = self.chunk_versions
-        job.version = self.version
-        job.main_version = self.main_version
-        return job
-
-    @property
-    def done_count(self) -> int:
-        return self.spec.task_count if self.stage == DONE else len(self.done)
-
-    @property
-    def open(self) -> bool:
-        return self.stage == OPEN
-
-    def task_version(self, index: int) -> int:
-        """The version of the key that says who may run a task: other keys of the same job may
-        change before it and after it."""
-        if not self.chunk_size:
-            return self.version
-        return self.chunk_versions.get(index // self.chunk_size, 0)
-
-    def assigned(self, shard: str) -> set[int]:
-        """The tasks that a part may run."""
-        return self.assignments.get(shard, set())
-
-    def assigned_in_zone(self, zone: str) -> int:
-        """How many tasks the parts of a zone may run together."""
-        return sum(
-            len(tasks) for shard, tasks in self.assignments.items() if zone_of(shard) == zone
-        )
-
-
-def size_of(value: Any) -> int:
-    """How large a value is as it is sent."""
-    return len(msgspec.json.encode(value))
-
-
-class MachineRecord(msgspec.Struct, omit_defaults=True):
-    """A machine, as its group's record tells it. `up`: its worker was heard, so launches there
-    are allowed from now on (one that is doomed counts as up: it may have been). `terminating`: its
-    deletion is decided and is never taken back."""
-
-    type: str
-    zone: str
-    spot: bool
-    at: float
-    up: bool = False
-    terminating: bool = False
-    partition: str = ""
-    floor: int = 0  # commands to its worker carry at least this token
-
-    @property
-    def shard(self) -> ShardName:
-        """The part that schedules this machine."""
-        return shard_name(self.zone, self.partition)
-
-
-BOOTING, UP, TERMINATING = "b", "u", "d"
-
-
-class MachineGroupRecord(msgspec.Struct, omit_defaults=True):
-    """Machines of one kind in one zone, in one record: a write for each change of each machine
-    would use up the state service's budget while hundreds of them come up. The text of each is
-    its state, and for one that boots the time of its rental after it.
-
-    `share` is the share of the zone that they belong to. `floors` has, for machines that came from
-    another share, the least token for their workers: more than any holder before has used."""
-
-    type: str
-    zone: str
-    spot: bool
-    machines: dict[str, str]
-    partition: str = msgspec.field(name="share", default="")
-    floors: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
-
-    def without(self, machine: str) -> MachineGroupRecord:
-        """The group after a machine has left it."""
-        return msgspec.structs.replace(
-            self,
-            machines={m: text for m, text in self.machines.items() if m != machine},
-            floors={m: floor for m, floor in self.floors.items() if m != machine},
-        )
-
-    def record(self, machine: str) -> MachineRecord:
-        text = self.machines[machine]
-        state = text[:1]
-        return MachineRecord(
-            type=self.type,
-            zone=self.zone,
-            spot=self.spot,
-            at=float(text[1:] or 0),
-            up=state != BOOTING,
-            terminating=state == TERMINATING,
-            partition=self.partition,
-            floor=self.floors.get(machine, 0),
-        )
-
-
-class ShardRecord(msgspec.Struct):
-    owner: str
-    incarnation: str = msgspec.field(name="boot")
-
-
-class ControllerRecord(msgspec.Struct):
-    incarnation: str = msgspec.field(name="boot")
-    zone: str
-    version: int = FIRST_FORMAT  # what this controller understands
-
-
-class FormatRecord(msgspec.Struct):
-    """The format that every controller understands. It never goes back."""
-
-    version: int
-
-
-class LeaderRecord(msgspec.Struct):
-    controller: str = msgspec.field(name="node")
-    incarnation: str = msgspec.field(name="boot")
-
-
-class ProvisioningRequest(msgspec.Struct):
-    type: str
-    zone: str
-    spot: bool
-    count: int
-    at: float = msgspec.field(name="at")
-
-
-def job_of(key: str) -> JobId | None:
-    """The job that a key tells something of."""
-    if key.startswith(JOBS):
-        return JobId(key[len(JOBS) :])
-    if key.startswith((CHUNKS, GANG_PLACEMENTS)):
-        job, _, number = key[len(CHUNKS) :].rpartition("/")
-        return JobId(job) if number.isdigit() else None
-    return None
-
-
-def _share(name: str) -> tuple[JobId, int]:
-    """The job, and which share of it; ValueError if the name is no share's."""
-    job, _, number = name.rpartition("/")
-    return JobId(job), int(number)
-
 
 class WatchCache:
     """A copy of all records, brought up to date by changes in any order or repeated."""
@@ -390,7 +83,7 @@
         self.understood: dict[ControllerName, int] = {}
         self._mains: dict[JobId, JobRecord] = {}  # records as written, of jobs with more keys
         self.chunks: dict[JobId, dict[int, Chunk]] = {}
-        self.placements: dict[JobId, dict[int, _RawPlacements]] = {}
+        self.placements: dict[JobId, dict[int, GangPlacementPart]] = {}
         self._main_types: dict[str, MachineType] = {}
         self._key_types: dict[str, MachineType] = {}
         self.leader: LeaderRecord | None = None
@@ -475,13 +168,13 @@
             self._mains[JobId(name)] = job
             self._join(JobId(name))
         elif key.startswith(CHUNKS):
-            job_id, number = _share(name)
+            job_id, number = split_numbered_key(name)
             self.chunks.setdefault(job_id, {})[number] = Chunk(value, version)
             self._join(job_id)
         elif key.startswith(GANG_PLACEMENTS):
-            job_id, number = _share(name)
+            job_id, number = split_numbered_key(name)
             shares = self.placements.setdefault(job_id, {})
-            shares[number] = msgspec.convert(value, type=_RawPlacements)
+            shares[number] = msgspec.convert(value, type=GangPlacementPart)
             self._join(job_id)
         elif key.startswith(MACHINES):
             self._set_group(name, msgspec.convert(value, type=MachineGroupRecord), version)
--- a/tests/answer_days.py
+++ b/tests/answer_days.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from dapplewick.storage.records import LEADER
+from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
 from rolls import lower_limits
 from standins import World, now, run_day
--- a/tests/behaviour_days.py
+++ b/tests/behaviour_days.py
@@ -16,7 +16,7 @@
 import test_upgrade as upgrade
 from answer_days import play_answers
 from dapplewick.protocol import peers
-from dapplewick.protocol.wire import encode_heartbeat_response
+from dapplewick.protocol.workers import encode_heartbeat_response
 from standins import World, recorder
 from test_four_points import TOKEN
 from test_growth import busy_part, leader_of
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -27,22 +27,30 @@
 from dapplewick.controller.controller import Controller
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.partitions import plan
-from dapplewick.protocol import peers, wire
-from dapplewick.storage.client import (
+from dapplewick.protocol import peers
+from dapplewick.protocol.cloud import encode_machine_types
+from dapplewick.protocol.errors import MalformedMessageError
+from dapplewick.protocol.users import encode_job_state, parse_submission
+from dapplewick.protocol.workers import (
+    Command,
+    encode_heartbeat_response,
+    encode_redirect,
+    parse_heartbeat,
+)
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.errors import (
     LeaseExpiredError,
     OutcomeUnknownError,
     RequestRefusedError,
     RevisionCompactedError,
-    StateClient,
     TransactionConflictError,
     ValueTooLargeError,
-    first_whole_groups,
-    split_into_transactions,
 )
-from dapplewick.storage.records import (
+from dapplewick.storage.keys import (
     CHUNKS,
     CONTROLLERS,
     FORMAT,
@@ -56,9 +64,10 @@
     TRANSFERS,
     TYPE_KEYS,
     TYPES,
-    WatchCache,
-    size_of,
 )
+from dapplewick.storage.state_client import StateClient
+from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport import peer
 from dapplewick.transport.http import Request
 from dapplewick.types import (
@@ -123,9 +132,9 @@
     if key.startswith(GANG_PLACEMENTS):
         return msgspec.to_builtins(cache.placements[JobId(job)][int(number)])
     if key.startswith(TYPE_KEYS):
-        return wire.encode_machine_types([cache.types[name]])[0]
+        return encode_machine_types([cache.types[name]])[0]
     if key == TYPES:
-        return wire.encode_machine_types(list(cache.types.values()))
+        return encode_machine_types(list(cache.types.values()))
     if key == FORMAT:
         return {"version": cache.format}
     if key == PARTITION_PLAN:
@@ -444,7 +453,7 @@
         for key, value, transaction_group_name in given["changes"]
     ]
     limits = settings("n0").deployment.state.lowest()
-    cut = split_into_transactions(changes, lambda change: size_of(change.value), limits)
+    cut = split_into_transactions(changes, lambda change: encoded_size(change.value), limits)
     return {
         "cut": [[neutral(change)[0] for change in batch] for batch in cut],
         "first": [
@@ -487,33 +496,33 @@
 def submission(given: Any) -> Any:
     """What is read of a submission, or why it is refused."""
     try:
-        return neutral(wire.parse_submission(given.encode()))
-    except wire.MalformedMessageError as err:
+        return neutral(parse_submission(given.encode()))
+    except MalformedMessageError as err:
         return ["refused", str(err)]
 
 
 def report(given: Any) -> Any:
     """What is read of a worker's report."""
-    return neutral(wire.parse_heartbeat(given.encode()))
+    return neutral(parse_heartbeat(given.encode()))
 
 
 def worker_answer(given: Any) -> Any:
     """The answer to a worker."""
     commands = [
-        wire.Command(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
+        Command(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
         for op, job, number, attempt, grace in given["orders"]
     ]
-    return wire.encode_heartbeat_response(FencingToken(given["token"]), commands).decode()
+    return encode_heartbeat_response(FencingToken(given["token"]), commands).decode()
 
 
 def redirection(given: Any) -> Any:
     """The answer to a worker that names the owner of its part."""
-    return wire.encode_redirect(given).decode()
+    return encode_redirect(given).decode()
 
 
 def user_answer(given: Any) -> Any:
     """The answer to a user."""
-    return wire.encode_job_state(*given).decode()
+    return encode_job_state(*given).decode()
 
 
 def plan_script(given: Any) -> Any:
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -14,7 +14,8 @@
 import anyio
 import msgspec
 
-from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.keys import FORMAT, MACHINES
 from standins import World, now, run_day
 from test_shares_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
 
--- a/tests/rolls.py
+++ b/tests/rolls.py
@@ -9,7 +9,8 @@
 
 import anyio
 
-from dapplewick.storage.records import FORMAT, FORMAT_NOW
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.keys import FORMAT
 from standins import NEXT, World, now
 from test_days import run_script
 from test_meetings import leader
--- a/tests/share_history.py
+++ b/tests/share_history.py
@@ -10,7 +10,7 @@
 from itertools import groupby
 from typing import Any
 
-from dapplewick.storage.records import CHUNKS, JOBS, LEADER, MACHINES, SHARDS, TRANSFERS
+from dapplewick.storage.keys import CHUNKS, JOBS, LEADER, MACHINES, SHARDS, TRANSFERS
 from dapplewick.types import shard_name
 
 Entry = tuple[int, str, Any, bool]  # revision, key, value, whether it was removed
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -17,15 +17,13 @@
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
 from dapplewick.protocol import peers
-from dapplewick.protocol.wire import Event, JobSpec
-from dapplewick.storage.client import RequestRefusedError, StateClient
-from dapplewick.storage.records import (
-    JOBS,
-    PROVISIONING_REQUESTS,
-    REMOVALS_LEAST,
-    JobRecord,
-    WatchCache,
-)
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.protocol.state_service import Event
+from dapplewick.storage.errors import RequestRefusedError
+from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.keys import JOBS, PROVISIONING_REQUESTS
+from dapplewick.storage.state_client import StateClient
+from dapplewick.storage.watch_cache import REMOVALS_LEAST, WatchCache
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import ControllerName, JobId
 from standins import AnswerHistory, World, now, run_day
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -249,13 +249,19 @@
         ("cloud", "catalog"),
         ("cloud", "hosts"),
     }
-    sources = Path(dapplewick.__file__).parent.rglob("*.py")
-    made = {path.name for path in sources if HttpClient.__name__ in path.read_text()}
+    package = Path(dapplewick.__file__).parent
+    made = {
+        str(path.relative_to(package))
+        for path in package.rglob("*.py")
+        if HttpClient.__name__ in path.read_text()
+    }
+    # No other code makes connections; `client.py` is the library for users and operators.
     assert made == {
         "client.py",
-        "http_client.py",
-        "controller.py",
-    }  # and no other code makes connections
+        "storage/state_client.py",
+        "transport/http_client.py",
+        "controller/controller.py",
+    }
 
 
 # Machines that are up at once, while writes lag and the leader ends
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -16,25 +16,14 @@
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import IMAGES_MOST
 from dapplewick.protocol import peers
+from dapplewick.protocol.cloud import MachineType, encode_machine_types
+from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.peers import GangStatus, JobStatus, MachineStatus, ShardStatus
-from dapplewick.protocol.wire import (
-    Command,
-    Heartbeat,
-    JobSpec,
-    MachineType,
-    TaskStatus,
-    encode_machine_types,
-)
+from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
+from dapplewick.storage.job_records import CANCELLED, GangPlacement, JobRecord
+from dapplewick.storage.keys import JOBS, MACHINES, TYPES
 from dapplewick.storage.ranges import pack, unpack
-from dapplewick.storage.records import (
-    CANCELLED,
-    JOBS,
-    MACHINES,
-    TYPES,
-    GangPlacement,
-    JobRecord,
-    WatchCache,
-)
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
     Attempt,
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -19,9 +19,12 @@
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import peers
-from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
-from dapplewick.storage.client import split_into_transactions
-from dapplewick.storage.records import TYPES, GangPlacement, JobRecord, WatchCache
+from dapplewick.protocol.cloud import MachineType, encode_machine_types
+from dapplewick.protocol.workers import Heartbeat
+from dapplewick.storage.job_records import GangPlacement, JobRecord
+from dapplewick.storage.keys import TYPES
+from dapplewick.storage.transactions import split_into_transactions
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
 from test_four_points import IN_ZONE, KIND, ZONE, Bench, spec
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -15,7 +15,7 @@
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationWatch
 from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.storage.records import LEADER
+from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
 from standins import WORKERS, World, now
 from test_checks_can_fail import (
@@ -197,7 +197,7 @@
     """Two controllers' watches and the messages between them."""
 
     def __init__(self) -> None:
-        from dapplewick.storage.records import WatchCache
+        from dapplewick.storage.watch_cache import WatchCache
 
         self.mirrors = {name: WatchCache() for name in "ab"}
         self.watches = {
@@ -368,7 +368,7 @@
 def test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice() -> None:
     """The task had moved under the old owner; the copy said where it was before."""
     from dapplewick.core.estimates import Estimates
-    from dapplewick.protocol.wire import Heartbeat, TaskStatus
+    from dapplewick.protocol.workers import Heartbeat, TaskStatus
     from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
     from test_four_points import TOKEN, ZONE, Bench, spec, starts
 
@@ -485,7 +485,7 @@
         # Another leader's key, as the watch would bring it.
         controller.cache.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         try:
-            from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
+            from dapplewick.storage.conditional_write import ConditionalWrite
             from dapplewick.types import FencingToken
 
             await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
--- a/tests/test_mirror_model.py
+++ b/tests/test_mirror_model.py
@@ -11,16 +11,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dapplewick.protocol.wire import Event, JobSpec
-from dapplewick.storage.records import (
-    CANCELLED,
-    DONE,
-    JOBS,
-    OPEN,
-    PROVISIONING_REQUESTS,
-    JobRecord,
-    WatchCache,
-)
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.protocol.state_service import Event
+from dapplewick.storage.job_records import CANCELLED, DONE, OPEN, JobRecord
+from dapplewick.storage.keys import JOBS, PROVISIONING_REQUESTS
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import JobId
 
 JOB_IDS = [JobId("run-1"), JobId("run-2"), JobId("run-3")]
--- a/tests/test_previous_main.py
+++ b/tests/test_previous_main.py
@@ -10,15 +10,11 @@
 
 import production
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
-from dapplewick.storage.records import (
-    FORMAT,
-    FORMAT_NOW,
-    MACHINES,
-    MachineGroupRecord,
-    MachineRecord,
-    WatchCache,
-    size_of,
-)
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.keys import FORMAT, MACHINES
+from dapplewick.storage.machine_records import MachineGroupRecord, MachineRecord
+from dapplewick.storage.watch_cache import WatchCache
 from rolls import TROUBLES, Trouble, play_roll
 from standins import NEXT
 from test_meetings import finished
@@ -37,7 +33,7 @@
     assert world.broken == []
     assert finished(world) == {"run-service0": "running", "run-service1": "running"}
     assert world.told["run-service2"] == "withdrawn"
-    largest = max(size_of(value) for value, _, _ in world.state.keys.values())
+    largest = max(encoded_size(value) for value, _, _ in world.state.keys.values())
     assert largest <= float(NEXT["value_kb"]) * 1024
 
 
@@ -108,7 +104,7 @@
         transaction_group = [c for c in changes if c.transaction_group]
         assert len(transaction_group) <= TXN_OPS
         for change in transaction_group or changes[: pick.randint(1, len(changes))]:
-            assert change.value is None or size_of(change.value) <= VALUE_BYTES
+            assert change.value is None or encoded_size(change.value) <= VALUE_BYTES
             store.write(change.key, change.value)
             if change.value is None:
                 followed.remove(change.key, store.revision)
@@ -123,9 +119,9 @@
             store.read_anew(earlier.WatchCache()),
         ):
             assert states(cache.machines) == states(machines)
-        if all(size_of(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
+        if all(encoded_size(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
             break
-    assert all(size_of(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT)
+    assert all(encoded_size(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT)
     listed = [m for g in store.cache.groups.values() for m in g.machines]
     assert len(listed) == len(set(listed)) == count
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -15,8 +15,10 @@
 from dapplewick.core.leader.provisioner import Provisioner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import Machine
-from dapplewick.protocol.wire import Command, Heartbeat, JobSpec, TaskStatus
-from dapplewick.storage.records import MACHINES, JobRecord
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
+from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.keys import MACHINES
 from dapplewick.transport.http import Request
 from dapplewick.types import JobId, MachineId, TaskIndex, TaskRef, TypeName
 from standins import WORKERS, World, now
@@ -305,8 +307,8 @@
 
 
 def test_a_dear_machine_is_not_kept_for_replicas_alone() -> None:
-    from dapplewick.protocol.wire import MachineType, encode_machine_types
-    from dapplewick.storage.records import TYPES
+    from dapplewick.protocol.cloud import MachineType, encode_machine_types
+    from dapplewick.storage.keys import TYPES
 
     bench = Bench(1)
     dear = MachineType(name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, price=20.0, zones=["a"])
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from msgspec import to_builtins
 
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import Provisioner
 from dapplewick.partitions.index import MachineIndex
@@ -26,9 +26,12 @@
 from dapplewick.partitions.selection import MachineSelection
 from dapplewick.partitions.timing import MoveTimes
 from dapplewick.protocol.peers import MachineStatus, ShardStatus, TaskEnd
-from dapplewick.protocol.wire import Event
-from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
+from dapplewick.protocol.state_service import Event
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.keys import FORMAT, MACHINES, SHARDS
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import (
     NO_RESOURCES,
     FencingToken,
--- a/tests/test_shares_moves.py
+++ b/tests/test_shares_moves.py
@@ -9,7 +9,8 @@
 import pytest
 
 from dapplewick.partitions import plan as plans
-from dapplewick.storage.records import FORMAT, PARTITIONS_FORMAT, SHARDS
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.keys import FORMAT, SHARDS
 from dapplewick.types import shard_name
 from share_history import ShareHistory
 from standins import World, now, run_day
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -21,8 +21,8 @@
 from dapplewick.partitions.solver import Cell, Problem, Supply, bounds, solve
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.partitions.timing import MoveTimes
-from dapplewick.protocol.wire import JobSpec
-from dapplewick.storage.records import JobRecord
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.storage.job_records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources
 from test_operators import settings_file
 
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -6,15 +6,18 @@
 
 import anyio
 
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite, MachineLifecycle
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions import plan as plans
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
 from dapplewick.partitions.timing import MoveTimes
 from dapplewick.protocol.peers import MachineStatus, ShardStatus
-from dapplewick.storage.records import FORMAT, MACHINES, PARTITIONS_FORMAT, SHARDS, WatchCache
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.keys import FORMAT, MACHINES, SHARDS
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import (
     NO_RESOURCES,
     FencingToken,
--- a/tests/test_shares_versions.py
+++ b/tests/test_shares_versions.py
@@ -12,7 +12,8 @@
 from msgspec import UNSET
 
 import production
-from dapplewick.storage.records import FORMAT, FORMAT_NOW, PARTITIONS_FORMAT, SHARDS, TRANSFERS
+from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
+from dapplewick.storage.keys import FORMAT, SHARDS, TRANSFERS
 from dapplewick.types import partition_of
 from standins import World, now
 from test_shares_moves import (
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,8 @@
 import cbor2
 
 from dapplewick.protocol import peers
-from dapplewick.storage.records import FORMAT, FORMAT_NOW, MACHINES
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.transport.peer import MAX_FRAME
 from standins import World
 from test_days import run_script
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -369,7 +369,9 @@
 
 
 def test_random_bytes_are_no_report() -> None:
-    from dapplewick.protocol.wire import MalformedMessageError, parse_heartbeat, parse_submission
+    from dapplewick.protocol.errors import MalformedMessageError
+    from dapplewick.protocol.users import parse_submission
+    from dapplewick.protocol.workers import parse_heartbeat
 
     pick = random.Random(5)
     for _ in range(300):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,21 +18,12 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.formats import FIRST_FORMAT, FORMAT_NOW
+from dapplewick.storage.job_records import GangPlacement, JobRecord, chunk_tasks
+from dapplewick.storage.keys import CHUNKS, CONTROLLERS, FORMAT, JOBS, MACHINES
 from dapplewick.storage.ranges import unpack
-from dapplewick.storage.records import (
-    CHUNKS,
-    CONTROLLERS,
-    FIRST_FORMAT,
-    FORMAT,
-    FORMAT_NOW,
-    JOBS,
-    MACHINES,
-    GangPlacement,
-    JobRecord,
-    WatchCache,
-    chunk_tasks,
-    size_of,
-)
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request
 from dapplewick.types import FencingToken, JobId
 from rolls import TROUBLES, Trouble, hand_in_large, lower_limits, nothing, play_roll
@@ -158,7 +149,7 @@
     assert finished(world).keys() == services_left
     assert set(finished(world).values()) == {"running"}
     assert world.told["run-service2"] == "withdrawn"
-    largest = max(size_of(value) for value, _ in stored(world).values())
+    largest = max(encoded_size(value) for value, _ in stored(world).values())
     assert largest <= float(NEXT["value_kb"]) * 1024
     # Records stored before were cut, and chunks were used for those that came later.
     assert "event=job_record_chunked" in caplog.text
@@ -268,7 +259,7 @@
         job = drawn_job(tasks, seed)
         job.chunk_size = chunk_tasks(tasks, ["a", "b"], room)
         values = job.chunk_values()
-        assert max(size_of(v) for v in values.values()) <= room
+        assert max(encoded_size(v) for v in values.values()) <= room
         cache, keys = WatchCache(), [(JOBS + "run-1", job.dump())]
         keys += [(f"{CHUNKS}run-1/{n}", v) for n, v in values.items()]
         if tasks < 5000:
@@ -311,9 +302,9 @@
 def test_a_cancelled_record_that_outgrew_its_value_says_at_least_what_may_be_there() -> None:
     job = drawn_job(2000, 4)
     job.stage = "cancelled"
-    assert size_of(job.dump()) > 1800
+    assert encoded_size(job.dump()) > 1800
     value = job.dump(1800)
-    assert size_of(value) <= 1800
+    assert encoded_size(value) <= 1800
     for zone, tasks in job.assignments.items():
         assert tasks <= unpack(value["grants"][zone])
 
@@ -328,18 +319,18 @@
     job.gang = GangPlacement(77, placements)
     cache.put(JOBS + "run-1", job.dump(), 2)
     room = int(float(NEXT["value_kb"]) * 1024)
-    assert size_of(job.dump()) > room
+    assert encoded_size(job.dump()) > room
     leader = LeaderPlanner(cache, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
     assert changes[-1].key == JOBS + "run-1" and len(changes) > 2
     for version, change in enumerate(changes, start=3):
-        assert size_of(change.value) <= room
+        assert encoded_size(change.value) <= room
         cache.put(change.key, change.value, version)
     read = cache.jobs[JobId("run-1")]
     assert read.gang is not None and read.gang.placements == placements and read.gang.attempt == 77
     cancelled = read.copy()
     cancelled.stage = "cancelled"
-    assert size_of(cancelled.dump(room)) <= room
+    assert encoded_size(cancelled.dump(room)) <= room
     assert leader.plan(2.0, 2.0) == []
 
 
@@ -371,7 +362,7 @@
     machine_lifecycle.begin()
     changes = machine_lifecycle.changes()
     assert 1 < len(changes) <= 4 and len({c.transaction_group for c in changes}) == 1
-    assert all(size_of(c.value) <= 1884 for c in changes)
+    assert all(encoded_size(c.value) <= 1884 for c in changes)
     for change in changes:
         cache.put(change.key, change.value, 3)
     assert cache.machines == before
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -24,8 +24,11 @@
     ShardReservation,
 )
 from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.protocol.wire import Heartbeat, MachineType, encode_machine_types
-from dapplewick.storage.records import DONE, JOBS, MACHINES, TYPES, JobRecord, WatchCache
+from dapplewick.protocol.cloud import MachineType, encode_machine_types
+from dapplewick.protocol.workers import Heartbeat
+from dapplewick.storage.job_records import DONE, JobRecord
+from dapplewick.storage.keys import JOBS, MACHINES, TYPES
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
 from test_four_points import KIND, group, shard_status, spec
 
--- a/tests/test_whole_transactions.py
+++ b/tests/test_whole_transactions.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from dapplewick.config import StateLimits
-from dapplewick.core.leader.machine_lifecycle import ConditionalWrite
-from dapplewick.storage.client import first_whole_groups, split_into_transactions
-from dapplewick.storage.records import size_of
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
 from test_previous_main import Store
 
 LIMITS = StateLimits(rps=100.0, write_rps=80.0, value_kb=1.0, txn_ops=4)
@@ -61,7 +61,7 @@
             else rest[:1]
         )
         assert len(kept) + len(following) > room
-    for batch in split_into_transactions(kept, lambda change: size_of(change.value), LIMITS):
+    for batch in split_into_transactions(kept, lambda change: encoded_size(change.value), LIMITS):
         for transaction_group in {change.transaction_group for change in batch} - {""}:
             assert [c for c in kept if c.transaction_group == transaction_group] == [
                 c for c in batch if c.transaction_group == transaction_group
