--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dapplewick.core.shard.state import Machine, TaskAttempt
+from dapplewick.core.shard.state import EXITED, Machine, TaskAttempt
 from dapplewick.types import Resources, TaskRef
 
 
@@ -14,14 +14,14 @@
         and not spec.is_gang
         and not spec.is_service
         and spec.priority < priority
-        and task_attempt.stage != "exited"
+        and task_attempt.stage != EXITED
         and not task_attempt.stopped
     )
 
 
 def leaves(task: TaskRef, task_attempt: TaskAttempt, stopping: set[TaskRef]) -> bool:
     """Whether a task's room is about to be free: it was told to stop, or will be."""
-    return task in stopping or (task_attempt.stopped and task_attempt.stage != "exited")
+    return task in stopping or (task_attempt.stopped and task_attempt.stage != EXITED)
 
 
 def stop_until_fits(
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from dapplewick.core.shard.preemption import leaves, may_be_stopped
-from dapplewick.core.shard.state import Machine
+from dapplewick.core.shard.state import EXITED, Machine
 from dapplewick.protocol.cloud import MachineType
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.watch_cache import WatchCache
@@ -122,7 +122,7 @@
             task_attempts = [
                 task_attempt
                 for task_attempt in machine.task_attempts.values()
-                if task_attempt.stage != "exited"
+                if task_attempt.stage != EXITED
             ]
             if machine.drain:
                 machine.drain = bool(task_attempts) or not work_waits
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -15,25 +15,26 @@
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import NEVER, Estimates
+from dapplewick.core.shard.changes import ChangeLog
+from dapplewick.core.shard.images import Images
 from dapplewick.core.shard.preemption import stop_until_fits
+from dapplewick.core.shard.queues import Queues
 from dapplewick.core.shard.replicas import ReplicaPlacement
 from dapplewick.core.shard.slow_machines import SpeedComparison
 from dapplewick.core.shard.state import (
-    ASSIGNED,
-    FINISHED,
-    ON_MACHINE,
-    RELEASED,
-    UNCONFIRMED,
-    WAITING,
+    EXITED,
+    FETCHING,
+    FLUSHING,
+    GATHERING,
+    RUNNING,
     ArrayTask,
     GangReservation,
-    Images,
     Machine,
-    Queues,
     Slot,
     TaskAttempt,
+    TaskState,
 )
-from dapplewick.core.shard.status import Touched, full_status
+from dapplewick.core.shard.status import full_status
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.peers import ShardStatus
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
@@ -122,8 +123,7 @@
         self._has_unconfirmed = False  # whether any single may be on a machine not yet heard
         self._slow_at = -1e9
         self._few = False  # whether few idle slots of the gangs' size are left
-        self.touched = Touched()
-        self.dirty = True
+        self.touched = ChangeLog()
         self.demand = AcceleratorDemand(cache, aimed)
         self.gang_demand = GangDemand(cache, (tuning or Tuning()).spare_slots)
         self.demand.update(now, now)
@@ -140,6 +140,15 @@
             self.job_changed(now, job_id, failover=True)
         self._release_unconfirmed(now)
 
+    @property
+    def dirty(self) -> bool:
+        """Whether anything happened that the leader should hear of soon."""
+        return self.touched.dirty
+
+    @dirty.setter
+    def dirty(self, dirty: bool) -> None:
+        self.touched.dirty = dirty
+
     # Inputs
 
     def job_changed(self, now: Seconds, job_id: JobId, failover: bool = False) -> None:
@@ -160,14 +169,16 @@
                 # the version of its own key: another chunk of the same job may be written in
                 # the same pass, before the one in which this task is taken back.
                 if (
-                    array_task.state == RELEASED
+                    array_task.state == TaskState.RELEASED
                     and job is not None
                     and job.task_version(index) != array_task.released
                 ):
                     self._requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
             for index in sorted(assigned - array_tasks.keys()):
                 task = TaskRef(job_id, TaskIndex(index))
-                array_tasks[index] = ArrayTask(UNCONFIRMED if failover else WAITING, now)
+                array_tasks[index] = ArrayTask(
+                    TaskState.UNCONFIRMED if failover else TaskState.WAITING, now
+                )
                 if not failover:
                     self.queues.unqueued.append(task)
                     replicas = replicas or (job is not None and job.spec.is_service)
@@ -175,7 +186,7 @@
                 del self.array_tasks[job_id]
             self.touched.job(job_id)
         self._gang_changed(now, job_id, job, failover)
-        self.dirty = True
+        self.touched.dirty = True
         if replicas:
             self._join_all(now)  # not only with the next tick: users wait for them
 
@@ -252,7 +263,7 @@
                 reservation.bad = "machine gone"
                 log.info("event=gang_failed job=%s reason=machine_gone", job_id)
         self._release_unconfirmed(now)
-        self.dirty = True
+        self.touched.dirty = True
         if had_replicas:
             self._join_all(now)  # not only with the next tick: users wait for them
 
@@ -265,7 +276,7 @@
             log.error("event=machine_transferred_with_task task=%s/%d", task.job, task.number)
         self.unreconciled.discard(machine.id)
         del self.machines[machine.id]
-        self.dirty = True
+        self.touched.dirty = True
 
     def token_for(self, machine_id: MachineId) -> FencingToken:
         """The token that commands to a machine's worker carry."""
@@ -306,9 +317,9 @@
             # gone: a late copy of a report would otherwise bring it back with its tasks.
             return []
         machine = self._machine(heartbeat.machine, now)
-        if (heartbeat.incarnation, heartbeat.sequence) <= machine.newest:
+        if (heartbeat.incarnation, heartbeat.sequence) <= machine.newest_heartbeat:
             return []
-        new_incarnation = heartbeat.incarnation > machine.newest[0]
+        new_incarnation = heartbeat.incarnation > machine.newest_heartbeat[0]
         if (
             new_incarnation
             and machine.reconciled
@@ -317,15 +328,15 @@
             # A lease that ended while we answered its reports: the answers don't reach it. It
             # asks all controllers in turn, so its reports here may also be a lease apart; then
             # the second end soon after the first tells.
-            again = now - machine.renewed < self._lease_s * REPEATED_INCARNATION_LEASES
+            again = now - machine.incarnation_ended_at < self._lease_s * REPEATED_INCARNATION_LEASES
             if (
                 again
                 or now - machine.last_confirmed_at < self._lease_s * UNREACHABLE_LEASE_FRACTION
             ):
                 machine.unreachable = True
                 log.info("event=machine_unreachable machine=%s", machine.id)
-            machine.renewed = now
-        machine.newest = (heartbeat.incarnation, heartbeat.sequence)
+            machine.incarnation_ended_at = now
+        machine.newest_heartbeat = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
         machine.type = heartbeat.type
         machine.spot = heartbeat.spot
@@ -341,7 +352,7 @@
             machine.last_confirmed_at = now
         if is_current and not machine.reconciled:
             machine.reconciled = True
-            self.dirty = True
+            self.touched.dirty = True
             self.touched.machine(machine.id)
             self.unreconciled.discard(heartbeat.machine)
         if new_incarnation:
@@ -364,7 +375,7 @@
             commands = self._forget_stored(now, machine, drained or bool(commands)) + commands
         # Replicas alone keep a machine, but its time without other work counts.
         busy = any(
-            task_attempt.stage != "exited"
+            task_attempt.stage != EXITED
             and not (task_attempt.spec is not None and task_attempt.spec.is_service)
             for task_attempt in machine.task_attempts.values()
         )
@@ -393,7 +404,7 @@
         if usable != machine.was_usable:
             machine.was_usable = usable
             self.touched.machine(machine.id)
-            self.dirty = True
+            self.touched.dirty = True
         return usable
 
     def tick(self, now: Seconds, wall: Seconds = 0.0, followed: bool = True) -> None:
@@ -493,7 +504,7 @@
         """What is on this machine, or meant for it, has changed."""
         machine.used = None
         self.touched.machine(machine.id)
-        self.dirty = True
+        self.touched.dirty = True
 
     def _free_for(self, machine: Machine, spec: JobSpec) -> Resources:
         """The free room that this work may use."""
@@ -546,7 +557,7 @@
         """The grant of a single is over: it is done, given back, or not wanted."""
         if array_task.queue is not None:
             slot = array_task.queue
-            if slot.current == task and array_task.state == ASSIGNED:
+            if slot.current == task and array_task.state == TaskState.ASSIGNED:
                 slot.current = None
                 self._slot_changed(slot)
             elif task in slot.queue:
@@ -558,10 +569,10 @@
         if machine is not None:
             self._changed(machine)
 
-    def _set(self, task: TaskRef, array_task: ArrayTask, state: int) -> None:
+    def _set(self, task: TaskRef, array_task: ArrayTask, state: TaskState) -> None:
         array_task.state = state
         self.touched.job(task.job)
-        self.dirty = True
+        self.touched.dirty = True
 
     def _take_tasks(
         self,
@@ -597,11 +608,11 @@
                 machine.used = None
             task_attempt.sent = False
             task_attempt.stage = item.stage
-            if task_attempt.spec is not None and item.stage in ("fetching", "running", "gathering"):
+            if task_attempt.spec is not None and item.stage in (FETCHING, RUNNING, GATHERING):
                 self.images.add(machine, task_attempt.spec.image)
-            if item.stage == "running" and task_attempt.running_at is None:
+            if item.stage == RUNNING and task_attempt.running_at is None:
                 task_attempt.running_at = now
-            if is_current and item.stage == "exited":
+            if is_current and item.stage == EXITED:
                 commands += self._exited(now, machine, item, task_attempt)
             elif is_current:
                 self._present(now, machine, item)
@@ -632,25 +643,25 @@
             machine.lost_starts = 0
         elif sent:
             machine.lost_starts += 1
-            machine.lost_at = now
-        elif now - machine.lost_at > self._lease_s:
+            machine.lost_starts_at = now
+        elif now - machine.lost_starts_at > self._lease_s:
             # Its lease would have ended by now if no answer had reached it.
             machine.lost_starts = 0
 
     def _present(self, now: Seconds, machine: Machine, item: TaskStatus) -> None:
         array_task = self._array_task(item.task)
         if array_task is not None:
-            if array_task.state == ON_MACHINE:
+            if array_task.state == TaskState.ON_MACHINE:
                 if array_task.machine != machine.id:
                     log.error(
                         "event=task_on_two_machines task=%s/%d", item.task.job, item.task.number
                     )
                 return
-            if array_task.state in (WAITING, ASSIGNED, RELEASED):
+            if array_task.state in (TaskState.WAITING, TaskState.ASSIGNED, TaskState.RELEASED):
                 log.error("event=task_unexpected task=%s/%d", item.task.job, item.task.number)
-            if array_task.state != FINISHED:
+            if array_task.state != TaskState.FINISHED:
                 self._drop(item.task, array_task)
-                self._set(item.task, array_task, ON_MACHINE)
+                self._set(item.task, array_task, TaskState.ON_MACHINE)
                 array_task.machine = machine.id
             return
         reservation = self.reservations.get(item.task.job)
@@ -679,16 +690,16 @@
                 return []
             reservation = self.reservations.get(task.job)
             if array_task is not None:
-                if array_task.state != FINISHED:
+                if array_task.state != TaskState.FINISHED:
                     self._learn(now, machine, task, task_attempt, array_task)
                     self._leave_slot(machine, task)
-                    self._set(task, array_task, FINISHED)
+                    self._set(task, array_task, TaskState.FINISHED)
                     array_task.machine = machine.id
             elif reservation is not None and reservation.attempt == item.attempt:
                 if self.done_gangs.get(task.job) != item.attempt:
                     self.done_gangs[task.job] = reservation.attempt
                     self._learn(now, machine, task, task_attempt, None)
-                    self.dirty = True
+                    self.touched.dirty = True
             else:
                 # A result that nothing here accounts for: not used, and not kept.
                 self._remove_task_attempt(machine, task)
@@ -712,7 +723,7 @@
         if (
             array_task is not None
             and array_task.machine == machine.id
-            and array_task.state == ON_MACHINE
+            and array_task.state == TaskState.ON_MACHINE
         ):
             if (
                 replica
@@ -723,7 +734,7 @@
             self._requeue(
                 now, task, array_task, failed=item.cause not in ("halted", "full", "peers")
             )
-        self.dirty = True
+        self.touched.dirty = True
         return forget
 
     def _learn(
@@ -769,10 +780,10 @@
         """A task is known not to be on its machine any more."""
         task_attempt = machine.task_attempts.get(task)
         self._remove_task_attempt(machine, task)
-        self.dirty = True
+        self.touched.dirty = True
         array_task = self._array_task(task)
         if array_task is not None and array_task.machine == machine.id:
-            if array_task.state in (ON_MACHINE, FINISHED):
+            if array_task.state in (TaskState.ON_MACHINE, TaskState.FINISHED):
                 # A result that vanished before it was stored has to be made again.
                 self._requeue(now, task, array_task, failed=False)
             return
@@ -788,7 +799,7 @@
             reservation.bad = why
 
     def _requeue(self, now: Seconds, task: TaskRef, array_task: ArrayTask, failed: bool) -> None:
-        self._set(task, array_task, WAITING)
+        self._set(task, array_task, TaskState.WAITING)
         array_task.machine = None
         array_task.since = now
         array_task.queue = None
@@ -809,9 +820,9 @@
         self._has_unconfirmed = False
         for job_id, array_tasks in self.array_tasks.items():
             for index, array_task in array_tasks.items():
-                if array_task.state == UNCONFIRMED:
+                if array_task.state == TaskState.UNCONFIRMED:
                     task = TaskRef(job_id, TaskIndex(index))
-                    self._set(task, array_task, WAITING)
+                    self._set(task, array_task, TaskState.WAITING)
                     array_task.since = now
                     self.queues.unqueued.append(task)
 
@@ -836,7 +847,11 @@
         able: dict[Any, list[Machine]] = {}
         for task in waiting:
             array_task = self._array_task(task)
-            if array_task is None or array_task.state != WAITING or array_task.queue is not None:
+            if (
+                array_task is None
+                or array_task.state != TaskState.WAITING
+                or array_task.queue is not None
+            ):
                 continue
             spec = self._spec(task)
             if spec is None:
@@ -960,14 +975,14 @@
 
     def remaining_wait(self, now: Seconds, job_id: JobId, reservation: GangReservation) -> Seconds:
         """Time until the latest estimated end among the gang's held slots, at least zero."""
-        if reservation.wait[0] != now:
+        if reservation.wait_at != now:
             latest = 0.0
             for machine_id in reservation.on:
                 machine = self.machines.get(machine_id)
                 if machine is not None:
                     latest = max(latest, self._room_in(now, machine))
-            reservation.wait = (now, latest)
-        return reservation.wait[1]
+            reservation.wait_at, reservation.wait_s = now, latest
+        return reservation.wait_s
 
     def _room_in(self, now: Seconds, machine: Machine) -> Seconds:
         """Estimated time until all that is held on a machine is idle."""
@@ -978,7 +993,7 @@
         ends = sorted(
             (self.left(now, task_attempt), task_attempt.resources)
             for task_attempt in machine.task_attempts.values()
-            if task_attempt.stage != "exited"
+            if task_attempt.stage != EXITED
         )
         for left, resources in ends:
             room = room.plus(resources)
@@ -1069,9 +1084,9 @@
                 if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
                     kept.append(slot)  # what is stopped for it is not gone yet
                     continue
-                if array_task is not None and array_task.state == ASSIGNED:
+                if array_task is not None and array_task.state == TaskState.ASSIGNED:
                     commands.append(self._start(now, machine, task, self._new_attempt()))
-                    self._set(task, array_task, ON_MACHINE)
+                    self._set(task, array_task, TaskState.ON_MACHINE)
                     array_task.queue = None
                 else:
                     slot.current = None
@@ -1089,7 +1104,7 @@
         assert array_task is not None
         slot.current = task
         slot.resources = self._size(task)
-        self._set(task, array_task, ASSIGNED)
+        self._set(task, array_task, TaskState.ASSIGNED)
         array_task.machine = slot.machine
         array_task.queue = slot
         spec, machine = self._spec(task), self.machines.get(slot.machine)
@@ -1126,8 +1141,8 @@
 
     def _unqueue(self, task: TaskRef) -> None:
         array_task = self._array_task(task)
-        if array_task is not None and array_task.state in (WAITING, ASSIGNED):
-            self._set(task, array_task, WAITING)
+        if array_task is not None and array_task.state in (TaskState.WAITING, TaskState.ASSIGNED):
+            self._set(task, array_task, TaskState.WAITING)
             array_task.queue = None
             array_task.machine = None
             self.queues.unqueued.append(task)
@@ -1148,7 +1163,7 @@
 
     def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
         spec = self._spec(task)
-        machine.task_attempts[task] = TaskAttempt(attempt, "fetching", now, True, spec)
+        machine.task_attempts[task] = TaskAttempt(attempt, FETCHING, now, True, spec)
         if spec is not None:
             self.images.add(machine, spec.image)
         machine.idle_since = now
@@ -1168,10 +1183,12 @@
             job = self.cache.jobs.get(job_id)
             replica = job is not None and job.spec.is_service
             for index, array_task in array_tasks.items():
-                if array_task.state not in (WAITING, ASSIGNED):
+                if array_task.state not in (TaskState.WAITING, TaskState.ASSIGNED):
                     continue
                 patience = (
-                    REPLICA_WAIT_S if replica and array_task.state == WAITING else LONG_WAIT_S
+                    REPLICA_WAIT_S
+                    if replica and array_task.state == TaskState.WAITING
+                    else LONG_WAIT_S
                 )
                 if now - max(array_task.since, array_task.not_before) > patience:
                     self._release(job, TaskRef(job_id, TaskIndex(index)), array_task)
@@ -1179,7 +1196,7 @@
     def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
         self._drop(task, array_task)
         array_task.released = job.task_version(task.number) if job is not None else 0
-        self._set(task, array_task, RELEASED)
+        self._set(task, array_task, TaskState.RELEASED)
 
     # Gangs
 
@@ -1189,7 +1206,7 @@
             return
         if any(self._useless(m) for m in reservation.on):
             reservation.bad = "machine leaves"
-            self.dirty = True
+            self.touched.dirty = True
             return
         each = self.cache.jobs[job_id].resources
         for machine_id, indices in reservation.on.items():
@@ -1210,7 +1227,7 @@
             if not each.times(len(indices)).fits_in(room):
                 return
         reservation.ready = True
-        self.dirty = True
+        self.touched.dirty = True
 
     def _useless(self, machine_id: MachineId) -> bool:
         record = self.cache.machines.get(machine_id)
@@ -1238,7 +1255,7 @@
         commands = []
         preempt = self._preempted(now, machine)
         for task, task_attempt in machine.task_attempts.items():
-            if task_attempt.stage == "exited" or task_attempt.sent:
+            if task_attempt.stage == EXITED or task_attempt.sent:
                 continue
             job = self.cache.jobs.get(task.job)
             if job is None or not job.open:
@@ -1256,7 +1273,7 @@
                 array_task = self._array_task(task)
                 # What was granted before this ownership may be this one, until all are heard.
                 wanted = array_task is not None and (
-                    array_task.machine == machine.id or array_task.state == UNCONFIRMED
+                    array_task.machine == machine.id or array_task.state == TaskState.UNCONFIRMED
                 )
             if (
                 spec.is_service
@@ -1264,7 +1281,7 @@
                 and self._replicas.must_leave(now, machine, task.job, spec)
             ):
                 wanted = False
-            orderly = spec.checkpoint_interval_s > 0 and task_attempt.stage == "running"
+            orderly = spec.checkpoint_interval_s > 0 and task_attempt.stage == RUNNING
             leaving = (
                 machine.spot_notice_s is not None
                 and orderly
@@ -1272,7 +1289,7 @@
             )
             if wanted and not leaving and task not in preempt:
                 continue
-            if task_attempt.stage == "flushing" or (task_attempt.stopped and orderly):
+            if task_attempt.stage == FLUSHING or (task_attempt.stopped and orderly):
                 continue
             task_attempt.stopped = True
             commands.append(
@@ -1314,7 +1331,7 @@
 
     def status(self, now: Seconds, base: int = 0) -> ShardStatus:
         """What the leader needs to know of this part, if it has the status numbered `base`."""
-        self.dirty = False
+        self.touched.dirty = False
         return full_status(self, now, base)
 
     def clear_jobs(self) -> list[JobId]:
@@ -1367,7 +1384,7 @@
         """Whether a task of a cancelled job is, or may be, on this machine."""
         for task, task_attempt in machine.task_attempts.items():
             job = self.cache.jobs.get(task.job)
-            if task_attempt.stage != "exited" and (job is None or not job.open):
+            if task_attempt.stage != EXITED and (job is None or not job.open):
                 return True
         if machine.id not in self.unreconciled:
             return False
@@ -1381,6 +1398,6 @@
         counts: dict[JobId, int] = {}
         for machine in self.machines.values():
             for task, task_attempt in machine.task_attempts.items():
-                if task_attempt.stage == "running":
+                if task_attempt.stage == RUNNING:
                     counts[task.job] = counts.get(task.job, 0) + 1
         yield from counts.items()
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -1,9 +1,10 @@
-"""What a part knows: its singles, slots, machines and holds."""
+"""What a shard knows of its array tasks, slots, machines and gang reservations."""
 
 from __future__ import annotations
 
+import enum
 from collections import deque
-from collections.abc import Collection
+from typing import Final, Literal
 
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import (
@@ -19,18 +20,44 @@
 IMAGES_MOST = 64  # images remembered of a machine, the newest ones
 SLOW_SAMPLES = 12  # run times that are compared before a machine is called slow
 
-WAITING, ASSIGNED, ON_MACHINE, UNCONFIRMED, RELEASED, FINISHED = range(6)
+# The stages of a task attempt, as heartbeats name them. They are plain constants, not an enum:
+# a heartbeat's stages are compared for each task on its machine.
+FETCHING: Final = "fetching"
+RUNNING: Final = "running"
+GATHERING: Final = "gathering"  # a gang's task runs, but not all of its peers do
+FLUSHING: Final = "flushing"  # it saves its state before it stops
+EXITED: Final = "exited"
+
+# How a gang's attempt stands in a shard, as the leader is told.
+GangState = Literal["held", "on", "bad", "done", "busy", "clear"]
+GANG_HELD: Final = "held"  # slots are reserved, and not all starts were sent
+GANG_ON: Final = "on"  # all starts were sent
+GANG_BAD: Final = "bad"  # this attempt can't succeed
+GANG_DONE: Final = "done"  # a task of it has the result
+GANG_BUSY: Final = "busy"  # no longer wanted, but some task is or may be on its machine
+GANG_CLEAR: Final = "clear"  # no longer wanted, and on no machine
+
+
+class TaskState(enum.IntEnum):
+    """Where an array task stands that is assigned to this shard."""
+
+    WAITING = 0  # unqueued, in a slot's queue, or paused after a failure
+    ASSIGNED = 1  # a slot's current task, whose start was not sent yet
+    ON_MACHINE = 2
+    UNCONFIRMED = 3  # from before this ownership: it may be on a machine that is not heard yet
+    RELEASED = 4  # given back to the leader
+    FINISHED = 5  # its result is on the machine, until the leader has stored it
 
 
 class ArrayTask:
-    """A task of an array that is granted to this part."""
+    """A task of an array that is assigned to this shard."""
 
     __slots__ = ("fails", "machine", "not_before", "queue", "released", "since", "state")
 
-    def __init__(self, state: int, now: Seconds) -> None:
+    def __init__(self, state: TaskState, now: Seconds) -> None:
         self.state = state
         self.machine: MachineId | None = None
-        self.queue: Slot | None = None
+        self.queue: Slot | None = None  # the slot whose current task it is, or where it waits
         self.since = now
         self.fails = 0
         self.not_before = 0.0
@@ -38,7 +65,7 @@
 
 
 class Slot:
-    """A share of a machine, carved to the size of its task, with a queue of singles."""
+    """A piece of a machine, carved to the size of its task, with a queue of array tasks."""
 
     __slots__ = ("current", "endless", "image", "machine", "queue", "resources")
 
@@ -52,7 +79,7 @@
 
 
 class TaskAttempt:
-    """A task that is, or may be, on a machine."""
+    """An attempt of a task that is, or may be, on a machine."""
 
     __slots__ = ("attempt", "resources", "running_at", "sent", "since", "spec", "stage", "stopped")
 
@@ -62,19 +89,19 @@
         self.attempt = attempt
         self.stage = stage
         self.since = now
-        self.sent = sent  # told to start, but not yet seen in a report
+        self.sent = sent  # told to start, but not yet seen in a heartbeat
         self.running_at: Seconds | None = None
         self.stopped = False
         self.describe(spec)
 
     def describe(self, spec: JobSpec | None) -> None:
-        """What its job asks for; None while the job's record is not here yet."""
+        """Note what its job asks for; None while the job's record is not here yet."""
         self.spec = spec
         self.resources = spec.resources if spec is not None else NO_RESOURCES
 
 
 class Machine:
-    """A machine as its reports tell it."""
+    """A machine as its heartbeats tell it."""
 
     __slots__ = (
         "address",
@@ -84,14 +111,14 @@
         "id",
         "idle_since",
         "images",
+        "incarnation_ended_at",
         "last_confirmed_at",
         "last_heartbeat_at",
         "lateness",
-        "lost_at",
         "lost_starts",
-        "newest",
+        "lost_starts_at",
+        "newest_heartbeat",
         "reconciled",
-        "renewed",
         "slots",
         "slow",
         "spot",
@@ -104,20 +131,20 @@
         "was_usable",
     )
 
-    def __init__(self, machine: MachineId, now: Seconds) -> None:
-        self.id = machine
+    def __init__(self, machine_id: MachineId, now: Seconds) -> None:
+        self.id = machine_id
         self.capacity = NO_RESOURCES
         self.type = ""
         self.spot = False
         self.address = ""
-        self.reconciled = False  # has reported under this part's token
-        self.newest = (0, 0)
-        self.last_heartbeat_at = now  # when it reported last
-        self.last_confirmed_at = now  # and when it last did so under this part's token
-        self.lost_starts = 0  # reports in a row without the starts that were sent before
-        self.lost_at = now  # when there was the last of them
-        self.renewed = -1e9  # when a session of it ended last, as far as we know
-        self.unreachable = False  # its lease ended although its reports were answered
+        self.reconciled = False  # a heartbeat has carried this shard's fencing token
+        self.newest_heartbeat = (0, 0)  # its incarnation and sequence number
+        self.last_heartbeat_at = now
+        self.last_confirmed_at = now  # the last heartbeat with this shard's fencing token
+        self.lost_starts = 0  # heartbeats in a row without the starts that were sent before
+        self.lost_starts_at = now  # when there was the last of them
+        self.incarnation_ended_at = -1e9  # when one ended last, as far as it is known here
+        self.unreachable = False  # its lease ended although its heartbeats were answered
         self.spot_notice_s: Seconds | None = None
         self.task_attempts: dict[TaskRef, TaskAttempt] = {}
         self.slots: list[Slot] = []
@@ -140,7 +167,7 @@
     def _count_taken(self) -> Resources:
         cpus = gpus = ram_gb = 0.0
         for task_attempt in self.task_attempts.values():
-            if task_attempt.stage != "exited":
+            if task_attempt.stage != EXITED:
                 resources = task_attempt.resources
                 cpus += resources.cpus
                 gpus += resources.gpus
@@ -161,7 +188,7 @@
         return any(
             task_attempt.spec is not None
             and task_attempt.spec.is_service
-            and task_attempt.stage != "exited"
+            and task_attempt.stage != EXITED
             for task_attempt in self.task_attempts.values()
         )
 
@@ -170,12 +197,13 @@
         images = {
             task_attempt.spec.image
             for task_attempt in self.task_attempts.values()
-            if task_attempt.stage == "fetching" and task_attempt.spec is not None
+            if task_attempt.stage == FETCHING and task_attempt.spec is not None
         }
         images.update(s.image for s in self.slots if s.current not in self.task_attempts)
         return len(images)
 
     def slot_of(self, task: TaskRef) -> Slot | None:
+        """The slot whose current task this is."""
         for slot in self.slots:
             if slot.current == task:
                 return slot
@@ -183,7 +211,7 @@
 
 
 class GangReservation:
-    """Slots of this part held for an attempt of a gang."""
+    """Slots of this shard reserved for an attempt of a gang."""
 
     __slots__ = (
         "attempt",
@@ -196,100 +224,22 @@
         "ready",
         "seen",
         "since",
-        "wait",
+        "wait_at",
+        "wait_s",
     )
 
     def __init__(self, attempt: int, placements: dict[int, MachineId], now: Seconds) -> None:
         self.attempt = attempt
         self.placements = placements
         self.on: dict[MachineId, list[int]] = {}  # the tasks to be on each machine
-        for index, machine in placements.items():
-            self.on.setdefault(machine, []).append(index)
-        self.inherited = False  # taken over with the part from an earlier owner
+        for index, machine_id in placements.items():
+            self.on.setdefault(machine_id, []).append(index)
+        self.inherited = False  # taken over with the shard from an earlier owner
         self.ready = False  # all its slots are idle: the starts go out
         self.launched: set[int] = set()
         self.seen: set[int] = set()
-        self.bad = ""
-        self.preempt = False
+        self.bad = ""  # why this attempt can't succeed; empty while it may
+        self.preempt = False  # whether work of lower priority is stopped for it
         self.since = now
-        self.wait = (-1.0, 0.0)  # when the remaining wait was last counted, and what it was
-
-
-class Images:
-    """Which machines have which image, or fetch it, or are about to.
-
-    A job's tasks join together, before the first of them is reported: what is only meant for
-    a machine counts, or each of them would have the image fetched by another machine.
-    """
-
-    def __init__(self) -> None:
-        self._where: dict[str, dict[MachineId, None]] = {}
-
-    def add(self, machine: Machine, image: str) -> None:
-        images = machine.images
-        if image in images:
-            return
-        images[image] = None
-        self._where.setdefault(image, {})[machine.id] = None
-        while len(images) > IMAGES_MOST:
-            self._remove(machine, next(iter(images)))
-
-    def _remove(self, machine: Machine, image: str) -> None:
-        del machine.images[image]
-        there = self._where[image]
-        del there[machine.id]
-        if not there:
-            del self._where[image]
-
-    def clear(self, machine: Machine) -> None:
-        for image in list(machine.images):
-            self._remove(machine, image)
-
-    def where(self, image: str) -> Collection[MachineId]:
-        return self._where.get(image, {}).keys()
-
-
-class Queues:
-    """The part's queues that are not empty, beside the singles that found none."""
-
-    def __init__(self) -> None:
-        self.unqueued: deque[TaskRef] = deque()
-        self._of_job: dict[JobId, dict[Slot, int]] = {}  # how many of its tasks wait where
-
-    def _left(self, slot: Slot, task: TaskRef) -> None:
-        slots = self._of_job[task.job]
-        slots[slot] -= 1
-        if not slots[slot]:
-            del slots[slot]
-            if not slots:
-                del self._of_job[task.job]
-
-    def join(self, slot: Slot, task: TaskRef) -> None:
-        slot.queue.append(task)
-        slots = self._of_job.setdefault(task.job, {})
-        slots[slot] = slots.get(slot, 0) + 1
-
-    def leave(self, slot: Slot, task: TaskRef) -> None:
-        slot.queue.remove(task)
-        self._left(slot, task)
-
-    def empty(self, slot: Slot) -> list[TaskRef]:
-        tasks = list(slot.queue)
-        slot.queue.clear()
-        for task in tasks:
-            self._left(slot, task)
-        return tasks
-
-    def waiting_jobs(self) -> dict[JobId, None]:
-        return dict.fromkeys([*self._of_job, *(task.job for task in self.unqueued)])
-
-    def longest_first(self, jobs: Collection[JobId]) -> list[Slot | None]:
-        """Where singles of these jobs wait, the longest queue first; None stands for those
-        that found no queue."""
-        slots: dict[Slot | None, int] = {}
-        for job in jobs:
-            for slot in self._of_job.get(job, ()):
-                slots[slot] = len(slot.queue)
-        if any(task.job in jobs for task in self.unqueued):
-            slots[None] = len(self.unqueued)
-        return sorted(slots, key=slots.__getitem__, reverse=True)
+        self.wait_at = -1.0  # when the remaining wait was last counted
+        self.wait_s = 0.0  # and what it was
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -9,12 +9,10 @@
 
 from dapplewick.core.leader.capacity import GANG_PRIORITY
 from dapplewick.core.shard.state import (
-    ASSIGNED,
-    FINISHED,
-    ON_MACHINE,
-    RELEASED,
+    EXITED,
     GangReservation,
     Machine,
+    TaskState,
 )
 from dapplewick.protocol.peers import (
     GangStatus,
@@ -35,30 +33,6 @@
 K = TypeVar("K", MachineId, JobId)
 
 
-class Touched:
-    """The number of the status in which each machine, job and gang changed last.
-
-    A status tells all that changed after a number that the leader has confirmed, so one that
-    is lost costs nothing: the next starts from the same number.
-    """
-
-    def __init__(self) -> None:
-        self.number = 1
-        self.machines: dict[MachineId, int] = {}
-        self.jobs: dict[JobId, int] = {}
-        self.gangs: dict[JobId, int] = {}
-        self.gang_said: dict[JobId, GangStatus] = {}
-
-    def machine(self, machine_id: MachineId) -> None:
-        self.machines[machine_id] = self.number
-
-    def job(self, job_id: JobId) -> None:
-        self.jobs[job_id] = self.number
-
-    def gang(self, job_id: JobId) -> None:
-        self.gangs[job_id] = self.number
-
-
 def _since(numbers: dict[K, int], base: int) -> list[K]:
     return [key for key, number in numbers.items() if number > base]
 
@@ -84,7 +58,7 @@
         j: _job(scheduler, j) if j in scheduler.array_tasks else None
         for j in _since(touched.jobs, base)
     }
-    gangs = {j: touched.gang_said.get(j) for j in _since(touched.gangs, base)}
+    gangs = {j: touched.gang_statuses.get(j) for j in _since(touched.gangs, base)}
     _forget(touched.machines, scheduler.machines, base)
     _forget(touched.jobs, scheduler.array_tasks, base)
     _forget(touched.gangs, scheduler.reservations, base)
@@ -140,7 +114,7 @@
             task.job if task_attempt.spec.is_gang else "",
         )
         for task, task_attempt in machine.task_attempts.items()
-        if task_attempt.stage != "exited" and task_attempt.spec is not None
+        if task_attempt.stage != EXITED and task_attempt.spec is not None
     ]
     ends.sort()
     return MachineStatus(
@@ -163,14 +137,14 @@
     done, released = [], []
     for index, array_task in scheduler.array_tasks[job_id].items():
         state = array_task.state
-        if state == ON_MACHINE:
+        if state == TaskState.ON_MACHINE:
             placed += 1
             running += 1
-        elif state == ASSIGNED:
+        elif state == TaskState.ASSIGNED:
             placed += 1
-        elif state == FINISHED:
+        elif state == TaskState.FINISHED:
             done.append(index)
-        elif state == RELEASED:
+        elif state == TaskState.RELEASED:
             released.append(index)
     return JobStatus(
         placed=placed,
@@ -184,15 +158,15 @@
 def _touch_gangs(scheduler: ShardScheduler, now: Seconds) -> None:
     """Gangs change with much that happens elsewhere; there are few, so all are compared."""
     touched = scheduler.touched
-    for job_id in [j for j in touched.gang_said if j not in scheduler.reservations]:
-        del touched.gang_said[job_id]
+    for job_id in [j for j in touched.gang_statuses if j not in scheduler.reservations]:
+        del touched.gang_statuses[job_id]
         touched.gang(job_id)
     for job_id, reservation in scheduler.reservations.items():
         state = scheduler.gang_state(job_id, reservation)
         wait = _wait(scheduler, now, job_id, reservation, state)
         status = GangStatus(reservation.attempt, state, wait)
-        if touched.gang_said.get(job_id) != status:
-            touched.gang_said[job_id] = status
+        if touched.gang_statuses.get(job_id) != status:
+            touched.gang_statuses[job_id] = status
             touched.gang(job_id)
 
 
@@ -201,7 +175,7 @@
 ) -> float:
     if state != "held" or reservation.ready:
         return 0.0
-    at, wait = reservation.wait
-    if now - at > WAIT_S:
+    wait = reservation.wait_s
+    if now - reservation.wait_at > WAIT_S:
         wait = scheduler.remaining_wait(now, job_id, reservation)
     return round(wait)
