--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -8,14 +8,16 @@
 
 import logging
 from collections.abc import Iterable, Iterator
-from typing import Protocol
 
+from dapplewick.core.shard.constraints import PlacementConstraints
+from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.preemption import leaves, may_be_stopped
 from dapplewick.core.shard.state import EXITED, Machine
 from dapplewick.protocol.cloud import MachineType
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.watch_cache import WatchCache
-from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds
+from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds
 
 log = logging.getLogger("dapplewick.part")
 
@@ -32,23 +34,22 @@
 LEAST_FETCH_RATE = 0.01
 
 
-class ShardState(Protocol):
-    """What is to be known of the part that the replicas are in."""
-
-    machines: dict[MachineId, Machine]
-    cache: WatchCache
-
-    def allowed(self, spec: JobSpec, machine: Machine) -> bool: ...
-
-    def reserved_resources(self, machine_id: MachineId) -> Resources: ...
-
-
 class ReplicaPlacement:
     """Chooses places for replicas among a part's machines."""
 
-    def __init__(self, shard: ShardState, report_s: Seconds) -> None:
-        self._shard = shard
-        self._report_s = report_s
+    def __init__(
+        self,
+        cache: WatchCache,
+        machines: MachineTable,
+        constraints: PlacementConstraints,
+        reservations: GangReservations,
+        heartbeat_interval_s: Seconds,
+    ) -> None:
+        self._cache = cache
+        self._machines = machines
+        self._constraints = constraints
+        self._reservations = reservations
+        self._heartbeat_interval_s = heartbeat_interval_s
 
     def best_machine(
         self, now: Seconds, spec: JobSpec, job_id: JobId, able: Iterable[Machine]
@@ -58,7 +59,7 @@
         best: tuple[Seconds, Machine] | None = None
         for machine in able:
             room = machine.free()
-            held = self._shard.reserved_resources(machine.id)
+            held = self._reservations.reserved_resources(machine.id)
             if held is not NO_RESOURCES:
                 room = room.minus(held)
             forced = not spec.resources.fits_in(room)
@@ -87,12 +88,12 @@
         cost = SAME_SERVICE_COST_S * same + SPOT_COST_S * machine.spot
         cost += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
         if spec.image not in machine.images:
-            kind = self._shard.cache.types.get(machine.type)
+            kind = self._cache.types.get(machine.type)
             rate = kind.fetch_rate if kind is not None else 0.1
             cost += spec.image_gb / max(LEAST_FETCH_RATE, rate)
             cost += machine.fetches()
         # Who reported long ago reports again soon; the start goes out in the answer.
-        cost += max(0.0, self._report_s - (now - machine.last_heartbeat_at))
+        cost += max(0.0, self._heartbeat_interval_s - (now - machine.last_heartbeat_at))
         return cost + CPU_COST_S * machine.free().cpus
 
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
@@ -100,10 +101,10 @@
         soon as another with its image has room, or at the last moment."""
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
-        drained = machine.drain or self._shard.cache.transfers.drains(machine.id) is not None
+        drained = machine.drain or self._cache.transfers.drains(machine.id) is not None
         if machine.spot_notice_s is None and not machine.slow and not drained:
             return False
-        able = (m for m in self._others(machine) if self._shard.allowed(spec, m))
+        able = (m for m in self._others(machine) if self._constraints.allow(spec, m))
         place = self.best_machine(now, spec, job_id, able)
         if place is None or not spec.resources.fits_in(place.free()):
             return False
@@ -112,13 +113,13 @@
         return spec.image in place.images or machine.spot_notice_s is not None or waited
 
     def _others(self, machine: Machine) -> list[Machine]:
-        return [m for m in self._shard.machines.values() if m is not machine and m.was_usable]
+        return [m for m in self._machines.by_id.values() if m is not machine and m.was_usable]
 
     def drain_dear(self, now: Seconds, work_waits: bool) -> Iterator[Machine]:
         """Mark dear machines on which nothing but replicas has been for long, if what is there
         has room on others: they move, and it is returned. Gives those that are newly marked.
         Work that could use a machine brings it back once it is empty."""
-        for machine in self._shard.machines.values():
+        for machine in self._machines.by_id.values():
             task_attempts = [
                 task_attempt
                 for task_attempt in machine.task_attempts.values()
@@ -141,14 +142,14 @@
 
     def _is_dear(self, machine: Machine, specs: list[JobSpec]) -> bool:
         """Whether a machine costs much more than the cheapest on which all of this fits."""
-        types = self._shard.cache.types
+        types = self._cache.types
         kind = types.get(machine.type)
         prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         return kind is not None and bool(prices) and kind.price > DRAIN_PRICE * min(prices)
 
     def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
-            any(self._shard.allowed(s, m) and s.resources.fits_in(m.free()) for m in machines)
+            any(self._constraints.allow(s, m) and s.resources.fits_in(m.free()) for m in machines)
             for s in specs
         )
 
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -74,7 +74,7 @@
         # What never learns our token hears nothing of what we say, however often it reports.
         # While reports are not heard here, as in a long outage, no machine is silent for that: all
         # of them were deleted when the state service was back.
-        quiet = now - max(m.last_confirmed_at, scheduler.listening_since)
+        quiet = now - max(m.last_confirmed_at, scheduler._health.listening_since)
         if quiet > QUIET_S:
             # Replicas can start elsewhere only once it is gone: it is waited for less.
             hasty = scheduler.cancelled_there(m) or m.has_replicas()
@@ -106,7 +106,7 @@
 def _machine(scheduler: ShardScheduler, now: Seconds, machine: Machine) -> MachineStatus:
     ends = [
         (
-            round(now + scheduler.expected_left(now, task_attempt), 1),
+            round(now + scheduler.backfill.expected_left(now, task_attempt), 1),
             *task_attempt.resources,
             GANG_PRIORITY
             if task_attempt.spec.is_gang or task_attempt.spec.is_service
@@ -118,7 +118,7 @@
     ]
     ends.sort()
     return MachineStatus(
-        free=machine.free().minus(scheduler.reserved_resources(machine.id)),
+        free=machine.free().minus(scheduler._gangs.reserved_resources(machine.id)),
         ends=[TaskEnd(*end) for end in ends],
         images=list(machine.images),
         queued=sum(len(s.queue) for s in machine.slots),
@@ -128,7 +128,7 @@
         or machine.slow
         or machine.unreachable
         or machine.drain,
-        faulty=scheduler.faulty(now, machine),
+        faulty=scheduler._health.is_faulty(machine),
     )
 
 
@@ -162,8 +162,8 @@
         del touched.gang_statuses[job_id]
         touched.gang(job_id)
     for job_id, reservation in scheduler.reservations.items():
-        state = scheduler.gang_state(job_id, reservation)
-        wait = _wait(scheduler, now, job_id, reservation, state)
+        state = scheduler._gangs.state(job_id, reservation)
+        wait = _wait(scheduler, now, reservation, state)
         status = GangStatus(reservation.attempt, state, wait)
         if touched.gang_statuses.get(job_id) != status:
             touched.gang_statuses[job_id] = status
@@ -171,11 +171,11 @@
 
 
 def _wait(
-    scheduler: ShardScheduler, now: Seconds, job_id: JobId, reservation: GangReservation, state: str
+    scheduler: ShardScheduler, now: Seconds, reservation: GangReservation, state: str
 ) -> float:
     if state != "held" or reservation.ready:
         return 0.0
     wait = reservation.wait_s
     if now - reservation.wait_at > WAIT_S:
-        wait = scheduler.remaining_wait(now, job_id, reservation)
+        wait = scheduler.backfill.remaining_wait(now, reservation)
     return round(wait)
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -8,6 +8,7 @@
 
 from dapplewick.controller.controller import Controller
 from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.types import Seconds
 from standins import World
@@ -42,7 +43,7 @@
 
 
 def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "allowed", lambda self, spec, machine: True)
+    patch.setattr(PlacementConstraints, "allow", lambda self, spec, machine: True)
 
 
 CASES: list[tuple[Patch, Fault, str]] = [
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -236,10 +236,10 @@
     # A gang held here waits for slots that are never free again.
     bench.reservation("run-3", spec(1, 2.0, 10.0, is_gang=True), [machine], 3.0)
     reservation = scheduler.reservations[JobId("run-3")]
-    assert scheduler.remaining_wait(4.0, JobId("run-3"), reservation) > 1e6
+    assert scheduler.backfill.remaining_wait(4.0, reservation) > 1e6
     # And a replica never passes it, however short its estimate of 0 looks.
-    assert not scheduler._passes(4.0, service(1), scheduler.machines[machine])
-    assert scheduler._passes(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
+    assert not scheduler.backfill.passes(4.0, service(1), scheduler.machines[machine])
+    assert scheduler.backfill.passes(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
     scheduler.estimates.learn("x", 0.0, 50.0)
     assert scheduler.estimates.dump() == {}
 
