--- /dev/null
+++ b/src/dapplewick/core/shard/candidates.py
@@ -0,0 +1,94 @@
+"""Which waiting array tasks may start on a machine now."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterable
+
+from dapplewick.core.shard.array_tasks import ArrayTasks
+from dapplewick.core.shard.backfill import Backfill
+from dapplewick.core.shard.constraints import PlacementConstraints
+from dapplewick.core.shard.free_capacity import FreeCapacity
+from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.state import Machine
+from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds, TaskRef
+
+
+class Candidates:
+    """Finds the jobs that fit on a machine, and among their waiting tasks the next to start."""
+
+    def __init__(
+        self,
+        cache: WatchCache,
+        tasks: ArrayTasks,
+        constraints: PlacementConstraints,
+        free_capacity: FreeCapacity,
+        reservations: GangReservations,
+        backfill: Backfill,
+    ) -> None:
+        self._cache = cache
+        self._tasks = tasks
+        self._constraints = constraints
+        self._free_capacity = free_capacity
+        self._reservations = reservations
+        self._backfill = backfill
+
+    def fitting_jobs(
+        self, now: Seconds, machine: Machine, jobs: Iterable[JobId]
+    ) -> dict[JobId, None]:
+        """The jobs of which an array task may start on this machine now.
+
+        Those come first whose image is there: among queues that are equally long it decides.
+        """
+        reserved = self._reservations.reserved_resources(machine.id)
+        # What a job may use of the machine depends on this much of it alone.
+        rooms: dict[tuple[bool, int, bool], Resources] = {}
+        warm: dict[JobId, None] = {}
+        cold: dict[JobId, None] = {}
+        for job_id in jobs:
+            job = self._cache.jobs.get(job_id)
+            if job is None or not self._constraints.allow(job.spec, machine):
+                continue
+            spec = job.spec
+            if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
+                continue  # away from the others of its service, where there is a choice
+            kind = (spec.gpus > 0, spec.priority, spec.is_service)
+            room = rooms.get(kind)
+            if room is None:
+                room = rooms[kind] = self._free_capacity.usable_by(spec, machine)
+            if not job.resources.fits_in(room):
+                continue
+            fits_beside = reserved is NO_RESOURCES or job.resources.fits_in(room.minus(reserved))
+            if fits_beside or self._backfill.passes(now, spec, machine):
+                (warm if spec.image in machine.images else cold)[job_id] = None
+        return warm | cold
+
+    def next_task(
+        self,
+        now: Seconds,
+        machine: Machine,
+        queue: Iterable[TaskRef],
+        fitting: Collection[JobId],
+    ) -> TaskRef | None:
+        """The first task of a queue that may start on this machine now.
+
+        One whose image is there is preferred.
+
+        Args:
+            now: The time.
+            machine: The machine.
+            queue: The waiting tasks, in the order in which they are to be looked at.
+            fitting: The jobs that `fitting_jobs` has found for this machine.
+        """
+        first_cold: TaskRef | None = None
+        for task in queue:
+            if task.job not in fitting:
+                continue
+            spec = self._tasks.spec(task)
+            array_task = self._tasks.get(task)
+            if spec is None or array_task is None or array_task.not_before > now:
+                continue
+            if spec.image in machine.images:
+                return task
+            first_cold = first_cold or task
+        return first_cold
--- /dev/null
+++ b/src/dapplewick/core/shard/joining.py
@@ -0,0 +1,172 @@
+"""How array tasks join slots and queues: the first point of the design.
+
+"A single joins an idle, empty slot, else a held slot whose test it passes, else the shortest
+queue."
+"""
+
+from __future__ import annotations
+
+import random
+
+from dapplewick.core.shard.array_tasks import ArrayTasks
+from dapplewick.core.shard.backfill import Backfill
+from dapplewick.core.shard.constraints import PlacementConstraints
+from dapplewick.core.shard.free_capacity import FreeCapacity
+from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.machines import MachineTable
+from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.replicas import ReplicaPlacement
+from dapplewick.core.shard.state import ArrayTask, Machine, Slot, TaskState
+from dapplewick.protocol.job_spec import JobSpec, PlacementKey
+from dapplewick.types import Seconds, TaskRef
+
+SAMPLE = 12  # machines looked at when an array task joins
+MAX_QUEUE = 8  # array tasks waiting behind one slot
+
+
+class Joining:
+    """Lets the array tasks that are in no queue join slots and queues."""
+
+    def __init__(
+        self,
+        machines: MachineTable,
+        tasks: ArrayTasks,
+        queues: Queues,
+        images: Images,
+        constraints: PlacementConstraints,
+        free_capacity: FreeCapacity,
+        reservations: GangReservations,
+        backfill: Backfill,
+        replicas: ReplicaPlacement,
+        generator: random.Random,
+    ) -> None:
+        self._machines = machines
+        self._tasks = tasks
+        self._queues = queues
+        self._images = images
+        self._constraints = constraints
+        self._free_capacity = free_capacity
+        self._reservations = reservations
+        self._backfill = backfill
+        self._replicas = replicas
+        self._random = generator
+
+    def join_all(self, now: Seconds) -> None:
+        """Let each array task join that is in no queue; what finds no place stays unqueued."""
+        unqueued = self._queues.unqueued
+        if not unqueued:
+            return
+        usable = [m for m in self._machines.by_id.values() if m.was_usable]
+        waiting = list(unqueued)
+        unqueued.clear()
+        stuck: set[PlacementKey] = set()
+        able: dict[PlacementKey, list[Machine]] = {}
+        for task in waiting:
+            array_task = self._tasks.get(task)
+            if (
+                array_task is None
+                or array_task.state != TaskState.WAITING
+                or array_task.queue is not None
+            ):
+                continue
+            spec = self._tasks.spec(task)
+            # Where one task finds no queue, the next that is alike finds none either.
+            if spec is None or spec.placement_key in stuck:
+                unqueued.append(task)
+                continue
+            machines = able.get(spec.placement_key)
+            if machines is None:
+                machines = able[spec.placement_key] = self._able_machines(spec, usable)
+            if not self._join(now, task, array_task, spec, machines):
+                stuck.add(spec.placement_key)
+                unqueued.append(task)
+
+    def _able_machines(self, spec: JobSpec, usable: list[Machine]) -> list[Machine]:
+        """The machines on which a task of this job would fit if nothing else were there."""
+        resources = spec.resources
+        return [
+            m for m in usable if self._constraints.allow(spec, m) and resources.fits_in(m.capacity)
+        ]
+
+    def _join(
+        self, now: Seconds, task: TaskRef, array_task: ArrayTask, spec: JobSpec, able: list[Machine]
+    ) -> bool:
+        """A task joins an idle slot, else a reserved one that it passes, else the shortest queue.
+
+        Returns:
+            Whether it has found a place.
+        """
+        if spec.is_service:
+            # A replica waits in no queue: the tasks of a slot may take long.
+            machine = self._replicas.best_machine(now, spec, task.job, able)
+            if machine is not None:
+                self._tasks.assign_new_slot(now, task, machine)
+            return machine is not None
+        if len(able) > SAMPLE:
+            able = self._sample(spec, able)
+        machine = self._machine_with_room(now, spec, able)
+        if machine is not None:
+            self._tasks.assign_new_slot(now, task, machine)
+            return True
+        slot = self._slot_with_shortest_queue(spec, able)
+        if slot is None:
+            return False
+        self._queues.join(slot, task)
+        array_task.queue = slot
+        return True
+
+    def _sample(self, spec: JobSpec, able: list[Machine]) -> list[Machine]:
+        """Some machines to look at: of those with the image, and of all."""
+        machine_ids = self._images.where(spec.image)
+        chosen: list[Machine] = []
+        if machine_ids:
+            count = min(len(machine_ids), SAMPLE // 2)
+            for machine_id in self._random.sample(list(machine_ids), count):
+                machine = self._machines.by_id.get(machine_id)
+                if (
+                    machine is not None
+                    and machine.was_usable
+                    and self._constraints.allow(spec, machine)
+                    and spec.resources.fits_in(machine.capacity)
+                ):
+                    chosen.append(machine)
+        rest = self._random.sample(able, SAMPLE - len(chosen))
+        return chosen + [m for m in rest if m not in chosen]
+
+    def _machine_with_room(
+        self, now: Seconds, spec: JobSpec, able: list[Machine]
+    ) -> Machine | None:
+        """The best machine with room beside its reservations, else one whose test is passed."""
+        resources = spec.resources
+        best: Machine | None = None
+        best_key = (0.0, 0.0, 0.0)
+        fits: list[Machine] = []
+        for machine in able:
+            free = self._free_capacity.usable_by(spec, machine)
+            if not resources.fits_in(free):
+                continue
+            fits.append(machine)
+            if not resources.fits_in(free.minus(self._reservations.reserved_resources(machine.id))):
+                continue
+            spare_gpus = machine.capacity.gpus if spec.gpus == 0 else 0.0
+            cold = 0.0 if spec.image in machine.images else 1.0 + machine.fetches()
+            key = (spare_gpus, cold, free.cpus)
+            if best is None or key < best_key:
+                best, best_key = machine, key
+        if best is not None:
+            return best
+        return next((m for m in fits if self._backfill.passes(now, spec, m)), None)
+
+    def _slot_with_shortest_queue(self, spec: JobSpec, able: list[Machine]) -> Slot | None:
+        queues = [
+            (len(slot.queue), is_cold, slot)
+            for machine in able
+            for is_cold in [spec.image not in machine.images]
+            for slot in machine.slots
+            if len(slot.queue) < MAX_QUEUE and not slot.endless
+        ]
+        if not queues:
+            return None
+        # Of the shortest, one where the image is: fetching takes longer than many tasks run.
+        return min(queues, key=lambda queue: queue[:2])[2]
--- /dev/null
+++ b/src/dapplewick/core/shard/launches.py
@@ -0,0 +1,130 @@
+"""The starts that answer a machine's heartbeat."""
+
+from __future__ import annotations
+
+import logging
+
+from dapplewick.core.shard.array_tasks import ArrayTasks
+from dapplewick.core.shard.candidates import Candidates
+from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.machines import MachineTable
+from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.state import FETCHING, Machine, Slot, TaskAttempt, TaskState
+from dapplewick.core.shard.work_stealing import LEAST_FREE_CPUS, WorkStealing
+from dapplewick.protocol.workers import Command
+from dapplewick.types import (
+    IDS_PER_TOKEN,
+    NO_RESOURCES,
+    Attempt,
+    FencingToken,
+    Seconds,
+    TaskIndex,
+    TaskRef,
+)
+
+log = logging.getLogger("dapplewick.part")
+
+
+class Launches:
+    """Fills a machine's slots, and starts what is assigned to them."""
+
+    def __init__(
+        self,
+        token: FencingToken,
+        machines: MachineTable,
+        tasks: ArrayTasks,
+        queues: Queues,
+        images: Images,
+        reservations: GangReservations,
+        candidates: Candidates,
+        stealing: WorkStealing,
+    ) -> None:
+        self._token = token
+        self._machines = machines
+        self._tasks = tasks
+        self._queues = queues
+        self._images = images
+        self._reservations = reservations
+        self._candidates = candidates
+        self._stealing = stealing
+        self._attempt_count = 0
+
+    def launch(self, now: Seconds, machine: Machine) -> list[Command]:
+        """Start all that may start on a machine now: gangs first, then array tasks."""
+        commands = self.launch_gangs(now, machine)
+        if machine.free().cpus > LEAST_FREE_CPUS:
+            self._fill_from_queues(now, machine)
+            self._stealing.steal(now, machine)
+        self._launch_assigned(now, machine, commands)
+        return commands
+
+    def launch_gangs(self, now: Seconds, machine: Machine) -> list[Command]:
+        """Start the tasks of gangs all of whose slots are idle."""
+        commands = []
+        for job_id, reservation, index in self._reservations.slots_on(machine.id):
+            if reservation.ready:
+                reservation.launched.add(index)
+                task = TaskRef(job_id, TaskIndex(index))
+                commands.append(self._start(now, machine, task, Attempt(reservation.attempt)))
+        return commands
+
+    def _fill_from_queues(self, now: Seconds, machine: Machine) -> None:
+        """Let each freed slot take the next task of its queue that may start."""
+        for slot in machine.slots:
+            if slot.current is None and slot.queue:
+                jobs = dict.fromkeys(t.job for t in slot.queue)
+                fitting = self._candidates.fitting_jobs(now, machine, jobs)
+                task = self._candidates.next_task(now, machine, slot.queue, fitting)
+                if task is not None:
+                    self._queues.leave(slot, task)
+                    self._tasks.assign(task, slot)
+
+    def _launch_assigned(self, now: Seconds, machine: Machine, commands: list[Command]) -> None:
+        """Start what slots were assigned, and give up the slots that are left empty."""
+        kept: list[Slot] = []
+        for slot in machine.slots:
+            self._launch_slot(now, machine, slot, commands)
+            if slot.current is not None:
+                kept.append(slot)
+            else:
+                for task in self._queues.empty(slot):
+                    self._tasks.unqueue(task)
+        machine.slots = kept
+
+    def _launch_slot(
+        self, now: Seconds, machine: Machine, slot: Slot, commands: list[Command]
+    ) -> None:
+        task = slot.current
+        if task is None or task in machine.task_attempts:
+            return
+        if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
+            return  # what is stopped for it is not gone yet
+        array_task = self._tasks.get(task)
+        if array_task is not None and array_task.state == TaskState.ASSIGNED:
+            commands.append(self._start(now, machine, task, self._new_attempt()))
+            self._tasks.set_state(task, array_task, TaskState.ON_MACHINE)
+            array_task.queue = None
+        else:
+            slot.current = None
+            self._machines.note_change(machine)
+
+    def _new_attempt(self) -> Attempt:
+        self._attempt_count += 1
+        return Attempt(self._token * IDS_PER_TOKEN + self._attempt_count)
+
+    def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
+        spec = self._tasks.spec(task)
+        machine.task_attempts[task] = TaskAttempt(attempt, FETCHING, now, True, spec)
+        if spec is not None:
+            self._images.add(machine, spec.image)
+        machine.idle_since = now
+        self._machines.note_change(machine)
+        log.debug(
+            "event=task_launched task=%s/%d attempt=%d machine=%s",
+            task.job,
+            task.number,
+            attempt,
+            machine.id,
+        )
+        return Command("start", task, attempt)
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -1,4 +1,4 @@
-"""Which machines run their tasks much slower than the others of their part."""
+"""Which machines run their tasks much slower than the others of their shard."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 SLOW_LOGARITHM = 0.6  # above the other machines' mean logarithm of run time over expected
 LEAST_MACHINES = 3  # to compare with
 LEAST_TASKS = 2  # of a job, before the others are compared with their mean
-MOST_RATIO = 1.5  # of one task's logarithm: a single outlier says little
+MOST_RATIO = 1.5  # of one task's logarithm: one outlier says little
 JOBS_REMEMBERED = 500
 
 
@@ -25,9 +25,9 @@
     def __init__(self) -> None:
         self._means: dict[JobId, tuple[float, int]] = {}  # of the logarithms, and their count
 
-    def note(self, machine: Machine, job_id: JobId, ran: Seconds, estimate: Seconds) -> None:
-        """A task of this job ran so long on a machine."""
-        ratio = math.log(ran / estimate)
+    def note(self, machine: Machine, job_id: JobId, ran_s: Seconds, estimate_s: Seconds) -> None:
+        """Note how long a task of this job ran on a machine; both times are above zero."""
+        ratio = math.log(ran_s / estimate_s)
         mean, count = self._means.get(job_id, (0.0, 0))
         if count >= LEAST_TASKS:
             machine.lateness.append(max(-MOST_RATIO, min(MOST_RATIO, ratio - mean)))
@@ -36,7 +36,7 @@
             del self._means[next(iter(self._means))]
 
     def update(self, machines: Collection[Machine]) -> None:
-        """Say of each machine whether it is slow.
+        """Mark each machine as slow or not.
 
         Tasks that end first are the short ones, so later ones look late on any machine: a machine
         is slow only beside the others, and not for good.
--- /dev/null
+++ b/src/dapplewick/core/shard/stops.py
@@ -0,0 +1,109 @@
+"""The stops that answer a machine's heartbeat, and why."""
+
+from __future__ import annotations
+
+from collections.abc import Set
+
+from dapplewick.core.shard.array_tasks import ArrayTasks
+from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.preemption import Preemption
+from dapplewick.core.shard.replicas import ReplicaPlacement
+from dapplewick.core.shard.state import (
+    EXITED,
+    FLUSHING,
+    RUNNING,
+    Machine,
+    TaskAttempt,
+    TaskState,
+)
+from dapplewick.protocol.workers import Command
+from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.types import Seconds, TaskRef
+
+GRACE_S = 5.0  # over a task's own saving time, when it is stopped in order
+
+
+class Stops:
+    """Stops tasks that are not wanted, must leave their machine, or are preempted."""
+
+    def __init__(
+        self,
+        cache: WatchCache,
+        tasks: ArrayTasks,
+        reservations: GangReservations,
+        replicas: ReplicaPlacement,
+        preemption: Preemption,
+    ) -> None:
+        self._cache = cache
+        self._tasks = tasks
+        self._reservations = reservations
+        self._replicas = replicas
+        self._preemption = preemption
+
+    def stops(self, now: Seconds, machine: Machine) -> list[Command]:
+        """Stop what is to stop on a machine.
+
+        A task that can save its state is told once; any other with each heartbeat until it is gone.
+        """
+        commands = []
+        preempted = self._preemption.preempted_on(machine)
+        for task, task_attempt in machine.task_attempts.items():
+            if task_attempt.stage == EXITED or task_attempt.sent:
+                continue
+            job = self._cache.jobs.get(task.job)
+            if job is None or not job.open:
+                commands.append(Command("stop", task, task_attempt.attempt, 0.0))
+                continue
+            if not self._must_stop(now, machine, task, task_attempt, job, preempted):
+                continue
+            is_orderly = _is_orderly(task_attempt, job)
+            if task_attempt.stage == FLUSHING or (task_attempt.stopped and is_orderly):
+                continue
+            task_attempt.stopped = True
+            grace_s = job.spec.save_s + GRACE_S if is_orderly else 0.0
+            commands.append(Command("stop", task, task_attempt.attempt, grace_s))
+        return commands
+
+    def _must_stop(
+        self,
+        now: Seconds,
+        machine: Machine,
+        task: TaskRef,
+        task_attempt: TaskAttempt,
+        job: JobRecord,
+        preempted: Set[TaskRef],
+    ) -> bool:
+        """Whether a task of an open job is to end, or to go on elsewhere."""
+        spec = job.spec
+        if spec.is_gang:
+            is_wanted = self._is_gang_wanted(task, task_attempt, job)
+        else:
+            is_wanted = self._is_array_task_wanted(machine, task)
+        if not is_wanted or task in preempted:
+            return True
+        if spec.is_service:
+            return self._replicas.must_leave(now, machine, task.job, spec)
+        # What saves its state does so before its spot machine is taken.
+        is_evicted = machine.spot_notice_s is not None and _is_orderly(task_attempt, job)
+        return is_evicted and not spec.is_gang
+
+    def _is_gang_wanted(self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord) -> bool:
+        return (
+            job.gang is not None
+            and not job.gang.over
+            and job.gang.attempt == task_attempt.attempt
+            and task.job in self._reservations.by_job
+        )
+
+    def _is_array_task_wanted(self, machine: Machine, task: TaskRef) -> bool:
+        array_task = self._tasks.get(task)
+        # What was assigned before this ownership may be this one, until all are heard.
+        return array_task is not None and (
+            array_task.machine == machine.id or array_task.state == TaskState.UNCONFIRMED
+        )
+
+
+def _is_orderly(task_attempt: TaskAttempt, job: JobRecord) -> bool:
+    """Whether a task can save its state before it stops."""
+    return job.spec.checkpoint_interval_s > 0 and task_attempt.stage == RUNNING
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -9,7 +9,8 @@
 from dapplewick.controller.controller import Controller
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.constraints import PlacementConstraints
-from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.core.shard.heartbeats import HeartbeatReconciler
+from dapplewick.core.shard.stops import Stops
 from dapplewick.types import Seconds
 from standins import World
 from test_days import Fault, all_crash, cut_from_state, lost_answers, play, quick_restarts, quiet
@@ -18,13 +19,13 @@
 
 
 def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
-    settle = ShardScheduler._release_unconfirmed
+    settle = HeartbeatReconciler.release_unconfirmed
 
-    def hasty(self: ShardScheduler, now: float) -> None:
+    def hasty(self: HeartbeatReconciler, now: float) -> None:
         self.unreconciled.clear()
         settle(self, now)
 
-    patch.setattr(ShardScheduler, "_release_unconfirmed", hasty)
+    patch.setattr(HeartbeatReconciler, "release_unconfirmed", hasty)
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
@@ -32,7 +33,7 @@
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "_stops", lambda self, now, machine: [])
+    patch.setattr(Stops, "stops", lambda self, now, machine: [])
 
 
 def no_check_that_the_mirror_is_current(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -15,7 +15,7 @@
 import pytest
 
 import dapplewick
-from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.core.shard.heartbeats import HeartbeatReconciler
 from dapplewick.transport.http import Request
 from dapplewick.transport.http_client import HttpClient
 from day_checks import Onlooker, ask, end_of_day
@@ -188,17 +188,17 @@
 
 def old_reports_settle(patch: pytest.MonkeyPatch) -> None:
     """Whatever a report shows counts, whichever token it carries."""
-    take = ShardScheduler._take_tasks
+    take = HeartbeatReconciler.take_tasks
 
     def trusting(
-        self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
+        self: HeartbeatReconciler, at: float, machine: Any, report: Any, settles: bool, new: bool
     ) -> Any:
         self.unreconciled.discard(machine.id)
         commands = take(self, at, machine, report, True, new)
-        self._release_unconfirmed(at)
+        self.release_unconfirmed(at)
         return commands
 
-    patch.setattr(ShardScheduler, "_take_tasks", trusting)
+    patch.setattr(HeartbeatReconciler, "take_tasks", trusting)
 
 
 def test_old_reports_that_settle_are_noticed(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,6 +14,7 @@
 
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.core.shard.heartbeats import HeartbeatReconciler
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
@@ -936,18 +937,18 @@
 
 
 def old_reports_place_tasks(patch: pytest.MonkeyPatch) -> None:
-    take = ShardScheduler._take_tasks
+    take = HeartbeatReconciler.take_tasks
 
     def trusting(
-        self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
+        self: HeartbeatReconciler, at: float, machine: Any, report: Any, settles: bool, new: bool
     ) -> Any:
         commands = take(self, at, machine, report, settles, new)
         for item in report.tasks:
             if item.stage != "exited":
-                self._present(at, machine, item)
+                self.note_present(machine, item)
         return commands
 
-    patch.setattr(ShardScheduler, "_take_tasks", trusting)
+    patch.setattr(HeartbeatReconciler, "take_tasks", trusting)
 
 
 def refused_machines_are_silent(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -13,7 +13,7 @@
 
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, Silence
 from dapplewick.core.leader.provisioner import Provisioner
-from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.core.shard.preemption import Preemption
 from dapplewick.core.shard.state import Machine
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
@@ -371,7 +371,7 @@
 
 
 def lower_work_is_not_stopped(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "_make_room", lambda self, machine, stop: None)
+    patch.setattr(Preemption, "_preempt_for_replicas", lambda self, machine, preempted: None)
 
 
 GUARDS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], None]]] = [
