--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -21,7 +21,6 @@
 from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
 from dapplewick.coordination.shard_assignment import ShardAssigner
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader.job_writes import PRIORITY_PROGRESS
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import peers
@@ -52,6 +51,7 @@
 from dapplewick.storage.state_client import CALL_S, StateClient
 from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.transport.http import Answer, Request, serve_connection
 from dapplewick.transport.http_client import HttpClient
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
@@ -490,7 +490,9 @@
         for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
             key = SHARDS + name
             value = {"owner": shard.owner, "boot": shard.incarnation}
-            await self._write(epoch, [ConditionalWrite(key, value, self.cache.version(key), 0)])
+            await self._write(
+                epoch, [ConditionalWrite(key, value, self.cache.version(key), WritePriority.URGENT)]
+            )
         for name, scheduler in self.shard_schedulers.items():
             number = self.leader.shard_status(
                 now, scheduler.status(now, self._base(name, scheduler))
@@ -502,7 +504,7 @@
         level = self.state.writes.level()
         room = int(level)
         # What users wait for, and what ends tasks, goes before what is only kept for a restart.
-        least = sum(c.priority < PRIORITY_PROGRESS for c in changes)
+        least = sum(c.priority < WritePriority.PROGRESS for c in changes)
         room = min(room, max(least, int(level - PROGRESS_RESERVE * self.state.writes.rate)))
         if room < len(changes):
             log.debug("event=writes_deferred count=%d", len(changes) - room)
@@ -548,7 +550,7 @@
         conditions = {LEADER: int(epoch)}
         for change in changes:
             conditions |= dict(change.preconditions)
-        conditions |= {c.key: c.version for c in changes}
+        conditions |= {c.key: c.expected_version for c in changes}
         puts = {c.key: c.value for c in changes if c.value is not None}
         deletes = [c.key for c in changes if c.value is None]
         try:
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -12,22 +12,17 @@
 
 import msgspec
 
-from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.job_records import DONE, JobRecord, chunk_tasks
 from dapplewick.storage.keys import CHUNKS, GANG_PLACEMENTS, JOBS
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import JobId, Seconds
 
 log = logging.getLogger("dapplewick.leader")
 
-PRIORITY_ENDS, PRIORITY_ASSIGNMENTS, PRIORITY_CLEARED, PRIORITY_PROGRESS = (
-    0,
-    1,
-    2,
-    3,
-)  # what is written first
 PROGRESS_S = 1.0  # done tasks of an unfinished job are stored at most this often
 CHUNKS_AT_ONCE = 2.0  # a job of which more chunks changed stores its progress less often
 CONVERT_MOST = 2  # jobs whose records are cut into chunks at the same time
@@ -53,7 +48,7 @@
         self._stored_at[job_id] = now
 
     def changes(
-        self, now: Seconds, job_id: JobId, job: JobRecord, priority: int
+        self, now: Seconds, job_id: JobId, job: JobRecord, priority: WritePriority
     ) -> list[ConditionalWrite]:
         """The writes for a draft: of the record, or of the keys that it is kept in."""
         old = self._cache.jobs[job_id]
@@ -62,7 +57,7 @@
         since = now - self._stored_at.get(job_id, 0.0)
         if job.chunk_size:
             return self._chunked_changes(since, job_id, job, old, priority)
-        if priority == PRIORITY_PROGRESS and since < PROGRESS_S:
+        if priority == WritePriority.PROGRESS and since < PROGRESS_S:
             return []
         shares = self._split_placements(job_id, job, priority)
         value = job.dump(self._value_bytes)
@@ -71,7 +66,7 @@
         return [*shares, ConditionalWrite(JOBS + job_id, value, job.main_version, priority)]
 
     def _chunked_changes(
-        self, since: Seconds, job_id: JobId, job: JobRecord, old: JobRecord, priority: int
+        self, since: Seconds, job_id: JobId, job: JobRecord, old: JobRecord, priority: WritePriority
     ) -> list[ConditionalWrite]:
         key = JOBS + job_id
         out = []
@@ -81,19 +76,21 @@
             return out
         changed = sorted(job.chunks_changed(old))
         pause = PROGRESS_S * max(1.0, len(changed) / CHUNKS_AT_ONCE)
-        if priority == PRIORITY_PROGRESS and since < pause:
+        if priority == WritePriority.PROGRESS and since < pause:
             return out
         for number in changed:
             chunk = f"{CHUNKS}{job_id}/{number}"
             value, version = job.chunk_value(number), self._cache.version(chunk)
             if value is not None or version:
                 out.append(
-                    ConditionalWrite(chunk, value, version, priority, ((key, job.main_version),))
+                    ConditionalWrite(
+                        chunk, value, version, priority, (Precondition(key, job.main_version),)
+                    )
                 )
         return out
 
     def _split_placements(
-        self, job_id: JobId, job: JobRecord, priority: int
+        self, job_id: JobId, job: JobRecord, priority: WritePriority
     ) -> list[ConditionalWrite]:
         """The keys for a long gang's place, written before the record that names their number.
         They name the attempt: what a leader that ended on the way left behind is not read."""
@@ -170,16 +167,16 @@
             log.info("event=job_record_chunked job=%s chunks=%d", job_id, len(wanted))
             return [
                 ConditionalWrite(
-                    JOBS + job_id, target.dump(), job.main_version, PRIORITY_ASSIGNMENTS
+                    JOBS + job_id, target.dump(), job.main_version, WritePriority.NORMAL
                 )
             ]
-        unchanged = ((JOBS + job_id, job.main_version),)
+        unchanged = (Precondition(JOBS + job_id, job.main_version),)
         out = []
         for number in differ[:most]:
             key = f"{CHUNKS}{job_id}/{number}"
             version = self._cache.version(key)
             out.append(
-                ConditionalWrite(key, wanted.get(number), version, PRIORITY_CLEARED, unchanged)
+                ConditionalWrite(key, wanted.get(number), version, WritePriority.LOW, unchanged)
             )
         return out
 
@@ -204,5 +201,6 @@
                 ]
         keys = list(dict.fromkeys(out))[:CONVERT_WRITES]
         return [
-            ConditionalWrite(key, None, self._cache.version(key), PRIORITY_PROGRESS) for key in keys
+            ConditionalWrite(key, None, self._cache.version(key), WritePriority.PROGRESS)
+            for key in keys
         ]
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -23,12 +23,12 @@
     ProvisioningRequest,
 )
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import MachineId, Seconds
 
 log = logging.getLogger("dapplewick.leader")
 
 
-PRIORITY_URGENT, PRIORITY_NORMAL, PRIORITY_LOW = 0, 1, 2  # ranks of changes
 UP_S = 1.0  # machines of a group that came up are told of this often
 GROUP_MOST = 150  # machines in a record, where a value may hold as many
 GROUP_BYTES = 200  # of a record, beside its machines
@@ -73,7 +73,7 @@
         self._unknown_since: dict[MachineId, Seconds] = {}
         self._up_since: dict[MachineId, Seconds] = {}
         self._up_at: dict[str, Seconds] = {}
-        self._drafts: dict[str, tuple[MachineGroupRecord, int]] = {}
+        self._drafts: dict[str, tuple[MachineGroupRecord, WritePriority]] = {}
         self._over_known: dict[str, tuple[MachineGroupRecord, bool]] = {}
         self._ties: dict[str, str] = {}  # drafted groups that are written in one transaction
         self._splitting: str | None = None  # the oversized group that is split in this pass
@@ -123,7 +123,7 @@
             key,
             value,
             self.cache.version(key),
-            PRIORITY_NORMAL if transaction_group_name else priority,
+            WritePriority.NORMAL if transaction_group_name else priority,
             transaction_group=transaction_group_name,
         )
 
@@ -194,13 +194,13 @@
             key,
             value,
             self.cache.version(key),
-            PRIORITY_URGENT,
+            WritePriority.URGENT,
             transaction_group=transaction_group,
         )
 
     def _removal(self, name: str) -> ConditionalWrite:
         return ConditionalWrite(
-            MACHINES + name, None, self.cache.version(MACHINES + name), PRIORITY_URGENT
+            MACHINES + name, None, self.cache.version(MACHINES + name), WritePriority.URGENT
         )
 
     def _free_names(self, name: str, count: int) -> list[str]:
@@ -214,7 +214,7 @@
             number += 1
         return out
 
-    def _draft(self, name: str, priority: int) -> MachineGroupRecord:
+    def _draft(self, name: str, priority: WritePriority) -> MachineGroupRecord:
         draft = self._drafts.get(name)
         if draft is None:
             old = self.cache.groups[name]
@@ -244,16 +244,16 @@
         if target is None:
             (target,) = self._free_names(name, 1)
             empty = MachineGroupRecord(group.type, group.zone, group.spot, {}, partition=partition)
-            self._drafts[target] = (empty, PRIORITY_NORMAL)
+            self._drafts[target] = (empty, WritePriority.NORMAL)
         elif target in self._drafts or target in (name, self._splitting):
             return []
-        joined = self._draft(target, PRIORITY_NORMAL)
+        joined = self._draft(target, WritePriority.NORMAL)
         going = list(floors)[: most - len(joined.machines)]
         for machine in going:
             joined.machines[machine] = group.machines[machine]
             joined.floors[machine] = floors[machine]
             group = group.without(machine)
-        self._drafts[name] = (group, PRIORITY_NORMAL)
+        self._drafts[name] = (group, WritePriority.NORMAL)
         self._ties[name] = self._ties[target] = transaction_group_name
         return going
 
@@ -266,10 +266,12 @@
         ]
         return [self._change(name, transaction_group_name) for name in names]
 
-    def _set(self, machine_id: MachineId, state: str, priority: int) -> None:
+    def _set(self, machine_id: MachineId, state: str, priority: WritePriority) -> None:
         self._draft(self.cache.group_of[machine_id], priority).machines[machine_id] = state
 
-    def terminate(self, machine_id: MachineId, why: str, priority: int = PRIORITY_URGENT) -> None:
+    def terminate(
+        self, machine_id: MachineId, why: str, priority: WritePriority = WritePriority.URGENT
+    ) -> None:
         log.info("event=machine_terminating machine=%s reason=%s", machine_id, why)
         self._set(machine_id, TERMINATING, priority)
 
@@ -290,7 +292,7 @@
                 provisioning_request.spot,
                 wall,
                 name,
-                PRIORITY_URGENT,
+                WritePriority.URGENT,
             )
 
     def _add(
@@ -301,7 +303,7 @@
         spot: bool,
         wall: Seconds,
         name: str,
-        priority: int,
+        priority: WritePriority,
     ) -> None:
         """Into a group of their kind that has room, else into a new one of this name."""
         most = self._most(machines)
@@ -340,7 +342,13 @@
         return None
 
     def adopt(
-        self, machine_id: MachineId, type_: str, zone: str, spot: bool, wall: Seconds, priority: int
+        self,
+        machine_id: MachineId,
+        type_: str,
+        zone: str,
+        spot: bool,
+        wall: Seconds,
+        priority: WritePriority,
     ) -> None:
         """A machine that nobody here knows of: used or returned like the others."""
         if machine_id in self.cache.machines or machine_id in self.deleted:
@@ -365,7 +373,7 @@
             if record.terminating:
                 if machine_id in self.deleted:
                     name = self.cache.group_of[machine_id]
-                    group = self._draft(name, PRIORITY_URGENT)
+                    group = self._draft(name, WritePriority.URGENT)
                     group.machines.pop(machine_id, None)
                     group.floors.pop(machine_id, None)
                     self._up_since.pop(machine_id, None)
@@ -380,13 +388,13 @@
             # All that came up in a while is written together: hundreds do at the start.
             if now - self._up_at.get(name, -1e9) >= UP_S:
                 for machine_id in machines:
-                    self._set(machine_id, UP, PRIORITY_NORMAL)
+                    self._set(machine_id, UP, WritePriority.NORMAL)
         # Lists lag: a machine that is gone may still be listed for twice the lag.
         patience = 2.5 * self.lag_s
         for machine_id, since in self._unknown_since.items():
             item = self.listed[machine_id]
             if now - since > patience and item.zone in zones:
-                self.adopt(machine_id, item.type, item.zone, item.spot, wall, PRIORITY_LOW)
+                self.adopt(machine_id, item.type, item.zone, item.spot, wall, WritePriority.LOW)
 
     def _urgent_silence(self, others_heard: bool) -> Seconds:
         """After which silence a machine is deleted so that its replicas can run elsewhere.
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -19,13 +19,7 @@
 from dapplewick.core.leader.capacity import GANG_PRIORITY, ShardCapacity, machine_capacity
 from dapplewick.core.leader.capacity_requests import CapacityRequestPlanner, Waiting
 from dapplewick.core.leader.gang_placement import LONG_RESERVATION_S, place_gang
-from dapplewick.core.leader.job_writes import (
-    PRIORITY_ASSIGNMENTS,
-    PRIORITY_CLEARED,
-    PRIORITY_ENDS,
-    PRIORITY_PROGRESS,
-    JobWrites,
-)
+from dapplewick.core.leader.job_writes import JobWrites
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, Silence
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
@@ -48,6 +42,7 @@
 )
 from dapplewick.storage.machine_records import MachineRecord
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.tuning import Tuning
 from dapplewick.types import (
     IDS_PER_TOKEN,
@@ -141,7 +136,7 @@
         self.provisioned: dict[str, list[MachineId] | None] = {}
         self.types: list[MachineType] = []
         self._counter = 0
-        self._draft: dict[JobId, tuple[JobRecord, int]] = {}
+        self._draft: dict[JobId, tuple[JobRecord, WritePriority]] = {}
         self._low: dict[JobId, int] = {}
         self._teams = {t.name: t for t in self.settings.teams}
         self._load_at = now
@@ -205,7 +200,7 @@
 
     # Drafts of job records
 
-    def _edit(self, job_id: JobId, priority: int) -> JobRecord:
+    def _edit(self, job_id: JobId, priority: WritePriority) -> JobRecord:
         draft = self._draft.get(job_id)
         if draft is not None:
             self._draft[job_id] = (draft[0], min(priority, draft[1]))
@@ -248,7 +243,7 @@
             + writes.convert()
         )
         for job_id in writes.oversized_placements():
-            self._edit(job_id, PRIORITY_ASSIGNMENTS)
+            self._edit(job_id, WritePriority.NORMAL)
         for job_id, (job, priority) in self._draft.items():
             changes += writes.changes(now, job_id, job, priority)
         changes += writes.leftovers(self._draft)
@@ -282,7 +277,11 @@
         if self.cache.format >= understood:
             return []
         log.info("event=format_raised version=%d", understood)
-        return [ConditionalWrite(FORMAT, {"version": understood}, self.cache.version(FORMAT), 0)]
+        return [
+            ConditionalWrite(
+                FORMAT, {"version": understood}, self.cache.version(FORMAT), WritePriority.URGENT
+            )
+        ]
 
     def written(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
         """These changes are stored."""
@@ -334,7 +333,7 @@
             for job_id in shard.latest.drained_jobs:
                 old = self.cache.jobs.get(job_id)
                 if old is not None and not old.open and shard.shard in old.assignments:
-                    self._edit(job_id, PRIORITY_CLEARED).assignments.pop(shard.shard, None)
+                    self._edit(job_id, WritePriority.LOW).assignments.pop(shard.shard, None)
         self._reconcile_gangs(now)
 
     def _reconcile_array_tasks(self, shard: ObservedShard) -> None:
@@ -354,13 +353,13 @@
             released = status.released if status.version == old.version else []
             if not done and not released:
                 continue
-            job = self._edit(job_id, PRIORITY_ASSIGNMENTS if released else PRIORITY_PROGRESS)
+            job = self._edit(job_id, WritePriority.NORMAL if released else WritePriority.PROGRESS)
             job.done.update(done)
             job.assignments[name] = job.assigned(name).difference(done, released)
             if not job.assignments[name]:
                 del job.assignments[name]
             if len(job.done) == job.spec.task_count:
-                self._edit(job_id, PRIORITY_ENDS)
+                self._edit(job_id, WritePriority.URGENT)
                 job.stage = DONE
                 job.assignments = {}
                 log.info("event=job_done job=%s", job_id)
@@ -390,14 +389,14 @@
                         state = status.state
                 states.append(state)
             if old.open and "done" in states:
-                job = self._edit(job_id, PRIORITY_ENDS)
+                job = self._edit(job_id, WritePriority.URGENT)
                 job.stage, job.done, job.gang, job.assignments = DONE, set(), None, {}
                 log.info("event=job_done job=%s", job_id)
             elif (gang.over or not old.open) and all(s == "clear" for s in states):
-                self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = None
+                self._edit(job_id, WritePriority.NORMAL).gang = None
             elif old.open and not gang.over and "bad" in states:
                 log.info("event=gang_ended job=%s attempt=%d", job_id, gang.attempt)
-                self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = msgspec.structs.replace(
+                self._edit(job_id, WritePriority.NORMAL).gang = msgspec.structs.replace(
                     gang, over=True
                 )
             elif "held" in states and not gang.preempt and old.spec.priority > lowest:
@@ -405,7 +404,7 @@
                 held[job_id] = self._reserved_since.get(job_id, now)
                 if now - held[job_id] > self.tuning.patience_s:
                     log.info("event=gang_preempting job=%s attempt=%d", job_id, gang.attempt)
-                    self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = msgspec.structs.replace(
+                    self._edit(job_id, WritePriority.NORMAL).gang = msgspec.structs.replace(
                         gang, preempt=True
                     )
         self._reserved_since = held
@@ -585,7 +584,7 @@
             self._counter += 1
             attempt = self.epoch * IDS_PER_TOKEN + self._counter
             placements = [(str(v.shard), str(v.id)) for v in chosen]
-            self._edit(job_id, PRIORITY_ASSIGNMENTS).gang = GangPlacement(
+            self._edit(job_id, WritePriority.NORMAL).gang = GangPlacement(
                 attempt, placements, preempt=preempt
             )
             log.info(
@@ -708,7 +707,7 @@
                 if not total:
                     continue
                 tasks = self._next_tasks(job_id, job, total)
-                draft = self._edit(job_id, PRIORITY_ASSIGNMENTS)
+                draft = self._edit(job_id, WritePriority.NORMAL)
                 for name, share in shares.items():
                     mine, tasks = tasks[:share], tasks[share:]
                     draft.assignments[name] = draft.assigned(name) | set(mine)
@@ -830,7 +829,9 @@
             if machines is None or len(machines) < provisioning_request.count:
                 self.provisioner.no_capacity(now, provisioning_request)
             self.machine_lifecycle.provisioned(name, provisioning_request, machines or [], wall)
-            changes.append(ConditionalWrite(key, None, self.cache.version(key), 0))
+            changes.append(
+                ConditionalWrite(key, None, self.cache.version(key), WritePriority.URGENT)
+            )
         if now - self._fleet_at >= FLEET_S and self._ready(now):
             self._fleet_at = now
             capacity_requests = self._need_planner.capacity_requests(wall, ordered)
@@ -842,7 +843,9 @@
                 self._counter += 1
                 name = f"r-{self.epoch}-{self._counter}"
                 value = msgspec.to_builtins(asked)
-                changes.append(ConditionalWrite(PROVISIONING_REQUESTS + name, value, 0, 1))
+                changes.append(
+                    ConditionalWrite(PROVISIONING_REQUESTS + name, value, 0, WritePriority.NORMAL)
+                )
                 log.info(
                     "event=provisioning_requested request=%s type=%s zone=%s spot=%s count=%d",
                     name,
@@ -858,16 +861,19 @@
         """The types, in one record or, where they are too many for it, with a key for each."""
         value = encode_machine_types(self.types)
         if encoded_size(value) <= self._value_bytes or self.cache.format < FORMAT_NOW:
-            return [ConditionalWrite(TYPES, value, self.cache.version(TYPES), 0)]
+            return [ConditionalWrite(TYPES, value, self.cache.version(TYPES), WritePriority.URGENT)]
         out = [
             ConditionalWrite(
-                TYPE_KEYS + kind.name, item, self.cache.version(TYPE_KEYS + kind.name), 0
+                TYPE_KEYS + kind.name,
+                item,
+                self.cache.version(TYPE_KEYS + kind.name),
+                WritePriority.URGENT,
             )
             for kind, item in zip(self.types, value, strict=True)
             if (old := self.cache.types.get(kind.name)) is None or _shape(old) != _shape(kind)
         ]
         if self.cache.version(TYPES) and not out:
-            out.append(ConditionalWrite(TYPES, [], self.cache.version(TYPES), 0))
+            out.append(ConditionalWrite(TYPES, [], self.cache.version(TYPES), WritePriority.URGENT))
         return out
 
     def _ready(self, now: Seconds) -> bool:
@@ -903,7 +909,7 @@
                 if slots and spare < slots:
                     continue
                 spare -= slots
-                self.machine_lifecycle.terminate(machine_id, "idle", 2)
+                self.machine_lifecycle.terminate(machine_id, "idle", WritePriority.LOW)
 
     def _spare_slots(self, shard_capacities: list[ShardCapacity]) -> int:
         """How many idle slots of the gangs' size there are beyond those to be kept."""
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dapplewick.core.leader.machine_lifecycle import PRIORITY_LOW, PRIORITY_NORMAL, MachineLifecycle
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import PartitionPlan
@@ -21,7 +21,7 @@
 from dapplewick.partitions.solver import Cell
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.partitions.timing import MoveTimes
-from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.keys import SHARDS, TRANSFERS
@@ -36,6 +36,7 @@
     TransferRecord,
 )
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import (
     FencingToken,
     MachineId,
@@ -200,7 +201,7 @@
                 continue
             if now - self._ended_at.setdefault(transfer, now) > KEEP_S:
                 key = TRANSFERS + transfer
-                out.append(ConditionalWrite(key, None, self._cache.version(key), PRIORITY_LOW))
+                out.append(ConditionalWrite(key, None, self._cache.version(key), WritePriority.LOW))
         return out
 
     def _write(
@@ -212,7 +213,7 @@
             key,
             value,
             self._cache.version(key),
-            PRIORITY_NORMAL,
+            WritePriority.NORMAL,
             transaction_group=transaction_group_name,
         )
 
@@ -497,7 +498,7 @@
         if state == COMPLETE and transfer in self._begun_at:
             self._times.transfer(now - self._begun_at.pop(transfer))
         preconditions = tuple(
-            (SHARDS + name, self._cache.version(SHARDS + name))
+            Precondition(SHARDS + name, self._cache.version(SHARDS + name))
             for name in (record.source, record.target)
         )
         write = self._write(transfer, changed, transaction_group_name)._replace(
@@ -533,5 +534,5 @@
         for shard in sorted(unwanted):
             key = SHARDS + shard
             log.info("event=partition_shard_removed shard=%s", shard)
-            out.append(ConditionalWrite(key, None, self._cache.version(key), PRIORITY_LOW))
+            out.append(ConditionalWrite(key, None, self._cache.version(key), WritePriority.LOW))
         return out
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -26,7 +26,7 @@
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.controller import Controller
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
+from dapplewick.core.leader.job_writes import JobWrites
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.partitions import plan
@@ -68,6 +68,7 @@
 from dapplewick.storage.state_client import StateClient
 from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.transport import peer
 from dapplewick.transport.http import Request
 from dapplewick.types import (
@@ -173,7 +174,7 @@
 def write_places(given: Any) -> Any:
     """The keys of a long gang's place."""
     writes, cache, job = _draft_of(given)
-    return _changes(writes.changes(10.0, job, cache.jobs[job].copy(), PRIORITY_ASSIGNMENTS))
+    return _changes(writes.changes(10.0, job, cache.jobs[job].copy(), WritePriority.NORMAL))
 
 
 def write_grants(given: Any) -> Any:
@@ -181,7 +182,7 @@
     writes, cache, job = _draft_of(given)
     draft = cache.jobs[job].copy()
     draft.assignments.setdefault(given["part"], set()).update(given["tasks"])
-    return _changes(writes.changes(10.0, job, draft, PRIORITY_ASSIGNMENTS))
+    return _changes(writes.changes(10.0, job, draft, WritePriority.NORMAL))
 
 
 def write_cut(given: Any) -> Any:
@@ -449,7 +450,7 @@
 def transactions(given: Any) -> Any:
     """How writes are cut into transactions, and which of them a budget lets through."""
     changes = [
-        ConditionalWrite(key, value, 0, 0, (), transaction_group_name)
+        ConditionalWrite(key, value, 0, WritePriority.URGENT, (), transaction_group_name)
         for key, value, transaction_group_name in given["changes"]
     ]
     limits = settings("n0").deployment.state.lowest()
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -486,9 +486,12 @@
         controller.cache.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         try:
             from dapplewick.storage.conditional_write import ConditionalWrite
+            from dapplewick.storage.write_priority import WritePriority
             from dapplewick.types import FencingToken
 
-            await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
+            await controller._write(
+                FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, WritePriority.URGENT)]
+            )
         except Exception as err:
             seen.append(repr(err))
         last = world.writes[-1][2]["if"]
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -32,6 +32,7 @@
 from dapplewick.storage.keys import FORMAT, MACHINES, SHARDS
 from dapplewick.storage.transfers import REQUESTED, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import (
     NO_RESOURCES,
     FencingToken,
@@ -69,7 +70,7 @@
         """Carry out a transaction, if everything still has the version that it names."""
         assert len(changes) <= TXN_OPS
         for change in changes:
-            for key, version in ((change.key, change.version), *change.preconditions):
+            for key, version in ((change.key, change.expected_version), *change.preconditions):
                 if self.keys.get(key, (None, 0))[1] != version:
                     return False
         self.revision += 1
@@ -82,7 +83,8 @@
         return True
 
     def put(self, key: str, value: Any) -> None:
-        assert self.write([ConditionalWrite(key, value, self.keys.get(key, (None, 0))[1], 0)])
+        version = self.keys.get(key, (None, 0))[1]
+        assert self.write([ConditionalWrite(key, value, version, WritePriority.URGENT)])
 
     def follow(self, cache: WatchCache, most: int | None = None) -> None:
         """Let a mirror read on, perhaps not up to the newest revision."""
@@ -387,7 +389,9 @@
     self: Any, transfer: Any, record: Any, transaction_group_name: str = ""
 ) -> ConditionalWrite:
     key = f"dw/s/{transfer}"
-    return ConditionalWrite(key, to_builtins(record), self._cache.version(key), 1)
+    return ConditionalWrite(
+        key, to_builtins(record), self._cache.version(key), WritePriority.NORMAL
+    )
 
 
 GUARDS: dict[str, tuple[Any, str, Any]] = {
--- a/tests/test_whole_transactions.py
+++ b/tests/test_whole_transactions.py
@@ -9,6 +9,7 @@
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
+from dapplewick.storage.write_priority import WritePriority
 from test_previous_main import Store
 
 LIMITS = StateLimits(rps=100.0, write_rps=80.0, value_kb=1.0, txn_ops=4)
@@ -39,7 +40,11 @@
 ) -> None:
     changes = [
         ConditionalWrite(
-            f"k/{n}/{m}", m, 0, 0, transaction_group=f"t{n}" if transaction_group else ""
+            f"k/{n}/{m}",
+            m,
+            0,
+            WritePriority.URGENT,
+            transaction_group=f"t{n}" if transaction_group else "",
         )
         for n, (transaction_group, length) in enumerate(runs)
         for m in range(length)
