--- /dev/null
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -0,0 +1,117 @@
+"""The cluster's size: answers to provisioning requests, scaling out and scaling in."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+
+from dapplewick.core.leader.array_order import PendingArray
+from dapplewick.core.leader.capacity_requests import CapacityRequestPlanner
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
+from dapplewick.core.leader.observed_shard import ObservedShards
+from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.core.leader.scale_in import ScaleIn
+from dapplewick.core.leader.shard_capacity import ShardCapacity
+from dapplewick.core.leader.term_ids import TermIds
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.keys import PROVISIONING_REQUESTS
+from dapplewick.storage.machine_records import ProvisioningRequest
+from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
+from dapplewick.types import MachineId, Seconds, zone_of
+
+log = logging.getLogger("dapplewick.leader")
+
+SCALING_S = 1.0  # scaling out and in is decided this often
+FRESH_STATUS_S = 6.0  # no decision rests on a shard's status that is older
+FIRST_STATUSES_S = 1.0  # the shards' owners have so long to tell a new leader of themselves
+
+
+class ClusterScaling:
+    """Decides on the number of machines, as soon as enough is known of the shards.
+
+    Attributes:
+        provisioned: The cloud's answers to provisioning requests that are still recorded: the
+            machines that it gave, or None if it refused.
+    """
+
+    def __init__(
+        self,
+        cache: WatchCache,
+        zones: list[str],
+        shards: ObservedShards,
+        capacity_requests: CapacityRequestPlanner,
+        provisioner: Provisioner,
+        scale_in: ScaleIn,
+        machine_lifecycle: MachineLifecycle,
+        ids: TermIds,
+        now: Seconds,
+    ) -> None:
+        self._cache = cache
+        self._zones = zones
+        self._shards = shards
+        self._capacity_requests = capacity_requests
+        self._provisioner = provisioner
+        self._scale_in = scale_in
+        self._machine_lifecycle = machine_lifecycle
+        self._ids = ids
+        self._started_at = now
+        self._scaled_at = -1e9
+        self.provisioned: dict[str, list[MachineId] | None] = {}
+
+    def changes(
+        self,
+        now: Seconds,
+        wall: Seconds,
+        shard_capacities: list[ShardCapacity],
+        pending: list[PendingArray],
+    ) -> list[ConditionalWrite]:
+        """The writes of provisioning requests; what ends machines is drafted with these."""
+        changes = self._take_answers(now, wall)
+        if now - self._scaled_at >= SCALING_S and self._is_ready(now):
+            self._scaled_at = now
+            requests = self._capacity_requests.capacity_requests(wall, pending)
+            # Before scaling out takes slots for what waits.
+            spare_slots = self._scale_in.spare_slots(shard_capacities)
+            wanted = self._provisioner.scale_out(now, wall, requests, shard_capacities)
+            changes += [self._request(request) for request in wanted.requests]
+            self._scale_in.terminate_idle(wanted.unmet, spare_slots)
+        return changes
+
+    def _take_answers(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
+        """Draft the machines that the cloud gave, and the end of their requests."""
+        changes = []
+        for name, machines in list(self.provisioned.items()):
+            request = self._cache.provisioning_requests.get(name)
+            if request is None:
+                del self.provisioned[name]
+                continue
+            if machines is None or len(machines) < request.count:
+                self._provisioner.no_capacity(now, request)
+            self._machine_lifecycle.provisioned(name, request, machines or [], wall)
+            key = PROVISIONING_REQUESTS + name
+            version = self._cache.version(key)
+            changes.append(ConditionalWrite(key, None, version, WritePriority.URGENT))
+        return changes
+
+    def _request(self, request: ProvisioningRequest) -> ConditionalWrite:
+        name = self._ids.next_request_name()
+        log.info(
+            "event=provisioning_requested request=%s type=%s zone=%s spot=%s count=%d",
+            name,
+            request.type,
+            request.zone,
+            request.spot,
+            request.count,
+        )
+        value = msgspec.to_builtins(request)
+        return ConditionalWrite(PROVISIONING_REQUESTS + name, value, 0, WritePriority.NORMAL)
+
+    def _is_ready(self, now: Seconds) -> bool:
+        """Whether enough is known to decide on machines: every owned shard was heard."""
+        if not self._cache.types or now - self._started_at < FIRST_STATUSES_S:
+            return False
+        shards = {name for name in self._cache.shards if zone_of(name) in self._zones}
+        fresh = {s.shard for s in self._shards.owned() if now - s.at < FRESH_STATUS_S}
+        return bool(shards) and shards <= fresh
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -1,13 +1,15 @@
-"""Where a waiting gang goes: the design's second point, over the leader's picture of the parts."""
+"""Where a waiting gang goes: the design's second point, over the leader's view of the shards."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
-from dapplewick.core.leader.capacity import (
+from dapplewick.core.leader.machine_capacity import MachineCapacity
+from dapplewick.core.leader.shard_capacity import ShardCapacity
+from dapplewick.core.leader.slot_selection import (
     ONE_GROUP_TIMES,
-    MachineCapacity,
-    ShardCapacity,
+    ChosenSlots,
     fit_all,
     fit_behind,
     fit_reserved,
@@ -15,97 +17,123 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds, Zone
 
-LONG_RESERVATION_S = 10.0  # gangs that hold slots for longer want more machines
+LONG_RESERVATION_S = 10.0  # any gang may hold slots for so long; for longer wants more machines
+
+
+class _ReservedSlots(NamedTuple):
+    """Slots that a gang could reserve, and how long until all are idle."""
+
+    wait_s: Seconds
+    slots: ChosenSlots
 
 
 def place_gang(
-    spec: JobSpec, shards: Iterable[ShardCapacity], limit: Seconds, patience: Seconds
-) -> tuple[list[MachineCapacity], bool] | None:
-    """Machines for a gang's tasks, and whether singles of lower priority stop for it: one
-    part's idle slots, else slots of one part to be held, else idle slots of several parts.
+    spec: JobSpec, shards: Iterable[ShardCapacity], limit_s: Seconds, patience_s: Seconds
+) -> ChosenSlots | None:
+    """Choose the machines of a gang's tasks, or None if it has to wait; takes nothing yet.
+
+    The design's order: the idle slots of one shard, else busy slots of one shard that are reserved
+    until all are idle, else idle slots of several shards. Sums over machines come first, and they
+    are kept for gangs that are alike; machines are chosen only where there are enough slots.
 
-    Counts come first, and they are kept for gangs that are alike; machines are chosen only
-    once it is known that there are enough.
+    Args:
+        spec: The gang.
+        shards: The shards in which it may be placed.
+        limit_s: No slot is reserved that is busy for longer than this.
+        patience_s: A longer wait is cut short by preempting work of lower priority.
     """
-    shards, count, placement_key = list(shards), spec.task_count, spec.placement_key
-    one_shard = spec.zone_cap >= count
-    if one_shard:
-        best: tuple[float, list[MachineCapacity]] | None = None
-        for shard in shards:
-            if shard.idle(spec, placement_key) < count:
-                continue
-            chosen = fit_all(shard.candidates(spec), spec, count)
-            if chosen is not None:
-                spare = sum(v.total.gpus for v in chosen) if spec.gpus == 0 else 0.0
-                if best is None or spare < best[0]:
-                    best = (spare, chosen)
-        if best is not None:
-            return best[1], False
-        held = _held(spec, shards, limit, patience)
-        if held is not None:
-            return held
+    shards = list(shards)
+    if spec.zone_cap >= spec.task_count:
+        slots = _place_in_one_shard(spec, shards, limit_s, patience_s)
+        if slots is not None:
+            return slots
     if not spec.same_zone:
-        spanning = _spanning(spec, shards)
-        return (spanning, False) if spanning is not None else None
+        return _span(spec, shards)
     for zone in dict.fromkeys(shard.zone for shard in shards):
-        spanning = _spanning(spec, [shard for shard in shards if shard.zone == zone])
-        if spanning is not None:
-            return spanning, False
+        slots = _span(spec, [shard for shard in shards if shard.zone == zone])
+        if slots is not None:
+            return slots
     return None
 
 
-def _spanning(spec: JobSpec, shards: list[ShardCapacity]) -> list[MachineCapacity] | None:
-    """Idle slots of several parts, in each zone no more than the gang may have there."""
-    placement_key = spec.placement_key
+def _place_in_one_shard(
+    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, patience_s: Seconds
+) -> ChosenSlots | None:
+    idle = _idle_in_one_shard(spec, shards)
+    return idle if idle is not None else _reserve(spec, shards, limit_s, patience_s)
+
+
+def _idle_in_one_shard(spec: JobSpec, shards: list[ShardCapacity]) -> ChosenSlots | None:
+    """Idle slots of the shard in which fewest accelerators stand beside them unneeded."""
+    best: list[MachineCapacity] | None = None
+    best_gpus = 0.0
+    for shard in shards:
+        if shard.idle_slots(spec) < spec.task_count:
+            continue
+        chosen = fit_all(shard.machines_for(spec), spec, spec.task_count)
+        if chosen is None:
+            continue
+        unneeded_gpus = sum(c.total.gpus for c in chosen) if spec.gpus == 0 else 0.0
+        if best is None or unneeded_gpus < best_gpus:
+            best, best_gpus = chosen, unneeded_gpus
+    return ChosenSlots(best, False) if best is not None else None
+
+
+def _reserve(
+    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, patience_s: Seconds
+) -> ChosenSlots | None:
+    """Slots of the shard in which all of them are idle soonest."""
+    best: _ReservedSlots | None = None
+    for shard in shards:
+        slots = _reservable_slots(spec, shard, limit_s, patience_s)
+        if slots is None:
+            continue
+        wait_s = _wait_s(spec, slots)
+        if best is None or wait_s < best.wait_s:
+            best = _ReservedSlots(wait_s, slots)
+    return best.slots if best is not None else None
+
+
+def _reservable_slots(
+    spec: JobSpec, shard: ShardCapacity, limit_s: Seconds, patience_s: Seconds
+) -> ChosenSlots | None:
+    # Slots behind long work are no place to wait: those that are idle already would stay so.
+    count = spec.task_count
+    if shard.runs_below(spec.priority):
+        if shard.slots_within(spec, limit_s) < count:
+            return None
+        return fit_reserved(shard.capacities, spec, count, patience_s, limit_s)
+    if shard.slots_within(spec, ONE_GROUP_TIMES * limit_s) < count:
+        return None
+    capacities = fit_behind(*shard.slot_groups(spec), count, limit_s)
+    return ChosenSlots(capacities, False) if capacities is not None else None
+
+
+def _wait_s(spec: JobSpec, slots: ChosenSlots) -> Seconds:
+    """How long until the last of these machines has a slot."""
+    longest_s = 0.0
+    for capacity in slots.capacities:
+        wait = capacity.slot_wait(spec)
+        if wait is not None:
+            longest_s = max(longest_s, wait.preempting_s if slots.preempt else wait.natural_s)
+    return longest_s
+
+
+def _span(spec: JobSpec, shards: list[ShardCapacity]) -> ChosenSlots | None:
+    """Idle slots of several shards, in each zone no more than the gang may have there."""
     idle: dict[Zone, int] = {}
     for shard in shards:
-        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle(spec, placement_key)
+        idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle_slots(spec)
     if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.task_count:
         return None
     chosen: list[MachineCapacity] = []
     left = dict.fromkeys(idle, spec.zone_cap)
-    for shard in sorted(shards, key=lambda p: -p.idle(spec, placement_key)):
-        most = min(spec.task_count - len(chosen), left[shard.zone], shard.idle(spec, placement_key))
+    for shard in sorted(shards, key=lambda s: -s.idle_slots(spec)):
+        most = min(spec.task_count - len(chosen), left[shard.zone], shard.idle_slots(spec))
         if most > 0:
-            found = fit_all(shard.candidates(spec), spec, most) or []
+            found = fit_all(shard.machines_for(spec), spec, most) or []
             left[shard.zone] -= len(found)
             chosen += found
         if len(chosen) == spec.task_count:
-            return chosen
+            return ChosenSlots(chosen, False)
     return None
-
-
-def _held(
-    spec: JobSpec, shards: list[ShardCapacity], limit: Seconds, patience: Seconds
-) -> tuple[list[MachineCapacity], bool] | None:
-    # Slots behind long work are no place to wait: those that are idle already would stay so.
-    placement_key = spec.placement_key
-    best: tuple[float, list[MachineCapacity], bool] | None = None
-    for shard in shards:
-        if not shard.preemptable(spec.priority):
-            if shard.held(spec, placement_key, ONE_GROUP_TIMES * limit) < spec.task_count:
-                continue
-            overload_s = fit_behind(*shard.groups(spec, placement_key), spec.task_count, limit)
-            if overload_s is not None:
-                wait = _wait(spec, overload_s)
-                if best is None or wait < best[0]:
-                    best = (wait, overload_s, False)
-            continue
-        if shard.held(spec, placement_key, limit) < spec.task_count:
-            continue
-        option = fit_reserved(shard.capacities, spec, spec.task_count, patience, limit)
-        if option is None:
-            continue
-        wait = _wait(spec, option[0], option[1])
-        if best is None or wait < best[0]:
-            best = (wait, option[0], option[1])
-    return (best[1], best[2]) if best is not None else None
-
-
-def _wait(spec: JobSpec, capacities: list[MachineCapacity], preempt: bool = False) -> Seconds:
-    wait = 0.0
-    for capacity in capacities:
-        times = capacity.room_in(spec)
-        if times is not None:
-            wait = max(wait, times[1] if preempt else times[0])
-    return wait
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -1,26 +1,41 @@
-"""What the leader knows of a part: put together from the statuses that its owner sends."""
+"""What the leader knows of the shards: put together from the statuses that their owners send."""
 
 from __future__ import annotations
 
 from typing import TypeVar
 
-from dapplewick.core.leader.capacity import MachineCapacity
+from dapplewick.core.estimates import Estimates
+from dapplewick.core.leader.machine_capacity import MachineCapacity
 from dapplewick.protocol.peers import GangStatus, JobStatus, MachineStatus, ShardStatus
+from dapplewick.storage.keys import SHARDS
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import JobId, MachineId, Revision, Seconds, ShardName, zone_of
 
+UNREACHABLE_S = 6.0  # an owner that heard nothing for this long may be cut off from its workers
+UNREACHABLE_MIN_MACHINES = 2  # of this many machines at least: one alone may be silent itself
+
 V = TypeVar("V")
 
 
 class ObservedShard:
-    """What a part has told, put together from its statuses."""
+    """What a shard's owner has told, put together from its statuses.
+
+    Attributes:
+        token: The fencing token under which the owner speaks.
+        number: That of the newest status; 0 before the first.
+        at: When the newest status came, by our steady clock.
+        clock: Our steady clock less the owner's, in seconds.
+        seen: The revision of the state service up to which the owner had read.
+        capacities: The machines as the leader plans with them, made where they are needed.
+    """
 
     def __init__(self, shard: ShardName, token: int) -> None:
         self.shard = shard
         self.zone = zone_of(shard)
         self.token = token
-        self.number = 0  # of the newest status
+        self.number = 0
         self.at = -1e9
-        self.clock = 0.0  # our clock less the part's
+        self.clock = 0.0
         self.seen = Revision(0)
         self.machines: dict[MachineId, MachineStatus] = {}
         self.capacities: dict[MachineId, MachineCapacity] = {}
@@ -67,11 +82,73 @@
         return True
 
     def placed(self, job_id: JobId) -> int:
-        """How many singles of a job are on machines here, or about to start."""
+        """How many array tasks of a job are on machines here, or about to start."""
         status = self.jobs.get(job_id)
         return status.placed if status is not None else 0
 
 
+class ObservedShards:
+    """All shards of which an owner has told, in the order in which they were first heard of."""
+
+    def __init__(self, cache: WatchCache, estimates: Estimates) -> None:
+        self._cache = cache
+        self._estimates = estimates
+        self.by_name: dict[ShardName, ObservedShard] = {}
+
+    def receive(self, now: Seconds, status: ShardStatus) -> int:
+        """Take over a status.
+
+        Returns:
+            The number up to which this shard's statuses are known here: 0 if the next one has to
+            be complete, or if the sender does not own the shard any more.
+        """
+        name = status.shard
+        token = self._cache.version(SHARDS + name)
+        if status.token != token:
+            return 0
+        shard = self.by_name.get(name)
+        if shard is None or shard.token != token:
+            shard = self.by_name[name] = ObservedShard(name, token)
+        if shard.apply(now, status):
+            self._estimates.adopt(status.estimates)
+        return shard.number
+
+    def owned(self) -> list[ObservedShard]:
+        """The shards whose present owner has told of them."""
+        version = self._cache.version
+        return [
+            shard
+            for name, shard in self.by_name.items()
+            if shard.number > 0 and shard.token == version(SHARDS + name)
+        ]
+
+    def unreachable(self) -> set[ShardName]:
+        """Shards whose owner has not heard any machine for a while, though several are up.
+
+        Deleting them all as silent would cost a shard its work for one controller's broken
+        network.
+        """
+        unreachable = set()
+        for shard in self.owned():
+            up = sum(
+                record.up and not record.terminating
+                for machine_id in shard.machines
+                if (record := self._cache.machines.get(machine_id)) is not None
+            )
+            if up >= UNREACHABLE_MIN_MACHINES and shard.latest.heard_ago_s > UNREACHABLE_S:
+                unreachable.add(shard.shard)
+        return unreachable
+
+    def has_moved(self, machine_id: MachineId, shard: ObservedShard) -> bool:
+        """Whether a machine has gone to another shard since this one's status."""
+        record = self._cache.machines.get(machine_id)
+        return record is not None and record.shard != shard.shard
+
+    def placed(self, job_id: JobId) -> int:
+        """How many array tasks of a job are on machines anywhere, or about to start."""
+        return sum(shard.placed(job_id) for shard in self.by_name.values())
+
+
 def _merge(into: dict[JobId, V], changes: dict[JobId, V | None]) -> None:
     for key, value in changes.items():
         if value is None:
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -1,13 +1,20 @@
-"""What to rent and what to return."""
+"""Scaling out: which machines to ask the cloud for."""
 
 from __future__ import annotations
 
-import logging
-import math
 import random
+from collections.abc import Iterable
 from typing import NamedTuple
 
-from dapplewick.core.leader.capacity import MachineCapacity, ShardCapacity, take_times
+from dapplewick.core.leader.capacity_requests import CapacityRequest
+from dapplewick.core.leader.machine_capacity import MachineCapacity, empty_capacity
+from dapplewick.core.leader.machine_offers import (
+    MACHINES_PER_REQUEST,
+    MachineMarket,
+    MachineOffer,
+    MachinePool,
+)
+from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.protocol.cloud import MachineType
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.machine_records import ProvisioningRequest
@@ -15,34 +22,19 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import MachineId, Seconds, ShardName, TypeName, Zone
 
-log = logging.getLogger("dapplewick.fleet")
+OVERDUE_TIMES = 1.7  # a machine that boots for longer than this times its usual is not counted on
+CROWDING = 0.1  # each machine that is asked of a pool makes the next one dearer by so much
 
-REFUSED_S = 20.0  # how long "no capacity" is believed
-BOOT_TIMES = 4.0  # a machine that takes longer than this times its usual boot is given up
-BOOT_LEAST_S = 60.0
-OVERDUE_TIMES = 1.7  # a machine that boots for longer is no longer counted on
-IDLE_TIMES = 5.0  # a cheap machine idles at most this much longer than a middling one
-MACHINES_PER_REQUEST = 50  # as the cloud allows
 
+class ScaleOut(NamedTuple):
+    """What to ask the cloud for, and the requests for which nothing is left to be asked."""
 
-class CapacityRequest(NamedTuple):
-    """Tasks for which there is no room: `count` of them want to run at the same time."""
-
-    spec: JobSpec
-    tasks: int
-    together: bool
-    caps: dict[str, int] | None = None  # how many may be in each zone, where that is bound
-
-
-class MachineOffer(NamedTuple):
-    type: MachineType
-    zone: str
-    spot: bool
-    price: float
+    requests: list[ProvisioningRequest]
+    unmet: list[CapacityRequest]
 
 
 class Provisioner:
-    """Decides on machines; it neither writes nor calls."""
+    """Decides on new machines; it neither writes nor calls."""
 
     def __init__(
         self,
@@ -55,246 +47,219 @@
         # More requests than the cloud takes in a pass would only wait, for more and more work
         # that is known by then.
         self._machines_per_pass = max(1, int(requests_per_pass)) * MACHINES_PER_REQUEST
-        self.tuning = tuning or Tuning()
-        self.cache = cache
-        self.zones = zones
-        self.random = random.Random(seed)
-        self.prices: dict[str, MachineType] = {}
-        self.refused: dict[tuple[str, str, bool], Seconds] = {}
+        self._tuning = tuning or Tuning()
+        self._cache = cache
+        self._zones = zones
+        self._random = random.Random(seed)
+        self._market = MachineMarket(cache, zones)
 
-    def catalog(self, types: list[MachineType]) -> None:
-        self.prices = {t.name: t for t in types}
+    def catalog(self, types: Iterable[MachineType]) -> None:
+        """Take over the cloud's catalogue."""
+        self._market.set_catalog(types)
 
     def no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
-        self.refused[
-            (provisioning_request.type, provisioning_request.zone, provisioning_request.spot)
-        ] = now
+        """Note that the cloud had not all machines that were asked for."""
+        self._market.refuse(now, provisioning_request)
+
+    def idle_limit_s(self, machine_type: str) -> Seconds:
+        """How long a machine of this type may idle before it is terminated."""
+        return self._market.idle_limit_s(machine_type, self._tuning.idle_s)
+
+    def boot_limit_s(self, machine_type: str) -> Seconds:
+        """How long a machine of this type may take to come up before it is given up."""
+        return self._market.boot_limit_s(machine_type)
 
     def coming(self, wall: Seconds) -> list[MachineCapacity]:
-        """Machines that are rented or asked for and not yet up, as empty rooms. One that is
-        long overdue may never come: nothing is left waiting for it."""
+        """Machines that are provisioned or asked for and not yet up, as empty ones.
+
+        One that is long overdue may never come: nothing is left waiting for it.
+        """
         capacities = []
-        for machine_id, record in self.cache.machines.items():
-            kind = self.cache.types.get(record.type)
-            if kind is None or record.up or record.terminating:
+        for machine_id, record in self._cache.machines.items():
+            machine_type = self._cache.types.get(record.type)
+            if machine_type is None or record.up or record.terminating:
                 continue
-            if wall - record.at < OVERDUE_TIMES * kind.boot_s:
-                capacities.append(self._empty(machine_id, kind, record.zone, record.spot))
-        for name, provisioning_request in self.cache.provisioning_requests.items():
-            kind = self.cache.types.get(provisioning_request.type)
-            if kind is not None:
-                for n in range(provisioning_request.count):
-                    capacities.append(
-                        self._empty(
-                            f"{name}#{n}",
-                            kind,
-                            provisioning_request.zone,
-                            provisioning_request.spot,
-                        )
-                    )
+            if wall - record.at < OVERDUE_TIMES * machine_type.boot_s:
+                capacities.append(_empty(machine_id, machine_type, record.zone, record.spot))
+        for name, request in self._cache.provisioning_requests.items():
+            machine_type = self._cache.types.get(request.type)
+            if machine_type is not None:
+                capacities += [
+                    _empty(f"{name}#{n}", machine_type, request.zone, request.spot)
+                    for n in range(request.count)
+                ]
         return capacities
 
-    def _empty(self, name: str, kind: MachineType, zone: str, spot: bool) -> MachineCapacity:
-        return MachineCapacity(
-            MachineId(name),
-            TypeName(kind.name),
-            ShardName(zone),
-            spot,
-            kind.resources,
-            kind.resources,
-            [],
-            0,
-        )
-
-    def _machine_offers(
-        self,
-        now: Seconds,
-        spec: JobSpec,
-        zones: list[str],
-        asked: dict[tuple[str, str, bool], int],
-    ) -> list[MachineOffer]:
-        offers = []
-        # One request at a time for each kind of machine: what is asked of a cloud that has
-        # nothing left would pile up otherwise, in front of what it has.
-        pending = {(b.type, b.zone, b.spot) for b in self.cache.provisioning_requests.values()}
-        for kind in (self.prices or self.cache.types).values():
-            if spec.types is not None and kind.name not in spec.types:
-                continue
-            if not spec.resources.fits_in(kind.resources):
-                continue
-            for zone in kind.zones or self.zones:
-                if zone not in zones or (spec.zone is not None and spec.zone != zone):
-                    continue
-                for spot in (True, False) if spec.spot else (False,):
-                    key = (kind.name, zone, spot)
-                    refused = self.refused.get(key)
-                    if key not in pending and (refused is None or now - refused > REFUSED_S):
-                        if asked.get(key, 0) >= MACHINES_PER_REQUEST:
-                            continue
-                        price = kind.spot_price if spot else kind.price
-                        offers.append(MachineOffer(kind, zone, spot, price))
-        return offers
-
     def scale_out(
         self,
         now: Seconds,
         wall: Seconds,
         capacity_requests: list[CapacityRequest],
         shard_capacities: list[ShardCapacity],
-    ) -> tuple[list[ProvisioningRequest], list[CapacityRequest]]:
-        """What to ask for, beyond the rooms that there are and what is already coming; and
-        the needs for which nothing is left to be asked.
+    ) -> ScaleOut:
+        """Decide what to ask for, beyond what is there and what is already coming.
 
-        A need that finds room in machines that are up rents nothing, whatever else keeps it
-        from starting: otherwise it would rent again in every pass.
+        A request that finds slots on machines that are up asks for nothing, whatever else keeps
+        its work from starting: otherwise it would ask again in every pass. The slots that are
+        found are taken out of the shards' capacities.
         """
-        pool = _capacities_by_zone(shard_capacities)
-        for zone in self.zones:
-            pool.setdefault(Zone(zone), ShardCapacity(ShardName(zone), []))
+        zones = _capacities_by_zone(shard_capacities)
+        for zone in self._zones:
+            zones.setdefault(Zone(zone), ShardCapacity(ShardName(zone), []))
         for capacity in self.coming(wall):
-            if capacity.zone in pool:
-                pool[capacity.zone].add(capacity)
-        asked: dict[tuple[str, str, bool], int] = {}
-        unmet: list[CapacityRequest] = []
-        for need in capacity_requests:
-            spec = need.spec
-            if need.together and spec.same_zone:
-                placement_key = spec.placement_key
-                zones = sorted(self.zones, key=lambda z: -pool[Zone(z)].idle(spec, placement_key))
-                for zone in zones:
-                    if self._provide(now, spec, need.tasks, need.tasks, [zone], pool, asked):
-                        break
-                else:
-                    unmet.append(need)
-            else:
-                cap = spec.zone_cap if need.together and spec.spread else need.tasks
-                if not self._provide(
-                    now, spec, need.tasks, cap, self.zones, pool, asked, need.caps
-                ):
-                    unmet.append(need)
-        provisioning_requests = [
-            ProvisioningRequest(type=kind, zone=zone, spot=spot, count=count, at=now)
-            for (kind, zone, spot), count in asked.items()
-        ]
-        return provisioning_requests, unmet
+            if capacity.zone in zones:
+                zones[capacity.zone].add(capacity)
+        scaling = _ScalingPass(
+            now,
+            zones,
+            self._zones,
+            self._market,
+            self._random,
+            self._machines_per_pass,
+            self._tuning.spend_cap,
+        )
+        unmet = [request for request in capacity_requests if not scaling.meet(request)]
+        return ScaleOut(scaling.provisioning_requests(), unmet)
+
 
-    def _provide(
+class _ScalingPass:
+    """What one pass takes of the machines that there are, and asks for beyond them."""
+
+    def __init__(
         self,
         now: Seconds,
-        spec: JobSpec,
-        count: int,
-        cap: int,
+        capacities: dict[Zone, ShardCapacity],
         zones: list[str],
-        pool: dict[Zone, ShardCapacity],
-        asked: dict[tuple[str, str, bool], int],
-        caps: dict[str, int] | None = None,
-    ) -> bool:
-        """Take room for `count` tasks out of the pool, at most `cap` in a zone or as many as
-        `caps` says, and ask for what is missing; says whether something was found for all."""
-        left = dict.fromkeys(zones, cap)
-        if caps is not None:
-            left = {zone: caps.get(zone, 0) for zone in zones}
-        for zone in zones:
-            shard = pool[Zone(zone)]
-            taken = False
-            for capacity in shard.candidates(spec):
-                if count <= 0 or left[zone] <= 0:
-                    break
-                # Singles that need no accelerators don't count on machines that are rented
-                # for theirs: room for them is to be had for much less.
-                if spec.gpus == 0 and not spec.is_gang and capacity.total.gpus > 0:
-                    continue
-                fit = min(count, left[zone], capacity.times(spec))
-                if fit > 0:
-                    take_times(capacity, spec, fit)
-                    left[zone] -= fit
-                    count -= fit
-                    taken = True
-            if taken:
-                shard.changed()
-        while count > 0 and sum(asked.values()) < self._machines_per_pass:
-            open_zones = [z for z in zones if left[z] > 0]
-            offer = self._best(now, spec, count, asked, open_zones)
-            if offer is None or self._over_cap(offer, asked):
+        market: MachineMarket,
+        rng: random.Random,
+        most_machines: int,
+        spend_cap: float,
+    ) -> None:
+        self._now = now
+        self._capacities = capacities
+        self._zones = zones
+        self._market = market
+        self._random = rng
+        self._most_machines = most_machines
+        self._spend_cap = spend_cap  # for an hour of all machines; 0 if there is none
+        self._asked: dict[MachinePool, int] = {}
+
+    def provisioning_requests(self) -> list[ProvisioningRequest]:
+        """One request for each pool of which machines are wanted."""
+        return [
+            ProvisioningRequest(
+                type=pool.machine_type, zone=pool.zone, spot=pool.spot, count=count, at=self._now
+            )
+            for pool, count in self._asked.items()
+        ]
+
+    def meet(self, request: CapacityRequest) -> bool:
+        """Find or ask for slots for all tasks of a request; whether that was possible."""
+        spec, count = request.spec, request.task_count
+        if request.together and spec.same_zone:
+            zones = sorted(self._zones, key=lambda z: -self._capacities[Zone(z)].idle_slots(spec))
+            return any(self._provide(spec, count, {zone: count}) for zone in zones)
+        if request.zone_limits is not None:
+            limits = {zone: request.zone_limits.get(zone, 0) for zone in self._zones}
+        else:
+            limit = spec.zone_cap if request.together and spec.spread else count
+            limits = dict.fromkeys(self._zones, limit)
+        return self._provide(spec, count, limits)
+
+    def _provide(self, spec: JobSpec, count: int, zone_limits: dict[str, int]) -> bool:
+        """Take slots for so many tasks and ask for what is missing; whether all have one.
+
+        Args:
+            spec: The work.
+            count: For how many tasks.
+            zone_limits: For at most how many in each zone; it is used up.
+        """
+        count -= self._take_present(spec, count, zone_limits)
+        while count > 0 and sum(self._asked.values()) < self._most_machines:
+            open_zones = [zone for zone, left in zone_limits.items() if left > 0]
+            offer = self._best_offer(spec, count, open_zones)
+            if offer is None or self._is_too_dear(offer):
                 return False
-            key = (offer.type.name, offer.zone, offer.spot)
-            asked[key] = asked.get(key, 0) + 1
-            capacity = self._empty(f"new#{asked[key]}", offer.type, offer.zone, offer.spot)
-            fit = min(count, left[offer.zone], capacity.times(spec))
-            take_times(capacity, spec, fit)
-            left[offer.zone] -= fit
+            fit = self._ask(offer, spec, min(count, zone_limits[offer.zone]))
+            zone_limits[offer.zone] -= fit
             count -= fit
-            pool[Zone(offer.zone)].add(capacity)
         return count <= 0
 
-    def _hourly(self, type_: str, spot: bool) -> float:
-        kind = self.prices.get(type_) or self.cache.types.get(type_)
-        if kind is None:
-            return 0.0
-        return kind.spot_price if spot else kind.price
-
-    def _over_cap(self, offer: MachineOffer, asked: dict[tuple[str, str, bool], int]) -> bool:
+    def _take_present(self, spec: JobSpec, count: int, zone_limits: dict[str, int]) -> int:
+        """Take slots on machines that are there or coming; gives for how many tasks."""
+        taken = 0
+        for zone in zone_limits:
+            shard = self._capacities[Zone(zone)]
+            before = taken
+            for capacity in shard.machines_for(spec):
+                if taken >= count or zone_limits[zone] <= 0:
+                    break
+                # Array tasks that need no accelerators don't count on machines that are
+                # provisioned for theirs: slots for them are to be had for much less.
+                if spec.gpus == 0 and not spec.is_gang and capacity.total.gpus > 0:
+                    continue
+                fit = min(count - taken, zone_limits[zone], capacity.slot_count(spec))
+                if fit > 0:
+                    capacity.take(spec.resources.times(fit))
+                    zone_limits[zone] -= fit
+                    taken += fit
+            if taken > before:
+                shard.forget_slots()
+        return taken
+
+    def _ask(self, offer: MachineOffer, spec: JobSpec, most: int) -> int:
+        """Ask for one more machine, and take slots on it; gives for how many tasks."""
+        pool = offer.pool
+        self._asked[pool] = self._asked.get(pool, 0) + 1
+        name = f"new#{self._asked[pool]}"
+        capacity = _empty(name, offer.machine_type, offer.zone, offer.spot)
+        fit = min(most, capacity.slot_count(spec))
+        capacity.take(spec.resources.times(fit))
+        self._capacities[Zone(offer.zone)].add(capacity)
+        return fit
+
+    def _best_offer(self, spec: JobSpec, count: int, zones: list[str]) -> MachineOffer | None:
+        """The offer with the lowest price for each task that it would run now; ties by chance."""
+        best: MachineOffer | None = None
+        best_cost = (0.0, 0.0)
+        for offer in self._market.offers(self._now, spec, zones, self._asked):
+            slots = min(count, spec.resources.count_in(offer.machine_type.resources))
+            # Machines of one pool are few: ask for some elsewhere too.
+            crowding = 1.0 + CROWDING * self._asked.get(offer.pool, 0)
+            cost = (offer.hourly_price / slots * crowding, self._random.random())
+            if best is None or cost < best_cost:
+                best, best_cost = offer, cost
+        return best
+
+    def _is_too_dear(self, offer: MachineOffer) -> bool:
         """Whether one more machine would cost more than operators allow."""
-        if not self.tuning.spend_cap:
+        if not self._spend_cap:
             return False
-        spent = sum(self._hourly(m.type, m.spot) for m in self.cache.machines.values())
-        spent += sum(
-            self._hourly(b.type, b.spot) * b.count
-            for b in self.cache.provisioning_requests.values()
+        spending = self._market.hourly_spending()
+        spending += sum(
+            self._market.hourly_price(pool.machine_type, pool.spot) * count
+            for pool, count in self._asked.items()
         )
-        spent += sum(self._hourly(type_, spot) * n for (type_, _, spot), n in asked.items())
-        return spent + offer.price > self.tuning.spend_cap
+        return spending + offer.hourly_price > self._spend_cap
 
-    def _best(
-        self,
-        now: Seconds,
-        spec: JobSpec,
-        count: int,
-        asked: dict[tuple[str, str, bool], int],
-        zones: list[str],
-    ) -> MachineOffer | None:
-        """The offer with the lowest price for each task it would run now."""
-        best: tuple[float, float, MachineOffer] | None = None
-        for offer in self._machine_offers(now, spec, zones, asked):
-            slots = min(count, spec.resources.count_in(offer.type.resources))
-            # Machines of one kind and zone are few: ask for some elsewhere too.
-            crowd = asked.get((offer.type.name, offer.zone, offer.spot), 0)
-            key = (offer.price / slots * (1.0 + 0.1 * crowd), self.random.random())
-            if best is None or key < best[:2]:
-                best = (*key, offer)
-        return best[2] if best is not None else None
-
-    def patience(self, type_: str) -> Seconds:
-        """How long a machine of this type may idle before it is returned: idling costs about
-        the same for each, so the cheap ones are there when the next work comes."""
-        kinds = self.prices or self.cache.types
-        kind = kinds.get(type_)
-        if kind is None or kind.price <= 0:
-            return self.tuning.idle_s
-        middling = sum(k.price for k in kinds.values()) / len(kinds)
-        return self.tuning.idle_s * min(IDLE_TIMES, middling / kind.price)
-
-    def boot_limit(self, type_: str) -> Seconds:
-        kind = self.cache.types.get(type_)
-        return max(BOOT_LEAST_S, BOOT_TIMES * (kind.boot_s if kind is not None else 60.0))
+
+def _empty(name: str, machine_type: MachineType, zone: str, spot: bool) -> MachineCapacity:
+    return empty_capacity(
+        MachineId(name), TypeName(machine_type.name), zone, spot, machine_type.resources
+    )
 
 
 def _capacities_by_zone(shard_capacities: list[ShardCapacity]) -> dict[Zone, ShardCapacity]:
-    """The rooms of each zone, whose machines may be in several parts."""
+    """The capacity of each zone, whose machines may be in several shards."""
     shards: dict[Zone, list[ShardCapacity]] = {}
-    for room in shard_capacities:
-        shards.setdefault(room.zone, []).append(room)
-    return {zone: _joined(zone, some) for zone, some in shards.items()}
+    for capacity in shard_capacities:
+        shards.setdefault(capacity.zone, []).append(capacity)
+    return {zone: _joined(zone, of_zone) for zone, of_zone in shards.items()}
 
 
 def _joined(zone: Zone, shard_capacities: list[ShardCapacity]) -> ShardCapacity:
     if len(shard_capacities) == 1:
         return shard_capacities[0]
     return ShardCapacity(
-        ShardName(zone), [capacity for room in shard_capacities for capacity in room.capacities]
+        ShardName(zone), [machine for shard in shard_capacities for machine in shard.capacities]
     )
-
-
-def wanted_slots(work: Seconds, running: int, horizon: Seconds) -> int:
-    """How many more slots finish this work within the horizon."""
-    return max(0, math.ceil(work / max(1.0, horizon)) - running)
--- /dev/null
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -0,0 +1,151 @@
+"""Squaring what the shards report of their jobs with the jobs' records."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+
+from dapplewick.core.leader.job_drafts import JobDrafts
+from dapplewick.core.leader.machine_capacity import GANG_PRIORITY
+from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
+from dapplewick.storage.job_records import DONE, GangPlacement, JobRecord
+from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
+from dapplewick.types import JobId, Seconds, ShardName
+
+log = logging.getLogger("dapplewick.leader")
+
+
+class Reconciliation:
+    """Drafts of the records of jobs of which the shards report something new."""
+
+    def __init__(
+        self,
+        cache: WatchCache,
+        drafts: JobDrafts,
+        shards: ObservedShards,
+        patience_s: Seconds,
+    ) -> None:
+        self._cache = cache
+        self._drafts = drafts
+        self._shards = shards
+        self._patience_s = patience_s
+        # Gangs that hold slots without preempting, and since when.
+        self._holding_since: dict[JobId, Seconds] = {}
+
+    def reconcile(self, now: Seconds) -> None:
+        """Take over what the shards report of their jobs."""
+        owned = self._shards.owned()
+        for shard in owned:
+            self._reconcile_array_tasks(shard)
+            self._clear_drained_jobs(shard)
+        self._reconcile_gangs(now, {shard.shard: shard for shard in owned})
+
+    def _clear_drained_jobs(self, shard: ObservedShard) -> None:
+        """Remove the assignments of jobs that are over and of which a shard runs nothing."""
+        for job_id in shard.latest.drained_jobs:
+            old = self._cache.jobs.get(job_id)
+            if old is not None and not old.open and shard.shard in old.assignments:
+                job = self._drafts.edit(job_id, WritePriority.LOW)
+                job.assignments.pop(shard.shard, None)
+
+    def _reconcile_array_tasks(self, shard: ObservedShard) -> None:
+        name = shard.shard
+        for job_id, status in shard.jobs.items():
+            if not status.done and not status.released:
+                continue
+            old = self._cache.jobs.get(job_id)
+            if old is None or not old.open:
+                continue
+            assigned = old.assigned(name)
+            done = [i for i in status.done if i not in old.done and i in assigned]
+            if old.spec.is_service:
+                done = []  # a service is never complete, whatever its replicas report
+            # What is released counts only against the record that the shard knew: a newer one may
+            # have assigned the same task anew.
+            released = status.released if status.version == old.version else []
+            if done or released:
+                self._take_over(job_id, name, done, released)
+
+    def _take_over(
+        self, job_id: JobId, shard: ShardName, done: list[int], released: list[int]
+    ) -> None:
+        """Draft that tasks of a shard are complete or assigned to it no longer."""
+        priority = WritePriority.NORMAL if released else WritePriority.PROGRESS
+        job = self._drafts.edit(job_id, priority)
+        job.done.update(done)
+        job.assignments[shard] = job.assigned(shard).difference(done, released)
+        if not job.assignments[shard]:
+            del job.assignments[shard]
+        if len(job.done) == job.spec.task_count:
+            self._drafts.edit(job_id, WritePriority.URGENT)
+            job.stage = DONE
+            job.assignments = {}
+            log.info("event=job_done job=%s", job_id)
+
+    def _reconcile_gangs(self, now: Seconds, owned: dict[ShardName, ObservedShard]) -> None:
+        lowest_priority = self._lowest_array_priority()
+        holding_since: dict[JobId, Seconds] = {}
+        for job_id, job in list(self._cache.each_live()):
+            gang = job.gang
+            if gang is None:
+                continue
+            states = _gang_states(job_id, job, gang, owned)
+            if self._end_attempt(job_id, job, gang, states):
+                continue
+            if "held" in states and not gang.preempt and job.spec.priority > lowest_priority:
+                holding_since[job_id] = self._holding_since.get(job_id, now)
+                if now - holding_since[job_id] > self._patience_s:
+                    self._preempt(job_id, gang)
+        self._holding_since = holding_since
+
+    def _lowest_array_priority(self) -> int:
+        return min(
+            (
+                job.spec.priority
+                for _, job in self._cache.each_live()
+                if job.open and not (job.spec.is_gang or job.spec.is_service)
+            ),
+            default=GANG_PRIORITY,
+        )
+
+    def _end_attempt(
+        self, job_id: JobId, job: JobRecord, gang: GangPlacement, states: list[str]
+    ) -> bool:
+        """Draft what ends an attempt or clears it away; whether there is anything of this kind."""
+        if job.open and "done" in states:
+            draft = self._drafts.edit(job_id, WritePriority.URGENT)
+            draft.stage, draft.done, draft.gang, draft.assignments = DONE, set(), None, {}
+            log.info("event=job_done job=%s", job_id)
+        elif (gang.over or not job.open) and all(state == "clear" for state in states):
+            self._drafts.edit(job_id, WritePriority.NORMAL).gang = None
+        elif job.open and not gang.over and "bad" in states:
+            log.info("event=gang_ended job=%s attempt=%d", job_id, gang.attempt)
+            ended = msgspec.structs.replace(gang, over=True)
+            self._drafts.edit(job_id, WritePriority.NORMAL).gang = ended
+        else:
+            return False
+        return True
+
+    def _preempt(self, job_id: JobId, gang: GangPlacement) -> None:
+        """Draft that a gang preempts: its slots were to be idle soon by too low estimates."""
+        log.info("event=gang_preempting job=%s attempt=%d", job_id, gang.attempt)
+        preempting = msgspec.structs.replace(gang, preempt=True)
+        self._drafts.edit(job_id, WritePriority.NORMAL).gang = preempting
+
+
+def _gang_states(
+    job_id: JobId, job: JobRecord, gang: GangPlacement, owned: dict[ShardName, ObservedShard]
+) -> list[str]:
+    """How an attempt stands in each of its shards; "unknown" where the owner can't know of it."""
+    states = []
+    for name in gang.shards():
+        shard = owned.get(ShardName(name))
+        state = "unknown"
+        if shard is not None and shard.seen >= job.version:
+            status = shard.gangs.get(job_id)
+            if status is not None and status.attempt == gang.attempt:
+                state = status.state
+        states.append(state)
+    return states
--- /dev/null
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -0,0 +1,104 @@
+"""Scaling in: which idle machines are terminated."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from dapplewick.core.demand import GangDemand
+from dapplewick.core.leader.capacity_requests import LEAST_GANG_SLOTS, CapacityRequest
+from dapplewick.core.leader.job_drafts import JobDrafts
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
+from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
+from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.core.leader.shard_capacity import ShardCapacity
+from dapplewick.storage.machine_records import MachineRecord
+from dapplewick.storage.watch_cache import WatchCache
+from dapplewick.storage.write_priority import WritePriority
+from dapplewick.types import MachineId, Seconds
+
+
+class ScaleIn:
+    """Terminates machines that have been idle for a while, unless something waits for them."""
+
+    def __init__(
+        self,
+        cache: WatchCache,
+        drafts: JobDrafts,
+        shards: ObservedShards,
+        provisioner: Provisioner,
+        gangs: GangDemand,
+        machine_lifecycle: MachineLifecycle,
+    ) -> None:
+        self._cache = cache
+        self._drafts = drafts
+        self._shards = shards
+        self._provisioner = provisioner
+        self._gangs = gangs
+        self._machine_lifecycle = machine_lifecycle
+
+    def spare_slots(self, shard_capacities: Iterable[ShardCapacity]) -> int:
+        """How many idle slots of the gangs' size there are beyond those to be kept."""
+        idle = sum(
+            self._gangs.resources.count_in(machine.free)
+            for shard in shard_capacities
+            for machine in shard.open_capacities
+        )
+        return idle - math.ceil(self._gangs.slots)
+
+    def terminate_idle(self, unmet: list[CapacityRequest], spare_slots: int) -> None:
+        """Draft the end of idle machines.
+
+        Args:
+            unmet: Requests for which nothing could be provisioned: a machine that would serve
+                one of them stays.
+            spare_slots: How many slots of the gangs' size may go.
+        """
+        placed = {
+            machine
+            for _, job in self._drafts.live_jobs()
+            if job.gang is not None
+            for _, machine in job.gang.placements
+        }
+        for shard in self._shards.owned():
+            for machine_id, idle_s in shard.latest.idle.items():
+                record = self._cache.machines.get(machine_id)
+                if record is None or not self._may_go(shard, machine_id, record, idle_s):
+                    continue
+                if machine_id in placed or self._is_wanted(record, unmet):
+                    continue
+                slots = self._gang_slots(record)
+                if slots and spare_slots < slots:
+                    continue
+                spare_slots -= slots
+                self._machine_lifecycle.terminate(machine_id, "idle", WritePriority.LOW)
+
+    def _may_go(
+        self, shard: ObservedShard, machine_id: MachineId, record: MachineRecord, idle_s: Seconds
+    ) -> bool:
+        """Whether a machine is up, still this shard's, not being moved, and idle for too long."""
+        status = shard.machines.get(machine_id)
+        if status is None or record.terminating or not record.up:
+            return False
+        if self._shards.has_moved(machine_id, shard):
+            return False
+        if self._cache.transfers.drains(machine_id) is not None:
+            return False
+        return idle_s > self._provisioner.idle_limit_s(record.type) or status.leaving
+
+    def _gang_slots(self, record: MachineRecord) -> int:
+        """How many slots of the gangs' size a machine has; 0 while none are kept."""
+        machine_type = self._cache.types.get(record.type)
+        if machine_type is None or self._gangs.slots < LEAST_GANG_SLOTS:
+            return 0
+        return self._gangs.resources.count_in(machine_type.resources)
+
+    def _is_wanted(self, record: MachineRecord, requests: Iterable[CapacityRequest]) -> bool:
+        """Whether a task of one of these requests would fit on an empty machine of this type."""
+        machine_type = self._cache.types.get(record.type)
+        return machine_type is not None and any(
+            request.spec.resources.fits_in(machine_type.resources)
+            and (request.spec.types is None or record.type in request.spec.types)
+            and (request.spec.spot or not record.spot)
+            for request in requests
+        )
--- /dev/null
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -0,0 +1,135 @@
+"""Which slots of a shard a gang takes or reserves."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from dapplewick.core.leader.machine_capacity import MachineCapacity, SpareKey, spare_key
+from dapplewick.core.leader.shard_capacity import EndGroup
+from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.types import Seconds
+
+ONE_GROUP_TIMES = 4.0  # behind one gang a longer wait is accepted than behind several
+
+
+class ChosenSlots(NamedTuple):
+    """The machine of each task, and whether work of lower priority is preempted for them."""
+
+    capacities: list[MachineCapacity]
+    preempt: bool
+
+
+def fit_all(
+    capacities: Iterable[MachineCapacity], spec: JobSpec, count: int
+) -> list[MachineCapacity] | None:
+    """Machines for `count` tasks in idle slots, or None; takes nothing yet."""
+    able = sorted(
+        (c for c in capacities if c.allows(spec) and c.slot_count(spec) > 0),
+        key=lambda c: spare_key(c, spec),
+    )
+    chosen: list[MachineCapacity] = []
+    for capacity in able:
+        chosen.extend([capacity] * min(count - len(chosen), capacity.slot_count(spec)))
+        if len(chosen) == count:
+            return chosen
+    return None
+
+
+class _ReservableMachine(NamedTuple):
+    """A machine on which a gang may reserve slots; those that compare lowest are used first."""
+
+    unneeded_gpus: float
+    wait_s: Seconds
+    spare_key: SpareKey
+    position: int  # in the shard, so that no two compare equal and machines are never compared
+    capacity: MachineCapacity
+
+
+def fit_reserved(
+    capacities: Iterable[MachineCapacity],
+    spec: JobSpec,
+    count: int,
+    patience_s: Seconds,
+    limit_s: Seconds,
+) -> ChosenSlots | None:
+    """Slots to reserve for `count` tasks until all are idle, or None; takes nothing yet.
+
+    Args:
+        capacities: The machines of one shard.
+        spec: The gang.
+        count: For how many tasks.
+        patience_s: A longer wait is cut short by preempting work of lower priority.
+        limit_s: Slots that would be busy for longer are left alone.
+    """
+    options = _reservable_machines(capacities, spec, patience_s, limit_s)
+    chosen: list[MachineCapacity] = []
+    preempt = False
+    for option in options:
+        capacity = option.capacity
+        saved = capacity.free
+        while len(chosen) < count:
+            wait = capacity.slot_wait(spec)
+            if wait is None or min(wait.natural_s, wait.preempting_s) > limit_s:
+                break
+            if wait.natural_s > patience_s and wait.preempting_s < wait.natural_s:
+                preempt = True
+            capacity.take(spec.resources)
+            chosen.append(capacity)
+        capacity.free = saved
+        if len(chosen) == count:
+            return ChosenSlots(chosen, preempt)
+    return None
+
+
+def _reservable_machines(
+    capacities: Iterable[MachineCapacity], spec: JobSpec, patience_s: Seconds, limit_s: Seconds
+) -> list[_ReservableMachine]:
+    options: list[_ReservableMachine] = []
+    for position, capacity in enumerate(capacities):
+        if not capacity.allows(spec):
+            continue
+        times = capacity.slot_wait(spec)
+        if times is None:
+            continue
+        natural_s, preempting_s = times
+        wait_s = natural_s if natural_s <= patience_s else max(preempting_s, patience_s)
+        if wait_s > limit_s:
+            continue
+        if preempting_s >= natural_s:
+            # Who is queued there has to wait longer; nobody does who is preempted.
+            wait_s += capacity.queue_length
+        unneeded_gpus = capacity.total.gpus if spec.gpus == 0 else 0.0
+        options.append(
+            _ReservableMachine(unneeded_gpus, wait_s, spare_key(capacity, spec), position, capacity)
+        )
+    options.sort()
+    return options
+
+
+def fit_behind(
+    idle: list[MachineCapacity], groups: list[EndGroup], count: int, limit_s: Seconds
+) -> list[MachineCapacity] | None:
+    """Slots for a gang to reserve behind others, or None; takes nothing yet.
+
+    Behind one gang that is large enough nothing stands idle, however wrong its estimate is. Else
+    the fewest, largest groups: the more of them, the longer the last is waited for by all that
+    ended before it.
+    """
+    enough = [
+        group
+        for group in groups
+        if len(group.capacities) >= count and group.wait <= ONE_GROUP_TIMES * limit_s
+    ]
+    if enough:
+        # The smallest of them: the others stay whole for gangs that need as many slots.
+        return min(enough, key=lambda g: (len(g.capacities), g.wait)).capacities[:count]
+    chosen: list[MachineCapacity] = []
+    for group in sorted(groups, key=lambda g: (-len(g.capacities), g.wait)):
+        missing = count - len(chosen)
+        if missing <= len(idle):
+            break
+        if group.wait <= limit_s:
+            chosen.extend(group.capacities[:missing])
+    chosen.extend(idle[: count - len(chosen)])
+    return chosen if len(chosen) == count else None
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -7,7 +7,7 @@
 
 from msgspec import UNSET
 
-from dapplewick.core.leader.capacity import GANG_PRIORITY
+from dapplewick.core.leader.machine_capacity import GANG_PRIORITY
 from dapplewick.core.shard.state import (
     ASSIGNED,
     FINISHED,
--- a/tests/test_checks_can_fail.py
+++ b/tests/test_checks_can_fail.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dapplewick.controller.controller import Controller
-from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.leader.quotas import TeamQuotas
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.types import Seconds
 from standins import World
@@ -27,7 +27,7 @@
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaderPlanner, "_within_limit", lambda self, spec, usage: spec.task_count)
+    patch.setattr(TeamQuotas, "within_limit", lambda self, spec: spec.task_count)
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_four_points.py
+++ b/tests/test_four_points.py
@@ -11,8 +11,11 @@
 from msgspec.structs import replace
 
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader.capacity import MachineCapacity, ShardCapacity, fit_all
-from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
+from dapplewick.core.leader.capacity_requests import CapacityRequest
+from dapplewick.core.leader.machine_capacity import MachineCapacity
+from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.core.leader.shard_capacity import ShardCapacity
+from dapplewick.core.leader.slot_selection import fit_all
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import IMAGES_MOST
 from dapplewick.protocol import peers
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -438,7 +438,7 @@
     bench = Bench(1)
     name = bench.names[0]
     machine_lifecycle = MachineLifecycle(
-        bench.cache, Provisioner(bench.cache, ["a"], 1), 14.0, 4.0, report_s=2.5
+        bench.cache, Provisioner(bench.cache, ["a"], 1), 14.0, 4.0, heartbeat_s=2.5
     )
     machine_lifecycle.begin()
     machine_lifecycle.review(100.0, 100.0, {}, {name: silence}, ["a"])
--- a/tests/test_waiting_gangs.py
+++ b/tests/test_waiting_gangs.py
@@ -8,14 +8,9 @@
 import standins
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader.capacity import (
-    ONE_GROUP_TIMES,
-    EndGroup,
-    MachineCapacity,
-    ShardCapacity,
-    fit_behind,
-)
+from dapplewick.core.leader.machine_capacity import MachineCapacity
 from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.core.leader.shard_capacity import EndGroup, ShardCapacity
 from dapplewick.core.leader.shard_reservation import (
     HOPELESS_S,
     MOST_S,
@@ -23,6 +18,7 @@
     PAUSE_S,
     ShardReservation,
 )
+from dapplewick.core.leader.slot_selection import ONE_GROUP_TIMES, fit_behind
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol.cloud import MachineType, encode_machine_types
 from dapplewick.protocol.workers import Heartbeat
