--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -1,8 +1,9 @@
-"""What work with accelerators, and gangs to come, need of machines: others leave them room."""
+"""What accelerator work, and gangs to come, need of machines that other work would fill."""
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.watch_cache import WatchCache
@@ -10,39 +11,61 @@
 
 GANG_WINDOW_S = 45.0  # gang tasks that come in this time should find idle slots
 MEMORY_S = 60.0  # over this time the rate at which gangs come is counted
-UNAIMED_S = 60.0  # work without aims of its own is left no room for this long
+LEAST_MEMORY_S = 5.0  # as if it had been counted for at least so long
+GANG_SPREAD = 1.5  # standard deviations of the gang tasks that come and go, which are kept idle
+UNAIMED_S = 60.0  # nothing is reserved for this long for work that has no objectives
+WANTED = 0.01  # of the accelerators: less is not worth reserving for
 SCARCE = 0.5  # of the accelerators
 SEEN_LEAST = 500  # gangs that have been counted, before those that are over are forgotten
 FADE_S = 20.0  # a demand for accelerators that has passed is believed in for about this long
+LEAST_GANG_SLOTS = 0.5  # fewer idle slots than this are not worth keeping
 
 
 class AcceleratorDemand:
     """How many accelerators are wanted, and the CPUs and memory that go with each.
 
     A machine's accelerators are worth nothing without CPUs. Work that needs none of them may
-    use a machine's other resources only beyond this share.
+    use a machine's other resources only beyond what its wanted accelerators need.
+
+    Attributes:
+        priority: The highest of the work that wants accelerators; -1 if there is none.
     """
 
-    def __init__(self, cache: WatchCache, aimed: frozenset[str] = frozenset()) -> None:
+    def __init__(self, cache: WatchCache, aimed_classes: frozenset[str] = frozenset()) -> None:
         self.cache = cache
-        self._aimed = aimed  # classes of which the users say what they expect
+        self._aimed_classes = aimed_classes  # classes that have objectives
         self._wanted = 0.0
-        self._at = 0.0
-        self._each = Resources(0.0, 1.0, 0.0)
-        self._share = 0.0
-        self.priority = -1  # the highest of the work that wants accelerators
+        self._updated_at = 0.0
+        self._each = Resources(0.0, 1.0, 0.0)  # what goes with one accelerator
+        self._wanted_fraction = 0.0  # of all accelerators that are up
+        self.priority = -1
 
     def update(self, now: Seconds, wall: Seconds) -> None:
+        """Sum up the demand of all open jobs; a demand that has passed fades.
+
+        Args:
+            now: The steady clock.
+            wall: The wall clock, which is compared with times of submission.
+        """
+        wanted = self._count_wanted(wall)
+        fade = math.exp(-max(0.0, now - self._updated_at) / FADE_S)
+        self._updated_at = now
+        self._wanted = max(wanted, self._wanted * fade)
+        have = self._count_up()
+        self._wanted_fraction = min(1.0, self._wanted / have) if have else 0.0
+
+    def _count_wanted(self, wall: Seconds) -> float:
+        """The accelerators that unfinished work wants; notes its priority and what goes with it."""
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
         for _, job in self.cache.each_live():
             spec = job.spec
             if spec.gpus > 0 and job.open:
-                # Where users expect something of other classes only, room is not kept from
-                # those for this work, until it has waited for long.
+                # Where users have objectives for other classes only, nothing is kept from those
+                # for this work, until it has waited for long.
                 if (
-                    self._aimed
-                    and spec.job_class not in self._aimed
+                    self._aimed_classes
+                    and spec.job_class not in self._aimed_classes
                     and wall - job.submitted_at < UNAIMED_S
                 ):
                     continue
@@ -52,53 +75,96 @@
                 ram_gb = max(ram_gb, spec.ram_gb / spec.gpus)
         if cpus or ram_gb:
             self._each = Resources(cpus, 1.0, ram_gb)
-        fade = math.exp(-max(0.0, now - self._at) / FADE_S)
-        self._at = now
-        self._wanted = max(wanted, self._wanted * fade)
-        have = 0.0
+        return wanted
+
+    def _count_up(self) -> float:
+        """The accelerators of all machines that are up."""
+        count = 0.0
         for record in self.cache.machines.values():
-            kind = self.cache.types.get(record.type)
-            if kind is not None and record.up and not record.terminating:
-                have += kind.gpus
-        self._share = min(1.0, self._wanted / have) if have else 0.0
+            machine_type = self.cache.types.get(record.type)
+            if machine_type is not None and record.up and not record.terminating:
+                count += machine_type.gpus
+        return count
 
     def wanted(self) -> bool:
-        return self._share > 0.01
+        """Whether accelerators are wanted at all."""
+        return self._wanted_fraction > WANTED
 
     def scarce(self) -> bool:
         """Whether most accelerators are wanted: what their work leaves goes to more of it."""
-        return self._share > SCARCE
+        return self._wanted_fraction > SCARCE
+
+    def reserve(self, total: Resources, free: Resources) -> Resources:
+        """What is to be left free on a machine for the accelerators that are wanted.
 
-    def reserve(self, capacity: Resources, free: Resources) -> Resources:
-        """What is to be left free on a machine for the accelerators that are wanted."""
-        if capacity.gpus <= 0 or self._share <= 0.01:
+        Args:
+            total: All resources of the machine.
+            free: Those that no task uses.
+        """
+        if total.gpus <= 0 or self._wanted_fraction <= WANTED:
             return NO_RESOURCES
-        target = math.floor(self._share * capacity.gpus + 0.5)
-        count = max(0.0, min(free.gpus, target - (capacity.gpus - free.gpus)))
+        target = math.floor(self._wanted_fraction * total.gpus + 0.5)
+        count = max(0.0, min(free.gpus, target - (total.gpus - free.gpus)))
         return Resources(self._each.cpus * count, 0.0, self._each.ram_gb * count)
 
 
+class _TaskCounts(NamedTuple):
+    """Tasks of gangs that are new and that wait, and the highest priority of arrays in their way.
+
+    The priority is -1 if there is no such array.
+    """
+
+    fresh: int
+    waiting: int
+    in_the_way: int
+
+
 class GangDemand:
-    """How many idle slots to keep for gangs that can't displace the singles in their way.
+    """How many idle slots to keep for gangs that can't preempt the array tasks in their way.
+
+    A gang of higher priority preempts array tasks; any other would wait for them to end. So array
+    tasks without accelerators use only what is left beside a few idle slots of the gangs' size.
 
-    A gang of higher priority stops singles; any other would wait for them to end. So singles
-    without accelerators use only what is left beside a few idle slots of the gangs' size.
+    Attributes:
+        spec: The gang that came last; None before the first.
+        resources: Those of each of its tasks: the size of a slot.
+        priority: Its priority.
+        slots: How many idle slots are kept on average for gangs that are expected.
+        waiting: Tasks of gangs that have no place yet.
     """
 
     def __init__(self, cache: WatchCache, factor: float = 1.0) -> None:
         self.cache = cache
-        self._factor = factor
-        self._count = 0.0
-        self._at: Seconds | None = None
-        self._begun = 0.0
-        self.spec: JobSpec | None = None
+        self._factor = factor  # as operators have set it
+        self._count = 0.0  # tasks of gangs that came, fading
+        self._updated_at: Seconds | None = None
+        self._begun_at = 0.0
         self._seen: dict[JobId, None] = {}
+        self.spec: JobSpec | None = None
         self.resources = NO_RESOURCES
         self.priority = 0
-        self.slots = 0.0  # for gangs that are expected
-        self.waiting = 0  # tasks of gangs that have no place yet
+        self.slots = 0.0
+        self.waiting = 0
 
     def update(self, now: Seconds) -> None:
+        """Count the gangs that came since the last call and those that wait."""
+        fresh, waiting, in_the_way = self._count_tasks()
+        if len(self._seen) > SEEN_LEAST + 2 * len(self.cache.live_jobs):
+            self._seen = {job_id: None for job_id in self._seen if job_id in self.cache.live_jobs}
+        if self._updated_at is None:
+            self._begun_at = self._updated_at = now
+        self._count = self._count * math.exp(-max(0.0, now - self._updated_at) / MEMORY_S) + fresh
+        self._updated_at = now
+        # A fading count stands for less than its whole memory soon after the start.
+        weight = 1.0 - math.exp(-max(LEAST_MEMORY_S, now - self._begun_at) / MEMORY_S)
+        mean = self._count / (weight * MEMORY_S) * GANG_WINDOW_S
+        # Gangs also end, about as many as come; what matters is how far both stray by chance.
+        wanted = self._factor * GANG_SPREAD * math.sqrt(2.0 * mean)
+        preempts = in_the_way < self.priority
+        self.slots = 0.0 if preempts else wanted
+        self.waiting = 0 if preempts else waiting
+
+    def _count_tasks(self) -> _TaskCounts:
         fresh = waiting = 0
         in_the_way = -1
         for job_id, job in self.cache.each_live():
@@ -106,48 +172,33 @@
             if spec.is_gang and job.open and job.gang is None:
                 waiting += spec.task_count
             if job.open and not spec.is_gang and not spec.is_service and spec.gpus == 0:
-                in_the_way = max(in_the_way, job.spec.priority)
-            if job.spec.is_gang and job_id not in self._seen:
+                in_the_way = max(in_the_way, spec.priority)
+            if spec.is_gang and job_id not in self._seen:
                 self._seen[job_id] = None
-                self.spec = job.spec
-                self.resources = job.spec.resources
-                self.priority = job.spec.priority
-                if self._at is not None:
-                    fresh += job.spec.task_count
-        if len(self._seen) > SEEN_LEAST + 2 * len(self.cache.live_jobs):
-            self._seen = {job_id: None for job_id in self._seen if job_id in self.cache.live_jobs}
-        if self._at is None:
-            self._begun = self._at = now
-        self._count = self._count * math.exp(-max(0.0, now - self._at) / MEMORY_S) + fresh
-        self._at = now
-        # A fading count stands for less than its whole memory soon after the start.
-        weight = 1.0 - math.exp(-max(5.0, now - self._begun) / MEMORY_S)
-        mean = self._count / (weight * MEMORY_S) * GANG_WINDOW_S
-        # Gangs also end, about as many as come; what matters is how far both stray by chance.
-        wanted = self._factor * 1.5 * math.sqrt(2.0 * mean)
-        displaced = in_the_way < self.priority
-        self.slots = 0.0 if displaced else wanted
-        self.waiting = 0 if displaced else waiting
+                self.spec = spec
+                self.resources = spec.resources
+                self.priority = spec.priority
+                # Gangs that were there before this controller looked first are not new.
+                if self._updated_at is not None:
+                    fresh += spec.task_count
+        return _TaskCounts(fresh, waiting, in_the_way)
 
     def kept_slots(self, elsewhere: bool) -> float:
-        """How many idle slots of the gangs' size are kept from singles. Those of gangs that wait
-        count only where singles can also go `elsewhere`, to machines too small for a gang's
-        task: without that a constant stream of gangs would starve them."""
+        """How many idle slots of the gangs' size are kept from array tasks.
+
+        Args:
+            elsewhere: Whether array tasks can also go to machines too small for a gang's task.
+                Only then do the slots of gangs that wait count: else a constant stream of gangs
+                would starve array tasks.
+        """
         return self.slots + self.waiting if elsewhere else self.slots
 
     def applies(self, spec: JobSpec) -> bool:
         """Whether this work would be in the way of gangs."""
         if spec.is_gang or spec.is_service or spec.gpus > 0:
             return False
-        return spec.priority >= self.priority and self.slots + self.waiting >= 0.5
+        return spec.priority >= self.priority and self.slots + self.waiting >= LEAST_GANG_SLOTS
 
     def rest(self, free: Resources) -> Resources:
-        """A room less the whole slots of the gangs' size in it."""
-        count = self.resources.count_in(free)
-        return free.minus(
-            Resources(
-                self.resources.cpus * count,
-                self.resources.gpus * count,
-                self.resources.ram_gb * count,
-            )
-        )
+        """Free resources less the whole slots of the gangs' size in them."""
+        return free.minus(self.resources.times(self.resources.count_in(free)))
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from dapplewick.core.demand import GangDemand
+from dapplewick.core.demand import LEAST_GANG_SLOTS, GangDemand
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.array_order import PendingArray
 from dapplewick.core.leader.gang_placement import LONG_RESERVATION_S
@@ -20,7 +20,6 @@
 
 LEAST_RUN_S = 1.0  # an owner may say that a task takes no time at all
 STARVED_S = 60.0  # a job of which nothing started for so long has machines provisioned for it
-LEAST_GANG_SLOTS = 0.5  # fewer idle slots than this on average are not worth keeping
 
 
 class CapacityRequest(NamedTuple):
@@ -109,7 +108,7 @@
         return requests
 
     def _gang_requests(self) -> list[CapacityRequest]:
-        """Gangs that wait at the leader, or hold slots that will be busy for long."""
+        """Gangs that wait at the leader, or have reserved slots that will be busy for long."""
         requests: list[CapacityRequest] = []
         positions: dict[PlacementKey, int] = {}  # in `requests`, of those that may grow
         for job_id in sorted(self._cache.live_jobs, key=lambda j: self._cache.jobs[j].submitted_at):
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -17,7 +17,7 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds, Zone
 
-LONG_RESERVATION_S = 10.0  # any gang may hold slots for so long; for longer wants more machines
+LONG_RESERVATION_S = 10.0  # after a longer one, more machines are wanted for the gang
 
 
 class _ReservedSlots(NamedTuple):
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -31,8 +31,8 @@
         self._drafts = drafts
         self._shards = shards
         self._patience_s = patience_s
-        # Gangs that hold slots without preempting, and since when.
-        self._holding_since: dict[JobId, Seconds] = {}
+        # Gangs with reserved slots that preempt nothing, and since when.
+        self._reserved_since: dict[JobId, Seconds] = {}
 
     def reconcile(self, now: Seconds) -> None:
         """Take over what the shards report of their jobs."""
@@ -86,7 +86,7 @@
 
     def _reconcile_gangs(self, now: Seconds, owned: dict[ShardName, ObservedShard]) -> None:
         lowest_priority = self._lowest_array_priority()
-        holding_since: dict[JobId, Seconds] = {}
+        reserved_since: dict[JobId, Seconds] = {}
         for job_id, job in list(self._cache.each_live()):
             gang = job.gang
             if gang is None:
@@ -95,10 +95,10 @@
             if self._end_attempt(job_id, job, gang, states):
                 continue
             if "held" in states and not gang.preempt and job.spec.priority > lowest_priority:
-                holding_since[job_id] = self._holding_since.get(job_id, now)
-                if now - holding_since[job_id] > self._patience_s:
+                reserved_since[job_id] = self._reserved_since.get(job_id, now)
+                if now - reserved_since[job_id] > self._patience_s:
                     self._preempt(job_id, gang)
-        self._holding_since = holding_since
+        self._reserved_since = reserved_since
 
     def _lowest_array_priority(self) -> int:
         return min(
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Iterable
 
-from dapplewick.core.demand import GangDemand
-from dapplewick.core.leader.capacity_requests import LEAST_GANG_SLOTS, CapacityRequest
+from dapplewick.core.demand import LEAST_GANG_SLOTS, GangDemand
+from dapplewick.core.leader.capacity_requests import CapacityRequest
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from dapplewick.core.demand import AcceleratorDemand, GangDemand
+from dapplewick.core.demand import LEAST_GANG_SLOTS, AcceleratorDemand, GangDemand
 from dapplewick.core.leader.machine_capacity import (
     CPU_ROUNDING,
     GANG_PRIORITY,
@@ -17,8 +17,6 @@
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.types import Resources, Seconds, ShardName, zone_of
 
-LEAST_KEPT_SLOTS = 0.5  # fewer than this on average are not worth keeping
-
 
 class EndGroup(NamedTuple):
     """Slots that become idle together, named by their machines."""
@@ -227,7 +225,7 @@
                 not gangs.resources.fits_in(c.total) for c in self.capacities
             )
         slots = gangs.kept_slots(self._has_small_machines)
-        if slots < LEAST_KEPT_SLOTS:
+        if slots < LEAST_GANG_SLOTS:
             return
         if self._idle_gang_slots is None:
             self._idle_gang_slots = sum(
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -23,7 +23,8 @@
 
 log = logging.getLogger("dapplewick.leader")
 
-RESERVATION_FRACTION = 0.25  # of its run time, or of its wait so far, a gang may hold idle slots
+# Idle slots may be reserved for this fraction of a gang's run time, or of its wait so far.
+RESERVATION_FRACTION = 0.25
 
 
 class WaitingGang(NamedTuple):
@@ -110,7 +111,7 @@
         return left
 
     def _reservation_limit_s(self, spec: JobSpec, waited_s: Seconds) -> Seconds:
-        """For how long a gang may hold slots that are idle while others are still busy."""
+        """For how long slots may be reserved that are idle while others are still busy."""
         basis_s = max(waited_s, self._estimates.run_time(spec))
         return max(LONG_RESERVATION_S, RESERVATION_FRACTION * basis_s)
 
