--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from typing import NamedTuple
 
 from dapplewick.core.demand import GangDemand
@@ -39,14 +38,11 @@
         self._gangs = gangs
         self._first_open: dict[JobId, int] = {}  # all tasks below this number are complete
 
-    def assign(
-        self, shard_capacities: list[ShardCapacity], pending: Iterable[PendingArray]
-    ) -> None:
-        """Draft the assignments of this pass.
+    def assign(self, shard_capacities: list[ShardCapacity], pending: list[PendingArray]) -> None:
+        """Draft the assignments of this pass, to the pending arrays in this order.
 
         Slots go first to work whose image is on the machine: a fetch keeps them from all work.
         """
-        pending = list(pending)
         queue_capacity = self._queue_capacity(shard_capacities)
         for only_with_image in (True, False):
             # Where one job got less than it wanted, one of the same shape gets none.
@@ -58,23 +54,37 @@
                 shape = _Shape(spec.placement_key, spec.image if only_with_image else "")
                 if shape in full:
                     continue
-                job = self._drafts.current(array.job_id)
-                assigned = sum(len(tasks) for tasks in job.assignments.values())
-                unassigned = spec.task_count - len(job.done) - assigned
-                wanted = min(unassigned, self._quotas.within_limit(spec))
-                if wanted <= 0:
+                split = self._split(array, shard_capacities, queue_capacity, only_with_image)
+                if split is None:
                     continue
-                split = _Split(job, shard_capacities, wanted)
-                split.take_idle(self._gangs, only_with_image)
-                if not only_with_image:
-                    split.take_more(queue_capacity)
                 if split.left > 0 and not (spec.same_zone or spec.spread):
                     full.add(shape)
-                if split.left < wanted:
-                    self._draft(array.job_id, job, split)
-
-    def _draft(self, job_id: JobId, job: JobRecord, split: _Split) -> None:
-        total = split.total()
+                if split.total() > 0:
+                    self._draft(array.job_id, split)
+
+    def _split(
+        self,
+        array: PendingArray,
+        shard_capacities: list[ShardCapacity],
+        queue_capacity: dict[ShardName, int],
+        only_with_image: bool,
+    ) -> _Split | None:
+        """Take slots for a job's tasks; None if it has none left or its team's limit is reached."""
+        job = self._drafts.current(array.job_id)
+        spec = job.spec
+        assigned = sum(len(tasks) for tasks in job.assignments.values())
+        unassigned = spec.task_count - len(job.done) - assigned
+        wanted = min(unassigned, self._quotas.within_limit(spec))
+        if wanted <= 0:
+            return None
+        split = _Split(job, shard_capacities, wanted)
+        split.take_idle(self._gangs, only_with_image)
+        if not only_with_image:
+            split.take_more(queue_capacity)
+        return split
+
+    def _draft(self, job_id: JobId, split: _Split) -> None:
+        job, total = split.job, split.total()
         tasks = self._next_tasks(job_id, job, total)
         draft = self._drafts.edit(job_id, WritePriority.NORMAL)
         for shard, count in split.counts.items():
@@ -120,11 +130,13 @@
     """How many of a job's tasks each shard gets, within the limit of each zone.
 
     Attributes:
+        job: The job as it stands in this pass.
         counts: The tasks for each shard, in the order in which shards were chosen.
         left: Tasks that no shard has got.
     """
 
     def __init__(self, job: JobRecord, shard_capacities: list[ShardCapacity], wanted: int) -> None:
+        self.job = job
         self._spec = spec = job.spec
         self._shard_fraction = 1.0 / max(1, len(shard_capacities))
         shards = [s for s in shard_capacities if any(c.allows(spec) for c in s.capacities)]
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -85,6 +85,7 @@
         tuning: Tuning | None = None,
         shard_names: list[str] | None = None,
     ) -> None:
+        # Long, but for one thing only: each piece is given what it needs, in one place to read.
         tuning = tuning or Tuning()
         deployment = settings.deployment
         limits = deployment.state.lowest()
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -89,10 +89,10 @@
     for position, capacity in enumerate(capacities):
         if not capacity.allows(spec):
             continue
-        times = capacity.slot_wait(spec)
-        if times is None:
+        wait = capacity.slot_wait(spec)
+        if wait is None:
             continue
-        natural_s, preempting_s = times
+        natural_s, preempting_s = wait
         wait_s = natural_s if natural_s <= patience_s else max(preempting_s, patience_s)
         if wait_s > limit_s:
             continue
