--- a/src/dapplewick/storage/keys.py
+++ b/src/dapplewick/storage/keys.py
@@ -7,6 +7,7 @@
 )
 
 ROOT = "dw/"
+PREFIX_LENGTH = len(ROOT) + 2  # of a prefix that names a family of records: "dw/j/"
 FORMAT = ROOT + "format"
 CHUNKS = ROOT + "d/"  # shares of an array's done and granted tasks
 GANG_PLACEMENTS = ROOT + "g/"  # shares of a long gang's place
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -21,9 +21,10 @@
 from dapplewick.protocol.state_service import Event
 from dapplewick.storage.errors import RequestRefusedError
 from dapplewick.storage.job_records import JobRecord
+from dapplewick.storage.key_versions import MIN_REMEMBERED_REMOVALS
 from dapplewick.storage.keys import JOBS, PROVISIONING_REQUESTS
 from dapplewick.storage.state_client import StateClient
-from dapplewick.storage.watch_cache import REMOVALS_LEAST, WatchCache
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import ControllerName, JobId
 from standins import AnswerHistory, World, now, run_day
@@ -343,7 +344,7 @@
             name: replace(kind, cpus=0.1)
             for name, kind in world.controllers["n2"].cache.types.items()
         }
-        world.controllers["n2"].cache.types = small
+        world.controllers["n2"].cache.machine_types.types = small
         answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 40.0, script)
@@ -443,7 +444,10 @@
     """More keys were removed since than are remembered; a watch that was asked before tells of
     what was there before that."""
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
-    cache, keys = WatchCache(), [f"{PROVISIONING_REQUESTS}{n}" for n in range(REMOVALS_LEAST + 10)]
+    cache, keys = (
+        WatchCache(),
+        [f"{PROVISIONING_REQUESTS}{n}" for n in range(MIN_REMEMBERED_REMOVALS + 10)],
+    )
     late = [Event(n + 1, put=key, value=value) for n, key in enumerate(keys)]
     removals = [Event(len(keys) + n + 1, delete=key) for n, key in enumerate(keys)]
     cache.follow([*late, *removals], 20 * len(keys))
@@ -469,7 +473,7 @@
     for n in range(1, 60_000):
         cache.remove(f"{PROVISIONING_REQUESTS}{n}", n)
         cache.follow([], n)
-    assert len(cache._removals) <= REMOVALS_LEAST + 1
+    assert len(cache._key_versions.removals) <= MIN_REMEMBERED_REMOVALS + 1
 
 
 # Drawn days
