--- a/src/dapplewick/cli/main.py
+++ b/src/dapplewick/cli/main.py
@@ -14,11 +14,12 @@
 from dapplewick import __version__, client
 from dapplewick.config import SettingsError, load
 from dapplewick.controller.startup import SCRIPT_VARIABLE, run_controller
+from dapplewick.errors import DapplewickError
 from dapplewick.script import ScriptError
 from dapplewick.script import load as load_script
 
 
-class CommandError(click.ClickException):
+class CommandError(DapplewickError, click.ClickException):
     """One line on standard error, with an exit code."""
 
     def __init__(self, message: str) -> None:
--- a/src/dapplewick/client.py
+++ b/src/dapplewick/client.py
@@ -10,14 +10,15 @@
 
 from dapplewick.config import SettingsError, host_port
 from dapplewick.controller.user_api import PATH
+from dapplewick.errors import DapplewickError
 from dapplewick.transport.http_client import HttpClient, HttpError
 from dapplewick.transport.peer import read_frame, send_frame
 
 WITHIN_S = 4.0
 
 
-class ClientError(Exception):
-    """The controller can't be reached, or refuses; the text says why."""
+class ClientError(DapplewickError):
+    """The controller can't be reached or refuses: the text says which one and why."""
 
 
 def _address(at: str) -> tuple[str, int]:
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -6,11 +6,13 @@
 
 import msgspec
 
+from dapplewick.errors import DapplewickError
+
 VALUE_SHARE = 0.92  # of what the state service takes in a value
 
 
-class SettingsError(Exception):
-    """The settings can't be used; the text names the field."""
+class SettingsError(DapplewickError):
+    """The settings can't be used, no controller starts by them; the text names the field."""
 
 
 class Peer(msgspec.Struct):
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -88,18 +88,18 @@
                 now = self._controller.now()
                 self._start_provisioning(group, leader)
                 self._start_deletion(group, leader)
-                if now - catalog_at > CATALOG_S and self._controller.cloud_budget.take():
+                if now - catalog_at > CATALOG_S and self._controller.cloud_budget.try_acquire():
                     catalog_at = now
                     if not await self._catalog(leader):
                         catalog_at = now - CATALOG_S + FAILURE_PAUSE_S
-                if now - list_at > LIST_S and self._controller.cloud_budget.take():
+                if now - list_at > LIST_S and self._controller.cloud_budget.try_acquire():
                     list_at = now
                     await self._list(leader)
 
     def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         for name in self._controller.cache.provisioning_requests:
             new = name not in self._provisioning and name not in leader.provisioned
-            if new and self._controller.cloud_budget.take():
+            if new and self._controller.cloud_budget.try_acquire():
                 self._provisioning.add(name)
                 group.start_soon(self._provision, leader, name)
 
@@ -111,7 +111,7 @@
             and machine not in leader.machine_lifecycle.deleted
             and machine not in self._deleting
         ][:MAX_DELETIONS]
-        if terminating and self._controller.cloud_budget.take():
+        if terminating and self._controller.cloud_budget.try_acquire():
             self._deleting.update(terminating)
             group.start_soon(self._delete, leader, terminating)
 
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -49,7 +49,7 @@
 from dapplewick.storage.keys import CONTROLLERS, JOBS, LEADER, ROOT, SHARDS, job_of
 from dapplewick.storage.rate_limiter import RateLimiter
 from dapplewick.storage.read_checks import ReadChecks
-from dapplewick.storage.state_client import CALL_S, StateClient
+from dapplewick.storage.state_client import CALL_TIMEOUT_S, StateClient
 from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Answer, Request, serve_connection
@@ -442,7 +442,7 @@
     def _resign(self) -> None:
         log.info("event=leadership_lost controller=%s", self.own_name)
         self.leader = None
-        self.state.writes.rate = self._few_writes
+        self.state.writes.rate_per_s = self._few_writes
 
     async def _settle_epoch(self) -> FencingToken:
         """The epoch under which to plan now.
@@ -479,7 +479,7 @@
                 self.tuning,
                 self.shard_names(),
             )
-            self.state.writes.rate = self._many_writes
+            self.state.writes.rate_per_s = self._many_writes
             log.info("event=leadership_acquired controller=%s epoch=%d", self.own_name, epoch)
         self.leader.epoch = epoch
         service = self._partition_service()
@@ -499,11 +499,11 @@
         changes = self.leader.plan(now, self.wall())
         self._pass_took = self.now() - now
         # What the budget does not allow is found again by the next pass, or overtaken by more.
-        level = self.state.writes.level()
+        level = self.state.writes.available()
         room = int(level)
         # What users wait for, and what ends tasks, goes before what is only kept for a restart.
         least = sum(c.priority < PRIORITY_PROGRESS for c in changes)
-        room = min(room, max(least, int(level - PROGRESS_RESERVE * self.state.writes.rate)))
+        room = min(room, max(least, int(level - PROGRESS_RESERVE * self.state.writes.rate_per_s)))
         if room < len(changes):
             log.debug("event=writes_deferred count=%d", len(changes) - room)
             changes = first_whole_groups(changes, room)
@@ -852,7 +852,9 @@
         limits = self.settings.deployment
         most = limits.machine_limits.fd_limit
         # The state service, the cloud and the peers keep theirs, whatever workers and users do.
-        most -= int(OWN_SOCKETS + 8 * limits.count + 2.0 * CALL_S * limits.state.rps / limits.count)
+        most -= int(
+            OWN_SOCKETS + 8 * limits.count + 2.0 * CALL_TIMEOUT_S * limits.state.rps / limits.count
+        )
         most = max(LEAST_SOCKETS, most)
         clients = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=most)
         host, port = host_port(self.settings.peer_listen, "peer_listen")
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -56,9 +56,9 @@
         },
         "bookings": len(cache.provisioning_requests),
         "budgets": {
-            "state_calls": round(controller.state.calls.level(), 1),
-            "state_writes": round(controller.state.writes.level(), 1),
-            "cloud_calls": round(controller.cloud_budget.level(), 1),
+            "state_calls": round(controller.state.calls.available(), 1),
+            "state_writes": round(controller.state.writes.available(), 1),
+            "cloud_calls": round(controller.cloud_budget.available(), 1),
         },
         "owned": {
             zone: _shard(now, scheduler) for zone, scheduler in controller.shard_schedulers.items()
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from dapplewick.config import Deployment
+from dapplewick.errors import DapplewickError
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.rebalancer import OPERATOR, TransferCommand
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
@@ -15,7 +16,7 @@
 COMMAND_ID = re.compile(r"o-[0-9a-f]{8,32}")
 
 
-class TransferRefusedError(Exception):
+class TransferRefusedError(DapplewickError):
     """An order can't be carried out; the text is one line that names the field."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
--- a/src/dapplewick/partitions/plan.py
+++ b/src/dapplewick/partitions/plan.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from dapplewick.errors import DapplewickError
 from dapplewick.script import ScriptError, assigned_lines, evaluate, read_script
 
 SETTINGS = ("shares", "margin", "move_within_s", "hold_orders_s")
@@ -23,8 +24,8 @@
 WEIGHT_MOST = 1000.0
 
 
-class PlanError(Exception):
-    """A plan can't be used; the text is one line that names the field."""
+class PlanError(DapplewickError):
+    """A plan can't be used, the one before it stays; the text is one line that names the field."""
 
 
 class PartitionRule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
--- a/src/dapplewick/script.py
+++ b/src/dapplewick/script.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from dapplewick.errors import DapplewickError
 from dapplewick.tuning import LIMITS, WEIGHT_LIMITS, Tuning
 
 MAX_CHECKS = 5000  # of about a thousand steps each
@@ -25,7 +26,7 @@
 """
 
 
-class ScriptError(Exception):
+class ScriptError(DapplewickError):
     """The script can't be used; the text has its file, line and reason."""
 
 
--- a/src/dapplewick/storage/rate_limiter.py
+++ b/src/dapplewick/storage/rate_limiter.py
@@ -6,34 +6,39 @@
 
 
 class RateLimiter:
-    """A bucket of requests, filled at `rate`, with a second's worth of burst, or a little."""
+    """A bucket of requests, filled at a rate, that holds a second's worth or a least burst.
 
-    def __init__(self, rate: float, least: float = 0.0) -> None:
-        self.rate = rate
-        self._least = least
-        self._level = max(rate, least)
-        self._at = -1e9
+    Attributes:
+        rate_per_s: requests that come back to the bucket in a second.
+    """
 
-    def level(self) -> float:
-        """What is left now."""
-        most = max(self.rate, self._least)
-        return min(most, self._level + (anyio.current_time() - self._at) * self.rate)
+    def __init__(self, rate_per_s: float, min_burst: float = 0.0) -> None:
+        self.rate_per_s = rate_per_s
+        self._min_burst = min_burst
+        self._level = max(rate_per_s, min_burst)
+        self._level_at = -1e9  # by the event loop's clock, in seconds
 
-    def drain(self) -> None:
+    def available(self) -> float:
+        """How many requests may be made now; negative after more were made than there were."""
+        capacity = max(self.rate_per_s, self._min_burst)
+        elapsed_s = anyio.current_time() - self._level_at
+        return min(capacity, self._level + elapsed_s * self.rate_per_s)
+
+    def exhaust(self) -> None:
         """The service itself says that it is too much: nothing is left for now."""
-        self._level = min(0.0, self.level())
-        self._at = anyio.current_time()
-
-    def overdraw(self, amount: float) -> None:
-        """Take an amount whether it is there or not."""
-        self._level = self.level() - amount
-        self._at = anyio.current_time()
-
-    def take(self, amount: float = 1.0, reserve: float = 0.0) -> bool:
-        """Take an amount; `reserve` is left for calls that matter more."""
-        self._level = self.level()
-        self._at = anyio.current_time()
-        if self._level < amount + reserve:
+        self._level = min(0.0, self.available())
+        self._level_at = anyio.current_time()
+
+    def acquire_unconditionally(self, amount: float) -> None:
+        """Take an amount whether it is there or not; what is missing delays later requests."""
+        self._level = self.available() - amount
+        self._level_at = anyio.current_time()
+
+    def try_acquire(self, amount: float = 1.0) -> bool:
+        """Take an amount if it is there; False, and nothing taken, if it is not."""
+        self._level = self.available()
+        self._level_at = anyio.current_time()
+        if self._level < amount:
             return False
         self._level -= amount
         return True
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import logging
-from typing import Any
+from http import HTTPStatus
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
@@ -22,21 +23,53 @@
     OutcomeUnknownError,
     RequestRefusedError,
     RevisionCompactedError,
+    StateServiceError,
     TransactionConflictError,
     ValueTooLargeError,
 )
 from dapplewick.storage.rate_limiter import RateLimiter
-from dapplewick.storage.transactions import C
 from dapplewick.transport.http_client import HttpClient, HttpError, RequestNotSentError
 
 log = logging.getLogger("dapplewick.state")
 
+CALL_TIMEOUT_S = 1.5
+LISTING_TIMEOUT_S = 5.0  # for each page
+PAGE_ITEMS = 500  # the most that the service gives in a page
 
-CALL_S = 1.5
+KEYS_TARGET = "/keys"
+CHANGES_TARGET = "/changes"
+TRANSACTION_TARGET = "/multi"
+LEASES_TARGET = "/leases"
+NO_SUCH_LEASE = b"no such lease"  # in the body of a 400
+
+Decoded = TypeVar("Decoded")
+Failure = TypeVar("Failure", bound=StateServiceError)
+
+
+class KeyValue(NamedTuple):
+    """What a key holds, and the revision that wrote it; version 0 if there is no such key."""
+
+    value: Any
+    version: int
+
+
+class Listing(NamedTuple):
+    """All keys with a prefix, and a revision from which changes are to be followed."""
+
+    items: dict[str, KeyValue]
+    revision: int
 
 
 class StateClient:
-    """Calls of the state service. Over the budget a call is refused here, not there."""
+    """Calls of the state service. Over the budget a call is refused here, not there.
+
+    Every call raises RequestRefusedError if it was not carried out, and OutcomeUnknownError if no
+    usable answer came.
+
+    Attributes:
+        calls: the budget of requests.
+        writes: the budget of keys written or removed.
+    """
 
     def __init__(
         self, http: HttpClient, rps: float, write_rps: float, write_burst: float = 0.0
@@ -46,22 +79,22 @@
         self.writes = RateLimiter(write_rps, write_burst)
 
     async def _call(
-        self, method: str, target: str, body: bytes | None, within: float = CALL_S
+        self, method: str, target: str, body: bytes | None, timeout_s: float = CALL_TIMEOUT_S
     ) -> tuple[int, bytes]:
         try:
-            status, answer = await self._http.request(method, target, body, within)
+            status, answer = await self._http.request(method, target, body, timeout_s)
         except RequestNotSentError as err:
-            raise RequestRefusedError(str(err)) from None
+            raise _noted(RequestRefusedError(str(err)), f"{method} {target}: not sent") from None
         except HttpError as err:
-            raise OutcomeUnknownError(str(err)) from None
-        if status == 429:
-            (self.writes if target == "/multi" else self.calls).drain()
-        if status in (429, 503):
-            raise RequestRefusedError(str(status))
+            raise _noted(OutcomeUnknownError(str(err)), f"{method} {target}: lost") from None
+        if status == HTTPStatus.TOO_MANY_REQUESTS:
+            (self.writes if target == TRANSACTION_TARGET else self.calls).exhaust()
+        if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
+            raise _refused(method, target, status)
         return status, answer
 
     @staticmethod
-    def _decoded(decoder: msgspec.json.Decoder[C], answer: bytes) -> C:
+    def _decoded(decoder: msgspec.json.Decoder[Decoded], answer: bytes) -> Decoded:
         """What a 200 says. One that can't be parsed tells nothing: it is as if it were lost."""
         try:
             return decoder.decode(answer)
@@ -69,55 +102,66 @@
             log.error("event=state_response_malformed error=%s answer=%r", err, answer[:200])
             raise OutcomeUnknownError("malformed answer") from None
 
-    def _spend(self, amount: float = 1.0, reserve: float = 0.0) -> None:
-        if not self.calls.take(amount, reserve):
+    def _acquire_call(self) -> None:
+        if not self.calls.try_acquire():
             raise RequestRefusedError("over the request budget")
 
-    async def get(self, key: str) -> tuple[Any, int]:
+    async def get(self, key: str) -> KeyValue:
         """The value and version of a key; version 0 if there is none."""
-        self._spend()
-        status, answer = await self._call("GET", f"/keys/{key}", None)
-        if status == 404:
-            return None, 0
-        if status != 200:
-            raise RequestRefusedError(str(status))
+        self._acquire_call()
+        target = f"{KEYS_TARGET}/{key}"
+        status, answer = await self._call("GET", target, None)
+        if status == HTTPStatus.NOT_FOUND:
+            return KeyValue(None, 0)
+        if status != HTTPStatus.OK:
+            raise _refused("GET", target, status)
         item = self._decoded(KEY_ITEM_DECODER, answer)
-        return item.value, item.version
+        return KeyValue(item.value, item.version)
 
-    async def listing(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
+    async def listing(self, prefix: str) -> Listing:
         """All keys with a prefix, and a revision from which changes are to be followed."""
-        items: dict[str, tuple[Any, int]] = {}
+        items: dict[str, KeyValue] = {}
         since = ""
-        first: int | None = None
+        first_revision: int | None = None
         while True:
-            self._spend()
-            target = f"/keys?starts={prefix}&limit=500" + (f"&since={since}" if since else "")
-            status, answer = await self._call("GET", target, None, 5.0)
-            if status != 200:
-                raise RequestRefusedError(str(status))
+            self._acquire_call()
+            target = f"{KEYS_TARGET}?starts={prefix}&limit={PAGE_ITEMS}"
+            if since:
+                target += f"&since={since}"
+            status, answer = await self._call("GET", target, None, LISTING_TIMEOUT_S)
+            if status != HTTPStatus.OK:
+                raise _refused("GET", target, status)
             page = self._decoded(KEY_PAGE_DECODER, answer)
-            first = page.revision if first is None else first
+            first_revision = page.revision if first_revision is None else first_revision
             for item in page.items:
-                items[item.key] = (item.value, item.version)
+                items[item.key] = KeyValue(item.value, item.version)
                 since = item.key
             if not page.more:
-                return items, first
+                return Listing(items, first_revision)
             if not page.items:
                 # Taken for the end, all keys that come after would count as removed.
-                raise RequestRefusedError("a page without items that is not the last")
+                error = RequestRefusedError("a page without items that is not the last")
+                raise _noted(error, f"GET {target}")
 
     async def changes(self, prefix: str, since: int, wait_ms: int) -> Changes:
-        self._spend()
-        target = f"/changes?starts={prefix}&since={since}&wait_ms={wait_ms}"
-        status, answer = await self._call("GET", target, None, wait_ms / 1000 + CALL_S)
-        if status == 410:
-            raise RevisionCompactedError
-        if status != 200:
-            raise RequestRefusedError(str(status))
+        """The changes of keys with a prefix after a revision; waits up to `wait_ms` for one.
+
+        Raises:
+            RevisionCompactedError: they are no longer kept.
+            RequestRefusedError: also if the answer is older than what was read.
+        """
+        self._acquire_call()
+        target = f"{CHANGES_TARGET}?starts={prefix}&since={since}&wait_ms={wait_ms}"
+        status, answer = await self._call("GET", target, None, wait_ms / 1000 + CALL_TIMEOUT_S)
+        if status == HTTPStatus.GONE:
+            raise _noted(RevisionCompactedError(), f"GET {target}")
+        if status != HTTPStatus.OK:
+            raise _refused("GET", target, status)
         found = self._decoded(CHANGES_DECODER, answer)
         if found.revision < since:
             # Nothing is known to be current by an answer that is older than what was read.
-            raise RequestRefusedError("the answer is older than the question")
+            error = RequestRefusedError("the answer is older than the question")
+            raise _noted(error, f"GET {target}: answered with revision {found.revision}")
         return found
 
     async def transaction(
@@ -126,49 +170,84 @@
         puts: dict[str, Any],
         deletes: list[str] | None = None,
         leases: dict[str, int] | None = None,
+        *,
         urgent: bool = False,
     ) -> int:
-        """An atomic change; gives its revision. Raises Conflict, Refused or Unknown. An urgent
-        one, on which leadership or presence hangs, may overdraw the budget."""
+        """Change keys atomically if all conditions hold.
+
+        Args:
+            conditions: the version that each of these keys must have; 0: it must not be there.
+            puts: values to write.
+            deletes: keys to remove.
+            leases: the lease on which a written key hangs.
+            urgent: leadership or presence hangs on it, so it may overdraw the budgets.
+
+        Returns:
+            The revision of the change.
+
+        Raises:
+            TransactionConflictError: a condition does not hold.
+            ValueTooLargeError: the service takes no value or transaction of this size.
+            LeaseExpiredError: a lease has expired.
+            RequestRefusedError: nothing was written.
+            OutcomeUnknownError: it may have been written, or may be yet.
+        """
         deletes = deletes or []
-        amount = len(puts) + len(deletes)
-        if urgent:
-            self.calls.overdraw(1.0)
-            self.writes.overdraw(amount)
-        else:
-            self._spend()
-            if amount and not self.writes.take(amount):
-                raise RequestRefusedError("over the write budget")
+        self._acquire_writes(len(puts) + len(deletes), urgent=urgent)
         body = encode_transaction(conditions, puts, deletes, leases or {})
-        status, answer = await self._call("POST", "/multi", body)
-        if status == 200:
+        status, answer = await self._call("POST", TRANSACTION_TARGET, body)
+        if status == HTTPStatus.OK:
             return self._decoded(TRANSACTION_RESULT_DECODER, answer).revision
-        if status == 409:
+        if status == HTTPStatus.CONFLICT:
             raise TransactionConflictError(self._decoded(TRANSACTION_RESULT_DECODER, answer).failed)
-        if status == 400 and b"no such lease" in answer:
-            raise LeaseExpiredError
+        if status == HTTPStatus.BAD_REQUEST and NO_SUCH_LEASE in answer:
+            raise _noted(LeaseExpiredError(), f"of keys {','.join(leases or {})}")
+        keys = ",".join([*puts, *deletes])
         log.error(
-            "event=state_request_rejected status=%d answer=%r keys=%s",
-            status,
-            answer[:200],
-            ",".join([*puts, *deletes]),
+            "event=state_request_rejected status=%d answer=%r keys=%s", status, answer[:200], keys
         )
-        if status == 400:
-            raise ValueTooLargeError(str(status))
-        raise RequestRefusedError(str(status))
+        if status == HTTPStatus.BAD_REQUEST:
+            raise _noted(ValueTooLargeError(str(status)), f"POST {TRANSACTION_TARGET}: keys {keys}")
+        raise _refused("POST", TRANSACTION_TARGET, status)
+
+    def _acquire_writes(self, amount: int, *, urgent: bool) -> None:
+        if urgent:
+            self.calls.acquire_unconditionally(1.0)
+            self.writes.acquire_unconditionally(amount)
+            return
+        self._acquire_call()
+        if amount and not self.writes.try_acquire(amount):
+            raise RequestRefusedError("over the write budget")
 
     async def new_lease(self, ttl_ms: int) -> int:
-        self._spend()
-        status, answer = await self._call("POST", "/leases", encode_lease_request(ttl_ms))
-        if status != 200:
-            raise RequestRefusedError(str(status))
+        """Ask for a lease that expires this long after its last renewal."""
+        self._acquire_call()
+        status, answer = await self._call("POST", LEASES_TARGET, encode_lease_request(ttl_ms))
+        if status != HTTPStatus.OK:
+            raise _refused("POST", LEASES_TARGET, status)
         return self._decoded(LEASE_DECODER, answer).lease
 
     async def renew(self, lease: int) -> None:
-        # Renewals come before everything else: they may overdraw the budget.
-        self.calls.take()
-        status, _ = await self._call("POST", f"/leases/{lease}/renew", b"{}")
-        if status == 404:
-            raise LeaseExpiredError
-        if status != 200:
-            raise RequestRefusedError(str(status))
+        """Renew a lease.
+
+        Raises:
+            LeaseExpiredError: it has expired.
+        """
+        # Renewals come before everything else: they are sent also when the budget is used up.
+        self.calls.try_acquire()
+        target = f"{LEASES_TARGET}/{lease}/renew"
+        status, _ = await self._call("POST", target, b"{}")
+        if status == HTTPStatus.NOT_FOUND:
+            raise _noted(LeaseExpiredError(), f"lease {lease}")
+        if status != HTTPStatus.OK:
+            raise _refused("POST", target, status)
+
+
+def _refused(method: str, target: str, status: int) -> RequestRefusedError:
+    return _noted(RequestRefusedError(str(status)), f"{method} {target}: status {status}")
+
+
+def _noted(error: Failure, note: str) -> Failure:
+    """An error with a note of the call, which tracebacks show; its text stays short for logs."""
+    error.add_note(note)
+    return error
--- a/src/dapplewick/storage/transactions.py
+++ b/src/dapplewick/storage/transactions.py
@@ -16,16 +16,16 @@
 )  # of values in a transaction, which may hold 64 KiB with all around them
 
 
-C = TypeVar("C")
+Change = TypeVar("Change")
 
 
 def split_into_transactions(
-    changes: Iterable[C], sized: Callable[[C], int], limits: StateLimits
-) -> Iterator[list[C]]:
+    changes: Iterable[Change], sized: Callable[[Change], int], limits: StateLimits
+) -> Iterator[list[Change]]:
     """Cut changes into transactions that the state service takes. One whose value is too large
     by itself is left out: with it every transaction that it came in would be refused. Changes
     in a row that name the same `transaction_group` go into one."""
-    batch: list[C] = []
+    batch: list[Change] = []
     total = 0
     listed = enumerate(changes)
     for _, run in groupby(listed, key=lambda c: getattr(c[1], "transaction_group", "") or c[0]):
@@ -44,7 +44,7 @@
         yield batch
 
 
-def first_whole_groups(changes: list[C], most: int) -> list[C]:
+def first_whole_groups(changes: list[Change], most: int) -> list[Change]:
     """The first changes, at most so many, without part of those that go into one transaction:
     of a group that is split, one piece alone would lose the machines of the others."""
     if most >= len(changes):
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import Any, NamedTuple
 
 import msgspec
@@ -133,7 +133,7 @@
             PARTITION_PLAN: _KeyHandlers(cluster.put_partition_plan),
         }
 
-    def reload(self, items: dict[str, tuple[Any, int]], revision: int) -> None:
+    def reload(self, items: Mapping[str, tuple[Any, int]], revision: int) -> None:
         """Take over a full listing that was begun at a revision."""
         for key in [k for k, v in self.versions.items() if k not in items and v <= revision]:
             self._remove(key, revision)
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -17,6 +17,7 @@
 import anyio.abc
 import httptools
 
+from dapplewick.errors import DapplewickError
 from dapplewick.transport.listen import IdleCallback
 
 log = logging.getLogger("dapplewick.http")
@@ -61,8 +62,8 @@
 Handler = Callable[[Request], Awaitable[Answer]]
 
 
-class MalformedRequestError(Exception):
-    """What came is no HTTP request, or one with a head that is too long."""
+class MalformedRequestError(DapplewickError):
+    """What came is no HTTP request or has too long a head: a 400, and the connection ends."""
 
 
 class RequestParser:
--- a/src/dapplewick/transport/http_client.py
+++ b/src/dapplewick/transport/http_client.py
@@ -9,6 +9,7 @@
 import anyio.abc
 import httptools
 
+from dapplewick.errors import DapplewickError
 from dapplewick.transport.http import READ_BYTES, STREAM_ERRORS
 
 CONNECT_S = 2.0
@@ -17,7 +18,7 @@
 TARGET = re.compile(r"[!-~\x80-\xff]+")  # no spaces and no control characters
 
 
-class HttpError(Exception):
+class HttpError(DapplewickError):
     """No whole answer came: the request may or may not have been carried out."""
 
 
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -10,6 +10,8 @@
 import anyio.abc
 import cbor2
 
+from dapplewick.errors import DapplewickError
+
 log = logging.getLogger("dapplewick.peer")
 
 MAX_FRAME = 32 * 1024 * 1024  # a status of a part with 4,000 machines of 100 tasks each
@@ -92,8 +94,8 @@
     return message
 
 
-class FrameTooLargeError(ValueError):
-    """The length in front of a frame is out of bounds."""
+class FrameTooLargeError(DapplewickError, ValueError):
+    """The length in front of a frame is out of bounds: the connection can't be read any more."""
 
 
 async def receive_frames(
