--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -128,8 +128,8 @@
                 name,
                 provisioning_request.type,
                 provisioning_request.zone,
-                provisioning_request.spot,
-                provisioning_request.count,
+                spot=provisioning_request.spot,
+                count=provisioning_request.count,
             )
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -12,7 +12,7 @@
 from dapplewick.controller.job_states import JobStates, Records, UnreadableJobError
 from dapplewick.protocol.errors import MalformedMessageError
 from dapplewick.protocol.job_spec import JobSpec
-from dapplewick.protocol.users import encode_job_state, parse_submission
+from dapplewick.protocol.users import JobStage, encode_job_state, parse_submission
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.errors import (
     OutcomeUnknownError,
@@ -215,13 +215,13 @@
         return Answer(200, encode_job_state(job_id, stage, job.done_count, running))
 
     @staticmethod
-    def _stage(job: JobRecord, running: int) -> str:
+    def _stage(job: JobRecord, running: int) -> JobStage:
         """The word for a job's state."""
         if job.stage == DONE:
-            return "done"
+            return JobStage.DONE
         if job.stage == CANCELLED:
-            return "withdrawn"
-        return "running" if running else "queued"
+            return JobStage.CANCELLED
+        return JobStage.RUNNING if running else JobStage.QUEUED
 
     def _short(self, status: int, job_id: JobId, job: JobRecord | None) -> Answer:
         """How a job stands, without counts, right after a write of it."""
--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -13,7 +13,19 @@
 
 
 class MachineType(msgspec.Struct):
-    """A type of machine, as the cloud offers it."""
+    """A type of machine, as the cloud offers it.
+
+    Attributes:
+        name: the type's name.
+        cpus: processors.
+        gpus: accelerators.
+        ram_gb: memory in GB.
+        fetch_rate: how fast a machine fetches images, in GB/s.
+        price: of a machine for an hour.
+        spot_price: of a spot machine for an hour.
+        boot_s: seconds from the provisioning of a machine to its first heartbeat.
+        zones: where the type is offered.
+    """
 
     name: str = msgspec.field(name="sku")
     cpus: float = 0.0
@@ -27,6 +39,7 @@
 
     @property
     def resources(self) -> Resources:
+        """What a machine of this type has."""
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
 
@@ -39,47 +52,71 @@
 
 
 class ListedMachine(msgspec.Struct):
+    """A machine as the cloud lists it; `state` is "booting", "running" or "failed"."""
+
     machine: str = msgspec.field(name="name_id")
     type: str = msgspec.field(name="build")
     zone: str = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="borrowed")
     state: str = msgspec.field(name="stage")
-    age: float = msgspec.field(name="held_s")
+    age: float = msgspec.field(name="held_s")  # in seconds
     address: str = msgspec.field(name="endpoint", default="")
 
 
 class MachineList(msgspec.Struct):
+    """A page of the machines that are provisioned, and whether more follow."""
+
     machines: list[ListedMachine] = msgspec.field(name="looms")
     more: bool = False
 
 
+_CATALOG_DECODER = msgspec.json.Decoder(_Catalog)
+_PROVISIONED_MACHINES_DECODER = msgspec.json.Decoder(_ProvisionedMachines)
+_MACHINE_LIST_DECODER = msgspec.json.Decoder(MachineList)
+
+
 def parse_catalog(raw: bytes) -> list[MachineType]:
-    return msgspec.json.decode(raw, type=_Catalog).builds
+    """Read the catalogue.
+
+    Raises:
+        msgspec.MsgspecError: it is malformed; so with all parsers here.
+    """
+    return _CATALOG_DECODER.decode(raw).builds
 
 
 def decode_machine_types(value: Any) -> list[MachineType]:
+    """Read types as they are stored.
+
+    Raises:
+        msgspec.ValidationError: they are malformed.
+    """
     return msgspec.convert(value, type=list[MachineType])
 
 
 def encode_machine_types(types: list[MachineType]) -> Any:
+    """Types as they are stored."""
     return msgspec.to_builtins(types)
 
 
 def encode_provisioning_request(
-    request: str, type_: str, zone: str, spot: bool, count: int
+    request: str, type_: str, zone: str, *, spot: bool, count: int
 ) -> bytes:
+    """A request for machines; made again by the same name it gives the same machines."""
     return msgspec.json.encode(
         {"booking": request, "build": type_, "yard": zone, "borrowed": spot, "how_many": count}
     )
 
 
 def parse_provisioned_machines(raw: bytes) -> list[MachineId]:
-    return [MachineId(m) for m in msgspec.json.decode(raw, type=_ProvisionedMachines).looms]
+    """Read which machines the cloud has provisioned for a request."""
+    return [MachineId(m) for m in _PROVISIONED_MACHINES_DECODER.decode(raw).looms]
 
 
 def encode_deletion_request(machines: list[MachineId]) -> bytes:
+    """A request to delete machines."""
     return msgspec.json.encode({"looms": machines})
 
 
 def parse_machine_list(raw: bytes) -> MachineList:
-    return msgspec.json.decode(raw, type=MachineList)
+    """Read a page of the machine list."""
+    return _MACHINE_LIST_DECODER.decode(raw)
--- a/src/dapplewick/protocol/job_spec.py
+++ b/src/dapplewick/protocol/job_spec.py
@@ -19,7 +19,30 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True, dict=True):
-    """What a user asks for. What is computed of it is computed once (`dict`)."""
+    """What a user asks for. What is computed of it is computed once (`dict`).
+
+    Attributes:
+        job_class: the class of jobs that it belongs to, for which the settings have objectives.
+        team: whose guarantee and limit apply.
+        is_gang: all tasks run at the same time or none does.
+        priority: the higher one goes first.
+        task_count: tasks are numbered from 0.
+        cpus: processors for each task.
+        gpus: accelerators for each task.
+        ram_gb: memory for each task, in GB.
+        image: what a machine must have before a task can start.
+        image_gb: its size in GB.
+        estimated_run_s: the owner's estimate of a task's run time, often wrong by half.
+        types: the allowed types of machines; None: any.
+        zone: the only allowed zone; None: any.
+        same_zone: all tasks must be in one zone.
+        spread: at most half of the tasks, rounded up, may be in one zone.
+        spot: spot machines are allowed.
+        checkpoint_interval_s: of progress, after which a task saves; 0: it never does.
+        save_s: how long a task takes to save when it is stopped.
+        deadline_s: when it should be complete, from its submission.
+        is_service: its tasks are replicas, and run until it is cancelled.
+    """
 
     job_class: str = msgspec.field(name="bundle")
     team: str
@@ -40,11 +63,11 @@
     checkpoint_interval_s: float = msgspec.field(name="checkpoint", default=0.0)
     save_s: float = msgspec.field(name="save", default=0.0)
     deadline_s: float | None = msgspec.field(name="deadline", default=None)
-    # A service: its tasks are replicas, and run until it is cancelled.
     is_service: bool = msgspec.field(name="daemon", default=False)
 
     @cached_property
     def resources(self) -> Resources:
+        """What each task takes of its machine."""
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
     @cached_property
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -30,9 +30,6 @@
 KIND_CONTROLLER_STATUS = "status"
 KIND_PARTITION_COMMAND = "shares"
 
-# In a shard's status, an object that is gone has no value.
-Gone = None
-
 
 class TaskEnd(msgspec.Struct, array_like=True, frozen=True):
     """When a task is estimated to end, and what it leaves then."""
@@ -163,7 +160,7 @@
     retry_after: int | None = msgspec.field(name="retry", default=None)
 
 
-M = TypeVar("M", bound=msgspec.Struct)
+Message = TypeVar("Message", bound=msgspec.Struct)
 
 
 def encode(message: msgspec.Struct) -> dict[str, Any]:
@@ -172,7 +169,7 @@
     return encoded
 
 
-def decode(message: Mapping[str, Any], kind: type[M]) -> M:
+def decode(message: Mapping[str, Any], kind: type[Message]) -> Message:
     """Read a message of a known kind.
 
     Raises:
--- a/src/dapplewick/protocol/state_service.py
+++ b/src/dapplewick/protocol/state_service.py
@@ -8,18 +8,24 @@
 
 
 class KeyItem(msgspec.Struct):
+    """A key with its value and the revision that wrote it."""
+
     key: str
     value: Any = msgspec.field(name="data", default=None)
     version: int = msgspec.field(name="stamp", default=0)
 
 
 class KeyPage(msgspec.Struct):
+    """A page of a listing, the revision at which it was read, and whether more pages follow."""
+
     items: list[KeyItem]
     more: bool = False
     revision: int = msgspec.field(name="ledger", default=0)
 
 
 class Event(msgspec.Struct):
+    """The write (`put`, with `value`) or the removal (`delete`) of a key at a revision."""
+
     version: int = msgspec.field(name="stamp")
     put: str | None = msgspec.field(name="write", default=None)
     delete: str | None = msgspec.field(name="remove", default=None)
@@ -27,16 +33,22 @@
 
 
 class Changes(msgspec.Struct):
+    """The events that a watch gives, and up to which revision they are all."""
+
     revision: int = msgspec.field(name="ledger")
     events: list[Event]
 
 
 class TransactionResult(msgspec.Struct):
+    """The revision of a transaction, or the keys whose conditions do not hold."""
+
     revision: int = msgspec.field(name="ledger", default=0)
     failed: list[str] = []
 
 
 class Lease(msgspec.Struct):
+    """The name of a new lease."""
+
     lease: int = msgspec.field(name="hold")
 
 
@@ -50,7 +62,14 @@
 def encode_transaction(
     conditions: dict[str, int], puts: dict[str, Any], deletes: list[str], leases: dict[str, int]
 ) -> bytes:
-    """A transaction; `leases` says which of the written keys hang on which lease."""
+    """A transaction.
+
+    Args:
+        conditions: the version that each of these keys must have; 0: it must not be there.
+        puts: values to write.
+        deletes: keys to remove.
+        leases: the lease on which a written key hangs.
+    """
     apply: list[dict[str, Any]] = []
     for key, value in puts.items():
         item: dict[str, Any] = {"write": key, "data": value}
@@ -65,4 +84,5 @@
 
 
 def encode_lease_request(ttl_ms: int) -> bytes:
+    """A request for a lease that expires this long after its last renewal."""
     return msgspec.json.encode({"life_ms": ttl_ms})
--- a/src/dapplewick/protocol/users.py
+++ b/src/dapplewick/protocol/users.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import math
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -14,10 +15,38 @@
 )
 
 MAX_TASKS = 100_000
+MAX_TEXT_CHARACTERS = 200
 PRIORITIES = {"critical": 3, "urgent": 2, "standard": 1, "best_effort": 0}
 
 
-def _amount(body: dict[str, Any], field: str, least: float = 0.0) -> float:
+class JobShape(StrEnum):
+    """What a job is made of, in the words of the wire."""
+
+    ARRAY = "sweep"
+    GANG = "group"
+    SERVICE = "daemon"
+
+
+class JobStage(StrEnum):
+    """How a job stands, in the words that users are told."""
+
+    QUEUED = "queued"
+    RUNNING = "running"
+    DONE = "done"
+    CANCELLED = "withdrawn"
+
+
+class Submission(NamedTuple):
+    """A job that a user submits."""
+
+    job_id: JobId
+    spec: JobSpec
+
+
+_SHAPES = {shape.value: shape for shape in JobShape}
+
+
+def _amount(body: dict[str, Any], field: str, minimum: float = 0.0) -> float:
     value = body.get(field)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise MalformedMessageError(f"{field}: a number is needed")
@@ -25,14 +54,14 @@
         value = float(value)
     except OverflowError:
         raise MalformedMessageError(f"{field}: out of range") from None
-    if not math.isfinite(value) or value < least:
+    if not math.isfinite(value) or value < minimum:
         raise MalformedMessageError(f"{field}: out of range")
     return value
 
 
 def _text(body: dict[str, Any], field: str) -> str:
     value = body.get(field)
-    if not isinstance(value, str) or not 0 < len(value) <= 200:
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
         raise MalformedMessageError(f"{field}: a text is needed")
     return value
 
@@ -44,41 +73,81 @@
     return value
 
 
-def parse_submission(raw: bytes) -> tuple[JobId, JobSpec]:
-    """Check a submission and give it in our own terms."""
+def _decoded_object(raw: bytes) -> dict[str, Any]:
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         raise MalformedMessageError("not JSON") from None
     if not isinstance(body, dict):
         raise MalformedMessageError("not an object")
+    return body
+
+
+def _job_id(body: dict[str, Any]) -> JobId:
     job = _text(body, "name_id")
     if not JOB_ID.match(job):
         raise MalformedMessageError("name_id: not a job id")
+    return JobId(job)
+
+
+def _shape(body: dict[str, Any]) -> JobShape:
     shape = body.get("shape")
-    if shape not in ("sweep", "group", "daemon"):
+    if not isinstance(shape, str) or shape not in _SHAPES:
         raise MalformedMessageError("shape: sweep, group or daemon is needed")
+    return _SHAPES[shape]
+
+
+def _priority(body: dict[str, Any]) -> int:
     urgency = body.get("urgency")
     if not isinstance(urgency, str) or urgency not in PRIORITIES:
         raise MalformedMessageError("urgency: unknown")
+    return PRIORITIES[urgency]
+
+
+def _task_count(body: dict[str, Any]) -> int:
     tasks = body.get("pieces")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
         raise MalformedMessageError("pieces: a number from 1 to 100000 is needed")
+    return tasks
+
+
+def _machine_types(body: dict[str, Any]) -> list[str] | None:
     types = body.get("builds")
     if types is not None and (
         not isinstance(types, list) or not types or not all(isinstance(t, str) for t in types)
     ):
         raise MalformedMessageError("builds: null or a list of types is needed")
+    return types
+
+
+def _zone(body: dict[str, Any]) -> str | None:
     zone = body.get("yard")
     if zone is not None and not isinstance(zone, str):
         raise MalformedMessageError("yard: null or a text is needed")
-    deadline = None if body.get("due_s") is None else _amount(body, "due_s")
+    return zone
+
+
+def parse_submission(raw: bytes) -> Submission:
+    """Check a submission and give it in our own terms.
+
+    Raises:
+        MalformedMessageError: it breaks the protocol; the text names the first field at fault.
+    """
+    body = _decoded_object(raw)
+    # In this order the fields are checked, so the first of them that is at fault is named.
+    job_id = _job_id(body)
+    shape = _shape(body)
+    priority = _priority(body)
+    task_count = _task_count(body)
+    types = _machine_types(body)
+    zone = _zone(body)
+    deadline_s = None if body.get("due_s") is None else _amount(body, "due_s")
     spec = JobSpec(
         job_class=_text(body, "bundle"),
         team=_text(body, "crew"),
-        is_gang=shape == "group",
-        priority=PRIORITIES[urgency],
-        task_count=tasks,
+        is_gang=shape == JobShape.GANG,
+        priority=priority,
+        task_count=task_count,
         cpus=_amount(body, "cpus"),
         gpus=_amount(body, "accelerators"),
         ram_gb=_amount(body, "ram_gb"),
@@ -92,15 +161,16 @@
         spot=_flag(body, "borrowed"),
         checkpoint_interval_s=_amount(body, "fold_s"),
         save_s=_amount(body, "press_s"),
-        deadline_s=deadline,
-        is_service=shape == "daemon",
+        deadline_s=deadline_s,
+        is_service=shape == JobShape.SERVICE,
     )
-    return JobId(job), spec
+    return Submission(job_id, spec)
 
 
 def encode_job_state(
     job: str, stage: str, done: int | None = None, running: int | None = None
 ) -> bytes:
+    """How a job stands, as users are told; `stage` is a `JobStage`, the counts are of tasks."""
     body: dict[str, Any] = {"name_id": job, "stage": stage}
     if done is not None:
         body["done"] = done
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from functools import lru_cache
 from typing import Any, NamedTuple
 
@@ -20,10 +21,45 @@
     Zone,
 )
 
-MAX_COUNT = 1 << 64
+MAX_COUNT = 1 << 64  # of what a worker counts; a larger number could not be stored
+MAX_INDEX_DIGITS = 9
 KNOWN_TASKS = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
 
 
+class TaskStage(StrEnum):
+    """How a task stands on a machine, in the words of the wire.
+
+    A heartbeat may have other words, of later workers: they are passed on as they come.
+    """
+
+    FETCHING = "fetching"  # waits for its image
+    GATHERING = "gathering"  # of a gang, waits for the other tasks of its attempt
+    RUNNING = "running"
+    FLUSHING = "flushing"  # was told to stop and saves
+    EXITED = "exited"
+
+
+class ExitCause(StrEnum):
+    """Why a task has exited, in the words of the wire."""
+
+    DONE = "done"
+    HALTED = "halted"  # by a command
+    PEERS = "peers"  # another task of its gang is gone
+    ALONE = "alone"  # its gang was not complete in time
+    ERROR = "error"
+    FULL = "full"  # start refused: not enough free resources
+    IN_USE = "in_use"  # start refused: the task is there with another attempt
+    NO_SUCH = "no_such"  # start refused: no such job or task
+
+
+class CommandKind(StrEnum):
+    """What a command to a worker asks for."""
+
+    START = "start"
+    STOP = "stop"
+    FORGET = "forget"
+
+
 class _TaskStatusBody(msgspec.Struct):
     piece: str
     try_: int = msgspec.field(name="try")
@@ -46,6 +82,16 @@
 
 
 class TaskStatus(NamedTuple):
+    """What a worker tells of a task on its machine.
+
+    Attributes:
+        task: which task.
+        attempt: which attempt of it.
+        stage: a `TaskStage`, or a word that is not known here.
+        cause: an `ExitCause` or another word, if it has exited.
+        saved: whether its progress was saved when it was stopped.
+    """
+
     task: TaskRef
     attempt: Attempt
     stage: str
@@ -54,6 +100,21 @@
 
 
 class Heartbeat(NamedTuple):
+    """What a worker tells of its machine.
+
+    Attributes:
+        machine: the worker's machine.
+        type: its type.
+        zone: where it is.
+        spot: whether the cloud may take it away.
+        incarnation: starts at 1, grows each time the worker's lease expires.
+        sequence: grows with each message; the larger (incarnation, sequence) is the newer one.
+        token: the highest fencing token that the worker has seen.
+        spot_notice_s: seconds until the cloud takes the machine away; None if it does not.
+        address: where the worker takes commands.
+        tasks: all tasks on the machine, exited ones until they are forgotten.
+    """
+
     machine: MachineId
     type: TypeName
     zone: Zone
@@ -71,14 +132,25 @@
 
 @lru_cache(maxsize=KNOWN_TASKS)
 def parse_task(name: str) -> TaskRef:
-    """A task is named in each report while it is on its machine, so its name is kept."""
+    """Read the name of a task.
+
+    It stands in each heartbeat while the task is on its machine, so what was read is kept.
+
+    Raises:
+        MalformedMessageError: it names no task.
+    """
     job, slash, index = name.rpartition("/")
-    if not slash or not index.isdigit() or len(index) > 9:
+    if not slash or not index.isdigit() or len(index) > MAX_INDEX_DIGITS:
         raise MalformedMessageError("piece: not a task")
     return TaskRef(JobId(job), TaskIndex(int(index)))
 
 
 def parse_heartbeat(raw: bytes) -> Heartbeat:
+    """Read a worker's heartbeat.
+
+    Raises:
+        MalformedMessageError: it breaks the protocol.
+    """
     try:
         body = _HEARTBEAT_DECODER.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
@@ -105,7 +177,14 @@
 
 
 class Command(NamedTuple):
-    """A command to a worker. `grace` is only for stops."""
+    """A command to a worker.
+
+    Attributes:
+        op: a `CommandKind`.
+        task: which task.
+        attempt: which attempt of it.
+        grace: for stops: the seconds within which the task may save.
+    """
 
     op: str
     task: TaskRef
@@ -113,22 +192,28 @@
     grace: Seconds = 0.0
 
 
-_VERBS = {"start": "launch", "stop": "kill", "forget": "forget"}
+_VERBS: dict[str, str] = {  # of the wire
+    CommandKind.START: "launch",
+    CommandKind.STOP: "kill",
+    CommandKind.FORGET: "forget",
+}
 
 
 def encode_heartbeat_response(token: FencingToken, commands: list[Command]) -> bytes:
-    out = []
+    """The response to a heartbeat: the shard owner's fencing token, and commands in order."""
+    items: list[dict[str, Any]] = []
     for command in commands:
         item: dict[str, Any] = {
             "verb": _VERBS[command.op],
             "piece": f"{command.task.job}/{command.task.number}",
             "try": command.attempt,
         }
-        if command.op == "stop":
+        if command.op == CommandKind.STOP:
             item["wind_down_s"] = command.grace
-        out.append(item)
-    return msgspec.json.encode({"baton": token, "orders": out})
+        items.append(item)
+    return msgspec.json.encode({"baton": token, "orders": items})
 
 
 def encode_redirect(owner: str | None) -> bytes:
+    """The response to a worker whose shard another controller owns, or nobody known here."""
     return msgspec.json.encode({} if owner is None else {"foreman": owner})
