--- a/src/dapplewick/storage/encoding.py
+++ b/src/dapplewick/storage/encoding.py
@@ -8,5 +8,5 @@
 
 
 def encoded_size(value: Any) -> int:
-    """How large a value is as it is sent."""
+    """How many bytes a value has as it is sent."""
     return len(msgspec.json.encode(value))
--- a/src/dapplewick/storage/machine_records.py
+++ b/src/dapplewick/storage/machine_records.py
@@ -4,16 +4,23 @@
 
 import msgspec
 
-from dapplewick.types import (
-    ShardName,
-    shard_name,
-)
+from dapplewick.types import ShardName, shard_name
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
-    """A machine, as its group's record tells it. `up`: its worker was heard, so launches there
-    are allowed from now on (one that is doomed counts as up: it may have been). `terminating`: its
-    deletion is decided and is never taken back."""
+    """A machine, as its group's record tells it.
+
+    Attributes:
+        type: the machine's type.
+        zone: where it is.
+        spot: whether the cloud may take it away.
+        at: when it was provisioned, in seconds since the epoch; 0 once it has come up.
+        up: a heartbeat came of its worker, so launches there are allowed from now on. One that is
+            terminating counts as up: it may have been.
+        terminating: its deletion is decided and is never taken back.
+        partition: the partition of the zone that it belongs to; empty if there is none.
+        floor: commands to its worker carry at least this fencing token.
+    """
 
     type: str
     zone: str
@@ -22,24 +29,33 @@
     up: bool = False
     terminating: bool = False
     partition: str = ""
-    floor: int = 0  # commands to its worker carry at least this token
+    floor: int = 0
 
     @property
     def shard(self) -> ShardName:
-        """The part that schedules this machine."""
+        """The shard that schedules this machine."""
         return shard_name(self.zone, self.partition)
 
 
-BOOTING, UP, TERMINATING = "b", "u", "d"
+BOOTING, UP, TERMINATING = "b", "u", "d"  # the first letter of a machine's text in its group
 
 
 class MachineGroupRecord(msgspec.Struct, omit_defaults=True):
-    """Machines of one kind in one zone, in one record: a write for each change of each machine
-    would use up the state service's budget while hundreds of them come up. The text of each is
-    its state, and for one that boots the time of its rental after it.
-
-    `share` is the share of the zone that they belong to. `floors` has, for machines that came from
-    another share, the least token for their workers: more than any holder before has used."""
+    """Machines of one kind in one zone, in one record.
+
+    A write for each change of each machine would use up the state service's budget while hundreds
+    of them come up.
+
+    Attributes:
+        type: the machines' type.
+        zone: where they are.
+        spot: whether the cloud may take them away.
+        machines: the state of each machine, and for one that boots the time at which it was
+            provisioned after it, in seconds since the epoch.
+        partition: the partition of the zone that they belong to; empty if there is none.
+        floors: for machines that came from another partition, the least fencing token for their
+            workers: more than any owner before has used.
+    """
 
     type: str
     zone: str
@@ -57,6 +73,11 @@
         )
 
     def record(self, machine: str) -> MachineRecord:
+        """What the group says of one of its machines.
+
+        Raises:
+            ValueError: the time at which it was provisioned cannot be read.
+        """
         text = self.machines[machine]
         state = text[:1]
         return MachineRecord(
@@ -72,6 +93,11 @@
 
 
 class ProvisioningRequest(msgspec.Struct):
+    """A request for `count` machines that the cloud has yet to answer.
+
+    `at` is when it was written, in seconds since the epoch.
+    """
+
     type: str
     zone: str
     spot: bool
--- a/src/dapplewick/storage/ranges.py
+++ b/src/dapplewick/storage/ranges.py
@@ -6,25 +6,29 @@
 
 
 def pack(numbers: Iterable[int]) -> str:
-    """Write a set of numbers as ranges."""
-    out: list[str] = []
+    """Write a set of numbers that are not negative as ranges, in ascending order."""
+    ranges: list[str] = []
     first = last = -2
-    for n in sorted(numbers):
-        if n == last + 1:
-            last = n
+    for number in sorted(numbers):
+        if number == last + 1:
+            last = number
             continue
         if first >= 0:
-            out.append(str(first) if first == last else f"{first}-{last}")
-        first = last = n
+            ranges.append(str(first) if first == last else f"{first}-{last}")
+        first = last = number
     if first >= 0:
-        out.append(str(first) if first == last else f"{first}-{last}")
-    return ",".join(out)
+        ranges.append(str(first) if first == last else f"{first}-{last}")
+    return ",".join(ranges)
 
 
 def unpack(text: str) -> set[int]:
-    """Read what `pack` wrote."""
+    """Read what `pack` wrote.
+
+    Raises:
+        ValueError: the text is malformed.
+    """
     numbers: set[int] = set()
-    for part in text.split(",") if text else ():
-        low, _, high = part.partition("-")
+    for entry in text.split(",") if text else ():
+        low, _, high = entry.partition("-")
         numbers.update(range(int(low), int(high or low) + 1))
     return numbers
--- a/src/dapplewick/storage/read_checks.py
+++ b/src/dapplewick/storage/read_checks.py
@@ -18,60 +18,64 @@
     """One read of the changes that is yet to begin or is under way."""
 
     def __init__(self) -> None:
-        self.over = anyio.Event()
-        self.asked_at: Seconds = 0.0
+        self.finished = anyio.Event()
+        self.requested_at: Seconds = 0.0
         self.error: RequestRefusedError | None = None
 
 
 class ReadChecks:
-    """Reads the changes when somebody waits for that, one read after the other."""
+    """Reads the changes when somebody waits for that, one read after the other, with pauses."""
 
     def __init__(
         self,
         read: Callable[[], Awaitable[None]],
         clock: Callable[[], Seconds],
-        pause: Seconds,
+        pause_s: Seconds,
     ) -> None:
         self._read = read
         self._clock = clock
-        self._pause = pause
-        self._next: _Read | None = None
-        self._wanted = anyio.Event()
+        self._pause_s = pause_s
+        self._pending: _Read | None = None
+        self._wakeup = anyio.Event()
 
     async def current(self) -> Seconds:
-        """Return once all changes up to this call were read; gives when they were asked for.
+        """Return once all changes up to this call were read.
 
-        Raises Refused if they can't be read.
+        Returns:
+            When they were asked for, by the clock given.
+
+        Raises:
+            RequestRefusedError: they can't be read.
         """
-        read = self._next
+        read = self._pending
         if read is None:
-            read = self._next = _Read()
-            self._wanted.set()
-        await read.over.wait()
+            read = self._pending = _Read()
+            self._wakeup.set()
+        await read.finished.wait()
         if read.error is not None:
             raise read.error
-        return read.asked_at
+        return read.requested_at
 
     async def run(self) -> None:
         """Serve those who wait, for ever."""
         while True:
-            if self._next is None:
-                self._wanted = anyio.Event()
-                await self._wanted.wait()
-            read, self._next = self._next, None
+            if self._pending is None:
+                self._wakeup = anyio.Event()
+                await self._wakeup.wait()
+            read, self._pending = self._pending, None
             assert read is not None
             await self._carry_out(read)
-            await anyio.sleep(self._pause)
+            await anyio.sleep(self._pause_s)
 
     async def _carry_out(self, read: _Read) -> None:
         # Until the read is known to have succeeded it counts as failed: whatever ends it, an
         # answer that can't be parsed included, nobody is left waiting or takes it for a success.
         read.error = RequestRefusedError("the changes could not be read")
-        read.asked_at = self._clock()
+        read.requested_at = self._clock()
         try:
             await self._read()
             read.error = None
         except (RequestRefusedError, OutcomeUnknownError) as err:
             read.error = RequestRefusedError(str(err))
         finally:
-            read.over.set()
+            read.finished.set()
--- a/src/dapplewick/storage/transactions.py
+++ b/src/dapplewick/storage/transactions.py
@@ -11,9 +11,8 @@
 
 log = logging.getLogger("dapplewick.state")
 
-TRANSACTION_BYTES = (
-    48 * 1024
-)  # of values in a transaction, which may hold 64 KiB with all around them
+# Of values in a transaction, which may hold 64 KiB with all around them.
+TRANSACTION_BYTES = 48 * 1024
 
 
 Change = TypeVar("Change")
@@ -22,20 +21,29 @@
 def split_into_transactions(
     changes: Iterable[Change], sized: Callable[[Change], int], limits: StateLimits
 ) -> Iterator[list[Change]]:
-    """Cut changes into transactions that the state service takes. One whose value is too large
-    by itself is left out: with it every transaction that it came in would be refused. Changes
-    in a row that name the same `transaction_group` go into one."""
+    """Cut changes into transactions that the state service takes.
+
+    One whose value is too large by itself is left out: with it every transaction that it came in
+    would be refused. Changes in a row that name the same `transaction_group` go into one.
+
+    Args:
+        changes: what is to be written, in this order.
+        sized: the bytes of a change's value.
+        limits: what the state service takes.
+    """
     batch: list[Change] = []
     total = 0
-    listed = enumerate(changes)
-    for _, run in groupby(listed, key=lambda c: getattr(c[1], "transaction_group", "") or c[0]):
+    numbered = enumerate(changes)
+    for _, run in groupby(numbered, key=lambda item: _group_of(item[1]) or item[0]):
         unit = [change for _, change in run]
         sizes = [sized(change) for change in unit]
         if max(sizes) > limits.value_kb * 1024 or len(unit) > limits.txn_ops:
             log.error("event=value_too_large bytes=%d change=%.120r", max(sizes), unit[0])
             continue
-        more = len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TRANSACTION_BYTES
-        if batch and more:
+        overflows = (
+            len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TRANSACTION_BYTES
+        )
+        if batch and overflows:
             yield batch
             batch, total = [], 0
         batch += unit
@@ -45,15 +53,19 @@
 
 
 def first_whole_groups(changes: list[Change], most: int) -> list[Change]:
-    """The first changes, at most so many, without part of those that go into one transaction:
-    of a group that is split, one piece alone would lose the machines of the others."""
+    """The first changes, at most so many, without part of those that go into one transaction.
+
+    Of a machine group that is split, one piece alone would lose the machines of the others.
+    """
     if most >= len(changes):
         return changes
-    transaction_group = getattr(changes[most], "transaction_group", "")
-    while (
-        transaction_group
-        and most > 0
-        and getattr(changes[most - 1], "transaction_group", "") == transaction_group
-    ):
+    cut_group = _group_of(changes[most])
+    while cut_group and most > 0 and _group_of(changes[most - 1]) == cut_group:
         most -= 1
     return changes[:most]
+
+
+def _group_of(change: object) -> str:
+    """The transaction in which a change must be written with others; empty if it stands alone."""
+    group: str = getattr(change, "transaction_group", "")
+    return group
--- a/src/dapplewick/storage/transfers.py
+++ b/src/dapplewick/storage/transfers.py
@@ -1,7 +1,7 @@
-"""Transfers of machines between the shares of a zone, as the state service keeps them.
+"""Transfers of machines between the partitions of a zone, as the state service keeps them.
 
 A transfer names the machines that it drains. Each is handed over by itself, once it is proven
-empty: one transaction moves it to a group of the receiving share and takes it off the transfer.
+empty: one transaction moves it to a group of the receiving partition and takes it off the transfer.
 """
 
 from __future__ import annotations
@@ -20,12 +20,24 @@
 
 
 class TransferRecord(msgspec.Struct, omit_defaults=True):
-    """One move of machines from a part to another one of the same zone.
-
-    `generation` orders the transfers of a zone: a later one wins over an earlier one. `count`
-    machines of `type` are to go over, `moved` have gone, `draining` get no new work until they are
-    empty. One that is not complete at `until` is overdue: it ends, and what is missing is asked for
-    anew.
+    """One move of machines from a shard to another one of the same zone.
+
+    Attributes:
+        generation: orders the transfers of a zone: a later one wins over an earlier one.
+        source: the shard that gives machines.
+        target: the shard that receives them.
+        type: their type.
+        count: how many are to go over.
+        state: one of `STATES`.
+        at: when it was requested, in seconds since the epoch.
+        until: when it is overdue if it is not complete: it ends then, and what is missing is asked
+            for anew; in seconds since the epoch.
+        moved: how many have gone.
+        draining: machines that get no new work until they are empty.
+        origin: who asked for it: the plan, or an operator.
+
+    Raises:
+        ValueError: a field is out of bounds; the text names it.
     """
 
     generation: int
@@ -54,6 +66,7 @@
 
     @property
     def open(self) -> bool:
+        """Whether machines may still be drained for it."""
         return self.state in (REQUESTED, DRAINING)
 
     @property
@@ -74,6 +87,7 @@
 
     @property
     def records(self) -> Mapping[TransferId, TransferRecord]:
+        """All transfers, by name."""
         return self._records
 
     def put(self, name: TransferId, record: TransferRecord) -> list[MachineId]:
@@ -87,6 +101,7 @@
         return list(dict.fromkeys(changed))
 
     def remove(self, name: TransferId) -> list[MachineId]:
+        """A record is gone; gives the machines that it drained."""
         record = self._records.pop(name, None)
         if record is None:
             return []
