--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -52,7 +52,7 @@
 from dapplewick.storage.state_client import CALL_S, StateClient
 from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
-from dapplewick.transport.http import Answer, Request, serve_connection
+from dapplewick.transport.http import Request, Response, serve_connection
 from dapplewick.transport.http_client import HttpClient
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
 from dapplewick.transport.peer import PeerLink, receive_frames
@@ -97,7 +97,7 @@
 STANDBY_WATCH_S = 0.4  # a controller that neither leads nor owns a part follows in these steps
 
 
-OVERLOADED = Answer(503, b'{"error":"overloaded"}', 2)
+OVERLOADED = Response(503, b'{"error":"overloaded"}', 2)
 
 
 class Controller:
@@ -686,7 +686,7 @@
         answer: dict[str, Any] = await self.partitions.answer(message)
         return answer
 
-    async def ask_peer(self, request: Request) -> Answer | None:
+    async def ask_peer(self, request: Request) -> Response | None:
         """Put a user's request to a peer that reaches the state service; None if none does."""
         now = self.now()
         able = [
@@ -704,7 +704,7 @@
         if said is None or said.get("status") in (None, 503):
             return None
         response = peers.decode(said, ForwardedResponse)
-        return Answer(response.status, response.body, response.retry_after)
+        return Response(response.status, response.body, response.retry_after)
 
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A message that is answered at once or not at all.
@@ -779,14 +779,14 @@
         # a renewal apart at most, so in an outage no peer still claims one by now.
         return not any(now - at < 1.5 and ok for at, ok in self._peer_state.values())
 
-    def _heartbeat(self, request: Request) -> Answer:
+    def _heartbeat(self, request: Request) -> Response:
         if request.too_large:
-            return Answer(400, b'{"error":"body over 64 KiB"}')
+            return Response(400, b'{"error":"body over 64 KiB"}')
         try:
             heartbeat = parse_heartbeat(request.body)
         except MalformedMessageError as err:
             log.error("event=heartbeat_malformed error=%s", err)
-            return Answer(400, b'{"error":"malformed report"}')
+            return Response(400, b'{"error":"malformed report"}')
         now = self.now()
         name = self.cache.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.shard_schedulers.get(name)
@@ -815,28 +815,28 @@
                 commands = scheduler.handle_heartbeat(now, heartbeat, may_launch)
                 if scheduler.dirty:
                     self._leader_wake.set()
-                return Answer(
+                return Response(
                     200,
                     encode_heartbeat_response(scheduler.token_for(heartbeat.machine), commands),
                 )
             scheduler.refuse(now)
-            return Answer(503, b'{"error":"cut off"}', 1)
+            return Response(503, b'{"error":"cut off"}', 1)
         shard = self.cache.shards.get(name)
         owner = shard.owner if shard is not None else ""
         if heard_token > self.cache.version(SHARDS + name):
             owner = heard_owner
         if owner and owner != self.own_name and (self.ready and owner in self.cache.controllers):
-            return Answer(421, encode_redirect(owner))
-        return Answer(503, b'{"error":"no owner"}', 1)
+            return Response(421, encode_redirect(owner))
+        return Response(503, b'{"error":"no owner"}', 1)
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         path = request.target.partition("?")[0]
         if path == "/checkin":
             return self._heartbeat(request) if request.method == "POST" else NO_METHOD
         if path == "/healthz":
             if request.method != "GET":
                 return NO_METHOD
-            return Answer(200) if self._healthy() else Answer(503, b"{}", 1)
+            return Response(200) if self._healthy() else Response(503, b"{}", 1)
         begun = self.now()
         if self.overload_s() > MAX_OVERLOAD_S and path.startswith(PATH):
             # Answering costs most of what a refusal does not, and workers' leases need it.
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -23,7 +23,7 @@
 from dapplewick.storage.job_records import CANCELLED, DONE, JobRecord, chunk_tasks
 from dapplewick.storage.keys import JOBS
 from dapplewick.storage.state_client import StateClient
-from dapplewick.transport.http import Answer, Request
+from dapplewick.transport.http import Request, Response
 from dapplewick.types import JobId, Seconds
 
 log = logging.getLogger("dapplewick.controller.user_api")
@@ -32,11 +32,11 @@
 TRIES = 4
 RETRY = 1
 
-NOT_YET = Answer(503, b'{"error":"services begin after the upgrade of all controllers"}', 5)
-UNAVAILABLE = Answer(503, b'{"error":"not available now"}', RETRY)
-NOT_FOUND = Answer(404, b'{"error":"no such job"}')
-NO_PATH = Answer(404, b'{"error":"no such path"}')
-NO_METHOD = Answer(405, b'{"error":"method not allowed"}')
+NOT_YET = Response(503, b'{"error":"services begin after the upgrade of all controllers"}', 5)
+UNAVAILABLE = Response(503, b'{"error":"not available now"}', RETRY)
+NOT_FOUND = Response(404, b'{"error":"no such job"}')
+NO_PATH = Response(404, b'{"error":"no such path"}')
+NO_METHOD = Response(405, b'{"error":"method not allowed"}')
 
 
 class UserApiHost(Records, Protocol):
@@ -55,11 +55,11 @@
 
     def running_tasks(self, job: JobId) -> int: ...
 
-    async def ask_peer(self, request: Request) -> Answer | None: ...
+    async def ask_peer(self, request: Request) -> Response | None: ...
 
 
-def error(status: int, reason: str) -> Answer:
-    return Answer(status, msgspec.json.encode({"error": reason}))
+def error(status: int, reason: str) -> Response:
+    return Response(status, msgspec.json.encode({"error": reason}))
 
 
 class Api:
@@ -71,7 +71,7 @@
         self.deployment = deployment
         self.teams = {t.name: t for t in deployment.teams}
 
-    async def handle(self, request: Request) -> Answer | None:
+    async def handle(self, request: Request) -> Response | None:
         """Answer a request under our path; None if it is another's.
 
         What can't be decided here because the state service does not answer this node alone
@@ -82,7 +82,7 @@
             return await self.controller.ask_peer(request) or answer
         return answer
 
-    async def answer(self, request: Request) -> Answer | None:
+    async def answer(self, request: Request) -> Response | None:
         """The same, by this node alone."""
         path = request.target.partition("?")[0]
         if path == PATH:
@@ -102,7 +102,7 @@
             return NO_METHOD
         return await self._guard(lambda: self.abort(JobId(job)))
 
-    async def _guard(self, call: Callable[[], Awaitable[Answer]]) -> Answer:
+    async def _guard(self, call: Callable[[], Awaitable[Response]]) -> Response:
         if not self.controller.ready:
             return UNAVAILABLE
         try:
@@ -141,7 +141,7 @@
                 return "more than the team's limit"
         return None
 
-    async def submit(self, request: Request) -> Answer:
+    async def submit(self, request: Request) -> Response:
         if request.too_large:
             return error(400, "body over 64 KiB")
         try:
@@ -179,7 +179,7 @@
             job.chunk_size = chunk_tasks(spec.task_count, shards, room)
         return job
 
-    async def _accept(self, job_id: JobId, tasks: int, value: object) -> Answer:
+    async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
         """Store a new job. What it answers is what is known of the job when the write has ended,
         not what was to be written."""
         key = JOBS + job_id
@@ -194,7 +194,7 @@
         log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
         return self._short(201, job_id, self.states.latest(job_id))
 
-    async def _refuse(self, job_id: JobId, refusal: Answer) -> Answer:
+    async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
         """Refuse a submission for good, unless its job was accepted before: then the catalogue or
         the limits have changed since. While the records can't be read the refusal rests on
         these alone, as it always does for a job that nobody accepted."""
@@ -205,14 +205,14 @@
         except RequestRefusedError:
             return refusal
 
-    async def _state_or(self, job_id: JobId, otherwise: Answer) -> Answer:
+    async def _state_or(self, job_id: JobId, otherwise: Response) -> Response:
         """How a job stands, or another answer if there is no such job."""
         job = await self.states.read(job_id)
         if job is None:
             return otherwise
         running = self.controller.running_tasks(job_id) if job.open else 0
         stage = self._stage(job, running)
-        return Answer(200, encode_job_state(job_id, stage, job.done_count, running))
+        return Response(200, encode_job_state(job_id, stage, job.done_count, running))
 
     @staticmethod
     def _stage(job: JobRecord, running: int) -> str:
@@ -223,16 +223,16 @@
             return "withdrawn"
         return "running" if running else "queued"
 
-    def _short(self, status: int, job_id: JobId, job: JobRecord | None) -> Answer:
+    def _short(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
         """How a job stands, without counts, right after a write of it."""
         if job is None:
             return UNAVAILABLE
-        return Answer(status, encode_job_state(job_id, self._stage(job, 0)))
+        return Response(status, encode_job_state(job_id, self._stage(job, 0)))
 
-    async def poll(self, job_id: JobId) -> Answer:
+    async def poll(self, job_id: JobId) -> Response:
         return await self._state_or(job_id, NOT_FOUND)
 
-    async def abort(self, job_id: JobId) -> Answer:
+    async def abort(self, job_id: JobId) -> Response:
         key = JOBS + job_id
         for _ in range(TRIES):
             job = await self.states.read_anew(job_id, for_change=True)
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -50,7 +50,7 @@
     keep_alive: bool = True
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """An answer to an HTTP request; a refusal says when to come back."""
 
     status: int
@@ -58,7 +58,7 @@
     retry_after: int | None = None
 
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 
 class MalformedRequestError(Exception):
@@ -181,7 +181,7 @@
     return "\r\n".join([*lines, "", ""]).encode("ascii")
 
 
-def response_bytes(answer: Answer, *, close: bool = False, head_only: bool = False) -> bytes:
+def response_bytes(answer: Response, *, close: bool = False, head_only: bool = False) -> bytes:
     """An answer as it is sent; a HEAD request gets no body."""
     head = _head(answer.status, len(answer.body), answer.retry_after, close)
     return head if head_only else head + answer.body
@@ -204,7 +204,7 @@
 
 
 async def _refuse(stream: anyio.abc.ByteStream) -> None:
-    answer = Answer(400, b'{"error":"malformed request"}')
+    answer = Response(400, b'{"error":"malformed request"}')
     with anyio.move_on_after(REFUSAL_S):
         try:
             await stream.send(response_bytes(answer, close=True))
@@ -238,7 +238,7 @@
             answer = await handler(request)
         except Exception:
             log.exception("event=request_handler_crashed target=%s", request.target)
-            answer = Answer(503, b'{"error":"internal"}', 1)
+            answer = Response(503, b'{"error":"internal"}', 1)
         close, head_only = not request.keep_alive, request.method == "HEAD"
         await stream.send(response_bytes(answer, close=close, head_only=head_only))
         mark(True)
--- a/src/dapplewick/transport/http_client.py
+++ b/src/dapplewick/transport/http_client.py
@@ -25,7 +25,7 @@
     """No connection could be made: the request was not sent."""
 
 
-class Response(NamedTuple):
+class ClientResponse(NamedTuple):
     """A whole answer, and whether its connection can be used again."""
 
     status: int
@@ -42,9 +42,9 @@
         self._head_bytes = 0
         self._head_complete = False
         self._framed = False  # the length of the body is known from the head
-        self._response: Response | None = None
+        self._response: ClientResponse | None = None
 
-    def take(self) -> Response | None:
+    def take(self) -> ClientResponse | None:
         """The response, once it is whole."""
         response, self._response = self._response, None
         return response
@@ -60,11 +60,11 @@
         if not self._head_complete and self._head_bytes > MAX_HEAD:
             raise HttpError("the head is too long")
 
-    def end(self) -> Response:
+    def end(self) -> ClientResponse:
         """The connection was closed: a body without a length ends with it."""
         if not self._head_complete or self._framed:
             raise HttpError("closed")
-        return Response(self._parser.get_status_code(), b"".join(self._parts), False)
+        return ClientResponse(self._parser.get_status_code(), b"".join(self._parts), False)
 
     # What the parser calls
 
@@ -93,7 +93,7 @@
         # A body without a length ends where the connection does.
         lasting = self._framed or status in BODILESS
         keep_alive = lasting and self._parser.should_keep_alive()
-        self._response = Response(status, b"".join(self._parts), keep_alive)
+        self._response = ClientResponse(status, b"".join(self._parts), keep_alive)
 
 
 class _Connection(NamedTuple):
@@ -157,7 +157,7 @@
         return head + (body or b"")
 
 
-async def _read_response(connection: _Connection) -> Response:
+async def _read_response(connection: _Connection) -> ClientResponse:
     while True:
         response = connection.parser.take()
         if response is not None:
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from dapplewick.transport.http import Answer, Request
+from dapplewick.transport.http import Request, Response
 from standins.deployment import TYPES, WORKERS
 from standins.virtual_time import now
 
@@ -86,7 +86,7 @@
             ],
         }
         raw = json.dumps(body).encode()
-        answer: Answer | None = None
+        answer: Response | None = None
         with anyio.move_on_after(4.0):
             answer = await self.world.to_controller(
                 target, Request("POST", "/checkin", raw, False), self
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -15,7 +15,7 @@
 from dapplewick.partitions.service import PartitionService
 from dapplewick.partitions.solver import Problem, Targets, solve
 from dapplewick.transport import http_client
-from dapplewick.transport.http import Answer, Request
+from dapplewick.transport.http import Request, Response
 from standins import recorder
 from standins.answers import AnswerHistory, Question
 from standins.cloud import Cloud
@@ -105,7 +105,7 @@
 
     async def to_controller(
         self, name: str, request: Request, worker: Worker | None = None
-    ) -> Answer | None:
+    ) -> Response | None:
         if worker is not None and (worker.cut or name in self.cut_workers):
             await anyio.sleep(10.0)
             return None
@@ -299,14 +299,14 @@
     ) -> tuple[int, Any]:
         """A user's request to one controller; what it answers is compared with all answers."""
         question = self.history.ask(*self._asked(request))
-        answer: Answer | None = None
+        answer: Response | None = None
         with anyio.move_on_after(within):  # a controller that crashes answers nobody
             answer = await self.to_controller(name, request)
         if answer is None:
             return 0, {}
         return answer.status, self.note_answer(question, name, answer)
 
-    def note_answer(self, question: Question, name: str, answer: Answer) -> Any:
+    def note_answer(self, question: Question, name: str, answer: Response) -> Any:
         """Compare a controller's answer with all answers before; gives what it says."""
         said = json.loads(answer.body)
         before = len(self.history.broken)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -24,7 +24,7 @@
 from dapplewick.storage.keys import JOBS, PROVISIONING_REQUESTS
 from dapplewick.storage.state_client import StateClient
 from dapplewick.storage.watch_cache import REMOVALS_LEAST, WatchCache
-from dapplewick.transport.http import Answer, Request
+from dapplewick.transport.http import Request, Response
 from dapplewick.types import ControllerName, JobId
 from standins import AnswerHistory, World, now, run_day
 from test_days import run_script
@@ -388,7 +388,7 @@
     return [world.controllers[name] for name in ("n2", "n0", "n1")]
 
 
-def answer_and_stage(answer: Answer) -> tuple[int, Any]:
+def answer_and_stage(answer: Response) -> tuple[int, Any]:
     return answer.status, json.loads(answer.body).get("stage")
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -17,10 +17,10 @@
     MAX_HEAD,
     MAX_QUEUED,
     READ_BYTES,
-    Answer,
     MalformedRequestError,
     Request,
     RequestParser,
+    Response,
     serve_connection,
 )
 from dapplewick.transport.http_client import HttpClient, HttpError
@@ -153,9 +153,9 @@
     """Let a client talk to the server; gives the requests that were handled."""
     handled: list[Request] = []
 
-    async def handle(request: Request) -> Answer:
+    async def handle(request: Request) -> Response:
         handled.append(request)
-        return Answer(503, b'{"a":1}', 2) if request.target == "/busy" else Answer(200, b"{}")
+        return Response(503, b'{"a":1}', 2) if request.target == "/busy" else Response(200, b"{}")
 
     async def main() -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -21,7 +21,7 @@
 import pytest
 
 from dapplewick.transport import listen
-from dapplewick.transport.http import Answer, Request, serve_connection
+from dapplewick.transport.http import Request, Response, serve_connection
 from dapplewick.transport.http_client import HttpClient, HttpError
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
 from dapplewick.transport.stream import MOST_READ, accept
@@ -100,9 +100,9 @@
 
     async def to_controller(
         self, name: str, request: Request, worker: object = None
-    ) -> Answer | None:
+    ) -> Response | None:
         status, said = await self.call(name, request.method, request.target, request.body)
-        return Answer(status, json.dumps(said).encode()) if status else None
+        return Response(status, json.dumps(said).encode()) if status else None
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
         return await self.call(self.random.choice(self.names), method, path, body)
@@ -110,8 +110,8 @@
     async def serve(self, port: int, service: Any) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
 
-        async def handle(request: Request) -> Answer:
-            return Answer(*await service.answer(request.method, request.target, request.body))
+        async def handle(request: Request) -> Response:
+            return Response(*await service.answer(request.method, request.target, request.body))
 
         await listener.serve(lambda stream: serve_connection(stream, handle))
 
@@ -274,10 +274,10 @@
     async def main() -> None:
         held = anyio.Event()
 
-        async def handle(request: Request) -> Answer:
+        async def handle(request: Request) -> Response:
             if request.target == "/held":
                 await held.wait()
-            return Answer(200)
+            return Response(200)
 
         async def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> None:
             await serve_connection(stream, handle, mark)
