--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -7,7 +7,7 @@
 
 from dapplewick.config import Deployment
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.rebalancer import OPERATOR, TransferCommand
+from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TransferId, shard_name
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -15,10 +15,11 @@
 from dapplewick.partitions.description import PartitionDescription
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, unknown_names
-from dapplewick.partitions.rebalancer import PartitionRebalancer, TransferCommand
+from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.solver import Problem, Targets, solve
 from dapplewick.partitions.targets import holdings, supply
 from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.transfer_drafts import TransferCommand
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.errors import (
     OutcomeUnknownError,
--- a/src/dapplewick/partitions/timing.py
+++ b/src/dapplewick/partitions/timing.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
-from dapplewick.types import Seconds
+from dapplewick.types import MachineId, Seconds, TransferId
 
 LONGEST_MS = 24 * 3600 * 1000
 DIGITS = 2
@@ -21,11 +22,11 @@
         self._transfers = HdrHistogram(1, LONGEST_MS, DIGITS)
 
     def machine(self, took: Seconds) -> None:
-        """A machine was handed over so long after it was chosen."""
+        """Record in how many seconds after it was chosen a machine was handed over."""
         self._machines.record_value(_milliseconds(took))
 
     def transfer(self, took: Seconds) -> None:
-        """A transfer was complete so long after its first machine was chosen."""
+        """Record in how many seconds after its first machine was chosen a transfer was complete."""
         self._transfers.record_value(_milliseconds(took))
 
     def view(self) -> dict[str, Any]:
@@ -33,6 +34,38 @@
         return {"machines": _view(self._machines), "transfers": _view(self._transfers)}
 
 
+class TransferStopwatch:
+    """Since when machines are drained and transfers have some, in one term of a leader."""
+
+    def __init__(self, times: MoveTimes) -> None:
+        self._times = times
+        self._drained_at: dict[MachineId, Seconds] = {}
+        self._begun_at: dict[TransferId, Seconds] = {}
+
+    def note_drained(
+        self, transfer: TransferId, machines: Iterable[MachineId], now: Seconds
+    ) -> None:
+        """Take note that machines are drained for a transfer from now on."""
+        for machine in machines:
+            self._drained_at[machine] = now
+        self._begun_at.setdefault(transfer, now)
+
+    def drained_for_s(self, machine: MachineId, now: Seconds) -> Seconds:
+        """For how many seconds a machine has been drained; very long if that is not known."""
+        return now - self._drained_at.get(machine, -1e9)
+
+    def note_handed_over(self, machines: Iterable[MachineId], now: Seconds) -> None:
+        """Record the times of machines that were handed over."""
+        for machine in machines:
+            if machine in self._drained_at:
+                self._times.machine(now - self._drained_at.pop(machine))
+
+    def note_complete(self, transfer: TransferId, now: Seconds) -> None:
+        """Record the time of a transfer that is complete."""
+        if transfer in self._begun_at:
+            self._times.transfer(now - self._begun_at.pop(transfer))
+
+
 def _milliseconds(took: Seconds) -> int:
     return min(LONGEST_MS, max(1, round(took * 1000.0)))
 
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -20,11 +20,13 @@
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import Provisioner
+from dapplewick.partitions.handover import MachineHandover
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import Partition, PartitionPlan, PartitionRule
-from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
+from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.selection import MachineSelection
 from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand, TransferDrafts
 from dapplewick.protocol.peers import MachineStatus, ShardStatus, TaskEnd
 from dapplewick.protocol.state_service import Event
 from dapplewick.storage.conditional_write import ConditionalWrite
@@ -393,7 +395,7 @@
 GUARDS: dict[str, tuple[Any, str, Any]] = {
     "a floor above all tokens": (WatchCache, "token_for", lambda self, machine, token: token),
     "a machine that is proven empty": (MachineSelection, "is_empty", lambda *_: True),
-    "one transaction": (PartitionRebalancer, "_write", untied),
+    "one transaction": (TransferDrafts, "write", untied),
 }
 
 
@@ -417,7 +419,7 @@
     """A cancelled transfer's machine has got work again, and the next transfer of it must not rest
     on the status from before; a status may be seconds old."""
     if not guarded:
-        monkeypatch.setattr(PartitionRebalancer, "_owner_knows", lambda *_: True)
+        monkeypatch.setattr(MachineHandover, "_owner_knows", lambda *_: True)
     play = Play(1, 1)
     machine, owner = play.names[0], play.owners[OWN]
     worker = play.workers[machine]
--- a/tests/test_shares_size.py
+++ b/tests/test_shares_size.py
@@ -10,8 +10,9 @@
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions import plan as plans
 from dapplewick.partitions.index import MachineIndex
-from dapplewick.partitions.rebalancer import OPERATOR, PartitionRebalancer, TransferCommand
+from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
 from dapplewick.protocol.peers import MachineStatus, ShardStatus
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.formats import PARTITIONS_FORMAT
