--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import re
-from typing import Any
+from collections.abc import Mapping
 
 from dapplewick.config import Deployment
 from dapplewick.partitions.plan import PartitionPlan
@@ -23,7 +23,7 @@
         self.status = status
 
 
-def _text(message: dict[str, Any], field: str) -> str:
+def _text(message: Mapping[str, object], field: str) -> str:
     value = message.get(field)
     if not isinstance(value, str):
         raise TransferRefusedError(f"{field}: a text is needed")
@@ -31,7 +31,7 @@
 
 
 def move_command(
-    message: dict[str, Any],
+    message: Mapping[str, object],
     cache: WatchCache,
     plan: PartitionPlan,
     deployment: Deployment,
@@ -95,7 +95,7 @@
     return there + coming
 
 
-def cancellation(message: dict[str, Any], cache: WatchCache) -> TransferCommand:
+def cancellation(message: Mapping[str, object], cache: WatchCache) -> TransferCommand:
     """The end of a transfer. Machines that have moved stay where they are; of one that is
     complete it ends that the plan leaves its machines alone."""
     transfer = TransferId(_text(message, "id"))
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -1,26 +1,33 @@
-"""What operators are told of shares, and in plain words why a machine has not moved yet."""
+"""What operators are told of partitions, and in plain words why a machine has not moved yet."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
-from typing import Any
+
+import msgspec
 
 from dapplewick.core.estimates import NEVER
 from dapplewick.core.leader.observed_shard import ObservedShard
+from dapplewick.partitions.messages import (
+    DurationSummary,
+    MachineCount,
+    PartitionsDescription,
+    TransferDescription,
+)
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.protocol.peers import MachineStatus
 from dapplewick.storage.keys import SHARDS, TRANSFERS
 from dapplewick.storage.transfers import TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
-from dapplewick.types import MachineId, Seconds, ShardName, partition_of, zone_of
+from dapplewick.types import MachineId, Seconds, ShardName, TransferId, partition_of, zone_of
 
 SILENT_S = 4.0
 
 
-class PartitionDescription:
-    """Reads the records and the parts' statuses; changes nothing."""
+class PartitionDescriber:
+    """Reads the records and the shards' statuses; changes nothing."""
 
     def __init__(
         self, now: Seconds, wall: Seconds, cache: WatchCache, shards: Iterable[ObservedShard]
@@ -30,59 +37,69 @@
         self._cache = cache
         self._shards = {shard.shard: shard for shard in shards}
 
-    def describe(self, plan: PartitionPlan, targets: TargetsInForce) -> dict[str, Any]:
-        """All shares, their machines and targets, and the transfers, as plain values."""
+    def describe(
+        self,
+        leader: str,
+        plan: PartitionPlan,
+        targets: TargetsInForce,
+        times: dict[str, DurationSummary],
+    ) -> PartitionsDescription:
+        """All partitions, their machines and targets, and the transfers, the earliest first."""
+        transfers = sorted(
+            self._cache.transfers.records.items(), key=lambda item: item[1].generation
+        )
+        return PartitionsDescription(
+            leader=leader,
+            plan=msgspec.to_builtins(plan),
+            times=times,
+            format=self._cache.format,
+            targets_known=targets.known,
+            teams={name: partition.teams for name, partition in plan.partitions.items()},
+            machines=self._machine_counts(targets),
+            owners={shard: record.owner for shard, record in self._cache.shards.items()},
+            transfers=[self._transfer(name, record) for name, record in transfers],
+        )
+
+    def _machine_counts(self, targets: TargetsInForce) -> list[MachineCount]:
         counts = Counter(
             (record.zone, record.partition, record.type)
             for record in self._cache.machines.values()
             if not record.terminating
         )
         wanted = {(cell.zone, cell.partition, cell.type): count for cell, count in targets.items()}
-        rows = [
-            {
-                "zone": zone,
-                "share": partition,
-                "type": type_,
-                "machines": counts.get((zone, partition, type_), 0),
-                "target": wanted.get((zone, partition, type_), 0) if partition else None,
-            }
+        return [
+            MachineCount(
+                zone=zone,
+                partition=partition,
+                type=type_,
+                machines=counts.get((zone, partition, type_), 0),
+                target=wanted.get((zone, partition, type_), 0) if partition else None,
+            )
             for zone, partition, type_ in sorted(counts.keys() | wanted.keys())
         ]
-        return {
-            "format": self._cache.format,
-            "targets_known": targets.known,
-            "teams": {name: partition.teams for name, partition in plan.partitions.items()},
-            "machines": rows,
-            "owners": {shard: record.owner for shard, record in self._cache.shards.items()},
-            "transfers": [
-                self._transfer(name, record)
-                for name, record in sorted(
-                    self._cache.transfers.records.items(), key=lambda item: item[1].generation
-                )
-            ],
-        }
 
-    def _transfer(self, name: str, record: TransferRecord) -> dict[str, Any]:
-        return {
-            "id": name,
-            "generation": record.generation,
-            "zone": zone_of(record.source),
-            "source": partition_of(record.source),
-            "target": partition_of(record.target),
-            "type": record.type,
-            "count": record.count,
-            "moved": record.moved,
-            "state": record.state,
-            "origin": record.origin,
-            "left_s": round(max(0.0, record.until - self._wall), 1) if record.open else 0.0,
-            "waits_for": {
-                machine: self.why_not(name, record, MachineId(machine))
-                for machine in record.draining
-                if record.open
-            },
+    def _transfer(self, name: TransferId, record: TransferRecord) -> TransferDescription:
+        waits_for = {
+            machine: self.why_not(name, record, machine)
+            for machine in map(MachineId, record.draining)
+            if record.open
         }
+        return TransferDescription(
+            id=name,
+            generation=record.generation,
+            zone=zone_of(record.source),
+            source=partition_of(record.source),
+            target=partition_of(record.target),
+            type=record.type,
+            count=record.count,
+            moved=record.moved,
+            state=record.state,
+            origin=record.origin,
+            left_s=round(max(0.0, record.until - self._wall), 1) if record.open else 0.0,
+            waits_for=waits_for,
+        )
 
-    def why_not(self, name: str, record: TransferRecord, machine_id: MachineId) -> str:
+    def why_not(self, name: TransferId, record: TransferRecord, machine_id: MachineId) -> str:
         """Why a machine that is drained has not been handed over."""
         known = self._cache.machines.get(machine_id)
         if known is None or known.terminating:
--- /dev/null
+++ b/src/dapplewick/partitions/target_solving.py
@@ -0,0 +1,79 @@
+"""The runs of the solver: the plan and what the work wants now become targets."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Awaitable, Callable
+
+import anyio.to_thread
+
+from dapplewick.partitions.demand import measure
+from dapplewick.partitions.host import PartitionHost
+from dapplewick.partitions.index import MachineIndex
+from dapplewick.partitions.plan import DAY_MINUTES
+from dapplewick.partitions.plan_in_force import ComplaintLog, PlanInForce
+from dapplewick.partitions.solver import Problem, Targets, solve
+from dapplewick.partitions.targets import TargetsInForce, holdings, supply
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+
+log = logging.getLogger("dapplewick.partitions")
+
+Solver = Callable[[Problem], Awaitable[Targets | None]]
+
+
+async def solve_in_thread(problem: Problem) -> Targets | None:
+    """Run the solver beside the event loop: workers' heartbeats do not wait for it."""
+    return await anyio.to_thread.run_sync(solve, problem)
+
+
+class TargetSolving:
+    """Finds targets for the plan in force."""
+
+    def __init__(
+        self,
+        host: PartitionHost,
+        index: MachineIndex,
+        plan_in_force: PlanInForce,
+        complaints: ComplaintLog,
+        solver: Solver,
+    ) -> None:
+        self._host = host
+        self._index = index
+        self._plan_in_force = plan_in_force
+        self._complaints = complaints
+        self._solver = solver
+
+    async def run_once(self, targets: TargetsInForce) -> None:
+        """Solve the plan, have the solution adopted, and wake the leader if that changed targets.
+
+        A library's fault changes nothing: the targets in force stay.
+        """
+        cache = self._host.cache
+        if cache.format < PARTITIONS_FORMAT or not cache.types:
+            return
+        complaint = self._plan_in_force.unknown_names(self._plan_in_force.plan)
+        if complaint:
+            self._complaints.complain(self._host.now(), "plan_names_unknown", complaint)
+            return
+        problem = self._problem()
+        try:
+            solution = await self._solver(problem)
+        except Exception as err:  # noqa: BLE001 - whatever fails in the library, targets stay
+            self._complaints.complain(self._host.now(), "solver_failed", repr(err))
+            solution = None
+        if targets.adopt(problem, solution):
+            log.info(
+                "event=targets_adopted targets=%s",
+                ",".join(f"{c.zone}/{c.partition}/{c.type}:{n}" for c, n in targets.items()),
+            )
+            self._host.wake_leader()
+
+    def _problem(self) -> Problem:
+        """What is to be solved now."""
+        host, plan = self._host, self._plan_in_force.plan
+        self._index.refresh()
+        wall = host.wall()
+        jobs = [job for _, job in host.cache.each_live()]
+        demand = measure(plan, host.settings.deployment.teams, jobs, host.estimates, wall)
+        minute = int(wall // 60) % DAY_MINUTES
+        return Problem(plan, minute, supply(host.cache, self._index), demand, holdings(self._index))
--- a/src/dapplewick/partitions/timing.py
+++ b/src/dapplewick/partitions/timing.py
@@ -7,6 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from dapplewick.partitions.messages import DurationSummary
 from dapplewick.types import MachineId, Seconds, TransferId
 
 LONGEST_MS = 24 * 3600 * 1000
@@ -29,9 +30,9 @@
         """Record in how many seconds after its first machine was chosen a transfer was complete."""
         self._transfers.record_value(_milliseconds(took))
 
-    def view(self) -> dict[str, Any]:
-        """Both histograms as plain values, in seconds."""
-        return {"machines": _view(self._machines), "transfers": _view(self._transfers)}
+    def view(self) -> dict[str, DurationSummary]:
+        """Both histograms, in seconds."""
+        return {"machines": _summary(self._machines), "transfers": _summary(self._transfers)}
 
 
 class TransferStopwatch:
@@ -70,10 +71,13 @@
     return min(LONGEST_MS, max(1, round(took * 1000.0)))
 
 
-def _view(histogram: Any) -> dict[str, float]:
-    said: dict[str, float] = {"count": histogram.get_total_count()}
-    for percentile in PERCENTILES:
-        value = histogram.get_value_at_percentile(percentile) if said["count"] else 0
-        said[f"p{percentile:g}_s"] = round(value / 1000.0, 1)
-    said["max_s"] = round(histogram.get_max_value() / 1000.0, 1) if said["count"] else 0.0
-    return said
+def _summary(histogram: Any) -> DurationSummary:
+    count = histogram.get_total_count()
+    if not count:
+        return DurationSummary(0, 0.0, 0.0, 0.0)
+    p50, p95 = (histogram.get_value_at_percentile(percentile) for percentile in PERCENTILES)
+    return DurationSummary(count, _seconds(p50), _seconds(p95), _seconds(histogram.get_max_value()))
+
+
+def _seconds(milliseconds: int) -> Seconds:
+    return round(milliseconds / 1000.0, 1)
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -280,13 +280,13 @@
 
 def test_times_are_kept_in_histograms() -> None:
     times = MoveTimes()
-    assert times.view()["machines"]["count"] == 0
+    assert times.view()["machines"].count == 0
     for seconds in (1.0, 2.0, 30.0):
         times.machine(seconds)
     times.transfer(30.0)
     said = times.view()
-    assert said["machines"]["count"] == 3 and 29.0 <= said["machines"]["max_s"] <= 31.0
-    assert said["transfers"]["count"] == 1
+    assert said["machines"].count == 3 and 29.0 <= said["machines"].max_s <= 31.0
+    assert said["transfers"].count == 1
 
 
 def test_the_deploy_file_starts_a_controller_with_the_example_plan(
