--- a/src/dapplewick/cli/main.py
+++ b/src/dapplewick/cli/main.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from dapplewick import __version__, client
+from dapplewick.cli.status_text import status_lines
 from dapplewick.config import SettingsError, load
 from dapplewick.controller.startup import SCRIPT_VARIABLE, run_controller
 from dapplewick.script import ScriptError
@@ -24,7 +25,8 @@
     def __init__(self, message: str) -> None:
         super().__init__(" ".join(message.split()))
 
-    def show(self, file: Any = None) -> None:
+    def show(self, file: Any = None) -> None:  # noqa: ARG002 - click's signature
+        """Print the line."""
         click.echo(f"dapplewick: {self.message}", err=True)
 
 
@@ -122,52 +124,6 @@
             click.echo(line)
 
 
-def status_lines(said: dict[str, Any]) -> list[str]:
-    """A status as text."""
-    lines = [
-        f"node {said['node']}  version {said['version']}  ready {said['ready']}  "
-        f"lease {said['lease_left_s']} s  records {said['records_age_s']} s old",
-        f"leader {said['leader'] or 'none'}  epoch {said['epoch']}",
-    ]
-    for zone, shard in sorted(said["parts"].items()):
-        lines.append(f"part {zone}  owner {shard['owner']}  token {shard['token']}")
-    # A controller of the version before says nothing of these.
-    versions = "  ".join(
-        f"{controller} {v}" for controller, v in sorted(said.get("versions", {}).items())
-    )
-    if versions:
-        lines.append(f"format {said['format']}  versions {versions}")
-    for job, service in sorted(said.get("services", {}).items()):
-        lines.append(
-            f"service {job}  replicas {service['replicas']}  granted {service['granted']}  "
-            f"running {service['running']}"
-        )
-    jobs = said["jobs"]
-    lines.append("jobs " + "  ".join(f"{stage} {n}" for stage, n in sorted(jobs.items())))
-    budgets = said["budgets"]
-    lines.append("budgets " + "  ".join(f"{name} {left}" for name, left in budgets.items()))
-    for zone, shard in sorted(said["owned"].items()):
-        lines.append(f"owned {zone}  unheard {shard['unheard']}  loose singles {shard['loose']}")
-        for name, machine in sorted(shard["machines"].items()):
-            free = machine["free"]
-            lines.append(
-                f"  machine {name}  {machine['type']}  tasks {machine['tasks']}  "
-                f"slots {machine['slots']}  queued {machine['queued']}  "
-                f"free {free[0]:g} CPUs {free[1]:g} GPUs {free[2]:g} GB  "
-                f"silent {machine['silent']} s"
-            )
-        for job, reservation in sorted(shard["held"].items()):
-            lines.append(
-                f"  gang {job}  {reservation['state']}  remaining wait {reservation['wait_s']} s"
-            )
-    for name, times in sorted(said["latencies_ms"].items()):
-        lines.append(
-            f"latency {name}  count {times['count']}  p50 {times['p50']:g} ms  "
-            f"p95 {times['p95']:g} ms  max {times['max']:g} ms"
-        )
-    return lines
-
-
 @main.group(cls=LazyGroup, module="dapplewick.cli.partitions")
 def shares() -> None:
     """Machines of a zone that are kept for some teams: show, plan, move, cancel."""
--- a/src/dapplewick/cli/partitions.py
+++ b/src/dapplewick/cli/partitions.py
@@ -1,4 +1,4 @@
-"""The operators' commands on shares."""
+"""The operators' commands on partitions, which they know as shares."""
 
 from __future__ import annotations
 
@@ -11,19 +11,42 @@
 
 from dapplewick import client
 from dapplewick.cli.main import CommandError, InvalidInputError
+from dapplewick.partitions import messages
+from dapplewick.partitions.messages import (
+    CancelCommand,
+    MoveCommand,
+    PlanCommand,
+    ShowCommand,
+    TransferDescription,
+)
 from dapplewick.partitions.plan import PlanError, load
 
-OWN = "-"  # stands for a zone's own part, the machines of no share
+OWN = "-"  # stands for a zone's own shard, the machines of no partition
 
 at_option = click.option("--at", required=True, help="host:port of a controller's peer address.")
 json_option = click.option("--json", "as_json", is_flag=True, help="JSON instead of text.")
 
 
-def _call(at: str, verb: str, **fields: Any) -> dict[str, Any]:
-    """Put a command to a controller; a refusal ends the command with one line."""
+class PartitionsReport(msgspec.Struct):
+    """What is read of a controller's description of partitions, to show it as text."""
+
+    targets_known: bool
+    teams: dict[str, list[str]]
+    machines: list[messages.MachineCount]
+    transfers: list[TransferDescription]
+    times: dict[str, messages.DurationSummary]
+
+
+def _call(at: str, command: messages.Command) -> dict[str, Any]:
+    """Put a command to a controller; a refusal ends the command line with one line.
+
+    Raises:
+        InvalidInputError: the controller refuses what was given.
+        CommandError: there is no answer, or the command can't be carried out now.
+    """
 
     async def ask() -> dict[str, Any]:
-        return await client.partitions(at, verb, **fields)
+        return await client.partitions(at, **messages.encode(command))
 
     try:
         said = anyio.run(ask)
@@ -48,47 +71,48 @@
 @json_option
 def show(at: str, as_json: bool) -> None:
     """Show the shares, their machines, and what is moving and why it waits."""
-    said = _call(at, "show")
+    said = _call(at, ShowCommand())
     _print(said, as_json, partition_lines(said))
 
 
-def _name(share: str) -> str:
-    return share or "(no share)"
+def _name(partition: str) -> str:
+    return partition or "(no share)"
 
 
 def partition_lines(said: dict[str, Any]) -> list[str]:
-    """What a controller tells of shares, as text."""
+    """What a controller tells of partitions, as text."""
+    report = msgspec.convert(said, type=PartitionsReport)
     lines = []
-    if not said["targets_known"]:
+    if not report.targets_known:
         lines.append("the plan has not been worked out yet; nothing moves for it")
-    for name, teams in sorted(said["teams"].items()):
+    for name, teams in sorted(report.teams.items()):
         lines.append(f"share {name}  for {', '.join(teams)}")
-    for row in said["machines"]:
-        target = "" if row["target"] is None else f"  of {row['target']} planned"
-        lines.append(
-            f"{row['zone']}  {_name(row['share'])}  {row['type']}  {row['machines']}{target}"
-        )
-    for transfer in said["transfers"]:
+    lines += map(_machine_line, report.machines)
+    for transfer in report.transfers:
         lines += _transfer_lines(transfer)
-    for name, times in sorted(said["times"].items()):
-        if times["count"]:
+    for name, times in sorted(report.times.items()):
+        if times.count:
             lines.append(
-                f"times of {name}  count {times['count']:g}  p50 {times['p50_s']:g} s  "
-                f"p95 {times['p95_s']:g} s  max {times['max_s']:g} s"
+                f"times of {name}  count {times.count:g}  p50 {times.p50_s:g} s  "
+                f"p95 {times.p95_s:g} s  max {times.max_s:g} s"
             )
     return lines
 
 
-def _transfer_lines(transfer: dict[str, Any]) -> list[str]:
-    source, target = _name(transfer["source"]), _name(transfer["target"])
+def _machine_line(row: messages.MachineCount) -> str:
+    target = "" if row.target is None else f"  of {row.target} planned"
+    return f"{row.zone}  {_name(row.partition)}  {row.type}  {row.machines}{target}"
+
+
+def _transfer_lines(transfer: TransferDescription) -> list[str]:
     lines = [
-        f"transfer {transfer['id']}  {transfer['zone']}: {source} to {target}  "
-        f"{transfer['type']}  {transfer['moved']} of {transfer['count']} moved  "
-        f"{transfer['state']}"
+        f"transfer {transfer.id}  {transfer.zone}: {_name(transfer.source)} to "
+        f"{_name(transfer.target)}  {transfer.type}  {transfer.moved} of {transfer.count} moved  "
+        f"{transfer.state}"
     ]
-    if transfer["left_s"]:
-        lines[0] += f", {transfer['left_s']:.0f} s left"
-    for machine, reason in sorted(transfer["waits_for"].items()):
+    if transfer.left_s:
+        lines[0] += f", {transfer.left_s:.0f} s left"
+    for machine, reason in sorted(transfer.waits_for.items()):
         lines.append(f"  {machine}: {reason}")
     return lines
 
@@ -102,7 +126,7 @@
 def plan(at: str, as_json: bool, reset: bool, check: bool, file: str | None) -> None:
     """Show the plan in force, or put FILE, a Starlark script, in force."""
     if file is None and not reset:
-        said = _call(at, "show")["plan"]
+        said = _call(at, ShowCommand())["plan"]
         _print(said, True, [])
         return
     if file is not None and reset:
@@ -116,7 +140,7 @@
     if check:
         _print({"status": 200}, as_json, ["the plan can be read"])
         return
-    said = _call(at, "plan", plan=given)
+    said = _call(at, PlanCommand(plan=given))
     _print(said, as_json, ["the plan is in force"])
 
 
@@ -142,13 +166,14 @@
     """Move COUNT machines from one share of a zone to another, as their work ends."""
     said = _call(
         at,
-        "move",
-        id=command or f"o-{secrets.token_hex(6)}",
-        zone=zone,
-        type=type_,
-        count=count,
-        source="" if source == OWN else source,
-        target="" if target == OWN else target,
+        MoveCommand(
+            id=command or f"o-{secrets.token_hex(6)}",
+            zone=zone,
+            type=type_,
+            count=count,
+            source="" if source == OWN else source,
+            target="" if target == OWN else target,
+        ),
     )
     _print(said, as_json, [f"transfer {said['id']}  {said['state']}"])
 
@@ -159,7 +184,7 @@
 @click.argument("transfer")
 def cancel(at: str, as_json: bool, transfer: str) -> None:
     """End a transfer; what has moved stays where it is."""
-    said = _call(at, "cancel", id=transfer)
+    said = _call(at, CancelCommand(id=transfer))
     _print(said, as_json, [f"transfer {said['id']}  {said['state']}"])
 
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -23,6 +23,7 @@
 from dapplewick import client, config, script
 from dapplewick.cli import main as cli
 from dapplewick.cli import partitions as commands
+from dapplewick.cli import status_text
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.controller import Controller
 from dapplewick.core.estimates import Estimates
@@ -539,7 +540,9 @@
     asked = client.partitions if given["arguments"][0] == "shares" else client.status
     with patch.object(client, asked.__name__, said):
         result = CliRunner().invoke(cli.main, given["arguments"])
-    lines = commands.partition_lines if given["arguments"][0] == "shares" else cli.status_lines
+    lines = (
+        commands.partition_lines if given["arguments"][0] == "shares" else status_text.status_lines
+    )
     return {"printed": result.output, "code": result.exit_code, "lines": lines(given["said"])}
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,7 +14,8 @@
 from click.testing import CliRunner
 
 from dapplewick import client, script
-from dapplewick.cli.main import main, status_lines
+from dapplewick.cli.main import main
+from dapplewick.cli.status_text import status_lines
 from dapplewick.controller.status import controller_status
 from dapplewick.tuning import Tuning
 from standins import World, run_day
