--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import re
-from typing import Any
+from collections.abc import Mapping
 
 from dapplewick.config import Deployment
 from dapplewick.errors import DapplewickError
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.rebalancer import OPERATOR, TransferCommand
+from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TransferId, shard_name
@@ -24,7 +24,7 @@
         self.status = status
 
 
-def _text(message: dict[str, Any], field: str) -> str:
+def _text(message: Mapping[str, object], field: str) -> str:
     value = message.get(field)
     if not isinstance(value, str):
         raise TransferRefusedError(f"{field}: a text is needed")
@@ -32,7 +32,7 @@
 
 
 def move_command(
-    message: dict[str, Any],
+    message: Mapping[str, object],
     cache: WatchCache,
     plan: PartitionPlan,
     deployment: Deployment,
@@ -96,7 +96,7 @@
     return there + coming
 
 
-def cancellation(message: dict[str, Any], cache: WatchCache) -> TransferCommand:
+def cancellation(message: Mapping[str, object], cache: WatchCache) -> TransferCommand:
     """The end of a transfer. Machines that have moved stay where they are; of one that is
     complete it ends that the plan leaves its machines alone."""
     transfer = TransferId(_text(message, "id"))
