--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -116,10 +116,10 @@
         floors = {m: self._cache.token_for(m, source_token) + 1 for m in going}
         return machine_lifecycle.move(floors, partition_of(record.target), group_name)
 
-    def _owners_unchanged(self, record: TransferRecord) -> tuple[tuple[str, int], ...]:
+    def _owners_unchanged(self, record: TransferRecord) -> tuple[Precondition, ...]:
         """The conditions that both shards still have the owners that the proof rests on."""
         keys = (SHARDS + record.source, SHARDS + record.target)
-        return tuple((key, self._cache.version(key)) for key in keys)
+        return tuple(Precondition(key, self._cache.version(key)) for key in keys)
 
 
 def _with_moved(record: TransferRecord, moved: list[MachineId]) -> TransferRecord:
