--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -16,7 +16,7 @@
 from dapplewick.partitions.selection import MachineSelection
 from dapplewick.partitions.timing import TransferStopwatch
 from dapplewick.partitions.transfer_drafts import TransferDrafts
-from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
 from dapplewick.storage.keys import SHARDS, TRANSFERS
 from dapplewick.storage.transfers import COMPLETE, DRAINING, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
