--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -79,18 +79,8 @@
         for index in [i for i in array_tasks if i not in assigned]:
             self.leave_place(TaskRef(job_id, TaskIndex(index)), array_tasks.pop(index))
         self._has_unconfirmed = self._has_unconfirmed or (failover and bool(assigned))
-        for index, array_task in array_tasks.items():
-            # What was given back under an older version of the record and is assigned in
-            # this one was assigned anew, or was not yet heard: the leader only takes back
-            # what was said of the version that it changes. So it may run here again. That is
-            # the version of its own key: another chunk of the same job may be written in
-            # the same pass, before the one in which this task is taken back.
-            if (
-                array_task.state == TaskState.RELEASED
-                and job is not None
-                and job.task_version(index) != array_task.released
-            ):
-                self.requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
+        if job is not None:
+            self._requeue_assigned_anew(now, job_id, job, array_tasks)
         new_indices = sorted(assigned - array_tasks.keys())
         for index in new_indices:
             state = TaskState.UNCONFIRMED if failover else TaskState.WAITING
@@ -102,6 +92,21 @@
         self._changes.job(job_id)
         return not failover and bool(new_indices) and job is not None and job.spec.is_service
 
+    def _requeue_assigned_anew(
+        self, now: Seconds, job_id: JobId, job: JobRecord, array_tasks: dict[int, ArrayTask]
+    ) -> None:
+        # What was given back under an older version of the record and is assigned in this one
+        # was assigned anew, or was not yet heard: the leader only takes back what was said of
+        # the version that it changes. So it may run here again. That is the version of its own
+        # key: another chunk of the same job may be written in the same pass, before the one in
+        # which this task is taken back.
+        for index, array_task in array_tasks.items():
+            if (
+                array_task.state == TaskState.RELEASED
+                and job.task_version(index) != array_task.released_version
+            ):
+                self.requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
+
     def set_state(self, task: TaskRef, array_task: ArrayTask, state: TaskState) -> None:
         """Note a task's new state, for the leader too."""
         array_task.state = state
@@ -110,14 +115,14 @@
 
     def leave_place(self, task: TaskRef, array_task: ArrayTask) -> None:
         """Take a task out of its slot or queue: it is done, given back, or not wanted."""
-        if array_task.queue is not None:
-            slot = array_task.queue
+        if array_task.slot is not None:
+            slot = array_task.slot
             if slot.current == task and array_task.state == TaskState.ASSIGNED:
                 slot.current = None
                 self._machines.note_slot_change(slot)
             elif task in slot.queue:
                 self._queues.leave(slot, task)
-            array_task.queue = None
+            array_task.slot = None
 
     def release_long_waits(self, now: Seconds) -> None:
         """Give back to the leader, which may know better, what finds no room here."""
@@ -134,7 +139,7 @@
 
     def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
         self.leave_place(task, array_task)
-        array_task.released = job.task_version(task.number) if job is not None else 0
+        array_task.released_version = job.task_version(task.number) if job is not None else 0
         self.set_state(task, array_task, TaskState.RELEASED)
 
     # Waiting
@@ -144,14 +149,14 @@
         self.set_state(task, array_task, TaskState.WAITING)
         array_task.machine = None
         array_task.since = now
-        array_task.queue = None
+        array_task.slot = None
         if not failed:
             self._queues.unqueued.append(task)
             return
-        array_task.fails += 1
+        array_task.failures += 1
         # A replica is wanted back at once; only one that fails again and again is paused.
         spec = self.spec(task)
-        power = array_task.fails - (2 if spec is not None and spec.is_service else 1)
+        power = array_task.failures - (2 if spec is not None and spec.is_service else 1)
         pause_s = min(LONGEST_PAUSE_S, RETRY_S * 2.0**power) if power >= 0 else 0.0
         array_task.not_before = now + pause_s
         self._paused.append(task)
@@ -187,7 +192,7 @@
         array_task = self.get(task)
         if array_task is not None and array_task.state in (TaskState.WAITING, TaskState.ASSIGNED):
             self.set_state(task, array_task, TaskState.WAITING)
-            array_task.queue = None
+            array_task.slot = None
             array_task.machine = None
             self._queues.unqueued.append(task)
 
@@ -201,7 +206,7 @@
         slot.resources = self._size(task)
         self.set_state(task, array_task, TaskState.ASSIGNED)
         array_task.machine = slot.machine
-        array_task.queue = slot
+        array_task.slot = slot
         spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
         if spec is not None and machine is not None:
             slot.image = spec.image
@@ -240,6 +245,6 @@
         # An old attempt whose `forget` was lost is listed again after its task was assigned
         # anew to the same machine: that slot stays the task's.
         array_task = self.get(task)
-        if array_task is None or array_task.queue is not slot:
+        if array_task is None or array_task.slot is not slot:
             slot.current = None
             self._machines.note_change(machine)
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -55,7 +55,7 @@
         """
         if reservation.wait_at != now:
             latest_s = 0.0
-            for machine_id in reservation.on:
+            for machine_id in reservation.indices_on:
                 machine = self._machines.by_id.get(machine_id)
                 if machine is not None:
                     latest_s = max(latest_s, self._idle_in(now, machine))
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -91,16 +91,16 @@
         if job_id in self.by_job:
             self._remove(job_id, self.by_job[job_id])
         self.by_job[job_id] = reservation
-        if any(m not in self._cache.machines for m in reservation.on):
+        if any(m not in self._cache.machines for m in reservation.indices_on):
             # Gone before this reservation was known here: no change of its record will tell.
-            reservation.bad = "machine gone"
-        for machine_id in reservation.on:
+            reservation.failure = "machine gone"
+        for machine_id in reservation.indices_on:
             self._by_machine.setdefault(machine_id, {})[job_id] = reservation
             self._changes.machine(machine_id)
 
     def _remove(self, job_id: JobId, reservation: GangReservation) -> None:
         del self.by_job[job_id]
-        for machine_id in reservation.on:
+        for machine_id in reservation.indices_on:
             there = self._by_machine.get(machine_id)
             if there is not None:
                 there.pop(job_id, None)
@@ -111,8 +111,8 @@
     def machine_gone(self, machine_id: MachineId) -> None:
         """End the attempts of all gangs that have slots on a machine."""
         for job_id, reservation in self.on_machine(machine_id).items():
-            if not reservation.bad:
-                reservation.bad = "machine gone"
+            if not reservation.failure:
+                reservation.failure = "machine gone"
                 log.info("event=gang_failed job=%s reason=machine_gone", job_id)
 
     # What is reserved where
@@ -129,8 +129,8 @@
         return [
             ReservedSlot(job_id, reservation, index)
             for job_id, reservation in reservations.items()
-            if not reservation.bad and self._is_wanted(job_id)
-            for index in reservation.on[machine_id]
+            if not reservation.failure and self._is_wanted(job_id)
+            for index in reservation.indices_on[machine_id]
             if index not in reservation.launched
         ]
 
@@ -168,14 +168,14 @@
 
     def _check(self, job_id: JobId, reservation: GangReservation) -> None:
         """A gang whose reserved slots are all idle starts on all of them together."""
-        if reservation.ready or reservation.bad or not self._is_wanted(job_id):
+        if reservation.ready or reservation.failure or not self._is_wanted(job_id):
             return
-        if any(self._is_leaving_shard(m) for m in reservation.on):
-            reservation.bad = "machine leaves"
+        if any(self._is_leaving_shard(m) for m in reservation.indices_on):
+            reservation.failure = "machine leaves"
             self._changes.dirty = True
             return
         each = self._cache.jobs[job_id].resources
-        for machine_id, indices in reservation.on.items():
+        for machine_id, indices in reservation.indices_on.items():
             machine = self._machines.by_id.get(machine_id)
             if machine is None:
                 return
@@ -191,9 +191,9 @@
         for other_id, other in self._by_machine[machine.id].items():
             if other is reservation:
                 is_older = False
-            elif (is_older or other.ready) and not other.bad and self._is_wanted(other_id):
+            elif (is_older or other.ready) and not other.failure and self._is_wanted(other_id):
                 resources = self._cache.jobs[other_id].resources
-                count = sum(i not in other.launched for i in other.on[machine.id])
+                count = sum(i not in other.launched for i in other.indices_on[machine.id])
                 room = room.minus(resources.times(count))
         return room
 
@@ -220,11 +220,14 @@
             return GANG_DONE
         if not self._is_wanted(job_id):
             return GANG_BUSY if self._may_be_there(job_id, reservation) else GANG_CLEAR
-        if reservation.bad or any(self._is_failing(m) for m in reservation.on):
+        if reservation.failure or any(self._is_failing(m) for m in reservation.indices_on):
             return GANG_BAD
         if reservation.launched >= reservation.placements.keys():
             return GANG_ON
-        if any((m := self._machines.by_id.get(i)) is not None and m.slow for i in reservation.on):
+        if any(
+            (m := self._machines.by_id.get(i)) is not None and m.slow
+            for i in reservation.indices_on
+        ):
             # Nothing more is started there, and it would be kept for this gang for ever.
             return GANG_BAD
         return GANG_HELD
@@ -234,7 +237,7 @@
         return machine is not None and (machine.spot_notice_s is not None or machine.unreachable)
 
     def _may_be_there(self, job_id: JobId, reservation: GangReservation) -> bool:
-        for machine_id in reservation.on:
+        for machine_id in reservation.indices_on:
             if machine_id not in self._cache.machines:
                 continue
             if machine_id in self._unreconciled:
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -114,15 +114,15 @@
         task_attempt = machine.task_attempts.get(task)
         if task_attempt is None or task_attempt.attempt != item.attempt:
             spec = self._tasks.spec(task)
-            task_attempt = TaskAttempt(item.attempt, item.stage, now, False, spec)
+            task_attempt = TaskAttempt(item.attempt, item.stage, now, start_unseen=False, spec=spec)
             machine.task_attempts[task] = task_attempt
             self._machines.note_change(machine)
-        elif task_attempt.stage != item.stage or task_attempt.sent:
+        elif task_attempt.stage != item.stage or task_attempt.start_unseen:
             self._machines.note_change(machine)
         if task_attempt.spec is None:
             task_attempt.describe(self._tasks.spec(task))
             machine.used = None
-        task_attempt.sent = False
+        task_attempt.start_unseen = False
         task_attempt.stage = item.stage
         if task_attempt.spec is not None and item.stage in (FETCHING, RUNNING, GATHERING):
             self._images.add(machine, task_attempt.spec.image)
@@ -178,19 +178,19 @@
             reservation is not None
             and task_attempt is not None
             and reservation.attempt == task_attempt.attempt
-            and not task_attempt.sent
-            and not reservation.bad
+            and not task_attempt.start_unseen
+            and not reservation.failure
             and self._reservations.done_attempts.get(task.job) != reservation.attempt
         ):
-            reservation.bad = reason
+            reservation.failure = reason
 
     def _find_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
         """Find the gangs whose tasks were started on this machine and are not listed."""
         for job_id, reservation in self._reservations.on_machine(machine.id).items():
             is_done = self._reservations.done_attempts.get(job_id) == reservation.attempt
-            if reservation.bad or is_done:
+            if reservation.failure or is_done:
                 continue
-            for index in reservation.on[machine.id]:
+            for index in reservation.indices_on[machine.id]:
                 if (
                     index in reservation.launched
                     and TaskRef(job_id, TaskIndex(index)) not in machine.task_attempts
@@ -205,6 +205,6 @@
         # A start that was never seen was dropped with its answer, unless a new incarnation of
         # the machine has begun: then it may have run, and attempts are not repeated.
         if index in reservation.seen or reservation.inherited or is_new_incarnation:
-            reservation.bad = "start lost"
+            reservation.failure = "start lost"
         else:
             reservation.launched.discard(index)
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -67,7 +67,7 @@
             if (
                 array_task is None
                 or array_task.state != TaskState.WAITING
-                or array_task.queue is not None
+                or array_task.slot is not None
             ):
                 continue
             spec = self._tasks.spec(task)
@@ -113,7 +113,7 @@
         if slot is None:
             return False
         self._queues.join(slot, task)
-        array_task.queue = slot
+        array_task.slot = slot
         return True
 
     def _sample(self, spec: JobSpec, able: list[Machine]) -> list[Machine]:
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -104,7 +104,7 @@
         if array_task is not None and array_task.state == TaskState.ASSIGNED:
             commands.append(self._start(now, machine, task, self._new_attempt()))
             self._tasks.set_state(task, array_task, TaskState.ON_MACHINE)
-            array_task.queue = None
+            array_task.slot = None
         else:
             slot.current = None
             self._machines.note_change(machine)
@@ -115,7 +115,9 @@
 
     def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
         spec = self._tasks.spec(task)
-        machine.task_attempts[task] = TaskAttempt(attempt, FETCHING, now, True, spec)
+        machine.task_attempts[task] = TaskAttempt(
+            attempt, FETCHING, now, start_unseen=True, spec=spec
+        )
         if spec is not None:
             self._images.add(machine, spec.image)
         machine.idle_since = now
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -118,7 +118,11 @@
             machine: The machine.
             listed: The tasks that its newest heartbeat lists.
         """
-        sent = [task for task, task_attempt in machine.task_attempts.items() if task_attempt.sent]
+        sent = [
+            task
+            for task, task_attempt in machine.task_attempts.items()
+            if task_attempt.start_unseen
+        ]
         if any(task in listed for task in sent):
             machine.lost_starts = 0
         elif sent:
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -84,7 +84,8 @@
         self.estimates = estimates
         self._ticked_at = now
         self._slow_ticked_at = -1e9
-        # What the pieces share.
+        # Long, as it does but one thing: it gives each piece the others that it needs, in the
+        # order in which they depend on one another. First, what the pieces share.
         self._changes = changes = ChangeLog()
         self._machines = machines = MachineTable(cache, changes)
         self.machines = machines.by_id
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -20,12 +20,12 @@
 IMAGES_MOST = 64  # images remembered of a machine, the newest ones
 SLOW_SAMPLES = 12  # run times that are compared before a machine is called slow
 
-# The stages of a task attempt, as heartbeats name them. They are plain constants, not an enum:
-# a heartbeat's stages are compared for each task on its machine.
-FETCHING: Final = "fetching"
+# The stages of a task attempt, as heartbeats name them (the table of task states in PROTOCOL).
+# They are plain constants, not an enum: stages are compared for each task of each heartbeat.
+FETCHING: Final = "fetching"  # it waits for its image
+GATHERING: Final = "gathering"  # a gang's task waits for the others of its attempt
 RUNNING: Final = "running"
-GATHERING: Final = "gathering"  # a gang's task runs, but not all of its peers do
-FLUSHING: Final = "flushing"  # it saves its state before it stops
+FLUSHING: Final = "flushing"  # it was told to stop and saves its state
 EXITED: Final = "exited"
 
 # How a gang's attempt stands in a shard, as the leader is told.
@@ -52,16 +52,24 @@
 class ArrayTask:
     """A task of an array that is assigned to this shard."""
 
-    __slots__ = ("fails", "machine", "not_before", "queue", "released", "since", "state")
+    __slots__ = (
+        "failures",
+        "machine",
+        "not_before",
+        "released_version",
+        "since",
+        "slot",
+        "state",
+    )
 
     def __init__(self, state: TaskState, now: Seconds) -> None:
         self.state = state
         self.machine: MachineId | None = None
-        self.queue: Slot | None = None  # the slot whose current task it is, or where it waits
-        self.since = now
-        self.fails = 0
-        self.not_before = 0.0
-        self.released = 0  # the version of its record or chunk under which it was given back
+        self.slot: Slot | None = None  # whose current task it is, or where it waits
+        self.since = now  # when it began to wait
+        self.failures = 0  # in a row
+        self.not_before = 0.0  # the end of its pause after a failure
+        self.released_version = 0  # of its record or chunk, under which it was given back
 
 
 class Slot:
@@ -81,15 +89,30 @@
 class TaskAttempt:
     """An attempt of a task that is, or may be, on a machine."""
 
-    __slots__ = ("attempt", "resources", "running_at", "sent", "since", "spec", "stage", "stopped")
+    __slots__ = (
+        "attempt",
+        "resources",
+        "running_at",
+        "since",
+        "spec",
+        "stage",
+        "start_unseen",
+        "stopped",
+    )
 
     def __init__(
-        self, attempt: Attempt, stage: str, now: Seconds, sent: bool, spec: JobSpec | None
+        self,
+        attempt: Attempt,
+        stage: str,
+        now: Seconds,
+        *,
+        start_unseen: bool,
+        spec: JobSpec | None,
     ) -> None:
         self.attempt = attempt
         self.stage = stage
         self.since = now
-        self.sent = sent  # told to start, but not yet seen in a heartbeat
+        self.start_unseen = start_unseen  # told to start, but not yet seen in a heartbeat
         self.running_at: Seconds | None = None
         self.stopped = False
         self.describe(spec)
@@ -215,10 +238,10 @@
 
     __slots__ = (
         "attempt",
-        "bad",
+        "failure",
+        "indices_on",
         "inherited",
         "launched",
-        "on",
         "placements",
         "preempt",
         "ready",
@@ -231,14 +254,14 @@
     def __init__(self, attempt: int, placements: dict[int, MachineId], now: Seconds) -> None:
         self.attempt = attempt
         self.placements = placements
-        self.on: dict[MachineId, list[int]] = {}  # the tasks to be on each machine
+        self.indices_on: dict[MachineId, list[int]] = {}  # of the tasks to be on each machine
         for index, machine_id in placements.items():
-            self.on.setdefault(machine_id, []).append(index)
+            self.indices_on.setdefault(machine_id, []).append(index)
         self.inherited = False  # taken over with the shard from an earlier owner
         self.ready = False  # all its slots are idle: the starts go out
-        self.launched: set[int] = set()
-        self.seen: set[int] = set()
-        self.bad = ""  # why this attempt can't succeed; empty while it may
+        self.launched: set[int] = set()  # indices of tasks whose start was sent
+        self.seen: set[int] = set()  # and of those that a heartbeat has listed
+        self.failure = ""  # why this attempt can't succeed; empty while it may
         self.preempt = False  # whether work of lower priority is stopped for it
         self.since = now
         self.wait_at = -1.0  # when the remaining wait was last counted
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -49,7 +49,7 @@
         commands = []
         preempted = self._preemption.preempted_on(machine)
         for task, task_attempt in machine.task_attempts.items():
-            if task_attempt.stage == EXITED or task_attempt.sent:
+            if task_attempt.stage == EXITED or task_attempt.start_unseen:
                 continue
             job = self._cache.jobs.get(task.job)
             if job is None or not job.open:
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -23,9 +23,9 @@
 STEADY_S = 30.0  # a replica that ran for as long did not fail at once
 LEAST_RUN_S = 0.5  # of a run time that is learned from
 
-# Causes of exits, as heartbeats name them.
-CAUSE_DONE: Final = "done"
-TASK_FAILURES: Final = ("error", "no_such")  # count against the machine
+# Causes of exits, as heartbeats name them (the table of `why` in PROTOCOL).
+DONE: Final = "done"
+MACHINE_FAILURES: Final = ("error", "no_such")  # these count against the machine
 NO_FAILURES: Final = ("halted", "full", "peers")  # not the task's fault: it is not paused
 
 
@@ -58,7 +58,7 @@
         """
         job = self._cache.jobs.get(item.task.job)
         is_replica = job is not None and job.open and job.spec.is_service
-        if item.cause == CAUSE_DONE and not is_replica:
+        if item.cause == DONE and not is_replica:
             is_kept = self._keep_result(now, machine, item, task_attempt, job)
         else:
             self._note_failure(now, machine, item, task_attempt, is_replica)
@@ -116,10 +116,14 @@
             item.cause,
         )
         reservation = self._reservations.by_job.get(task.job)
-        if reservation is not None and reservation.attempt == item.attempt and not reservation.bad:
-            reservation.bad = item.cause or "exited"
-            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.bad)
-        if item.cause in TASK_FAILURES:
+        if (
+            reservation is not None
+            and reservation.attempt == item.attempt
+            and not reservation.failure
+        ):
+            reservation.failure = item.cause or "exited"
+            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.failure)
+        if item.cause in MACHINE_FAILURES:
             machine.failures[task.job] = now
         self._tasks.remove_attempt(machine, task)
         array_task = self._tasks.get(task)
@@ -130,7 +134,7 @@
         ):
             running_at = task_attempt.running_at
             if is_replica and running_at is not None and now - running_at > STEADY_S:
-                array_task.fails = 0
+                array_task.failures = 0
             self._tasks.requeue(now, task, array_task, failed=item.cause not in NO_FAILURES)
         self._changes.dirty = True
 
@@ -148,7 +152,7 @@
             spec is None
             or spec.is_service
             or task_attempt.running_at is None
-            or (array_task is not None and array_task.fails)
+            or (array_task is not None and array_task.failures)
         ):
             return
         ran_s = max(LEAST_RUN_S, now - task_attempt.running_at)
