--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import logging
+from typing import Final
 
 from dapplewick.core.shard.array_tasks import ArrayTasks
 from dapplewick.core.shard.changes import ChangeLog
@@ -26,6 +27,10 @@
 
 log = logging.getLogger("dapplewick.part")
 
+# Compared for each task of each heartbeat: an enum's members are slow to look up.
+_ON_MACHINE: Final = TaskState.ON_MACHINE
+WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)  # stages that tell of an image
+
 
 class HeartbeatReconciler:
     """Finds what a heartbeat confirms, what has exited, and what is missing.
@@ -124,9 +129,10 @@
             machine.used = None
         task_attempt.start_unseen = False
         task_attempt.stage = item.stage
-        if task_attempt.spec is not None and item.stage in (FETCHING, RUNNING, GATHERING):
-            self._images.add(machine, task_attempt.spec.image)
-        if item.stage == RUNNING and task_attempt.running_at is None:
+        spec = task_attempt.spec
+        if spec is not None and spec.image not in machine.images and item.stage in WITH_IMAGE:
+            self._images.add(machine, spec.image)
+        if task_attempt.running_at is None and item.stage == RUNNING:
             task_attempt.running_at = now
         return task_attempt
 
@@ -135,7 +141,7 @@
         task = item.task
         array_task = self._tasks.get(task)
         if array_task is not None:
-            if array_task.state == TaskState.ON_MACHINE:
+            if array_task.state == _ON_MACHINE:
                 if array_task.machine != machine.id:
                     log.error("event=task_on_two_machines task=%s/%d", task.job, task.number)
                 return
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -84,20 +84,19 @@
         """Start what slots were assigned, and give up the slots that are left empty."""
         kept: list[Slot] = []
         for slot in machine.slots:
-            self._launch_slot(now, machine, slot, commands)
+            task = slot.current
+            if task is not None and task not in machine.task_attempts:
+                self._launch_slot(now, machine, slot, task, commands)
             if slot.current is not None:
                 kept.append(slot)
             else:
-                for task in self._queues.empty(slot):
-                    self._tasks.unqueue(task)
+                for queued in self._queues.empty(slot):
+                    self._tasks.unqueue(queued)
         machine.slots = kept
 
     def _launch_slot(
-        self, now: Seconds, machine: Machine, slot: Slot, commands: list[Command]
+        self, now: Seconds, machine: Machine, slot: Slot, task: TaskRef, commands: list[Command]
     ) -> None:
-        task = slot.current
-        if task is None or task in machine.task_attempts:
-            return
         if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
             return  # what is stopped for it is not gone yet
         array_task = self._tasks.get(task)
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -211,9 +211,10 @@
         placed = running = 0
         done: list[int] = []
         released: list[int] = []
+        on_machine = TaskState.ON_MACHINE  # looked up once: it is what most tasks are
         for index, array_task in self._tasks.by_job[job_id].items():
             state = array_task.state
-            if state == TaskState.ON_MACHINE:
+            if state == on_machine:
                 placed += 1
                 running += 1
             elif state == TaskState.ASSIGNED:
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -79,7 +79,11 @@
         if spec.is_gang:
             is_wanted = self._is_gang_wanted(task, task_attempt, job)
         else:
-            is_wanted = self._is_array_task_wanted(machine, task)
+            array_task = self._tasks.get(task)
+            # What was assigned before this ownership may be this one, until all are heard.
+            is_wanted = array_task is not None and (
+                array_task.machine == machine.id or array_task.state == TaskState.UNCONFIRMED
+            )
         if not is_wanted or task in preempted:
             return True
         if spec.is_service:
@@ -96,13 +100,6 @@
             and task.job in self._reservations.by_job
         )
 
-    def _is_array_task_wanted(self, machine: Machine, task: TaskRef) -> bool:
-        array_task = self._tasks.get(task)
-        # What was assigned before this ownership may be this one, until all are heard.
-        return array_task is not None and (
-            array_task.machine == machine.id or array_task.state == TaskState.UNCONFIRMED
-        )
-
 
 def _is_orderly(task_attempt: TaskAttempt, job: JobRecord) -> bool:
     """Whether a task can save its state before it stops."""
