--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -3,23 +3,13 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Mapping, Set
+from collections.abc import Mapping
 from types import MappingProxyType
 from typing import NamedTuple
 
 from dapplewick.core.shard.changes import ChangeLog
 from dapplewick.core.shard.machines import MachineTable
-from dapplewick.core.shard.state import (
-    GANG_BAD,
-    GANG_BUSY,
-    GANG_CLEAR,
-    GANG_DONE,
-    GANG_HELD,
-    GANG_ON,
-    GangReservation,
-    GangState,
-    Machine,
-)
+from dapplewick.core.shard.state import GangReservation, Machine
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds, ShardName
@@ -46,16 +36,14 @@
         cache: WatchCache,
         machines: MachineTable,
         changes: ChangeLog,
-        unreconciled: Set[MachineId],
     ) -> None:
         self.by_job: dict[JobId, GangReservation] = {}
-        self.done_attempts: dict[JobId, int] = {}  # of gangs with a result here
+        self._done_attempts: dict[JobId, int] = {}  # of gangs with a result here
         self._by_machine: dict[MachineId, dict[JobId, GangReservation]] = {}
         self._shard = shard
         self._cache = cache
         self._machines = machines
         self._changes = changes
-        self._unreconciled = unreconciled  # any attempt of the old owner may be on these
 
     # Coming and going
 
@@ -68,7 +56,7 @@
         if gang is None or self._shard not in gang.shards():
             if reservation is not None:
                 self._remove(job_id, reservation)
-            self.done_attempts.pop(job_id, None)
+            self._done_attempts.pop(job_id, None)
             return
         if reservation is None or reservation.attempt != gang.attempt:
             placements = {
@@ -115,6 +103,14 @@
                 reservation.failure = "machine gone"
                 log.info("event=gang_failed job=%s reason=machine_gone", job_id)
 
+    def is_done(self, job_id: JobId, reservation: GangReservation) -> bool:
+        """Whether a task of this attempt has the result."""
+        return self._done_attempts.get(job_id) == reservation.attempt
+
+    def note_done(self, job_id: JobId, reservation: GangReservation) -> None:
+        """Note that a task of this attempt has the result."""
+        self._done_attempts[job_id] = reservation.attempt
+
     # What is reserved where
 
     def on_machine(self, machine_id: MachineId) -> Mapping[JobId, GangReservation]:
@@ -129,7 +125,7 @@
         return [
             ReservedSlot(job_id, reservation, index)
             for job_id, reservation in reservations.items()
-            if not reservation.failure and self._is_wanted(job_id)
+            if not reservation.failure and self.is_wanted(job_id)
             for index in reservation.indices_on[machine_id]
             if index not in reservation.launched
         ]
@@ -150,7 +146,8 @@
             for job_id in self._by_machine.get(machine_id, ())
         )
 
-    def _is_wanted(self, job_id: JobId) -> bool:
+    def is_wanted(self, job_id: JobId) -> bool:
+        """Whether a gang's attempt is to go on: it is not over, and its job is open."""
         job = self._cache.jobs.get(job_id)
         return job is not None and job.open and job.gang is not None and not job.gang.over
 
@@ -168,7 +165,7 @@
 
     def _check(self, job_id: JobId, reservation: GangReservation) -> None:
         """A gang whose reserved slots are all idle starts on all of them together."""
-        if reservation.ready or reservation.failure or not self._is_wanted(job_id):
+        if reservation.ready or reservation.failure or not self.is_wanted(job_id):
             return
         if any(self._is_leaving_shard(m) for m in reservation.indices_on):
             reservation.failure = "machine leaves"
@@ -191,7 +188,7 @@
         for other_id, other in self._by_machine[machine.id].items():
             if other is reservation:
                 is_older = False
-            elif (is_older or other.ready) and not other.failure and self._is_wanted(other_id):
+            elif (is_older or other.ready) and not other.failure and self.is_wanted(other_id):
                 resources = self._cache.jobs[other_id].resources
                 count = sum(i not in other.launched for i in other.indices_on[machine.id])
                 room = room.minus(resources.times(count))
@@ -207,42 +204,3 @@
             or self._cache.transfers.drains(machine_id) is not None
             or (machine is not None and machine.spot_notice_s is not None)
         )
-
-    # What the leader is told of a gang
-
-    def state(self, job_id: JobId, reservation: GangReservation) -> GangState:
-        """How a gang's attempt stands here."""
-        job = self._cache.jobs.get(job_id)
-        # Of a cancelled gang nobody wants the result; what counts is that it is gone. Else it
-        # would count against its team's limit for ever.
-        is_open = job is not None and job.open
-        if is_open and self.done_attempts.get(job_id) == reservation.attempt:
-            return GANG_DONE
-        if not self._is_wanted(job_id):
-            return GANG_BUSY if self._may_be_there(job_id, reservation) else GANG_CLEAR
-        if reservation.failure or any(self._is_failing(m) for m in reservation.indices_on):
-            return GANG_BAD
-        if reservation.launched >= reservation.placements.keys():
-            return GANG_ON
-        if any(
-            (m := self._machines.by_id.get(i)) is not None and m.slow
-            for i in reservation.indices_on
-        ):
-            # Nothing more is started there, and it would be kept for this gang for ever.
-            return GANG_BAD
-        return GANG_HELD
-
-    def _is_failing(self, machine_id: MachineId) -> bool:
-        machine = self._machines.by_id.get(machine_id)
-        return machine is not None and (machine.spot_notice_s is not None or machine.unreachable)
-
-    def _may_be_there(self, job_id: JobId, reservation: GangReservation) -> bool:
-        for machine_id in reservation.indices_on:
-            if machine_id not in self._cache.machines:
-                continue
-            if machine_id in self._unreconciled:
-                return True
-            machine = self._machines.by_id.get(machine_id)
-            if machine is not None and any(t.job == job_id for t in machine.task_attempts):
-                return True
-        return False
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -186,15 +186,14 @@
             and reservation.attempt == task_attempt.attempt
             and not task_attempt.start_unseen
             and not reservation.failure
-            and self._reservations.done_attempts.get(task.job) != reservation.attempt
+            and not self._reservations.is_done(task.job, reservation)
         ):
             reservation.failure = reason
 
     def _find_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
         """Find the gangs whose tasks were started on this machine and are not listed."""
         for job_id, reservation in self._reservations.on_machine(machine.id).items():
-            is_done = self._reservations.done_attempts.get(job_id) == reservation.attempt
-            if reservation.failure or is_done:
+            if reservation.failure or self._reservations.is_done(job_id, reservation):
                 continue
             for index in reservation.indices_on[machine.id]:
                 if (
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -94,7 +94,7 @@
         self.unreconciled: set[MachineId] = set()
         self._tasks = tasks = ArrayTasks(cache, machines, queues, images, changes)
         self.array_tasks = tasks.by_job
-        self._gangs = gangs = GangReservations(shard, cache, machines, changes, self.unreconciled)
+        self._gangs = gangs = GangReservations(shard, cache, machines, changes)
         self.reservations = gangs.by_job
         # Judgements.
         constraints = PlacementConstraints(zone_of(shard))
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -17,7 +17,12 @@
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import (
     EXITED,
+    GANG_BAD,
+    GANG_BUSY,
+    GANG_CLEAR,
+    GANG_DONE,
     GANG_HELD,
+    GANG_ON,
     RUNNING,
     GangReservation,
     GangState,
@@ -261,13 +266,50 @@
             del changes.gang_statuses[job_id]
             changes.gang(job_id)
         for job_id, reservation in reservations.items():
-            state = self._reservations.state(job_id, reservation)
+            state = self._gang_state(job_id, reservation)
             wait_s = self._wait(now, reservation, state)
             status = GangStatus(reservation.attempt, state, wait_s)
             if changes.gang_statuses.get(job_id) != status:
                 changes.gang_statuses[job_id] = status
                 changes.gang(job_id)
 
+    def _gang_state(self, job_id: JobId, reservation: GangReservation) -> GangState:
+        """How a gang's attempt stands here."""
+        job = self._cache.jobs.get(job_id)
+        # Of a cancelled gang nobody wants the result; what counts is that it is gone. Else it
+        # would count against its team's limit for ever.
+        is_open = job is not None and job.open
+        if is_open and self._reservations.is_done(job_id, reservation):
+            return GANG_DONE
+        if not self._reservations.is_wanted(job_id):
+            return GANG_BUSY if self._may_be_there(job_id, reservation) else GANG_CLEAR
+        if reservation.failure or any(self._is_failing(m) for m in reservation.indices_on):
+            return GANG_BAD
+        if reservation.launched >= reservation.placements.keys():
+            return GANG_ON
+        if any(
+            (m := self._machines.by_id.get(i)) is not None and m.slow
+            for i in reservation.indices_on
+        ):
+            # Nothing more is started there, and it would be kept for this gang for ever.
+            return GANG_BAD
+        return GANG_HELD
+
+    def _is_failing(self, machine_id: MachineId) -> bool:
+        machine = self._machines.by_id.get(machine_id)
+        return machine is not None and (machine.spot_notice_s is not None or machine.unreachable)
+
+    def _may_be_there(self, job_id: JobId, reservation: GangReservation) -> bool:
+        for machine_id in reservation.indices_on:
+            if machine_id not in self._cache.machines:
+                continue
+            if machine_id in self._unreconciled:
+                return True
+            machine = self._machines.by_id.get(machine_id)
+            if machine is not None and any(t.job == job_id for t in machine.task_attempts):
+                return True
+        return False
+
     def _wait(self, now: Seconds, reservation: GangReservation, state: GangState) -> Seconds:
         if state != GANG_HELD or reservation.ready:
             return 0.0
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -90,8 +90,8 @@
             return True
         reservation = self._reservations.by_job.get(task.job)
         if reservation is not None and reservation.attempt == item.attempt:
-            if self._reservations.done_attempts.get(task.job) != item.attempt:
-                self._reservations.done_attempts[task.job] = reservation.attempt
+            if not self._reservations.is_done(task.job, reservation):
+                self._reservations.note_done(task.job, reservation)
                 self._learn(now, machine, task, task_attempt, None)
                 self._changes.dirty = True
             return True
