--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -10,7 +10,7 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.watch_cache import WatchCache
-from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds, TaskIndex, TaskRef
+from dapplewick.types import NO_RESOURCES, JobId, Seconds, TaskIndex, TaskRef
 
 LONG_WAIT_S = 15.0  # an array task that waited this long goes back to the leader
 REPLICA_WAIT_S = 4.0  # and a replica sooner
@@ -51,10 +51,6 @@
         job = self._cache.jobs.get(task.job)
         return job.spec if job is not None else None
 
-    def _size(self, task: TaskRef) -> Resources:
-        job = self._cache.jobs.get(task.job)
-        return job.resources if job is not None else NO_RESOURCES
-
     # Assignments, and their ends
 
     def follow_record(
@@ -202,12 +198,12 @@
         """Make a task the current one of a slot: it starts with the machine's next heartbeat."""
         array_task = self.get(task)
         assert array_task is not None
+        spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
         slot.current = task
-        slot.resources = self._size(task)
+        slot.resources = spec.resources if spec is not None else NO_RESOURCES
         self.set_state(task, array_task, TaskState.ASSIGNED)
         array_task.machine = slot.machine
         array_task.slot = slot
-        spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
         if spec is not None and machine is not None:
             slot.image = spec.image
             slot.endless = spec.is_service
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -96,37 +96,35 @@
         self.array_tasks = tasks.by_job
         self._gangs = gangs = GangReservations(shard, cache, machines, changes)
         self.reservations = gangs.by_job
-        # Judgements.
+        # What judges: which machines and tasks are fit for one another.
         constraints = PlacementConstraints(zone_of(shard))
-        self._health = health = MachineHealth(shard, cache, changes, lease_s, now)
-        self._speed = SpeedComparison()
-        self.backfill = Backfill(estimates, machines, gangs, tuning.threshold_s)
         accelerators = AcceleratorDemand(cache, aimed)
         gang_demand = GangDemand(cache, tuning.spare_slots)
-        self._free_capacity = FreeCapacity(cache, machines, accelerators, gang_demand)
-        self._replicas = ReplicaPlacement(cache, machines, constraints, gangs, report_s)
-        # Steps.
-        self._exits = TaskExits(cache, estimates, tasks, gangs, self._speed, changes)
+        self._health = health = MachineHealth(shard, cache, changes, lease_s, now)
+        self._speed = speed = SpeedComparison()
+        self.backfill = backfill = Backfill(estimates, machines, gangs, tuning.threshold_s)
+        self._free_capacity = capacity = FreeCapacity(cache, machines, accelerators, gang_demand)
+        self._replicas = replicas = ReplicaPlacement(cache, machines, constraints, gangs, report_s)
+        candidates = Candidates(cache, tasks, constraints, capacity, gangs, backfill)
+        # What acts, as heartbeats and time demand it.
+        self._exits = exits = TaskExits(cache, estimates, tasks, gangs, speed, changes)
         self._reconciler = HeartbeatReconciler(
-            self.unreconciled, machines, tasks, gangs, images, health, self._exits, changes
+            self.unreconciled, machines, tasks, gangs, images, health, exits, changes
         )
+        generator = random.Random(seed ^ token)
         self._joining = Joining(
             machines,
             tasks,
             queues,
             images,
             constraints,
-            self._free_capacity,
+            capacity,
             gangs,
-            self.backfill,
-            self._replicas,
-            random.Random(seed ^ token),
-        )
-        preemption = Preemption(cache, tasks, gangs)
-        self._stops = Stops(cache, tasks, gangs, self._replicas, preemption)
-        candidates = Candidates(
-            cache, tasks, constraints, self._free_capacity, gangs, self.backfill
+            backfill,
+            replicas,
+            generator,
         )
+        self._stops = Stops(cache, tasks, gangs, replicas, Preemption(cache, tasks, gangs))
         stealing = WorkStealing(queues, tasks, candidates)
         self._launches = Launches(
             token, machines, tasks, queues, images, gangs, candidates, stealing
@@ -140,7 +138,7 @@
             tasks,
             gangs,
             health,
-            self.backfill,
+            backfill,
             changes,
             self.unreconciled,
         )
