--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -84,27 +84,26 @@
         """Start what slots were assigned, and give up the slots that are left empty."""
         kept: list[Slot] = []
         for slot in machine.slots:
-            self._launch_slot(now, machine, slot, commands)
+            task = slot.current
+            if task is not None and task not in machine.task_attempts:
+                self._launch_slot(now, machine, slot, task, commands)
             if slot.current is not None:
                 kept.append(slot)
             else:
-                for task in self._queues.empty(slot):
-                    self._tasks.unqueue(task)
+                for queued in self._queues.empty(slot):
+                    self._tasks.unqueue(queued)
         machine.slots = kept
 
     def _launch_slot(
-        self, now: Seconds, machine: Machine, slot: Slot, commands: list[Command]
+        self, now: Seconds, machine: Machine, slot: Slot, task: TaskRef, commands: list[Command]
     ) -> None:
-        task = slot.current
-        if task is None or task in machine.task_attempts:
-            return
         if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
             return  # what is stopped for it is not gone yet
         array_task = self._tasks.get(task)
         if array_task is not None and array_task.state == TaskState.ASSIGNED:
             commands.append(self._start(now, machine, task, self._new_attempt()))
             self._tasks.set_state(task, array_task, TaskState.ON_MACHINE)
-            array_task.queue = None
+            array_task.slot = None
         else:
             slot.current = None
             self._machines.note_change(machine)
@@ -115,7 +114,9 @@
 
     def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
         spec = self._tasks.spec(task)
-        machine.task_attempts[task] = TaskAttempt(attempt, FETCHING, now, True, spec)
+        machine.task_attempts[task] = TaskAttempt(
+            attempt, FETCHING, now, start_unseen=True, spec=spec
+        )
         if spec is not None:
             self._images.add(machine, spec.image)
         machine.idle_since = now
