--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -222,7 +222,8 @@
         if not self._changed:
             return
         keys, self._changed = dict.fromkeys(self._changed), []
-        machines, self.cache.changed_machines = dict.fromkeys(self.cache.changed_machines), []
+        machines = dict.fromkeys(self.cache.changed_machines)
+        self.cache.changed_machines.clear()
         now = self.now()
         if any(k.startswith(SHARDS) for k in keys):
             self._update_owned_shards(now)
--- a/src/dapplewick/storage/machine_groups.py
+++ b/src/dapplewick/storage/machine_groups.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -18,15 +17,17 @@
         groups: the groups' records, by name.
         machines: the machines.
         group_of: the group whose record counts for each machine.
+
+    Each machine of which something changes is added to the list `changed_machines`.
     """
 
-    def __init__(self, on_machine_changed: Callable[[MachineId], None]) -> None:
+    def __init__(self, changed_machines: list[MachineId]) -> None:
         self.groups: dict[str, MachineGroupRecord] = {}
         self.machines: dict[MachineId, MachineRecord] = {}
         self.group_of: dict[MachineId, str] = {}
         self._groups_listing: dict[MachineId, set[str]] = {}
         self._versions: dict[str, int] = {}
-        self._on_machine_changed = on_machine_changed
+        self._changed_machines = changed_machines
 
     def put(self, name: str, value: Any, version: int) -> None:
         """Take over a group's record."""
@@ -89,4 +90,4 @@
             del self.machines[machine]
         else:
             self.machines[machine] = record
-        self._on_machine_changed(machine)
+        self._changed_machines.append(machine)
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -198,17 +198,23 @@
         status, answer = await self._call("POST", TRANSACTION_TARGET, body)
         if status == HTTPStatus.OK:
             return self._decoded(TRANSACTION_RESULT_DECODER, answer).revision
+        raise self._transaction_error(status, answer, [*puts, *deletes])
+
+    def _transaction_error(self, status: int, answer: bytes, keys: list[str]) -> StateServiceError:
+        """What a status other than 200 means for the keys of a transaction."""
         if status == HTTPStatus.CONFLICT:
-            raise TransactionConflictError(self._decoded(TRANSACTION_RESULT_DECODER, answer).failed)
+            return TransactionConflictError(
+                self._decoded(TRANSACTION_RESULT_DECODER, answer).failed
+            )
+        listed = ",".join(keys)
         if status == HTTPStatus.BAD_REQUEST and NO_SUCH_LEASE in answer:
-            raise _noted(LeaseExpiredError(), f"of keys {','.join(leases or {})}")
-        keys = ",".join([*puts, *deletes])
+            return _noted(LeaseExpiredError(), f"POST {TRANSACTION_TARGET}: keys {listed}")
         log.error(
-            "event=state_request_rejected status=%d answer=%r keys=%s", status, answer[:200], keys
+            "event=state_request_rejected status=%d answer=%r keys=%s", status, answer[:200], listed
         )
         if status == HTTPStatus.BAD_REQUEST:
-            raise _noted(ValueTooLargeError(str(status)), f"POST {TRANSACTION_TARGET}: keys {keys}")
-        raise _refused("POST", TRANSACTION_TARGET, status)
+            return _noted(ValueTooLargeError(str(status)), f"POST {TRANSACTION_TARGET}: {listed}")
+        return _refused("POST", TRANSACTION_TARGET, status)
 
     def _acquire_writes(self, amount: int, *, urgent: bool) -> None:
         if urgent:
--- a/src/dapplewick/storage/transfers.py
+++ b/src/dapplewick/storage/transfers.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from typing import Any
 
 import msgspec
 
@@ -118,3 +119,20 @@
     def drained(self) -> Iterable[MachineId]:
         """Every machine that gets no new work for a transfer."""
         return self._draining.keys()
+
+
+class TransferKeys:
+    """Takes over changes of the transfers' keys, and notes the machines that they concern."""
+
+    def __init__(self, transfers: Transfers, changed_machines: list[MachineId]) -> None:
+        self._transfers = transfers
+        self._changed_machines = changed_machines
+
+    def put(self, name: str, value: Any, _version: int) -> None:
+        """Take over a transfer's record."""
+        record = msgspec.convert(value, type=TransferRecord)
+        self._changed_machines += self._transfers.put(TransferId(name), record)
+
+    def remove(self, name: str) -> None:
+        """A transfer's record is gone."""
+        self._changed_machines += self._transfers.remove(TransferId(name))
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -38,7 +38,7 @@
 )
 from dapplewick.storage.machine_groups import MachineGroups
 from dapplewick.storage.machine_records import ProvisioningRequest
-from dapplewick.storage.transfers import TransferRecord, Transfers
+from dapplewick.storage.transfers import TransferKeys, Transfers
 from dapplewick.types import (
     ControllerName,
     FencingToken,
@@ -46,7 +46,6 @@
     MachineId,
     Revision,
     ShardName,
-    TransferId,
 )
 
 log = logging.getLogger("dapplewick.records")
@@ -76,11 +75,13 @@
         machines: all machines, as the newest group that lists them says.
         groups: records of machine groups, by name.
         group_of: the group whose record counts for a machine.
-        changed_machines: machines that have changed; taken by whoever tells the cores.
+        changed_machines: machines that have changed; cleared by whoever tells the cores. The
+            pieces add to this list, so it is never replaced.
         shards: the shards with an owner.
         controllers: the controllers that are present.
         understood: the format that each controller understood when it was last seen.
         provisioning_requests: requests for machines that the cloud has yet to answer.
+        machine_types: the types of machines, in one key or several.
         transfers: moves of machines between partitions.
         listeners: called with each key that has changed.
     """
@@ -98,7 +99,7 @@
         self.live_jobs = self._jobs.live_jobs
         self.chunks = self._jobs.chunks
         self.placements = self._jobs.placements
-        self._machine_groups = MachineGroups(self._note_changed_machine)
+        self._machine_groups = MachineGroups(self.changed_machines)
         self.machines = self._machine_groups.machines
         self.groups = self._machine_groups.groups
         self.group_of = self._machine_groups.group_of
@@ -117,6 +118,7 @@
         """What takes over changes, by prefix or, where there is one record, by key."""
         jobs, types, cluster = self._jobs, self.machine_types, self._cluster
         requests = self._provisioning_requests
+        transfers = TransferKeys(self.transfers, self.changed_machines)
         return {
             JOBS: _KeyHandlers(jobs.put_record, jobs.remove_record),
             CHUNKS: _KeyHandlers(jobs.put_chunk, jobs.remove_chunk),
@@ -125,7 +127,7 @@
             SHARDS: _KeyHandlers(self._shards.put, self._shards.remove),
             CONTROLLERS: _KeyHandlers(self._controllers.put, self._controllers.remove),
             PROVISIONING_REQUESTS: _KeyHandlers(requests.put, requests.remove),
-            TRANSFERS: _KeyHandlers(self._put_transfer, self._remove_transfer),
+            TRANSFERS: _KeyHandlers(transfers.put, transfers.remove),
             TYPE_KEYS: _KeyHandlers(types.put_keyed, types.remove_keyed),
             TYPES: _KeyHandlers(types.put_common),
             LEADER: _KeyHandlers(cluster.put_leader, cluster.remove_leader),
@@ -187,16 +189,6 @@
         for listener in self.listeners:
             listener(key)
 
-    def _note_changed_machine(self, machine: MachineId) -> None:
-        self.changed_machines.append(machine)
-
-    def _put_transfer(self, name: str, value: Any, _version: int) -> None:
-        record = msgspec.convert(value, type=TransferRecord)
-        self.changed_machines += self.transfers.put(TransferId(name), record)
-
-    def _remove_transfer(self, name: str) -> None:
-        self.changed_machines += self.transfers.remove(TransferId(name))
-
     def cancellations(self, since: int) -> list[tuple[int, JobId]]:
         """Every cancellation known here that is newer than a revision, with its version."""
         return self._jobs.cancellations.since(since)
