--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -192,10 +192,12 @@
     grace: Seconds = 0.0
 
 
-_VERBS: dict[str, str] = {  # of the wire
-    CommandKind.START: "launch",
-    CommandKind.STOP: "kill",
-    CommandKind.FORGET: "forget",
+# Plain strings: each response to a heartbeat looks them up, and members of enums are slower.
+_STOP = CommandKind.STOP.value
+_VERBS = {  # of the wire
+    CommandKind.START.value: "launch",
+    _STOP: "kill",
+    CommandKind.FORGET.value: "forget",
 }
 
 
@@ -208,7 +210,7 @@
             "piece": f"{command.task.job}/{command.task.number}",
             "try": command.attempt,
         }
-        if command.op == CommandKind.STOP:
+        if command.op == _STOP:
             item["wind_down_s"] = command.grace
         items.append(item)
     return msgspec.json.encode({"baton": token, "orders": items})
