--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -23,7 +23,7 @@
         fetch_rate: how fast a machine fetches images, in GB/s.
         price: of a machine for an hour.
         spot_price: of a spot machine for an hour.
-        boot_s: seconds from the provisioning of a machine to its first heartbeat.
+        boot_s: seconds that a machine usually takes to come up, times 0.6 to 1.5.
         zones: where the type is offered.
     """
 
@@ -101,7 +101,7 @@
 def encode_provisioning_request(
     request: str, type_: str, zone: str, *, spot: bool, count: int
 ) -> bytes:
-    """A request for machines; made again by the same name it gives the same machines."""
+    """A request for machines; one that was fulfilled gets the same answer when it is repeated."""
     return msgspec.json.encode(
         {"booking": request, "build": type_, "yard": zone, "borrowed": spot, "how_many": count}
     )
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -21,7 +21,7 @@
     Zone,
 )
 
-MAX_COUNT = 1 << 64  # of what a worker counts; a larger number could not be stored
+MAX_COUNT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
 MAX_INDEX_DIGITS = 9
 KNOWN_TASKS = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
 
