--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -30,7 +30,7 @@
         wall: Unix time, in seconds.
     """
     ended = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
-    return ended and bool(plan.partitions) and wall < record.at + plan.hold_orders_s
+    return ended and bool(plan.partitions) and wall < record.at + plan.hold_commands_s
 
 
 class Imbalance:
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -1,4 +1,4 @@
-"""Operators' orders, checked before anything is written."""
+"""Operators' transfer commands, checked before anything is written."""
 
 from __future__ import annotations
 
@@ -14,22 +14,17 @@
 
 COMMAND_ID = re.compile(r"o-[0-9a-f]{8,32}")
 
+BAD_REQUEST, NOT_FOUND, CONFLICT = 400, 404, 409
+
 
 class TransferRefusedError(Exception):
-    """An order can't be carried out; the text is one line that names the field."""
+    """A command can't be carried out; the text is one line that names the field."""
 
-    def __init__(self, reason: str, status: int = 400) -> None:
+    def __init__(self, reason: str, status: int = BAD_REQUEST) -> None:
         super().__init__(reason)
         self.status = status
 
 
-def _text(message: Mapping[str, object], field: str) -> str:
-    value = message.get(field)
-    if not isinstance(value, str):
-        raise TransferRefusedError(f"{field}: a text is needed")
-    return value
-
-
 def move_command(
     message: Mapping[str, object],
     cache: WatchCache,
@@ -37,9 +32,22 @@
     deployment: Deployment,
     wall: Seconds,
 ) -> TransferCommand:
-    """A move of machines from one share of a zone to another; an empty name is the zone's own
-    part. A repeated order has the same id, and is carried out once."""
-    transfer = _text(message, "id")
+    """Check a move of machines from one partition of a zone to another.
+
+    An empty name is the zone's own shard. A repeated command has the same id, and is carried out
+    once: how many machines there are counts for the first only.
+
+    Args:
+        message: the command as it came; any field may be missing or of another type.
+        cache: the records.
+        plan: the plan in force.
+        deployment: the zones that there are.
+        wall: Unix time, in seconds.
+
+    Raises:
+        TransferRefusedError: a field is wrong; of several the first in the order of the checks.
+    """
+    transfer = TransferId(_text(message, "id"))
     if COMMAND_ID.fullmatch(transfer) is None:
         raise TransferRefusedError("id: must be o- and 8 to 32 of 0-9 and a-f")
     zone, type_ = _text(message, "zone"), _text(message, "type")
@@ -48,41 +56,75 @@
     if type_ not in cache.types:
         raise TransferRefusedError(f"type: unknown type {type_!r}")
     source, target = _text(message, "source"), _text(message, "target")
-    for field, partition in (("source", source), ("target", target)):
-        known = (
-            not partition
-            or partition in plan.partitions
-            or shard_name(zone, partition) in cache.shards
-        )
-        if not known or (field == "target" and partition and partition not in plan.partitions):
-            raise TransferRefusedError(f"{field}: unknown share {partition!r}")
-    if source == target:
-        raise TransferRefusedError("target: the same share as source")
-    count = message.get("count")
-    if isinstance(count, bool) or not isinstance(count, int) or not 0 < count <= COUNT_MOST:
-        raise TransferRefusedError(f"count: a number from 1 to {COUNT_MOST} is needed")
+    _check_partitions(zone, source, target, cache, plan)
     record = TransferRecord(
         0,
         shard_name(zone, source),
         shard_name(zone, target),
         type_,
-        count,
+        _count(message),
         REQUESTED,
         wall,
         wall + plan.move_within_s,
         origin=OPERATOR,
     )
-    if TransferId(transfer) not in cache.transfers.records:
-        there = _available(cache, record)
-        if count > there:
+    if transfer not in cache.transfers.records:
+        available = _available(cache, record)
+        if record.count > available:
             raise TransferRefusedError(
-                f"count: {source or 'the zone itself'} has {there} {type_} in {zone}, not {count}"
+                f"count: {source or 'the zone itself'} has {available} {type_} in {zone}, "
+                f"not {record.count}"
             )
-    return TransferCommand(TransferId(transfer), record)
+    return TransferCommand(transfer, record)
+
+
+def cancellation(message: Mapping[str, object], cache: WatchCache) -> TransferCommand:
+    """Check the cancellation of a transfer.
+
+    Machines that have moved stay where they are. If the transfer is complete, cancelling it ends
+    the time in which the plan leaves its machines alone.
+
+    Raises:
+        TransferRefusedError: there is no such transfer, or it is cancelled already.
+    """
+    transfer = TransferId(_text(message, "id"))
+    record = cache.transfers.records.get(transfer)
+    if record is None:
+        raise TransferRefusedError(f"id: unknown transfer {transfer!r}", status=NOT_FOUND)
+    if record.state == CANCELLED:
+        raise TransferRefusedError(f"id: {transfer} is cancelled already", status=CONFLICT)
+    return TransferCommand(transfer, None)
+
+
+def _text(message: Mapping[str, object], field: str) -> str:
+    value = message.get(field)
+    if not isinstance(value, str):
+        raise TransferRefusedError(f"{field}: a text is needed")
+    return value
+
+
+def _count(message: Mapping[str, object]) -> int:
+    count = message.get("count")
+    if isinstance(count, bool) or not isinstance(count, int) or not 0 < count <= COUNT_MOST:
+        raise TransferRefusedError(f"count: a number from 1 to {COUNT_MOST} is needed")
+    return count
+
+
+def _check_partitions(
+    zone: str, source: str, target: str, cache: WatchCache, plan: PartitionPlan
+) -> None:
+    """Refuse unknown partitions; one that the plan has no more may still give its machines."""
+    for field, partition in (("source", source), ("target", target)):
+        planned = not partition or partition in plan.partitions
+        left_over = field == "source" and shard_name(zone, partition) in cache.shards
+        if not planned and not left_over:
+            raise TransferRefusedError(f"{field}: unknown share {partition!r}")
+    if source == target:
+        raise TransferRefusedError("target: the same share as source")
 
 
 def _available(cache: WatchCache, record: TransferRecord) -> int:
-    """The machines that a share has, and those that are on their way to it."""
+    """How many machines the source has, and are on their way to it."""
     there = sum(
         machine.shard == record.source and machine.type == record.type and not machine.terminating
         for machine in cache.machines.values()
@@ -93,15 +135,3 @@
         if other.open and (other.target, other.type) == (record.source, record.type)
     )
     return there + coming
-
-
-def cancellation(message: Mapping[str, object], cache: WatchCache) -> TransferCommand:
-    """The end of a transfer. Machines that have moved stay where they are; of one that is
-    complete it ends that the plan leaves its machines alone."""
-    transfer = TransferId(_text(message, "id"))
-    record = cache.transfers.records.get(transfer)
-    if record is None:
-        raise TransferRefusedError(f"id: unknown transfer {transfer!r}", status=404)
-    if record.state == CANCELLED:
-        raise TransferRefusedError(f"id: {transfer} is cancelled already", status=409)
-    return TransferCommand(transfer, None)
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -1,4 +1,4 @@
-"""What the work of each share's teams wants now."""
+"""What the work of each partition's teams wants now."""
 
 from __future__ import annotations
 
@@ -12,18 +12,21 @@
 from dapplewick.types import NO_RESOURCES, Resources, Seconds
 
 UNLIMITED = 1e12  # CPUs, accelerators or GB: more than any fleet has
-SOON_TIMES = 2.0  # work that is due within this times its run time is pressing
+SOON_FACTOR = 2.0  # work that is due within this times its run time is pressing
 
 
 class PartitionDemand(NamedTuple):
-    """Room that a share's work would use if it had it all. Pressing is what is due soon or is
-    within its team's guarantee."""
+    """Room that a partition's work would use if it had it all.
+
+    Pressing is what is due soon or is within its team's guarantee.
+    """
 
     pressing: Resources = NO_RESOURCES
     other: Resources = NO_RESOURCES
 
     @property
     def total(self) -> Resources:
+        """Pressing and other demand together."""
         return self.pressing.plus(self.other)
 
 
@@ -39,7 +42,7 @@
         self.pressing = NO_RESOURCES
         self.other = NO_RESOURCES
 
-    def add(self, job: JobRecord, soon: bool) -> None:
+    def add(self, job: JobRecord, *, due_soon: bool) -> None:
         """Count a job's unfinished tasks, as many as the team's limit has room for."""
         each = job.resources
         count = min(job.spec.task_count - job.done_count, each.count_in(self._limit_left))
@@ -47,7 +50,7 @@
             return
         wanted = each.times(count)
         self._limit_left = self._limit_left.minus(wanted)
-        if soon or self._within_guarantee(wanted):
+        if due_soon or self._within_guarantee(wanted):
             self.pressing = self.pressing.plus(wanted)
         else:
             self.other = self.other.plus(wanted)
@@ -68,24 +71,34 @@
     estimates: Estimates,
     wall: Seconds,
 ) -> dict[str, PartitionDemand]:
-    """The demand of each share, from all open jobs, the oldest first."""
+    """The demand of each partition, from all open jobs, the oldest first.
+
+    Args:
+        plan: says which teams a partition is for.
+        teams: their guarantees and limits.
+        jobs: all of them; those that have ended do not count.
+        estimates: of run times.
+        wall: Unix time, in seconds.
+    """
     sums = {team.name: _TeamDemand(team) for team in teams}
     for job in sorted((j for j in jobs if j.open), key=lambda j: j.submitted_at):
         team = sums.get(job.spec.team)
         if team is not None:
-            team.add(job, _due_soon(job, estimates, wall))
-    out = {}
+            team.add(job, due_soon=_is_due_soon(job, estimates, wall))
+    demands = {}
     for name, partition in plan.partitions.items():
         pressing = other = NO_RESOURCES
         for team_name in partition.teams:
             if team_name in sums:
                 pressing = pressing.plus(sums[team_name].pressing)
                 other = other.plus(sums[team_name].other)
-        out[name] = PartitionDemand(pressing, other)
-    return out
+        demands[name] = PartitionDemand(pressing, other)
+    return demands
 
 
-def _due_soon(job: JobRecord, estimates: Estimates, wall: Seconds) -> bool:
+def _is_due_soon(job: JobRecord, estimates: Estimates, wall: Seconds) -> bool:
     if job.spec.deadline_s is None or job.spec.is_service:
         return job.spec.is_service
-    return job.submitted_at + job.spec.deadline_s < wall + SOON_TIMES * estimates.run_time(job.spec)
+    return job.submitted_at + job.spec.deadline_s < wall + SOON_FACTOR * estimates.run_time(
+        job.spec
+    )
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -23,7 +23,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName, TransferId, partition_of, zone_of
 
-SILENT_S = 4.0
+SILENT_S = 4.0  # a machine that was silent for longer is said to be
 
 
 class PartitionDescriber:
--- a/src/dapplewick/partitions/index.py
+++ b/src/dapplewick/partitions/index.py
@@ -1,6 +1,6 @@
-"""Machines by part and type, brought up to date by the records that changed.
+"""Machines by shard and type, brought up to date by the records that changed.
 
-A pass over shares looks at the machines that move, not at all that there are.
+A pass over partitions looks at the machines that move, not at all that there are.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class Kind(NamedTuple):
-    """Machines of a type that one part schedules."""
+    """Machines of a type that one shard schedules."""
 
     shard: ShardName
     type: str
 
 
 class MachineIndex:
-    """Which machines each part has of each type; those that are to be deleted are left out."""
+    """Which machines each shard has of each type; terminating ones are left out."""
 
     def __init__(self, cache: WatchCache) -> None:
         self._cache = cache
         self._machines: dict[Kind, dict[MachineId, None]] = {}
-        self._shard_of: dict[MachineId, ShardName] = {}  # of those to be deleted, too
+        self._shard_of: dict[MachineId, ShardName] = {}  # of terminating ones, too
         self._in_shard: Counter[ShardName] = Counter()
         self._kind_of: dict[MachineId, Kind] = {}
         self._in_group: dict[str, set[MachineId]] = {}
@@ -41,12 +41,12 @@
     def refresh(self) -> None:
         """Take over the groups of machines that have changed."""
         changed, self._changed = self._changed, {}
-        for name in changed:
-            group = self._cache.groups.get(name)
-            before = self._in_group.pop(name, set())
+        for group_name in changed:
+            group = self._cache.groups.get(group_name)
+            before = self._in_group.pop(group_name, set())
             after = {MachineId(m) for m in group.machines} if group is not None else set()
             if after:
-                self._in_group[name] = after
+                self._in_group[group_name] = after
             for machine in before | after:
                 self._place(machine)
 
@@ -77,7 +77,7 @@
             self._in_shard[shard] += 1
 
     def has_any(self, shard: ShardName) -> bool:
-        """Whether any machine is recorded in a part, also one that is to be deleted."""
+        """Whether any machine is recorded in a shard, also a terminating one."""
         return self._in_shard[shard] > 0
 
     def kinds(self) -> Iterator[tuple[Kind, int]]:
@@ -86,10 +86,10 @@
             yield kind, len(machines)
 
     def count(self, shard: str, type_: str) -> int:
-        """How many machines of a type a part has."""
+        """How many machines of a type a shard has."""
         return len(self._machines.get(Kind(ShardName(shard), type_), ()))
 
     def machines(self, shard: str, type_: str) -> KeysView[MachineId]:
-        """The machines of a type that a part has."""
+        """The machines of a type that a shard has."""
         empty: dict[MachineId, None] = {}
         return self._machines.get(Kind(ShardName(shard), type_), empty).keys()
--- a/src/dapplewick/partitions/plan.py
+++ b/src/dapplewick/partitions/plan.py
@@ -1,14 +1,13 @@
-"""The operators' plan: which teams' work gets what part of which machines, and when.
+"""The operators' plan: which teams' work gets what fraction of which machines, and when.
 
-A plan is a Starlark script that sets `shares`. It is refused whole if anything in it is wrong; the
-refusal is one line that names the field.
+A plan is a Starlark script that sets `shares`, as scripts and records call partitions. It is
+refused whole if anything in it is wrong; the refusal is one line that names the field.
 """
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterable
-from typing import Any
 
 import msgspec
 
@@ -19,8 +18,9 @@
 CLOCK = re.compile(r"([01]\d|2[0-3]):([0-5]\d)")
 DAY_MINUTES = 24 * 60
 MAX_PARTITIONS = 100
-RULES_MOST = 200
-WEIGHT_MOST = 1000.0
+MAX_RULES = 200
+MAX_WEIGHT = 1000.0
+DAY_S = 86400.0
 
 
 class PlanError(Exception):
@@ -28,9 +28,12 @@
 
 
 class PartitionRule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """What a share gets of some types of machines: at least and at most these parts of those that
-    there are in each zone, and in between what its work wants. The first rule of a share that
-    holds for a type, a zone and a time of day counts."""
+    """What a partition gets of some types of machines.
+
+    At least and at most these fractions of those that there are in each zone, and in between what
+    its work wants. The first rule of a partition that holds for a type, a zone and a time of day
+    counts.
+    """
 
     types: list[str] = msgspec.field(name="types")
     least: float = 0.0
@@ -51,11 +54,11 @@
 
 
 class Partition(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """A share: whose work it is for, and what it gets."""
+    """A partition of each zone: whose work it is for, and what it gets."""
 
     teams: list[str]
     rules: list[PartitionRule]
-    weight: float = 1.0  # where there is too little for all, heavier shares miss less
+    weight: float = 1.0  # where there is too little for all, heavier partitions miss less
 
     def rule(self, type_: str, zone: str, minute: int) -> PartitionRule | None:
         """The rule that holds for machines of a type in a zone at a minute of the day."""
@@ -63,16 +66,21 @@
 
 
 class PartitionPlan(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """All shares, and how they change."""
+    """All partitions, and how they change."""
 
     partitions: dict[str, Partition] = msgspec.field(name="shares", default_factory=dict)
     margin: float = 0.1  # of a zone's machines of a type that a new plan must differ by
     move_within_s: float = 300.0  # a machine that is not empty by then is left where it is
-    hold_orders_s: float = 3600.0  # the plan leaves alone for so long what an operator has moved
+    # The plan leaves alone for so long what an operator has moved.
+    hold_commands_s: float = msgspec.field(name="hold_orders_s", default=3600.0)
 
 
 def minute_of(text: str) -> int:
-    """The minute of the day of a time of day like 03:30."""
+    """The minute of the day of a time of day like 03:30.
+
+    Raises:
+        PlanError: it is no time of day.
+    """
     match = CLOCK.fullmatch(text)
     if match is None:
         raise PlanError(f"{text!r} is no time of day like 03:30")
@@ -80,7 +88,11 @@
 
 
 def parse(name: str, text: str) -> PartitionPlan:
-    """Run a plan's script and check what can be checked without the deployment."""
+    """Run a plan's script and check what can be checked without the deployment.
+
+    Raises:
+        PlanError: the script can't be run, or the plan is wrong.
+    """
     try:
         assigned_lines(name, text, SETTINGS)
         values = evaluate(name, text, SETTINGS)
@@ -90,7 +102,11 @@
 
 
 def load(path: str) -> PartitionPlan:
-    """Read and check a plan's file."""
+    """Read and check a plan's file.
+
+    Raises:
+        PlanError: the file can't be read, or the plan is wrong.
+    """
     try:
         text = read_script(path)
     except ScriptError as err:
@@ -98,8 +114,12 @@
     return parse(path, text)
 
 
-def convert(values: Any, place: str = "") -> PartitionPlan:
-    """A plan of plain values, as a script sets them or a record keeps them."""
+def convert(values: object, place: str = "") -> PartitionPlan:
+    """A plan of plain values, as a script sets them or a record keeps them.
+
+    Raises:
+        PlanError: the plan is wrong; the text begins with `place`.
+    """
     try:
         plan = msgspec.convert(values, type=PartitionPlan)
     except msgspec.ValidationError as err:
@@ -120,30 +140,38 @@
     """What is wrong with a plan, by itself; empty if nothing is."""
     if not 0.0 <= plan.margin <= 1.0:
         return "margin: must be from 0 to 1"
-    if not 10.0 <= plan.move_within_s <= 86400.0:
+    if not 10.0 <= plan.move_within_s <= DAY_S:
         return "move_within_s: must be from 10 to 86400"
-    if not 0.0 <= plan.hold_orders_s <= 7 * 86400.0:
+    if not 0.0 <= plan.hold_commands_s <= 7 * DAY_S:
         return "hold_orders_s: must be from 0 to 604800"
     if len(plan.partitions) > MAX_PARTITIONS:
         return f"shares: more than {MAX_PARTITIONS}"
     for name, partition in plan.partitions.items():
-        field = f"shares[{name!r}]"
-        if NAME.fullmatch(name) is None:
-            return f"{field}: a name has up to 20 of a-z, 0-9 and -"
-        if not partition.teams or len(set(partition.teams)) < len(partition.teams):
-            return f"{field}.teams: name each team once, and at least one"
-        if not 0.0 < partition.weight <= WEIGHT_MOST:
-            return f"{field}.weight: must be over 0 and at most {WEIGHT_MOST:g}"
-        if not 0 < len(partition.rules) <= RULES_MOST:
-            return f"{field}.rules: from 1 to {RULES_MOST} are needed"
-        for number, rule in enumerate(partition.rules):
-            complaint = _rule_complaint(rule)
-            if complaint:
-                return f"{field}.rules[{number}].{complaint}"
+        complaint = _partition_complaint(name, partition)
+        if complaint:
+            return f"shares[{name!r}]{complaint}"
     return _sum_complaint(plan)
 
 
+def _partition_complaint(name: str, partition: Partition) -> str:
+    """What is wrong with one partition, with the field below it; empty if nothing is."""
+    if NAME.fullmatch(name) is None:
+        return ": a name has up to 20 of a-z, 0-9 and -"
+    if not partition.teams or len(set(partition.teams)) < len(partition.teams):
+        return ".teams: name each team once, and at least one"
+    if not 0.0 < partition.weight <= MAX_WEIGHT:
+        return f".weight: must be over 0 and at most {MAX_WEIGHT:g}"
+    if not 0 < len(partition.rules) <= MAX_RULES:
+        return f".rules: from 1 to {MAX_RULES} are needed"
+    for number, rule in enumerate(partition.rules):
+        complaint = _rule_complaint(rule)
+        if complaint:
+            return f".rules[{number}].{complaint}"
+    return ""
+
+
 def _rule_complaint(rule: PartitionRule) -> str:
+    """What is wrong with one rule, its field in front; empty if nothing is."""
     if not rule.types:
         return "types: at least one is needed"
     if rule.zones is not None and not rule.zones:
@@ -158,7 +186,7 @@
 
 
 def _sum_complaint(plan: PartitionPlan) -> str:
-    """Whether the shares ask for more than there is of some type, in a zone, at some time."""
+    """Where the partitions are promised more than there is of a type in a zone, at some time."""
     rules = [rule for partition in plan.partitions.values() for rule in partition.rules]
     types = dict.fromkeys(type_ for rule in rules for type_ in rule.types)
     # A zone that no rule names stands for all the others.
@@ -167,23 +195,37 @@
     for minute in sorted(bounds | {0}):
         for type_ in types:
             for zone in [*zones, ""]:
-                total = 0.0
-                for name, partition in plan.partitions.items():
-                    rule = partition.rule(type_, zone, minute)
-                    total += rule.least if rule is not None else 0.0
-                    if total > 1.0 + 1e-9:
-                        return (
-                            f"shares[{name!r}].rules: least: {total:g} of all {type_} is promised"
-                            f" in {zone or 'each zone'} at {minute // 60:02}:{minute % 60:02}"
-                        )
+                complaint = _promise_complaint(plan, type_, zone, minute)
+                if complaint:
+                    return complaint
+    return ""
+
+
+def _promise_complaint(plan: PartitionPlan, type_: str, zone: str, minute: int) -> str:
+    """Which partition is promised what is promised to others; empty if none is."""
+    total = 0.0
+    for name, partition in plan.partitions.items():
+        rule = partition.rule(type_, zone, minute)
+        total += rule.least if rule is not None else 0.0
+        if total > 1.0 + 1e-9:
+            return (
+                f"shares[{name!r}].rules: least: {total:g} of all {type_} is promised"
+                f" in {zone or 'each zone'} at {minute // 60:02}:{minute % 60:02}"
+            )
     return ""
 
 
 def unknown_names(
     plan: PartitionPlan, teams: Iterable[str], zones: Iterable[str], types: Iterable[str] | None
 ) -> str:
-    """The first team, zone or type of a plan that the deployment does not have; empty if there is
-    none. Types are not looked at where they are not known yet."""
+    """Say which name of a plan the deployment does not have; empty if it has them all.
+
+    Args:
+        plan: the plan.
+        teams: those of the deployment.
+        zones: those of the deployment.
+        types: of machines that can be rented; None if they are not known yet.
+    """
     known_teams, known_zones = set(teams), set(zones)
     known_types = set(types) if types is not None else None
     for name, partition in plan.partitions.items():
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -1,4 +1,4 @@
-"""Which machines go first when a share gives some: idle ones, then those that are empty soonest."""
+"""Which machines go first when a partition gives some: idle ones, then those empty soonest."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName
 
-NAMES_BYTES = 480  # of those drained, in a record: half of the smallest value
-SAMPLE = 200  # machines that are looked at, beside the idle ones
-BUSY_FRACTION = 0.25  # of a part's busy machines of a type that are drained at the same time
+MAX_NAMES_BYTES = 480  # of drained machines' names in a record: half of the smallest value limit
+SAMPLE_SIZE = 200  # machines that are looked at, beside the idle ones
+BUSY_FRACTION = 0.25  # of a shard's busy machines of a type that are drained at the same time
 UNRECONCILED_WAIT_S = 30.0  # what a machine of which nothing is known yet counts as
 
 
@@ -30,7 +30,7 @@
 
 
 class MachineSelection:
-    """Chooses machines in one pass, from the records and from what the parts told."""
+    """Chooses machines in one pass, from the records and from what the shards' owners told."""
 
     def __init__(
         self,
@@ -53,26 +53,26 @@
         taken: Set[MachineId],
         waited_for: Set[MachineId],
     ) -> list[MachineId]:
-        """More machines for a transfer to drain, those first that are empty soonest. Busy ones
-        are drained a few at a time, since what is drained takes no work until it is empty; those
-        that are not `waited_for` any more, as with a long task, keep no others back."""
-        candidates = []
-        for machine_id in self._looked_at(transfer):
-            if machine_id in taken or machine_id in avoid:
-                continue
-            if self._cache.transfers.drains(machine_id) is not None:
-                continue
-            wait = self._expected_wait(machine_id, self._cache.machines[machine_id])
-            if wait is not None:
-                candidates.append(Candidate(wait, machine_id))
-        candidates.sort()
+        """Choose more machines for a transfer to drain, those first that are empty soonest.
+
+        Busy ones are drained a few at a time, since a drained machine takes no work until it is
+        empty.
+
+        Args:
+            transfer: the transfer, which misses some machines.
+            avoid: machines that were not empty in time a moment ago.
+            taken: machines that some transfer drains in this pass.
+            waited_for: drained machines that keep others from being drained; those that are not
+                any more, as with a long task, keep none back.
+        """
+        candidates = self._candidates(transfer, avoid, taken)
         room = min(transfer.missing, MACHINES_MOST - len(transfer.draining))
         busy_left = self._busy_left(transfer, len(candidates), waited_for)
         chosen: list[MachineId] = []
-        names = sum(len(machine) + 3 for machine in transfer.draining)
+        names_bytes = sum(len(machine) + 3 for machine in transfer.draining)
         for wait, machine_id in candidates:
-            names += len(machine_id) + 3
-            if len(chosen) >= room or names > NAMES_BYTES:
+            names_bytes += len(machine_id) + 3
+            if len(chosen) >= room or names_bytes > MAX_NAMES_BYTES:
                 break
             if wait > 0.0:
                 if busy_left <= 0:
@@ -81,26 +81,43 @@
             chosen.append(machine_id)
         return chosen
 
+    def _candidates(
+        self, transfer: TransferRecord, avoid: Set[MachineId], taken: Set[MachineId]
+    ) -> list[Candidate]:
+        """The machines that could go, those first that are empty soonest."""
+        candidates = []
+        for machine_id in self._looked_at(transfer):
+            if machine_id in taken or machine_id in avoid:
+                continue
+            if self._cache.transfers.drains(machine_id) is not None:
+                continue
+            wait = self._expected_wait(machine_id, self._cache.machines[machine_id])
+            if wait is not None:
+                candidates.append(Candidate(wait, machine_id))
+        candidates.sort()
+        return candidates
+
     def _looked_at(self, transfer: TransferRecord) -> Iterable[MachineId]:
         """All machines of the kind where they are few, else the idle ones and a sample."""
         there = self._index.machines(transfer.source, transfer.type)
-        if len(there) <= SAMPLE:
+        if len(there) <= SAMPLE_SIZE:
             return there
         shard = self._shards.get(ShardName(transfer.source))
         idle = shard.latest.idle if shard is not None else {}
         known_idle = [machine for machine in idle if machine in there][:MACHINES_MOST]
         draw = random.Random(transfer.generation * COUNT_MOST + transfer.moved)
-        return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE)])
+        return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE_SIZE)])
 
     def _busy_left(
         self, transfer: TransferRecord, candidates: int, waited_for: Set[MachineId]
     ) -> int:
-        most = max(1, math.ceil(BUSY_FRACTION * (candidates + len(transfer.draining))))
+        """How many more busy machines may be drained."""
+        limit = max(1, math.ceil(BUSY_FRACTION * (candidates + len(transfer.draining))))
         busy = sum(not self.is_empty(transfer, machine) for machine in waited_for)
-        return most - busy
+        return limit - busy
 
     def is_empty(self, transfer: TransferRecord, machine_id: MachineId) -> bool:
-        """Whether the part has proven that nothing is on a machine, nor may come to it."""
+        """Whether the shard's owner has proven that nothing is on a machine, nor may come to it."""
         record = self._cache.machines.get(machine_id)
         if record is None or record.terminating or record.shard != transfer.source:
             return False
@@ -112,8 +129,10 @@
         return shard is not None and machine_id in shard.latest.drained_machines
 
     def _expected_wait(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
-        """In how many seconds a machine is expected to be empty; None if that can't be said, or
-        never comes."""
+        """In how many seconds a machine is expected to be empty.
+
+        None if that can't be said, or never comes.
+        """
         if not record.up:
             return None if machine_id in self._placed else 0.0
         shard = self._shards.get(record.shard)
--- a/src/dapplewick/partitions/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -1,7 +1,8 @@
-"""Whole machines for each share, by the HiGHS solver.
+"""Whole machines for each partition, by the HiGHS solver.
 
-The model is small: one variable for each share, zone and type that a rule covers. It is solved on
-one thread within a bounded time; without a solution in that time the targets in force stay.
+The model is a small mixed-integer program: one variable for each partition, zone and type that a
+rule covers. It is solved on one thread within a bounded time; without a solution in that time the
+targets in force stay.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.types import Resources, Seconds
 
-SOLVE_WITHIN_S = 0.5
+TIME_LIMIT_S = 0.5
 PRESSING_COST = 100.0  # of a slot-sized shortfall of pressing work, against other work's 1
 MOVE_COST = 0.05  # of each machine that has to move
-GAP = 0.01
+RELATIVE_GAP = 0.01  # a solution this close to the best possible one is taken
 
 
 class Cell(NamedTuple):
-    """Machines of one type in one zone that belong to one share."""
+    """Machines of one type in one zone that belong to one partition."""
 
     partition: str
     zone: str
@@ -41,38 +42,67 @@
     minute: int  # of the day, in UTC
     supply: dict[tuple[str, str], Supply]  # by zone and type
     demand: dict[str, PartitionDemand]
-    have: dict[Cell, int]  # what each share has now
+    have: dict[Cell, int]  # what each partition has now
 
 
 Targets = dict[Cell, int]
 
 
 class Bounds(NamedTuple):
+    """How many machines a partition has to have, and may have."""
+
     least: int
     most: int
 
 
 def bounds(problem: Problem) -> dict[Cell, Bounds]:
-    """How many machines each share may have of each kind. Parts of machines are rounded down for
-    what is promised, so that the promises of all shares together never exceed what there is."""
-    out = {}
+    """How many machines each partition may have of each kind.
+
+    Fractions of machines are rounded down for what is promised, so that the promises of all
+    partitions together never exceed what there is.
+    """
+    limits = {}
     for name, partition in problem.plan.partitions.items():
         for (zone, type_), supply in problem.supply.items():
             rule = partition.rule(type_, zone, problem.minute)
             if rule is not None and rule.most > 0.0 and supply.machines > 0:
                 least = math.floor(rule.least * supply.machines + 1e-9)
                 most = max(least, math.floor(rule.most * supply.machines + 1e-9))
-                out[Cell(name, zone, type_)] = Bounds(least, most)
-    return out
+                limits[Cell(name, zone, type_)] = Bounds(least, most)
+    return limits
+
+
+def solve(problem: Problem, within_s: Seconds = TIME_LIMIT_S) -> Targets | None:
+    """Find targets that miss least of what is wanted and move few machines.
 
+    Args:
+        problem: what the plan, the work and the machines are now.
+        within_s: the solver's time limit, in seconds.
 
-def solve(problem: Problem, within_s: Seconds = SOLVE_WITHIN_S) -> Targets | None:
-    """Targets that miss least of what is wanted and move few machines; None if none was found in
-    time. Shares and kinds that no rule covers have no entry: their target is 0."""
+    Returns:
+        The targets; None if none were found in time. Partitions and kinds that no rule covers have
+        no entry: their target is 0.
+    """
     limits = bounds(problem)
     if not limits:
         return {}
-    # Loaded only here: it brings numpy, and only a leader with shares needs it.
+    # Loaded only here: it brings numpy, and only a leader with partitions needs it.
+    import highspy
+
+    model = _new_model(within_s)
+    integer = highspy.HighsVarType.kInteger
+    columns = {
+        cell: model.addVariable(lb=b.least, ub=b.most, type=integer) for cell, b in limits.items()
+    }
+    _keep_to_supply(model, problem, columns)
+    objective = _moves(model, problem, columns) + _shortfalls(model, problem, columns)
+    if not objective or not _minimized(model, sum(objective)):
+        return None
+    values = model.getSolution().col_value
+    return {cell: round(values[column.index]) for cell, column in columns.items()}
+
+
+def _new_model(within_s: Seconds) -> Any:
     import highspy
 
     model = highspy.Highs()  # type: ignore[no-untyped-call]
@@ -80,33 +110,35 @@
         ("output_flag", False),
         ("threads", 1),
         ("time_limit", within_s),
-        ("mip_rel_gap", GAP),
+        ("mip_rel_gap", RELATIVE_GAP),
         ("random_seed", 0),
     ):
         model.setOptionValue(option, value)
-    integer = highspy.HighsVarType.kInteger
-    columns = {
-        cell: model.addVariable(lb=b.least, ub=b.most, type=integer) for cell, b in limits.items()
-    }
+    return model
+
+
+def _keep_to_supply(model: Any, problem: Problem, columns: dict[Cell, Any]) -> None:
+    """Partitions together have no more machines of a kind than there are."""
     for (zone, type_), supply in problem.supply.items():
         mine = [c for cell, c in columns.items() if (cell.zone, cell.type) == (zone, type_)]
         if mine:
             model.addConstr(sum(mine) <= supply.machines)
-    objective = []
+
+
+def _moves(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
+    """The cost of machines that have to move."""
+    costs = []
     for cell, column in columns.items():
         moved = model.addVariable(lb=0.0, obj=0.0)
         have = problem.have.get(cell, 0)
         model.addConstr(moved >= column - have)
         model.addConstr(moved >= have - column)
-        objective.append(MOVE_COST * moved)
-    objective += _shortfalls(model, problem, columns)
-    if not objective or not _minimized(model, sum(objective)):
-        return None
-    values = model.getSolution().col_value
-    return {cell: round(values[column.index]) for cell, column in columns.items()}
+        costs.append(MOVE_COST * moved)
+    return costs
 
 
 def _minimized(model: Any, objective: Any) -> bool:
+    """Minimize, and say whether that gave a solution."""
     import highspy
 
     model.minimize(objective)
@@ -118,8 +150,8 @@
 
 
 def _shortfalls(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
-    """The cost of room that shares want and do not get, for CPUs and accelerators."""
-    out: list[Any] = []
+    """The cost of room that partitions want and do not get, for CPUs and accelerators."""
+    costs: list[Any] = []
     for name, partition in problem.plan.partitions.items():
         mine = [(cell, column) for cell, column in columns.items() if cell.partition == name]
         demand = problem.demand.get(name, PartitionDemand())
@@ -137,15 +169,15 @@
             missing_pressing = model.addVariable(lb=0.0)
             model.addConstr(room + missing >= total / scale)
             model.addConstr(room + missing_pressing >= pressing / scale)
-            out += [
+            costs += [
                 partition.weight * missing,
                 partition.weight * PRESSING_COST * missing_pressing,
             ]
-    return out
+    return costs
 
 
 def _largest(problem: Problem, mine: list[tuple[Cell, Any]], field: str) -> float:
-    """What the largest machine that a share may have has of a resource."""
+    """What the largest machine that a partition may have has of a resource."""
     return max(
         (float(getattr(problem.supply[c.zone, c.type].resources, field)) for c, _ in mine),
         default=0.0,
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -53,7 +53,7 @@
         for name in ("night", "day")
     },
     move_within_s=30.0,
-    hold_orders_s=1e6,
+    hold_commands_s=1e6,
 )
 VALUE_BYTES = 1884  # what is left of 2 KiB
 TXN_OPS = 4
