--- a/src/dapplewick/cli/__init__.py
+++ b/src/dapplewick/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line, for users and operators."""
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-VALUE_SHARE = 0.92  # of what the state service takes in a value
+VALUE_FRACTION = 0.92  # of what the state service takes in a value
 
 
 class SettingsError(Exception):
@@ -14,17 +14,23 @@
 
 
 class Peer(msgspec.Struct):
+    """Another controller, and the host:port that it listens on for controllers."""
+
     host_name: str
     zone: str
     peer_addr: str
 
 
 class Outside(msgspec.Struct):
+    """The services of the platform, each as host:port."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
+    """A team's guarantee, and its limit; a limit of 0 is none."""
+
     name: str
     cpus: float = 0.0
     cpus_max: float = 0.0
@@ -33,6 +39,8 @@
 
 
 class Objective(msgspec.Struct):
+    """An aim of the platform for a class of jobs, or for all."""
+
     kind: str
     class_: str | None = msgspec.field(default=None, name="class")
     within_s: float | None = None
@@ -41,6 +49,8 @@
 
 
 class WorkerTimes(msgspec.Struct):
+    """How workers behave: intervals and timeouts, in seconds."""
+
     report_s: float
     lease_s: float
     gang_wait_s: float
@@ -58,6 +68,8 @@
 
 
 class StateLimits(msgspec.Struct):
+    """What the state service takes: requests and writes a second, and sizes."""
+
     rps: float
     write_rps: float
     value_kb: float
@@ -77,10 +89,12 @@
     @property
     def value_bytes(self) -> int:
         """What a value may hold, less a little for how it is written."""
-        return int(self.value_kb * 1024 * VALUE_SHARE)
+        return int(self.value_kb * 1024 * VALUE_FRACTION)
 
 
 class CloudLimits(msgspec.Struct):
+    """What the cloud takes a second, and how old its list of machines may be."""
+
     rps: float
     list_lag_s: float
 
@@ -92,6 +106,8 @@
 
 
 class Deployment(msgspec.Struct):
+    """What is the same for all controllers."""
+
     count: int
     zones: list[str]
     teams: list[Team]
@@ -108,6 +124,8 @@
 
 
 class Settings(msgspec.Struct):
+    """The settings of one controller."""
+
     host_name: str
     zone: str
     client_listen: str
@@ -118,7 +136,11 @@
 
 
 def host_port(text: str, field: str) -> tuple[str, int]:
-    """Split an address, or say which field holds a bad one."""
+    """Split an address of the form host:port.
+
+    Raises:
+        SettingsError: it is none; the text names the field.
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{field}: not an address of the form host:port: {text!r}")
@@ -126,23 +148,38 @@
 
 
 def parse(data: bytes) -> Settings:
-    """Check the settings; unknown fields are ignored."""
+    """Check the settings; unknown fields are ignored.
+
+    Raises:
+        SettingsError: a field is missing or wrong.
+    """
     try:
         settings = msgspec.json.decode(data, type=Settings)
     except msgspec.ValidationError as err:
         raise SettingsError(str(err)) from None
     except msgspec.DecodeError as err:
         raise SettingsError(f"not valid JSON: {err}") from None
+    _check_addresses(settings)
+    if not settings.deployment.zones:
+        raise SettingsError("deployment.zones: no zone is named")
+    for field, value in _positive_fields(settings.deployment).items():
+        if not 0 < value < float("inf"):
+            raise SettingsError(f"{field}: must be a positive number, not {value}")
+    return settings
+
+
+def _check_addresses(settings: Settings) -> None:
     host_port(settings.client_listen, "client_listen")
     host_port(settings.peer_listen, "peer_listen")
     host_port(settings.outside.cloud, "outside.cloud")
     host_port(settings.outside.state, "outside.state")
     for i, peer in enumerate(settings.peers):
         host_port(peer.peer_addr, f"peers[{i}].peer_addr")
-    deployment = settings.deployment
-    if not deployment.zones:
-        raise SettingsError("deployment.zones: no zone is named")
-    positive = {
+
+
+def _positive_fields(deployment: Deployment) -> dict[str, float]:
+    """The fields that must be positive numbers, with their values."""
+    fields: dict[str, float] = {
         "deployment.count": deployment.count,
         "deployment.workers.report_s": deployment.workers.report_s,
         "deployment.workers.lease_s": deployment.workers.lease_s,
@@ -158,15 +195,16 @@
         for name in NextStateLimits.__struct_fields__:
             later = getattr(deployment.state.next, name)
             if later is not None:
-                positive[f"deployment.state.next.{name}"] = later
-    for field, value in positive.items():
-        if not 0 < value < float("inf"):
-            raise SettingsError(f"{field}: must be a positive number, not {value}")
-    return settings
+                fields[f"deployment.state.next.{name}"] = later
+    return fields
 
 
 def load(path: str) -> Settings:
-    """Read and check a settings file."""
+    """Read and check a settings file.
+
+    Raises:
+        SettingsError: it can't be read, or a field is missing or wrong.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as err:
--- a/src/dapplewick/partitions/host.py
+++ b/src/dapplewick/partitions/host.py
@@ -24,8 +24,8 @@
 class PeerRequests(Protocol):
     """A way to ask another controller."""
 
-    async def ask(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
-        """Ask for something; None if no answer comes within so many seconds."""
+    async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
+        """Ask for something; None if no answer comes in time."""
 
 
 class PartitionHost(Protocol):
--- a/src/dapplewick/script.py
+++ b/src/dapplewick/script.py
@@ -38,7 +38,11 @@
 
 
 def evaluate(name: str, text: str, settings: Iterable[str]) -> dict[str, Any]:
-    """Run a script; gives what it set of these settings."""
+    """Run a script; gives what it set of these settings.
+
+    Raises:
+        ScriptError: the script can't be run, or takes too many steps.
+    """
     # Loaded only here: controllers without a script do without it.
     import starlark
 
@@ -80,7 +84,11 @@
 
 
 def assigned_lines(name: str, text: str, settings: Sequence[str]) -> dict[str, int]:
-    """The lines of the settings that a script assigns; a name that is none of them is refused."""
+    """The lines of the settings that a script assigns.
+
+    Raises:
+        ScriptError: it assigns a name that is none of them, and that does not begin with _.
+    """
     lines: dict[str, int] = {}
     for line, assigned in _assigned(text):
         if assigned.startswith("_"):
@@ -94,39 +102,52 @@
     return lines
 
 
-def _number(name: str, line: int, setting: str, value: Any, limits: tuple[float, float]) -> float:
+def _number(place: str, setting: str, value: object, limits: tuple[float, float]) -> float:
+    """A setting's value, if it is a number within its limits."""
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ScriptError(f"{name}:{line}: {setting}: a number is needed")
+        raise ScriptError(f"{place}: {setting}: a number is needed")
     if not limits[0] <= value <= limits[1]:
-        raise ScriptError(f"{name}:{line}: {setting}: must be from {limits[0]} to {limits[1]}")
+        raise ScriptError(f"{place}: {setting}: must be from {limits[0]} to {limits[1]}")
     return float(value)
 
 
 def parse(name: str, text: str) -> Tuning:
-    """Run a script and check what it sets. Names that begin with _ are the script's own."""
+    """Run a script and check what it sets. Names that begin with _ are the script's own.
+
+    Raises:
+        ScriptError: it can't be run, or a setting is wrong.
+    """
     lines = assigned_lines(name, text, Tuning.__struct_fields__)
     values = evaluate(name, text, Tuning.__struct_fields__)
     for setting, value in values.items():
-        line = lines.get(setting, 1)
+        place = f"{name}:{lines.get(setting, 1)}"
         if setting == "class_weights":
             if not isinstance(value, dict) or not all(isinstance(k, str) for k in value):
-                raise ScriptError(f"{name}:{line}: {setting}: a dict of classes is needed")
+                raise ScriptError(f"{place}: {setting}: a dict of classes is needed")
             values[setting] = {
-                job_class: _number(name, line, f"{setting}[{job_class!r}]", weight, WEIGHT_LIMITS)
+                job_class: _number(place, f"{setting}[{job_class!r}]", weight, WEIGHT_LIMITS)
                 for job_class, weight in value.items()
             }
         else:
-            values[setting] = _number(name, line, setting, value, LIMITS[setting])
+            values[setting] = _number(place, setting, value, LIMITS[setting])
     return msgspec.convert(values, type=Tuning)
 
 
 def load(path: str) -> Tuning:
-    """Read, run and check a script file."""
+    """Read, run and check a script file.
+
+    Raises:
+        ScriptError: it can't be read or run, or a setting is wrong.
+    """
     return parse(path, read_script(path))
 
 
 def read_script(path: str) -> str:
-    """The text of a script file."""
+    """The text of a script file.
+
+    Raises:
+        ScriptError: it can't be read, is too large, or is no UTF-8.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as err:
--- a/src/dapplewick/transport/__init__.py
+++ b/src/dapplewick/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Connections: HTTP as server and client, messages between controllers, and accepting."""
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -1,8 +1,8 @@
 """An HTTP/1.1 server for accepted connections, over httptools' parser.
 
-Each worker reports every few seconds and at each change, so what a request costs here is most of
-what a report costs. httptools parses in C: a report's head and body and its answer take 3 us,
-with h11, which is written in Python, 75 to 90 us.
+Each worker sends a heartbeat every few seconds and at each change, so what a request costs here is
+most of what a heartbeat costs. httptools parses in C: a heartbeat's head and body and its response
+take 3 us, with h11, which is written in Python, 75 to 90 us.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 # A body with its chunk lengths and trailers. In chunks of a byte it takes six times its length. The
 # parser keeps a trailer whole, and one without an end filled a controller's memory.
 MAX_ENCODED_BODY = 8 * MAX_BODY
-MAX_QUEUED = 16  # requests that a client sends without waiting for answers
+MAX_QUEUED = 16  # requests that a client sends without waiting for responses
 READ_BYTES = 64 * 1024
 IDLE_S = 150.0
 IDLE_STEP_S = 10.0  # the end of an idle connection is put off at most this often
-REFUSAL_S = 1.0  # for the answer to a malformed request
+REFUSAL_S = 1.0  # for the response to a malformed request
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 STREAM_ERRORS = (
     OSError,
@@ -41,7 +41,15 @@
 
 
 class Request(NamedTuple):
-    """One request; `too_large` where its body was not read to the end."""
+    """One request.
+
+    Attributes:
+        method: as it came, like GET.
+        target: path and query, as they came.
+        body: at most MAX_BODY bytes.
+        too_large: whether the body was longer, and not read to the end.
+        keep_alive: whether the connection is used again after the response.
+    """
 
     method: str
     target: str
@@ -51,7 +59,7 @@
 
 
 class Response(NamedTuple):
-    """An answer to an HTTP request; a refusal says when to come back."""
+    """A response to a request; a refusal may say after how many seconds to come back."""
 
     status: int
     body: bytes = b"{}"
@@ -85,8 +93,11 @@
         self._size = 0
 
     def take(self) -> Request | None:
-        """The next request that is complete. Raises MalformedRequestError once all that came before
-        what can't be parsed were taken."""
+        """Take the next request that is complete; None if there is none yet.
+
+        Raises:
+            MalformedRequestError: all requests that came before what can't be parsed were taken.
+        """
         if self._requests:
             return self._requests.popleft()
         if self._error:
@@ -94,7 +105,7 @@
         return None
 
     def feed(self, data: bytes) -> None:
-        """Take bytes from the connection."""
+        """Parse bytes that came on the connection."""
         if self._ended:
             return
         if self._in_body:
@@ -125,37 +136,43 @@
     # What the parser calls
 
     def on_message_begin(self) -> None:
+        """A request begins."""
         self._begin()
 
     def on_url(self, url: bytes) -> None:
+        """A piece of the target came."""
         self._url.append(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header came; of all only one matters here (RFC 9110, 10.1.1)."""
         if name.lower() == b"expect" and value.lower() == b"100-continue":
             self.wants_continue = True
 
     def on_headers_complete(self) -> None:
+        """The head is complete."""
         self._in_body = True
         self._head_bytes = self._encoded_bytes = 0
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body came."""
         self._size += len(body)
         if self._size <= MAX_BODY:
             self._parts.append(body)
         elif not self._ended:
-            # The rest is not read: the answer goes out at once and the connection ends.
+            # The rest is not read: the response goes out at once and the connection ends.
             self._ended = True
             self._parts.clear()
             self._complete(too_large=True)
 
     def on_message_complete(self) -> None:
+        """The request is complete."""
         self._in_body = False
         self._head_bytes = 0
         self.wants_continue = False
         if not self._ended:
             self._complete(too_large=False)
 
-    def _complete(self, too_large: bool) -> None:
+    def _complete(self, *, too_large: bool) -> None:
         self._requests.append(
             Request(
                 self._parser.get_method().decode("ascii"),
@@ -181,21 +198,30 @@
     return "\r\n".join([*lines, "", ""]).encode("ascii")
 
 
-def response_bytes(answer: Response, *, close: bool = False, head_only: bool = False) -> bytes:
-    """An answer as it is sent; a HEAD request gets no body."""
-    head = _head(answer.status, len(answer.body), answer.retry_after, close)
-    return head if head_only else head + answer.body
+def response_bytes(response: Response, *, close: bool = False, head_only: bool = False) -> bytes:
+    """A response as it is sent; a HEAD request gets no body."""
+    head = _head(response.status, len(response.body), response.retry_after, close)
+    return head if head_only else head + response.body
+
+
+def _ignore_idle(_idle: bool) -> None:
+    """For connections of which nobody needs to know whether they are idle."""
 
 
 async def serve_connection(
-    stream: anyio.abc.ByteStream, handler: Handler, mark: IdleCallback = lambda idle: None
+    stream: anyio.abc.ByteStream, handler: Handler, set_idle: IdleCallback = _ignore_idle
 ) -> None:
-    """Serve one connection until it ends. What is broken on it ends nothing else. `mark` is
-    told whether the next request is waited for."""
+    """Serve one connection until it ends; what is broken on it ends nothing else.
+
+    Args:
+        stream: the connection, which is closed in the end.
+        handler: answers requests; if it raises, the client gets a 503.
+        set_idle: called with whether the next request is waited for.
+    """
     async with stream:
         with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as scope:
             try:
-                await _serve(stream, handler, scope, mark)
+                await _serve(stream, handler, scope, set_idle)
             except MalformedRequestError as err:
                 log.debug("event=request_malformed error=%s", err)
                 await _refuse(stream)
@@ -204,16 +230,21 @@
 
 
 async def _refuse(stream: anyio.abc.ByteStream) -> None:
-    answer = Response(400, b'{"error":"malformed request"}')
+    response = Response(400, b'{"error":"malformed request"}')
     with anyio.move_on_after(REFUSAL_S):
         try:
-            await stream.send(response_bytes(answer, close=True))
+            await stream.send(response_bytes(response, close=True))
         except STREAM_ERRORS:
             return
 
 
 async def _next_request(parser: RequestParser, stream: anyio.abc.ByteStream) -> Request:
-    """The next request. Raises EndOfStream when the client has closed the connection."""
+    """The next request.
+
+    Raises:
+        MalformedRequestError: what came is no request.
+        anyio.EndOfStream: the client has closed the connection.
+    """
     while True:
         request = parser.take()
         if request is not None:
@@ -225,22 +256,22 @@
 
 
 async def _serve(
-    stream: anyio.abc.ByteStream, handler: Handler, scope: anyio.CancelScope, mark: IdleCallback
+    stream: anyio.abc.ByteStream, handler: Handler, scope: anyio.CancelScope, set_idle: IdleCallback
 ) -> None:
     parser = RequestParser()
     while True:
         request = await _next_request(parser, stream)
-        mark(False)
+        set_idle(False)
         now = anyio.current_time()
         if scope.deadline - now < IDLE_S - IDLE_STEP_S:
             scope.deadline = now + IDLE_S
         try:
-            answer = await handler(request)
+            response = await handler(request)
         except Exception:
             log.exception("event=request_handler_crashed target=%s", request.target)
-            answer = Response(503, b'{"error":"internal"}', 1)
+            response = Response(503, b'{"error":"internal"}', 1)
         close, head_only = not request.keep_alive, request.method == "HEAD"
-        await stream.send(response_bytes(answer, close=close, head_only=head_only))
-        mark(True)
+        await stream.send(response_bytes(response, close=close, head_only=head_only))
+        set_idle(True)
         if close:
             return
--- a/src/dapplewick/transport/http_client.py
+++ b/src/dapplewick/transport/http_client.py
@@ -10,6 +10,7 @@
 import httptools
 
 from dapplewick.transport.http import READ_BYTES, STREAM_ERRORS
+from dapplewick.types import Seconds
 
 CONNECT_S = 2.0
 MAX_HEAD = 16 * 1024  # of a response; its body may be as long as it takes
@@ -18,7 +19,7 @@
 
 
 class HttpError(Exception):
-    """No whole answer came: the request may or may not have been carried out."""
+    """No whole response came: the request may or may not have been carried out."""
 
 
 class RequestNotSentError(HttpError):
@@ -26,7 +27,7 @@
 
 
 class ClientResponse(NamedTuple):
-    """A whole answer, and whether its connection can be used again."""
+    """A whole response, and whether its connection can be used again."""
 
     status: int
     body: bytes
@@ -45,12 +46,16 @@
         self._response: ClientResponse | None = None
 
     def take(self) -> ClientResponse | None:
-        """The response, once it is whole."""
+        """Take the response, once it is whole; None before."""
         response, self._response = self._response, None
         return response
 
     def feed(self, data: bytes) -> None:
-        """Take bytes from the connection. Raises HttpError for what is no response."""
+        """Parse bytes that came on the connection.
+
+        Raises:
+            HttpError: they are no response.
+        """
         if not self._head_complete:
             self._head_bytes += len(data)
         try:
@@ -61,7 +66,11 @@
             raise HttpError("the head is too long")
 
     def end(self) -> ClientResponse:
-        """The connection was closed: a body without a length ends with it."""
+        """The connection was closed: a body without a length ends with it (RFC 9112, 6.3).
+
+        Raises:
+            HttpError: the response is not whole.
+        """
         if not self._head_complete or self._framed:
             raise HttpError("closed")
         return ClientResponse(self._parser.get_status_code(), b"".join(self._parts), False)
@@ -69,25 +78,34 @@
     # What the parser calls
 
     def on_message_begin(self) -> None:
+        """A response begins."""
         self._parts = []
         self._head_complete = self._framed = False
 
-    def on_header(self, name: bytes, value: bytes) -> None:
+    def on_header(self, name: bytes, value: bytes) -> None:  # noqa: ARG002 - the parser's call
+        """A header came; only what says where the body ends matters here."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
             self._framed = True
 
     def on_headers_complete(self) -> None:
+        """The head is complete."""
         self._head_complete = True
         self._head_bytes = 0
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body came."""
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
+        """The response is complete.
+
+        Raises:
+            HttpError: one that was not taken yet is there already.
+        """
         status = self._parser.get_status_code()
         self._head_complete = False
         if status < 200:
-            return  # an interim answer: the final one follows
+            return  # an interim response: the final one follows
         if self._response is not None:
             raise HttpError("an answer that nobody asked for")
         # A body without a length ends where the connection does.
@@ -102,43 +120,48 @@
 
 
 class HttpClient:
-    """Requests to one address over kept connections."""
+    """Requests to one address over kept connections, of which at most `max_connections` idle."""
 
-    def __init__(self, host: str, port: int, most: int = 16) -> None:
+    def __init__(self, host: str, port: int, max_connections: int = 16) -> None:
         self._host = host
         self._port = port
         self._idle: list[_Connection] = []
-        self._most = most
+        self._max_connections = max_connections
 
     async def request(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, timeout_s: Seconds
     ) -> tuple[int, bytes]:
-        """Send a request and wait for the whole answer, at most `within` seconds."""
+        """Send a request and wait for the whole response; gives its status and body.
+
+        Raises:
+            RequestNotSentError: no connection could be made.
+            HttpError: no whole response came within `timeout_s`.
+        """
         if not TARGET.fullmatch(target):
             raise HttpError(f"not a request target: {target!r}")
         try:
-            with anyio.fail_after(within):
-                return await self._once(method, target, body, within)
+            with anyio.fail_after(timeout_s):
+                return await self._once(method, target, body, timeout_s)
         except TimeoutError:
             raise HttpError("timeout") from None
 
-    async def _connect(self, within: float) -> _Connection:
+    async def _connect(self, timeout_s: Seconds) -> _Connection:
         try:
-            with anyio.fail_after(min(within, CONNECT_S)):
+            with anyio.fail_after(min(timeout_s, CONNECT_S)):
                 stream = await anyio.connect_tcp(self._host, self._port)
         except (OSError, TimeoutError) as err:
             raise RequestNotSentError(str(err) or "connect timeout") from None
         return _Connection(stream, ResponseParser())
 
     async def _once(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, timeout_s: Seconds
     ) -> tuple[int, bytes]:
-        connection = self._idle.pop() if self._idle else await self._connect(within)
+        connection = self._idle.pop() if self._idle else await self._connect(timeout_s)
         kept = False
         try:
             await connection.stream.send(self._request_bytes(method, target, body))
             response = await _read_response(connection)
-            if response.keep_alive and len(self._idle) < self._most:
+            if response.keep_alive and len(self._idle) < self._max_connections:
                 self._idle.append(connection)
                 kept = True
             return response.status, response.body
--- a/src/dapplewick/transport/listen.py
+++ b/src/dapplewick/transport/listen.py
@@ -14,66 +14,67 @@
 log = logging.getLogger("dapplewick.listen")
 
 PAUSE_S = 0.05  # after an accept that failed
-LOG_S = 10.0  # the log tells of such failures this often
-GIVE_UP = 8  # connections given up when there is no socket left
+LOG_INTERVAL_S = 10.0  # such failures are logged at most this often
+GIVEN_UP = 8  # connections given up when there is no socket left
 
 IdleCallback = Callable[[bool], None]  # whether a connection waits for its next request
 Serve = Callable[[anyio.abc.ByteStream, IdleCallback], Awaitable[None]]
 
 
 class ConnectionAcceptor:
-    """The connections that a listener has accepted, `most` at a time.
+    """Serves the connections that a listener accepts, at most `max_connections` at a time.
 
     Beyond that the connections that were idle for longest are given up: half-open ones behind
-    a cut are among them. If none is idle, the new one is closed at once. An accept that fails,
-    for want of sockets or because the other side is gone already, ends nothing.
+    a network partition are among them. If none is idle, the new one is closed at once. An accept
+    that fails, for want of sockets or because the other side is gone already, ends nothing.
     """
 
-    def __init__(self, most: int, serve: Serve) -> None:
-        self._most = most
+    def __init__(self, max_connections: int, serve: Serve) -> None:
+        self._max_connections = max_connections
         self._serve = serve
         self._open: dict[anyio.CancelScope, None] = {}
         self._idle: dict[anyio.CancelScope, None] = {}  # the one idle for longest first
-        self._told_at = -1e9
+        self._logged_at = -1e9
 
     async def run(self, listener: MultiListener[anyio.abc.SocketStream]) -> None:
+        """Accept and serve connections until cancelled."""
         async with anyio.create_task_group() as group:
-            for one in listener.listeners:
-                assert isinstance(one, anyio.abc.SocketListener)
-                group.start_soon(self._accept, one, group)
+            for socket_listener in listener.listeners:
+                assert isinstance(socket_listener, anyio.abc.SocketListener)
+                group.start_soon(self._accept, socket_listener, group)
 
     async def _accept(self, listener: anyio.abc.SocketListener, group: anyio.abc.TaskGroup) -> None:
         while True:
             try:
                 stream = await accept(listener)
             except OSError as err:
-                self._tell(err)
-                self._give_up(GIVE_UP)
+                self._log_failure(err)
+                self._give_up(GIVEN_UP)
                 await anyio.sleep(PAUSE_S)
                 continue
-            if len(self._open) >= self._most:
+            if len(self._open) >= self._max_connections:
                 self._give_up(1)
-            if len(self._open) >= self._most:
-                self._tell("no idle connection")
+            if len(self._open) >= self._max_connections:
+                self._log_failure("no idle connection")
                 await anyio.aclose_forcefully(stream)
                 continue
             scope = anyio.CancelScope()
             self._open[scope] = self._idle[scope] = None
-            group.start_soon(self._one, stream, scope)
+            group.start_soon(self._serve_one, stream, scope)
 
     def _give_up(self, count: int) -> None:
         for scope in list(self._idle)[:count]:
             del self._open[scope], self._idle[scope]
             scope.cancel()
 
-    def _tell(self, reason: object) -> None:
+    def _log_failure(self, reason: object) -> None:
         now = anyio.current_time()
-        if now - self._told_at > LOG_S:
-            self._told_at = now
+        if now - self._logged_at > LOG_INTERVAL_S:
+            self._logged_at = now
             log.error("event=accept_failed open=%d reason=%r", len(self._open), reason)
 
-    async def _one(self, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
-        def mark(idle: bool) -> None:
+    async def _serve_one(self, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
+        def set_idle(idle: bool) -> None:
             if not idle:
                 self._idle.pop(scope, None)
             elif scope in self._open:
@@ -81,7 +82,7 @@
 
         try:
             with scope:
-                await self._serve(stream, mark)
+                await self._serve(stream, set_idle)
         except Exception:
             log.exception("event=connection_crashed")
         finally:
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -10,9 +10,11 @@
 import anyio.abc
 import cbor2
 
+from dapplewick.types import Seconds
+
 log = logging.getLogger("dapplewick.peer")
 
-MAX_FRAME = 32 * 1024 * 1024  # a status of a part with 4,000 machines of 100 tasks each
+MAX_FRAME = 32 * 1024 * 1024  # a status of a shard with 4,000 machines of 100 tasks each
 CONNECT_S = 1.0
 SEND_S = 3.0
 RETRY_S = 0.5
@@ -28,22 +30,27 @@
         self._wake = anyio.Event()
 
     def post(self, kind: str, message: dict[str, Any]) -> None:
+        """Have a message sent, in place of one of its kind that still waits."""
         self._waiting[kind] = message
         self._wake.set()
 
-    async def ask(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
-        """Ask for something on a connection of its own; None if no answer comes in time."""
+    async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
+        """Ask for something on a connection of its own; None if no answer comes in time.
+
+        Whatever goes wrong on the way is logged and counts as no answer.
+        """
         try:
-            with anyio.fail_after(within):
+            with anyio.fail_after(timeout_s):
                 stream = await anyio.connect_tcp(self._host, self._port)
                 async with stream:
                     await send_frame(stream, message)
                     return await read_frame(stream, bytearray())
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 - whatever the peer sends ends nothing here
             log.debug("event=peer_request_failed error=%r", err)
             return None
 
     async def run(self) -> None:
+        """Send what is posted until cancelled; the connection is made anew when it fails."""
         stream: anyio.abc.SocketStream | None = None
         while True:
             if not self._waiting:
@@ -71,12 +78,22 @@
 
 
 async def send_frame(stream: anyio.abc.ByteSendStream, message: dict[str, Any]) -> None:
+    """Send one message."""
     await stream.send(_frame(message))
 
 
 async def read_frame(stream: anyio.abc.ByteReceiveStream, buffer: bytearray) -> dict[str, Any]:
-    """Read one message. Raises ValueError or a CBOR error for a malformed one; the stream is
-    then at the next message, unless the length itself was bad."""
+    """Read one message.
+
+    Args:
+        stream: the connection.
+        buffer: what was received beyond the last message; kept from call to call.
+
+    Raises:
+        FrameTooLargeError: the length is out of bounds; nothing more can be read.
+        ValueError: the message is no map; the stream is at the next one.
+        cbor2.CBORDecodeError: the message is malformed; the stream is at the next one.
+    """
     while len(buffer) < 4:
         buffer += await stream.receive(65536)
     size = int.from_bytes(buffer[:4], "big")
@@ -100,8 +117,14 @@
     stream: anyio.abc.ByteStream,
     handle: Callable[[dict[str, Any]], Awaitable[dict[str, Any] | None]],
 ) -> None:
-    """Read one peer's messages, and answer those that have an answer. A malformed message is
-    logged and ends nothing else."""
+    """Read one peer's messages, and answer those that have an answer.
+
+    A malformed message is logged and ends nothing else.
+
+    Args:
+        stream: the connection, which is closed in the end.
+        handle: gives the answer to a message, or None.
+    """
     buffer = bytearray()
     async with stream:
         while True:
@@ -118,7 +141,7 @@
                 anyio.ClosedResourceError,
             ):
                 return
-            except Exception as err:
+            except Exception as err:  # noqa: BLE001 - whatever the peer sends ends nothing else
                 log.error("event=peer_message_malformed reason=malformed error=%r", err)
                 if isinstance(err, FrameTooLargeError):
                     return
--- a/src/dapplewick/transport/stream.py
+++ b/src/dapplewick/transport/stream.py
@@ -2,7 +2,7 @@
 
 It keeps the contract of anyio's streams. anyio's own for sockets stops reading after each
 message and starts again for the next, which is four system calls and a turn of the event loop
-more for every report of every worker; this one reads on, up to a bounded buffer.
+more for every heartbeat of every worker; this one reads on, up to a bounded buffer.
 """
 
 from __future__ import annotations
@@ -35,9 +35,11 @@
     # What the event loop calls
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is there."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes came; beyond MOST_READ of them reading stops."""
         self._read += data
         if len(self._read) > MOST_READ and not self._full and self._transport is not None:
             self._full = True
@@ -45,19 +47,23 @@
         _wake(self._reader)
 
     def eof_received(self) -> bool:
+        """The other side sends no more; this one may go on sending."""
         self._ended = True
         _wake(self._reader)
         return True
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's call
+        """The connection is gone."""
         self._lost = True
         _wake(self._reader)
         _wake(self._writer)
 
     def pause_writing(self) -> None:
+        """The other side takes nothing now: senders wait."""
         self._writer = self._loop.create_future()
 
     def resume_writing(self) -> None:
+        """The other side takes more: senders go on."""
         _wake(self._writer)
         self._writer = None
 
@@ -70,6 +76,13 @@
             raise anyio.BrokenResourceError
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
+        """Receive at least one byte.
+
+        Raises:
+            anyio.EndOfStream: the other side sends no more.
+            anyio.ClosedResourceError: this side has closed the stream.
+            anyio.BrokenResourceError: the connection is lost.
+        """
         while not self._read:
             if self._ended:
                 raise anyio.EndOfStream
@@ -88,6 +101,12 @@
         return data
 
     async def send(self, item: bytes) -> None:
+        """Send bytes; waits while the other side takes nothing.
+
+        Raises:
+            anyio.ClosedResourceError: this side has closed the stream.
+            anyio.BrokenResourceError: the connection is lost.
+        """
         self._check()
         assert self._transport is not None
         self._transport.write(item)
@@ -96,11 +115,13 @@
             self._check()
 
     async def send_eof(self) -> None:
+        """Say that nothing more is sent."""
         self._check()
         assert self._transport is not None
         self._transport.write_eof()
 
     async def aclose(self) -> None:
+        """Close the connection, at once if nothing is left to be sent."""
         self._closed = True
         if self._transport is None:
             return
@@ -118,7 +139,11 @@
 
 
 async def accept(listener: anyio.abc.SocketListener) -> SocketStream:
-    """The next connection of a listener. Raises OSError where none can be had."""
+    """The next connection of a listener.
+
+    Raises:
+        OSError: none can be had.
+    """
     loop = asyncio.get_running_loop()
     raw, _ = await loop.sock_accept(listener.extra(anyio.abc.SocketAttribute.raw_socket))
     try:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -133,8 +133,8 @@
     client = world.controllers[name].state._http
     put = client.request
 
-    async def request(method: str, target: str, body: bytes | None, within: float) -> Reply:
-        return await change(target, await put(method, target, body, within))
+    async def request(method: str, target: str, body: bytes | None, timeout_s: float) -> Reply:
+        return await change(target, await put(method, target, body, timeout_s))
 
     client.request = request  # type: ignore[method-assign]
 
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -229,12 +229,12 @@
                 method: str,
                 target: str,
                 body: bytes | None,
-                within: float,
+                timeout_s: float,
                 put: Any = put,
                 service: str = service,
             ) -> tuple[int, bytes]:
                 asked.add((service, target.partition("?")[0].split("/")[1]))
-                result: tuple[int, bytes] = await put(method, target, body, within)
+                result: tuple[int, bytes] = await put(method, target, body, timeout_s)
                 return result
 
             wire.request = request  # type: ignore[method-assign]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -91,7 +91,7 @@
         self.processes[name].wait()
 
     async def call(self, name: str, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        client = HttpClient("127.0.0.1", self.client_ports[name], most=0)
+        client = HttpClient("127.0.0.1", self.client_ports[name], max_connections=0)
         try:
             status, answer = await client.request(method, path, body or None, 4.0)
         except HttpError:
