--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -485,7 +485,7 @@
         service = self._partition_service()
         if service is not None:
             service.lead(self.leader)
-        self.leader.partitions = service.keeper if service is not None else None
+        self.leader.partitions = service.rebalancer if service is not None else None
         self.assigner.wanted = service.wanted_shards() if service is not None else []
         for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
             key = SHARDS + name
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -10,7 +10,7 @@
 from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
 from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
-from dapplewick.types import Seconds, TransferId, shard_name
+from dapplewick.types import Seconds, TransferId, partition_of, shard_name, zone_of
 
 COMMAND_ID = re.compile(r"o-[0-9a-f]{8,32}")
 
@@ -69,12 +69,7 @@
         origin=OPERATOR,
     )
     if transfer not in cache.transfers.records:
-        available = _available(cache, record)
-        if record.count > available:
-            raise TransferRefusedError(
-                f"count: {source or 'the zone itself'} has {available} {type_} in {zone}, "
-                f"not {record.count}"
-            )
+        _check_available(cache, record)
     return TransferCommand(transfer, record)
 
 
@@ -123,6 +118,16 @@
         raise TransferRefusedError("target: the same share as source")
 
 
+def _check_available(cache: WatchCache, record: TransferRecord) -> None:
+    available = _available(cache, record)
+    if record.count > available:
+        source = partition_of(record.source) or "the zone itself"
+        raise TransferRefusedError(
+            f"count: {source} has {available} {record.type} in {zone_of(record.source)}, "
+            f"not {record.count}"
+        )
+
+
 def _available(cache: WatchCache, record: TransferRecord) -> int:
     """How many machines the source has, and are on their way to it."""
     there = sum(
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -28,7 +28,7 @@
     Without a plan it only dissolves them: all machines go back to the zones' own shards.
 
     Attributes:
-        keeper: moves machines in this controller's term; None before it has led.
+        rebalancer: moves machines in this controller's term; None before it has led.
     """
 
     def __init__(self, plan: PartitionPlan | None, solver: Solver = solve_in_thread) -> None:
@@ -36,7 +36,7 @@
         self._solver = solver
         self._term: LeaderTerm | None = None
         self._times = MoveTimes()
-        self.keeper: PartitionRebalancer | None = None
+        self.rebalancer: PartitionRebalancer | None = None
 
     def attach(self, host: PartitionHost) -> None:
         """Belong to a controller; called once, before all else."""
@@ -63,26 +63,26 @@
 
     def wanted_shards(self) -> list[ShardName]:
         """The shards of partitions that are to have an owner."""
-        return self.keeper.wanted_shards() if self.keeper is not None else []
+        return self.rebalancer.wanted_shards() if self.rebalancer is not None else []
 
     def lead(self, term: LeaderTerm) -> None:
         """Rebalance in this term of leadership; each begins anew from the records."""
         if self._term is not term:
             self._term = term
             zones = self._host.settings.deployment.zones
-            self.keeper = PartitionRebalancer(self._host.cache, self._index, zones, self._times)
+            self.rebalancer = PartitionRebalancer(self._host.cache, self._index, zones, self._times)
         self._plan_in_force.refresh(self._host.now())
-        assert self.keeper is not None
-        self.keeper.plan = self._plan_in_force.plan
+        assert self.rebalancer is not None
+        self.rebalancer.plan = self._plan_in_force.plan
         if self._initial_plan is None:
-            self.keeper.targets.known = True  # nothing for any partition: all goes back
+            self.rebalancer.targets.known = True  # nothing for any partition: all goes back
 
     async def run(self) -> None:
         """Solve the plan again and again while this controller leads."""
         while True:
             begun = self._host.now()
-            if self.keeper is not None and self._host.leader is self._term:
-                await self._solving.run_once(self.keeper.targets)
+            if self.rebalancer is not None and self._host.leader is self._term:
+                await self._solving.run_once(self.rebalancer.targets)
             took = self._host.now() - begun
             await anyio.sleep(max(SOLVE_INTERVAL_S, SOLVE_REST * took))
 
@@ -91,9 +91,9 @@
     async def answer(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer an operator's command; a controller that does not lead asks the leader."""
         term = self._host.leader
-        if term is None or self.keeper is None or term is not self._term:
+        if term is None or self.rebalancer is None or term is not self._term:
             return await self._ask_leader(message)
-        return messages.encode(await self._commands.answer(message, term, self.keeper))
+        return messages.encode(await self._commands.answer(message, term, self.rebalancer))
 
     async def _ask_leader(self, message: dict[str, Any]) -> dict[str, Any]:
         record = self._host.cache.leader
--- a/src/dapplewick/partitions/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Mapping
 from typing import Any, NamedTuple
 
 from dapplewick.partitions.demand import PartitionDemand
@@ -27,6 +28,18 @@
     zone: str
     type: str
 
+    @property
+    def kind(self) -> MachineKind:
+        """The type of the machines and their zone."""
+        return MachineKind(self.zone, self.type)
+
+
+class MachineKind(NamedTuple):
+    """Machines of one type in one zone, whichever partition has them."""
+
+    zone: str
+    type: str
+
 
 class Supply(NamedTuple):
     """Machines of one type in one zone: what each has, and how many there are."""
@@ -40,7 +53,7 @@
 
     plan: PartitionPlan
     minute: int  # of the day, in UTC
-    supply: dict[tuple[str, str], Supply]  # by zone and type
+    supply: Mapping[MachineKind, Supply]
     demand: dict[str, PartitionDemand]
     have: dict[Cell, int]  # what each partition has now
 
@@ -119,8 +132,8 @@
 
 def _keep_to_supply(model: Any, problem: Problem, columns: dict[Cell, Any]) -> None:
     """Partitions together have no more machines of a kind than there are."""
-    for (zone, type_), supply in problem.supply.items():
-        mine = [c for cell, c in columns.items() if (cell.zone, cell.type) == (zone, type_)]
+    for kind, supply in problem.supply.items():
+        mine = [column for cell, column in columns.items() if cell.kind == kind]
         if mine:
             model.addConstr(sum(mine) <= supply.machines)
 
@@ -162,7 +175,7 @@
             if total <= 0.0 or scale <= 0.0:
                 continue
             room = sum(
-                getattr(problem.supply[cell.zone, cell.type].resources, field) / scale * column
+                getattr(problem.supply[cell.kind].resources, field) / scale * column
                 for cell, column in mine
             )
             missing = model.addVariable(lb=0.0)
@@ -179,6 +192,6 @@
 def _largest(problem: Problem, mine: list[tuple[Cell, Any]], field: str) -> float:
     """What the largest machine that a partition may have has of a resource."""
     return max(
-        (float(getattr(problem.supply[c.zone, c.type].resources, field)) for c, _ in mine),
+        (float(getattr(problem.supply[c.kind].resources, field)) for c, _ in mine),
         default=0.0,
     )
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -12,25 +12,24 @@
 from typing import TypeVar
 
 from dapplewick.partitions.index import MachineIndex
-from dapplewick.partitions.solver import Bounds, Cell, Problem, Supply, Targets, bounds
+from dapplewick.partitions.solver import Bounds, Cell, MachineKind, Problem, Supply, Targets, bounds
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import partition_of, zone_of
 
 log = logging.getLogger("dapplewick.partitions")
 
-Kind = tuple[str, str]  # a zone and a type of machine
 V = TypeVar("V")
 
 
-def supply(cache: WatchCache, index: MachineIndex) -> dict[Kind, Supply]:
+def supply(cache: WatchCache, index: MachineIndex) -> dict[MachineKind, Supply]:
     """The machines that there are of each type in each zone."""
-    counts: Counter[Kind] = Counter()
+    counts: Counter[MachineKind] = Counter()
     for kind, count in index.kinds():
-        counts[zone_of(kind.shard), kind.type] += count
+        counts[MachineKind(zone_of(kind.shard), kind.type)] += count
     return {
-        (zone, type_): Supply(cache.types[type_].resources, count)
-        for (zone, type_), count in counts.items()
-        if type_ in cache.types
+        kind: Supply(cache.types[kind.type].resources, count)
+        for kind, count in counts.items()
+        if kind.type in cache.types
     }
 
 
@@ -94,7 +93,7 @@
                 del self._targets[cell]
             self._targets.update(new)
             changed = True
-        for cell in [c for c in self._targets if (c.zone, c.type) not in problem.supply]:
+        for cell in [c for c in self._targets if c.kind not in problem.supply]:
             del self._targets[cell]
         return changed
 
@@ -114,5 +113,5 @@
     )
 
 
-def _of_kind(values: dict[Cell, V], kind: Kind) -> dict[Cell, V]:
-    return {cell: value for cell, value in values.items() if (cell.zone, cell.type) == kind}
+def _of_kind(values: dict[Cell, V], kind: MachineKind) -> dict[Cell, V]:
+    return {cell: value for cell, value in values.items() if cell.kind == kind}
--- a/tests/test_shares_plan.py
+++ b/tests/test_shares_plan.py
@@ -18,7 +18,7 @@
 from dapplewick.core.estimates import Estimates
 from dapplewick.partitions.demand import PartitionDemand, measure
 from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, parse, unknown_names
-from dapplewick.partitions.solver import Cell, Problem, Supply, bounds, solve
+from dapplewick.partitions.solver import Cell, MachineKind, Problem, Supply, bounds, solve
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.partitions.timing import MoveTimes
 from dapplewick.protocol.job_spec import JobSpec
@@ -50,7 +50,7 @@
         for name, cpus in (demand or {}).items()
     }
     cells = {Cell(name, "a", "m"): count for name, count in (have or {}).items()}
-    return Problem(plan, minute, {("a", "m"): Supply(MACHINE, machines)}, wanted, cells)
+    return Problem(plan, minute, {MachineKind("a", "m"): Supply(MACHINE, machines)}, wanted, cells)
 
 
 @pytest.mark.parametrize(
