--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -11,15 +11,21 @@
 import anyio
 import anyio.abc
 import msgspec
-from msgspec import UnsetType
 
 from dapplewick.config import Settings, StateLimits, host_port
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.latencies import Latencies
 from dapplewick.controller.status import controller_status
 from dapplewick.controller.user_api import NO_METHOD, NO_PATH, PATH, Api
-from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.election import Election, WriteRates
+from dapplewick.coordination.identity import Identity
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.coordination.peer_exchange import PeerExchange
+from dapplewick.coordination.presence import Presence
 from dapplewick.coordination.shard_assignment import ShardAssigner
+from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmations
+from dapplewick.coordination.wake import Wake
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.job_writes import PRIORITY_PROGRESS
 from dapplewick.core.leader.planner import LeaderPlanner
@@ -29,7 +35,6 @@
 from dapplewick.protocol.peers import (
     ForwardedRequest,
     ForwardedResponse,
-    Gossip,
     ShardStatus,
     StatusConfirmation,
 )
@@ -46,7 +51,7 @@
 )
 from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
 from dapplewick.storage.job_records import CANCELLED
-from dapplewick.storage.keys import CONTROLLERS, JOBS, LEADER, ROOT, SHARDS, job_of
+from dapplewick.storage.keys import JOBS, ROOT, SHARDS, job_of
 from dapplewick.storage.rate_limiter import RateLimiter
 from dapplewick.storage.read_checks import ReadChecks
 from dapplewick.storage.state_client import CALL_S, StateClient
@@ -64,8 +69,6 @@
 
 log = logging.getLogger("dapplewick.controller.controller")
 
-TTL_S = 5.0
-RENEW_S = 1.3
 WATCH_MS = 4000
 CURRENT_S = 9.0  # with records older than this, nothing is launched
 FOLLOWED_S = 6.0  # an open watch answers sooner than that, unless there is an outage
@@ -77,10 +80,6 @@
 TICK_REST = 40.0  # after a tick this times its length passes
 IDLE_S = 0.5  # and without a part
 STATUS_IDLE_S = 1.5
-GOSSIP_S = 1.0
-GOSSIP_LEAST_S = 0.1  # and after a cancellation this soon
-CONTACT_S = 2.5  # a node that reached the state service in this time says so to its peers
-ASK_WITHIN_S = 1.0
 UNHEALTHY_S = 5.0  # and one that did not for so long, while a peer did, is not healthy
 SHARE = 0.9  # of the state service's limits that all controllers use together
 LEADER_WRITES = 0.8  # of them the leader's share
@@ -117,10 +116,13 @@
         self.tuning = tuning or Tuning()
         self.latencies = Latencies()
         self.settings = settings
-        self.own_name = ControllerName(settings.host_name)
         self.now = clock
         self.random = random.Random(seed)
-        self.incarnation = f"{time.time_ns():x}-{self.random.getrandbits(32):x}"
+        self.identity = Identity(
+            ControllerName(settings.host_name),
+            settings.zone,
+            f"{time.time_ns():x}-{self.random.getrandbits(32):x}",
+        )
         deployment = settings.deployment
         host, port = host_port(settings.outside.state, "outside.state")
         # The lower of the limits of now and of later, from the start: both are kept to before
@@ -128,9 +130,11 @@
         self._limits = deployment.state.lowest()
         rps = self._limits.rps * SHARE / deployment.count
         writes = self._limits.write_rps * SHARE
-        self._few_writes = writes * (1 - LEADER_WRITES) / max(1, deployment.count - 1)
-        self._many_writes = writes * LEADER_WRITES
-        self.state = StateClient(connect(host, port), rps, self._few_writes, LEAST_BURST)
+        write_rates = WriteRates(
+            following=writes * (1 - LEADER_WRITES) / max(1, deployment.count - 1),
+            leading=writes * LEADER_WRITES,
+        )
+        self.state = StateClient(connect(host, port), rps, write_rates.following, LEAST_BURST)
         self._read_checks = ReadChecks(
             lambda: self._follow(0), clock, max(CHECK_S, 1.0 / (0.4 * rps))
         )
@@ -146,32 +150,50 @@
         self.contact_at = -1e9
         self._late = 0.0  # how late this node was with what was due, fading
         self._due = 1e18  # and when the next thing is due
-        self.lease: int | None = None
-        self.lease_until = -1e9
         self.shard_schedulers: dict[ShardName, ShardScheduler] = {}
         self.estimates = Estimates()
-        self.leader: LeaderPlanner | None = None
-        self.assigner = ShardAssigner(self.cache, deployment.zones, self.own_name)
+        self.leadership = Leadership()
+        self.assigner = ShardAssigner(self.cache, deployment.zones, self.identity.name)
         self.api = Api(self, deployment)
         self.links: dict[ControllerName, PeerLink] = {}
         for peer in settings.peers:
             self.links[ControllerName(peer.host_name)] = link(
                 *host_port(peer.peer_addr, "peers.peer_addr")
             )
-        self._peer_state: dict[ControllerName, tuple[Seconds, bool]] = {}
-        self._peer_shards: dict[ShardName, tuple[FencingToken, ControllerName]] = {}
-        self._running: dict[ControllerName, dict[JobId, int]] = {}
-        self.cancellations = CancellationWatch(self.incarnation, self.links, deployment.count)
-        self._gossip_wake = anyio.Event()
-        self._read_epoch = FencingToken(0)  # the epoch after whose beginning the records were read
-        self._planned_epoch = FencingToken(0)  # the newest under which this process planned
-        self._doubted_epoch = FencingToken(0)  # one under which a write may still come late
-        self._leader_wake = anyio.Event()
-        self._urgent_wake = anyio.Event()
+        self.presence = Presence(
+            self.identity,
+            self.state,
+            self,
+            format_version=PARTITIONS_FORMAT if partitions is not None else FORMAT_NOW,
+            now=clock,
+            rng=self.random,
+        )
+        self.election = Election(
+            self.identity,
+            self.state,
+            self,
+            self.presence,
+            self.leadership,
+            write_rates=write_rates,
+            rng=self.random,
+        )
+        self.cancellations = CancellationWatch(
+            self.identity.incarnation, self.links, deployment.count
+        )
+        self._gossip_wake = Wake()
+        self.confirmations = StatusConfirmations(self.cache)
+        self.peers = PeerExchange(
+            self.identity,
+            self.links,
+            self,
+            self.cancellations,
+            self.shard_schedulers,
+            wake=self._gossip_wake,
+            now=clock,
+            rng=self.random,
+        )
         self._pass_took = 0.0
         self._status_at: dict[ShardName, Seconds] = {}
-        # Up to which status of which part's owner the leader (a boot of a node) has them.
-        self._confirmed: dict[ShardName, tuple[FencingToken, str, int]] = {}
         self._cloud_calls = CloudCalls(self)
         self.partitions = partitions  # None where they are switched off
         self._dissolver: PartitionService | None = None
@@ -180,10 +202,6 @@
 
     # Shares of zones
 
-    def _format(self) -> int:
-        """The newest format that this controller says it understands."""
-        return PARTITIONS_FORMAT if self.partitions is not None else FORMAT_NOW
-
     def _partition_service(self) -> PartitionService | None:
         """What moves machines between shares. Where they are switched off, but some are left from
         before, one without a plan brings all machines back to the zones' own parts."""
@@ -209,15 +227,29 @@
     def wall() -> Seconds:
         return time.time()
 
+    def mark_contact(self) -> None:
+        self.contact_at = self.now()
+
+    @property
+    def leader(self) -> LeaderPlanner | None:
+        return self.leadership.planner
+
+    @property
+    def own_name(self) -> ControllerName:
+        return self.identity.name
+
     def lease_valid(self) -> bool:
-        return self.now() < self.lease_until
+        return self.presence.lease_valid()
+
+    def wake_leader(self, at_once: bool = False) -> None:
+        self.leadership.wake(at_once)
 
     # The mirror
 
     def _on_key(self, key: str) -> None:
         self._changed.append(key)
 
-    def _apply_changed(self) -> None:
+    def apply_changed(self) -> None:
         """Tell the cores of changed records; parts first: who owns them decides the rest."""
         if not self._changed:
             return
@@ -228,13 +260,13 @@
             self._update_owned_shards(now)
         jobs = dict.fromkeys(job for key in keys if (job := job_of(key)) is not None)
         if self.leader is not None and any(self._is_new_service(job) for job in jobs):
-            self._urgent_wake.set()
+            self.leadership.urgent_wake.set()
         for scheduler in self.shard_schedulers.values():
             for job_id in jobs:
                 scheduler.job_changed(now, job_id)
             for machine in machines:
                 scheduler.machine_changed(now, machine)
-        self._leader_wake.set()
+        self.leadership.pass_wake.set()
 
     def _is_new_service(self, job_id: JobId) -> bool:
         """Users wait for its first replicas: the leader does not rest first."""
@@ -247,8 +279,8 @@
             token = FencingToken(self.cache.version(SHARDS + name))
             mine = (
                 shard is not None
-                and shard.owner == self.own_name
-                and shard.incarnation == self.incarnation
+                and shard.owner == self.identity.name
+                and shard.incarnation == self.identity.incarnation
             )
             scheduler = self.shard_schedulers.get(name)
             if scheduler is not None and (not mine or scheduler.token != token):
@@ -274,17 +306,19 @@
         if key.startswith(JOBS) and isinstance(value, dict) and value.get("stage") == CANCELLED:
             # Owners that can't read the records stop its tasks sooner; no rule rests on it.
             self._gossip_wake.set()
-        self._apply_changed()
+        self.apply_changed()
 
     async def _load(self) -> None:
         sent = self.now()
         items, revision = await self.state.listing(ROOT)
         self.cache.reload(items, revision)
         self.current_at = self.contact_at = sent
-        self._apply_changed()
+        self.apply_changed()
         if not self.ready:
             self.ready = True
-            log.info("event=controller_ready controller=%s revision=%d", self.own_name, revision)
+            log.info(
+                "event=controller_ready controller=%s revision=%d", self.identity.name, revision
+            )
 
     async def _follow(self, wait_ms: int) -> None:
         """Bring the mirror up to the newest changes."""
@@ -297,7 +331,7 @@
         self.cache.follow(changes.events, changes.revision)
         self.current_at = max(self.current_at, sent)
         self.contact_at = self.now()
-        self._apply_changed()
+        self.apply_changed()
 
     async def _watch_loop(self) -> None:
         while True:
@@ -322,101 +356,17 @@
 
     # Leases and leadership
 
-    async def _lease_loop(self) -> None:
-        while True:
-            sent = self.now()
-            try:
-                if self.lease is not None and self._record_lost():
-                    log.info("event=presence_overwritten controller=%s", self.own_name)
-                    self.lease = None
-                if self.lease is None:
-                    lease = await self.state.new_lease(int(TTL_S * 1000))
-                    key = CONTROLLERS + self.own_name
-                    # A late write of an earlier boot, or of ours without an answer, replaces
-                    # only what it knew of: without the condition it took a controller out.
-                    _, before = await self.state.get(key)
-                    value = {
-                        "boot": self.incarnation,
-                        "zone": self.settings.zone,
-                        "version": self._format(),
-                    }
-                    version = await self.state.transaction(
-                        {key: before}, {key: value}, leases={key: lease}, urgent=True
-                    )
-                    self.lease = lease
-                    self.stored(key, value, version)
-                else:
-                    await self.state.renew(self.lease)
-                # Counted from when the request was sent, less what clocks may drift.
-                self.lease_until = sent + TTL_S * 0.998 - 0.1
-                self.contact_at = self.now()
-            except LeaseExpiredError:
-                log.info("event=presence_lease_expired controller=%s", self.own_name)
-                self.lease = None
-                continue
-            except TransactionConflictError:
-                await anyio.sleep(0.05 + self.random.random() * 0.1)
-                continue
-            except (RequestRefusedError, OutcomeUnknownError) as err:
-                log.debug("event=presence_renewal_failed error=%s", err)
-                await anyio.sleep(0.3 + self.random.random() * 0.2)
-                continue
-            await anyio.sleep(RENEW_S)
-
-    def _record_lost(self) -> bool:
-        """Whether another life of this controller has overwritten its presence."""
-        record = self.cache.controllers.get(self.own_name)
-        return self.ready and (record is None or record.incarnation != self.incarnation)
-
-    def _is_leader(self) -> bool:
-        record = self.cache.leader
-        return (
-            record is not None
-            and record.controller == self.own_name
-            and record.incarnation == self.incarnation
-            and self.lease_valid()
-        )
-
-    async def _campaign(self) -> None:
-        """Try to become leader: the key must not exist, or be of an earlier life of ours."""
-        record = self.cache.leader
-        mine = (
-            record is not None
-            and record.controller == self.own_name
-            and record.incarnation != self.incarnation
-        )
-        if (record is not None and not mine) or self.lease is None or not self.lease_valid():
-            return
-        if self.shard_schedulers:
-            # Controllers without a part lead by preference.
-            await anyio.sleep(0.3 + self.random.random() * 0.2)
-            if self.cache.leader is not record:
-                return  # another was quicker
-        await self._write_leader()
-
-    async def _write_leader(self) -> None:
-        assert self.lease is not None
-        value = {"node": self.own_name, "boot": self.incarnation}
-        version = await self.state.transaction(
-            {LEADER: self.cache.version(LEADER)},
-            {LEADER: value},
-            leases={LEADER: self.lease},
-            urgent=True,
-        )
-        self.stored(LEADER, value, version)
-        await self.current()
-
     async def _leader_loop(self) -> None:
         while True:
             try:
                 if not self.ready:
                     await anyio.sleep(0.1)
                     continue
-                if not self._is_leader():
+                if not self.election.is_leader():
                     if self.leader is not None:
-                        self._resign()
-                    await self._campaign()
-                if self._is_leader():
+                        self.election.resign()
+                    await self.election.campaign(owns_shards=bool(self.shard_schedulers))
+                if self.election.is_leader():
                     await self._lead()
             except (
                 RequestRefusedError,
@@ -433,44 +383,19 @@
                 await anyio.sleep(CAMPAIGN_INTERVAL_S)
                 continue
             with anyio.move_on_after(0.5):
-                self._leader_wake = anyio.Event()
-                await self._leader_wake.wait()
+                self.leadership.pass_wake.clear()
+                await self.leadership.pass_wake.wait()
             with anyio.move_on_after(max(PASS_S, min(REST_MOST_S, REST * self._pass_took))):
-                await self._urgent_wake.wait()
-            self._urgent_wake = anyio.Event()
-
-    def _resign(self) -> None:
-        log.info("event=leadership_lost controller=%s", self.own_name)
-        self.leader = None
-        self.state.writes.rate = self._few_writes
-
-    async def _settle_epoch(self) -> FencingToken:
-        """The epoch under which to plan now.
-
-        A write without an answer may still come as long as the leader's key is what it was: no
-        plan is made on what it may change, also where writing the key anew failed at first.
-        A new term that finds its old key, as after an outage, begins a new epoch all the same:
-        attempts and bookings are named after it. And the records are read once after an epoch
-        has begun: until then an earlier leader, or an earlier life of this one, could write.
-        """
-        epoch = FencingToken(self.cache.version(LEADER))
-        renamed = self.leader is None and epoch <= self._planned_epoch
-        if renamed or epoch == self._doubted_epoch:
-            await self._write_leader()
-            epoch = FencingToken(self.cache.version(LEADER))
-        if epoch != self._read_epoch:
-            await self.current()
-            if epoch != self.cache.version(LEADER):
-                raise RequestRefusedError("another epoch has begun")
-            self._read_epoch = epoch
-        return epoch
+                await self.leadership.urgent_wake.wait()
+            self.leadership.urgent_wake.clear()
 
     async def _lead(self) -> None:
-        epoch = await self._settle_epoch()
-        self._planned_epoch = max(self._planned_epoch, epoch)
+        epoch = await self.election.settle_epoch()
+        self.election.note_planned(epoch)
         now = self.now()
-        if self.leader is None:
-            self.leader = LeaderPlanner(
+        leader = self.leader
+        if leader is None:
+            leader = LeaderPlanner(
                 self.cache,
                 self.settings,
                 self.estimates,
@@ -479,24 +404,25 @@
                 self.tuning,
                 self.shard_names(),
             )
-            self.state.writes.rate = self._many_writes
-            log.info("event=leadership_acquired controller=%s epoch=%d", self.own_name, epoch)
-        self.leader.epoch = epoch
+            self.election.begin_term(leader, epoch)
+        leader.epoch = epoch
         service = self._partition_service()
         if service is not None:
-            service.lead(self.leader)
-        self.leader.partitions = service.keeper if service is not None else None
+            service.lead(leader)
+        leader.partitions = service.keeper if service is not None else None
         self.assigner.wanted = service.wanted_shards() if service is not None else []
-        for name, shard in self.assigner.changes(now, self.leader.unreachable_shards()).items():
+        for name, shard in self.assigner.changes(now, leader.unreachable_shards()).items():
             key = SHARDS + name
             value = {"owner": shard.owner, "boot": shard.incarnation}
-            await self._write(epoch, [ConditionalWrite(key, value, self.cache.version(key), 0)])
+            change = ConditionalWrite(key, value, self.cache.version(key), 0)
+            await self.election.write(epoch, [change])
         for name, scheduler in self.shard_schedulers.items():
-            number = self.leader.shard_status(
-                now, scheduler.status(now, self._base(name, scheduler))
+            base = self.confirmations.base(name, scheduler.token)
+            number = leader.shard_status(now, scheduler.status(now, base))
+            self.confirmations.confirm(
+                name, Confirmation(scheduler.token, self.identity.incarnation, number)
             )
-            self._confirm(name, scheduler.token, self.incarnation, number)
-        changes = self.leader.plan(now, self.wall())
+        changes = leader.plan(now, self.wall())
         self._pass_took = self.now() - now
         # What the budget does not allow is found again by the next pass, or overtaken by more.
         level = self.state.writes.level()
@@ -527,7 +453,7 @@
         that is too large keeps no other back."""
         assert self.leader is not None
         try:
-            await self._write(epoch, batch)
+            await self.election.write(epoch, batch)
         except ValueTooLargeError:
             transaction_group = any(change.transaction_group for change in batch)
             if len(batch) == 1 or transaction_group:
@@ -539,44 +465,8 @@
         if self.leader is not None:
             self.leader.written(now, batch)
 
-    async def _write(self, epoch: FencingToken, changes: list[ConditionalWrite]) -> None:
-        """Write records as the leader: only as long as the epoch and the records still hold.
-
-        The epoch is the one that was planned under. The mirror may show another leader's by
-        now, and a write under that would pass for the other's.
-        """
-        conditions = {LEADER: int(epoch)}
-        for change in changes:
-            conditions |= dict(change.preconditions)
-        conditions |= {c.key: c.version for c in changes}
-        puts = {c.key: c.value for c in changes if c.value is not None}
-        deletes = [c.key for c in changes if c.value is None]
-        try:
-            version = await self.state.transaction(conditions, puts, deletes)
-        except TransactionConflictError:
-            await self.current()
-            raise
-        except OutcomeUnknownError:
-            # The write may still be applied later. Writing the leader key anew ends that: the
-            # write's condition on the old epoch can't hold any more. Then we look again.
-            log.info("event=write_outcome_unknown keys=%d", len(changes))
-            self._doubted_epoch = epoch
-            raise
-        log.debug("event=write_committed revision=%d keys=%s", version, ",".join(conditions))
-        for key, value in puts.items():
-            self.cache.put(key, value, version)
-        for key in deletes:
-            self.cache.remove(key, version)
-        self._apply_changed()
-
     # What the leader's calls of the cloud need
 
-    def wake_leader(self, at_once: bool = False) -> None:
-        """There is something to plan; at once if work waits for it."""
-        self._leader_wake.set()
-        if at_once:
-            self._urgent_wake.set()
-
     async def _cloud_loop(self) -> None:
         await self._cloud_calls.run()
 
@@ -601,28 +491,16 @@
     def _send_status(self, now: Seconds, scheduler: ShardScheduler) -> None:
         if self.leader is not None:
             # The leader's pass takes the status of its own parts itself.
-            self._leader_wake.set()
+            self.leadership.pass_wake.set()
             return
         record = self.cache.leader
         link = self.links.get(ControllerName(record.controller)) if record is not None else None
         if link is not None:
-            status = scheduler.status(now, self._base(scheduler.shard, scheduler))
-            status.controller, status.version = self.own_name, FORMAT_NOW
+            base = self.confirmations.base(scheduler.shard, scheduler.token)
+            status = scheduler.status(now, base)
+            status.controller, status.version = self.identity.name, FORMAT_NOW
             link.post(f"{status.kind}:{scheduler.shard}", peers.encode(status))
 
-    def _base(self, shard: ShardName, scheduler: ShardScheduler) -> int:
-        """The newest of a part's statuses that the present leader has confirmed."""
-        token, incarnation, number = self._confirmed.get(shard, (FencingToken(0), "", 0))
-        leader = self.cache.leader
-        same = token == scheduler.token and leader is not None and leader.incarnation == incarnation
-        return number if same else 0
-
-    def _confirm(
-        self, shard: ShardName, token: FencingToken, incarnation: str, number: int
-    ) -> None:
-        """A leader has this part's statuses up to a number; another life of it has none."""
-        self._confirmed[shard] = (token, incarnation, number)
-
     async def _overload_loop(self) -> None:
         while True:
             self._due = self.now() + OVERLOAD_SAMPLE_S
@@ -634,36 +512,6 @@
         once, in the turn in which it goes on."""
         return max(self._late, self.now() - self._due)
 
-    async def _gossip_loop(self) -> None:
-        while True:
-            with anyio.move_on_after(GOSSIP_S):
-                await self._gossip_wake.wait()
-                await anyio.sleep(GOSSIP_LEAST_S)
-            self._gossip_wake = anyio.Event()
-            running: dict[JobId, int] = {}
-            for scheduler in self.shard_schedulers.values():
-                for job, count in scheduler.running():
-                    running[job] = running.get(job, 0) + count
-            self._running[self.own_name] = running
-            shards = {
-                name: (
-                    FencingToken(self.cache.version(SHARDS + name)),
-                    ControllerName(shard.owner),
-                )
-                for name, shard in self.cache.shards.items()
-            }
-            gossip = Gossip(
-                controller=self.own_name,
-                version=FORMAT_NOW,
-                running=running,
-                shards=shards,
-                reaches_state_service=self.now() - self.contact_at < CONTACT_S,
-            )
-            cancellations = self.cancellations.message(self.now(), self.cache, self.ready)
-            message = peers.encode(gossip) | peers.encode(cancellations)
-            for link in self.links.values():
-                link.post(gossip.kind, message)
-
     async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A message on a peer connection; some are answered on it."""
         kind = message.get("kind")
@@ -686,26 +534,6 @@
         answer: dict[str, Any] = await self.partitions.answer(message)
         return answer
 
-    async def ask_peer(self, request: Request) -> Answer | None:
-        """Put a user's request to a peer that reaches the state service; None if none does."""
-        now = self.now()
-        able = [
-            controller
-            for controller, (at, ok) in self._peer_state.items()
-            if ok and now - at < 2.5 and controller in self.links
-        ]
-        if not able:
-            return None
-        forwarded = ForwardedRequest(
-            method=request.method, target=request.target, body=request.body
-        )
-        link = self.links[self.random.choice(able)]
-        said = await link.ask(peers.encode(forwarded), ASK_WITHIN_S)
-        if said is None or said.get("status") in (None, 503):
-            return None
-        response = peers.decode(said, ForwardedResponse)
-        return Answer(response.status, response.body, response.retry_after)
-
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A message that is answered at once or not at all.
 
@@ -720,50 +548,24 @@
                 self._take_shard_status(self.leader, peers.decode(message, ShardStatus))
         elif kind == peers.KIND_STATUS_CONFIRMATION:
             confirmation = peers.decode(message, StatusConfirmation)
-            self._confirm(
+            self.confirmations.confirm(
                 confirmation.shard,
-                confirmation.token,
-                confirmation.incarnation,
-                confirmation.number,
+                Confirmation(confirmation.token, confirmation.incarnation, confirmation.number),
             )
         elif kind == peers.KIND_GOSSIP:
-            self._take_gossip(message)
+            self.peers.hear_gossip(message)
         return None
 
     def _take_shard_status(self, leader: LeaderPlanner, status: ShardStatus) -> None:
         number = leader.shard_status(self.now(), status)
-        self._leader_wake.set()
-        if isinstance(status.controller, UnsetType):
-            return
-        link = self.links.get(status.controller)
-        if link is None:
-            return
-        confirmation = StatusConfirmation(
-            shard=status.shard,
-            token=status.token,
-            incarnation=self.incarnation,
-            number=number,
-            version=FORMAT_NOW,
-        )
-        link.post(f"{confirmation.kind}:{status.shard}", peers.encode(confirmation))
-
-    def _take_gossip(self, message: dict[str, Any]) -> None:
-        gossip = peers.decode(message, Gossip)
-        controller = gossip.controller
-        self._peer_state[controller] = (self.now(), gossip.reaches_state_service)
-        self._running[controller] = gossip.running
-        for shard, (token, owner) in gossip.shards.items():
-            if token > self._peer_shards.get(shard, (0, ""))[0]:
-                self._peer_shards[shard] = (token, owner)
-        if "heard" in message:  # the first versions tell nothing of cancellations
-            cancellations = peers.decode(message, CancellationMessage)
-            self.cancellations.hear(
-                self.now(), self.own_name, controller, cancellations, self.cache
-            )
-        self._apply_changed()
+        self.leadership.wake()
+        self.peers.confirm_status(status, number)
 
     def running_tasks(self, job: JobId) -> int:
-        return sum(counts.get(job, 0) for counts in self._running.values())
+        return self.peers.running_tasks(job)
+
+    async def ask_peer(self, request: Request) -> Answer | None:
+        return await self.peers.forward(request)
 
     # Requests
 
@@ -777,7 +579,7 @@
         # Cut off alone, this node sends its users elsewhere. In an outage for all it stays:
         # being taken out would cost seconds more when the state service is back. Contacts are
         # a renewal apart at most, so in an outage no peer still claims one by now.
-        return not any(now - at < 1.5 and ok for at, ok in self._peer_state.values())
+        return not self.peers.any_reaches_state_service(now)
 
     def _heartbeat(self, request: Request) -> Answer:
         if request.too_large:
@@ -790,9 +592,7 @@
         now = self.now()
         name = self.cache.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.shard_schedulers.get(name)
-        heard_token, heard_owner = self._peer_shards.get(
-            name, (FencingToken(0), ControllerName(""))
-        )
+        heard_token, heard_owner = self.peers.heard_owner(name)
         if (
             scheduler is not None
             and scheduler.token >= heard_token
@@ -814,7 +614,7 @@
                 may_launch = followed or now - told_at < CURRENT_S
                 commands = scheduler.handle_heartbeat(now, heartbeat, may_launch)
                 if scheduler.dirty:
-                    self._leader_wake.set()
+                    self.leadership.pass_wake.set()
                 return Answer(
                     200,
                     encode_heartbeat_response(scheduler.token_for(heartbeat.machine), commands),
@@ -825,7 +625,11 @@
         owner = shard.owner if shard is not None else ""
         if heard_token > self.cache.version(SHARDS + name):
             owner = heard_owner
-        if owner and owner != self.own_name and (self.ready and owner in self.cache.controllers):
+        if (
+            owner
+            and owner != self.identity.name
+            and (self.ready and owner in self.cache.controllers)
+        ):
             return Answer(421, encode_redirect(owner))
         return Answer(503, b'{"error":"no owner"}', 1)
 
@@ -877,24 +681,25 @@
             for link in self.links.values():
                 group.start_soon(link.run)
             if self.partitions is not None:
-                group.start_soon(self._run_supervised, self.partitions.run)
-            for loop in (
-                self._lease_loop,
-                self._watch_loop,
-                self._check_loop,
-                self._leader_loop,
-                self._cloud_loop,
-                self._shard_loop,
-                self._gossip_loop,
-                self._overload_loop,
+                group.start_soon(self._run_supervised, "run", self.partitions.run)
+            # The names are those by which the log tells of a loop that broke.
+            for name, loop in (
+                ("_lease_loop", self.presence.run),
+                ("_watch_loop", self._watch_loop),
+                ("_check_loop", self._check_loop),
+                ("_leader_loop", self._leader_loop),
+                ("_cloud_loop", self._cloud_loop),
+                ("_shard_loop", self._shard_loop),
+                ("_gossip_loop", self.peers.run),
+                ("_overload_loop", self._overload_loop),
             ):
-                group.start_soon(self._run_supervised, loop)
+                group.start_soon(self._run_supervised, name, loop)
 
-    async def _run_supervised(self, loop: Any) -> None:
+    async def _run_supervised(self, name: str, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a loop; one that breaks is logged and started again, and ends nothing else."""
         while True:
             try:
                 await loop()
             except Exception:
-                log.exception("event=loop_crashed loop=%s", loop.__name__)
+                log.exception("event=loop_crashed loop=%s", name)
                 await anyio.sleep(0.5)
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -24,7 +24,7 @@
         "node": controller.own_name,
         "version": __version__,
         "ready": controller.ready,
-        "lease_left_s": round(max(0.0, controller.lease_until - now), 1),
+        "lease_left_s": round(max(0.0, controller.presence.lease_until - now), 1),
         "records_age_s": round(now - controller.current_at, 1),
         "leader": cache.leader.controller if cache.leader is not None else None,
         "epoch": cache.version(LEADER),
--- /dev/null
+++ b/src/dapplewick/coordination/presence.py
@@ -0,0 +1,117 @@
+"""A controller's presence: its record under a lease of the state service."""
+
+from __future__ import annotations
+
+import logging
+import random
+from collections.abc import Callable
+
+import anyio
+
+from dapplewick.coordination.identity import Identity
+from dapplewick.coordination.records import Records
+from dapplewick.storage.errors import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    TransactionConflictError,
+)
+from dapplewick.storage.keys import CONTROLLERS
+from dapplewick.storage.state_client import StateClient
+from dapplewick.types import Seconds
+
+# Readers of the log know the events of all of a controller's loops by this name.
+log = logging.getLogger("dapplewick.controller.controller")
+
+TTL_S = 5.0
+RENEW_INTERVAL_S = 1.3
+NEVER_S = -1e9  # before any time of the steady clock
+
+
+class Presence:
+    """Keeps the presence record of this process and the lease that it hangs on.
+
+    Attributes:
+        lease: the lease's number at the state service; None while there is none.
+        lease_until: up to when the lease is certain to hold, by the steady clock, in seconds.
+    """
+
+    def __init__(
+        self,
+        identity: Identity,
+        state: StateClient,
+        records: Records,
+        *,
+        format_version: int,
+        now: Callable[[], Seconds],
+        rng: random.Random,
+    ) -> None:
+        self._identity = identity
+        self._state = state
+        self._records = records
+        self._format_version = format_version
+        self._now = now
+        self._random = rng
+        self.lease: int | None = None
+        self.lease_until = NEVER_S
+
+    def lease_valid(self) -> bool:
+        """Whether the lease is certain to hold now."""
+        return self._now() < self.lease_until
+
+    async def run(self) -> None:
+        """Get the lease and the record, and renew them for ever."""
+        while True:
+            try:
+                await self._keep()
+            except LeaseExpiredError:
+                log.info("event=presence_lease_expired controller=%s", self._identity.name)
+                self.lease = None
+                continue
+            except TransactionConflictError:
+                await anyio.sleep(0.05 + self._random.random() * 0.1)
+                continue
+            except (RequestRefusedError, OutcomeUnknownError) as err:
+                log.debug("event=presence_renewal_failed error=%s", err)
+                await anyio.sleep(0.3 + self._random.random() * 0.2)
+                continue
+            await anyio.sleep(RENEW_INTERVAL_S)
+
+    async def _keep(self) -> None:
+        """Renew the lease, or get a new one and store the record under it."""
+        sent_at = self._now()
+        if self.lease is not None and self._is_overwritten():
+            log.info("event=presence_overwritten controller=%s", self._identity.name)
+            self.lease = None
+        if self.lease is None:
+            await self._announce()
+        else:
+            await self._state.renew(self.lease)
+        # Counted from when the request was sent, less what clocks may drift.
+        self.lease_until = sent_at + TTL_S * 0.998 - 0.1
+        self._records.mark_contact()
+
+    async def _announce(self) -> None:
+        """Store the presence record under a new lease."""
+        lease = await self._state.new_lease(int(TTL_S * 1000))
+        key = CONTROLLERS + self._identity.name
+        # A late write of an earlier incarnation, or of ours without an answer, replaces
+        # only what it knew of: without the condition it took a controller out.
+        _, before = await self._state.get(key)
+        value = {
+            "boot": self._identity.incarnation,
+            "zone": self._identity.zone,
+            "version": self._format_version,
+        }
+        version = await self._state.transaction(
+            {key: before}, {key: value}, leases={key: lease}, urgent=True
+        )
+        self.lease = lease
+        self._records.stored(key, value, version)
+
+    def _is_overwritten(self) -> bool:
+        """Whether another incarnation of this controller has overwritten its presence."""
+        record = self._records.cache.controllers.get(self._identity.name)
+        return self._records.ready and (
+            record is None or record.incarnation != self._identity.incarnation
+        )
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -25,6 +25,7 @@
 from dapplewick.cli import partitions as commands
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.controller import Controller
+from dapplewick.coordination.peer_exchange import PeerContact
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.job_writes import PRIORITY_ASSIGNMENTS, JobWrites
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
@@ -279,15 +280,15 @@
 
     with patch.object(time, "time_ns", lambda: 1):
         controller = Controller(settings("n0"), connect=connect, link=linked, clock=now, seed=1)
-    controller.incarnation = "n0-1"
+    controller.identity.incarnation = "n0-1"
     controller.wall = now  # type: ignore[method-assign]
     controller.ready = True
     controller.current_at = controller.contact_at = now()
-    controller.lease, controller.lease_until = 7, now() + 5.0
+    controller.presence.lease, controller.presence.lease_until = 7, now() + 5.0
     revision = max((version for _, _, version in records), default=0)
     controller.cache.reload({key: (value, version) for key, value, version in records}, revision)
     assert not controller.cache.unreadable
-    controller._apply_changed()
+    controller.apply_changed()
     return controller, service, link
 
 
@@ -301,7 +302,7 @@
         controller.tuning,
         controller.shard_names(),
     )
-    controller.leader = leader
+    controller.leadership.planner = leader
     return leader
 
 
@@ -314,7 +315,7 @@
         answers = [controller.on_message(through_frame(message)) for message in given["messages"]]
         controller._gossip_wake.set()
         with anyio.move_on_after(0.2):
-            await controller._gossip_loop()
+            await controller.peers.run()
         shards: list[Any] = []
         if leader is not None:
             leader.catalog(list(controller.cache.types.values()))
@@ -342,10 +343,10 @@
         cancelled = controller.cache.cancellations(0)
         read = neutral(
             [
-                controller._peer_state,
-                controller._running,
-                controller._peer_shards,
-                controller._confirmed,
+                controller.peers.contacts,
+                controller.peers.running,
+                controller.peers.heard_owners,
+                controller.confirmations.confirmed,
                 cancelled,
                 controller.cancellations.known_at(now()),
                 [job.stage for job in controller.cache.jobs.values()],
@@ -399,9 +400,9 @@
     async def scene() -> Any:
         controller, _, link = _controller([], [], through_frame(given["answer"]))
         for name in ("n1", "n2"):
-            controller._peer_state[ControllerName(name)] = (now(), True)
+            controller.peers.contacts[ControllerName(name)] = PeerContact(now(), True)
         method, target, body = given["request"]
-        answer = await controller.ask_peer(Request(method, target, body.encode(), False))
+        answer = await controller.peers.forward(Request(method, target, body.encode(), False))
         said = None
         if answer is not None:
             said = [answer.status, answer.body.decode(), answer.retry_after]
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -184,7 +184,7 @@
             return Link(self, name, port)
 
         seed = self.random.getrandbits(32)
-        made = old.Controller if old is not None else Controller
+        made: Any = old.Controller if old is not None else Controller
         parse = old.config if old is not None else config
         more: Any = {} if old is not None else {"partitions": self._partitions(name)}
         controller = made(
@@ -196,8 +196,11 @@
             **more,
         )
         # The earlier versions have another name for it.
-        setattr(controller, "boot" if old is not None else "incarnation", f"{name}-{seed}")
-        controller.wall = now  # type: ignore[method-assign]
+        if old is not None:
+            controller.boot = f"{name}-{seed}"
+        else:
+            controller.identity.incarnation = f"{name}-{seed}"
+        controller.wall = now
         recorder.watch(name, controller)
         self.controllers[name] = controller
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,8 +12,8 @@
 import anyio
 import pytest
 
-from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.election import Election
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
@@ -344,7 +344,8 @@
             await anyio.sleep(1.0)
             record = world.state.keys.get("dw/n/n2")
             seen.append(
-                record is not None and record[0]["boot"] == world.controllers["n2"].incarnation
+                record is not None
+                and record[0]["boot"] == world.controllers["n2"].identity.incarnation
             )
 
     run_script(world, 45.0, script)
@@ -362,7 +363,7 @@
         world.state.log.append((10**6, "dw/n/n1", {"boot": "earlier", "zone": "a"}, False))
 
     run_script(world, 25.0, script)
-    assert world.state.keys["dw/n/n1"][0]["boot"] == world.controllers["n1"].incarnation
+    assert world.state.keys["dw/n/n1"][0]["boot"] == world.controllers["n1"].identity.incarnation
 
 
 def test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice() -> None:
@@ -488,7 +489,9 @@
             from dapplewick.storage.conditional_write import ConditionalWrite
             from dapplewick.types import FencingToken
 
-            await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
+            await controller.election.write(
+                FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)]
+            )
         except Exception as err:
             seen.append(repr(err))
         last = world.writes[-1][2]["if"]
@@ -929,10 +932,10 @@
 
 
 def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
-    async def settle(self: Controller) -> Any:
-        return self.cache.version(LEADER)
+    async def settle(self: Election) -> Any:
+        return self._records.cache.version(LEADER)
 
-    patch.setattr(Controller, "_settle_epoch", settle)
+    patch.setattr(Election, "settle_epoch", settle)
 
 
 def old_reports_place_tasks(patch: pytest.MonkeyPatch) -> None:
