--- a/src/dapplewick/controller/budgets.py
+++ b/src/dapplewick/controller/budgets.py
@@ -1,4 +1,4 @@
-"""How much of the services' limits one controller may use."""
+"""How much of the limits of the services and of its machine one controller may use."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 from dapplewick.config import Deployment
 from dapplewick.coordination.election import WriteRates
+from dapplewick.storage.state_client import CALL_S
 
 USED_SHARE = 0.9  # of the state service's limits that all controllers use together
 LEADER_WRITES_SHARE = 0.8  # of the writes: the leader's
 WATCH_SHARE = 0.35  # of this controller's requests: a watch is opened anew after each change
 CHECK_SHARE = 0.4  # of this controller's requests: checks that the watch cache is current
-CHECK_INTERVAL_S = 0.25  # polls of this long share a check whether the watch cache is current
+CHECK_INTERVAL_S = 0.25  # polls within this time wait for one check together
 CLOUD_SHARE = 0.8  # of the cloud's limit: only the leader calls it
+OWN_SOCKETS = 64  # kept for the state service, the cloud and what a process has open anyway
+MIN_CLIENT_SOCKETS = 16  # for workers and users, however low the limit is
 
 
 class Budgets(NamedTuple):
@@ -42,3 +45,13 @@
         check_interval_s=max(CHECK_INTERVAL_S, 1.0 / (CHECK_SHARE * calls_per_s)),
         cloud_calls_per_s=deployment.cloud.rps * CLOUD_SHARE,
     )
+
+
+def max_client_sockets(deployment: Deployment) -> int:
+    """How many connections of workers and users may be open.
+
+    The state service, the cloud and the peers keep theirs, whatever workers and users do.
+    """
+    own = OWN_SOCKETS + 8 * deployment.count
+    state_calls = 2.0 * CALL_S * deployment.state.rps / deployment.count
+    return max(MIN_CLIENT_SOCKETS, deployment.machine_limits.fd_limit - int(own + state_calls))
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -171,7 +171,7 @@
                 leader.catalog(parse_catalog(answer))
                 self._leadership.wake()
                 return True
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 a bad catalogue must not end the other calls
             log.error("event=catalog_malformed error=%s", err)
         return False
 
@@ -190,5 +190,5 @@
                     break
                 since = page.machines[-1].machine
             leader.machines_listed(self._now(), MachineList(machines))
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 a bad list must not end the other calls
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -11,8 +11,8 @@
 import anyio
 import anyio.abc
 
-from dapplewick.config import Deployment, Settings, host_port
-from dapplewick.controller.budgets import Budgets, budgets_of
+from dapplewick.config import Settings, host_port
+from dapplewick.controller.budgets import Budgets, budgets_of, max_client_sockets
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.core_notifier import CoreNotifier
 from dapplewick.controller.latencies import Latencies
@@ -43,7 +43,7 @@
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.rate_limiter import RateLimiter
-from dapplewick.storage.state_client import CALL_S, StateClient
+from dapplewick.storage.state_client import StateClient
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Answer, Request, serve_connection
 from dapplewick.transport.http_client import HttpClient
@@ -58,8 +58,6 @@
 log = logging.getLogger("dapplewick.controller.controller")
 
 MIN_WRITE_BURST = 6.0  # users come at once, so each controller may accept some at once
-OWN_SOCKETS = 64  # kept for the state service, the cloud and what a process has open anyway
-MIN_CLIENT_SOCKETS = 16  # for workers and users, however low the limit is
 PEER_BACKLOG = 64
 RESTART_PAUSE_S = 0.5  # before a loop that broke is started again
 
@@ -144,11 +142,10 @@
         budgets: Budgets,
     ) -> None:
         """Make what coordinates this controller with the others."""
-        self.links: dict[ControllerName, PeerLink] = {}
-        for peer in self.settings.peers:
-            self.links[ControllerName(peer.host_name)] = link(
-                *host_port(peer.peer_addr, "peers.peer_addr")
-            )
+        self.links = {
+            ControllerName(peer.host_name): link(*host_port(peer.peer_addr, "peers.peer_addr"))
+            for peer in self.settings.peers
+        }
         self.presence = Presence(
             self.identity,
             self.state,
@@ -182,7 +179,7 @@
         )
 
     def _open_endpoints(self, partitions: PartitionService | None) -> None:
-        """Make what answers workers, users, operators and peers."""
+        """Make what answers peers, operators and HTTP requests."""
         deployment = self.settings.deployment
         self.latencies = Latencies()
         self.overload = OverloadMonitor(self.now)
@@ -196,26 +193,39 @@
             self.limits,
             self.wall,
         )
-        worker_endpoint = WorkerEndpoint(
+        self.status = ControllerStatus(
             identity=self.identity,
             records=self.records,
-            schedulers=self.shard_schedulers,
             presence=self.presence,
-            leadership=self.leadership,
             peers=self.peers,
-            cancellations=self.cancellations,
-            worker_times=deployment.workers,
+            state=self.state,
+            cloud_budget=self.cloud_budget,
+            schedulers=self.shard_schedulers,
+            latencies=self.latencies,
             now=self.now,
         )
-        self.status = ControllerStatus(
+        self._open_http(user_api)
+        self._peer_endpoint = PeerEndpoint(
+            leadership=self.leadership,
+            exchange=self.peers,
+            confirmations=self.confirmations,
+            partitions=self.partitions,
+            status=self.status,
+            user_api=user_api,
+            now=self.now,
+        )
+
+    def _open_http(self, user_api: UserApi) -> None:
+        """Make what answers HTTP requests of workers, users and the platform."""
+        worker_endpoint = WorkerEndpoint(
             identity=self.identity,
             records=self.records,
+            schedulers=self.shard_schedulers,
             presence=self.presence,
+            leadership=self.leadership,
             peers=self.peers,
-            state=self.state,
-            cloud_budget=self.cloud_budget,
-            schedulers=self.shard_schedulers,
-            latencies=self.latencies,
+            cancellations=self.cancellations,
+            worker_times=self.settings.deployment.workers,
             now=self.now,
         )
         self._router = Router(
@@ -227,15 +237,6 @@
             latencies=self.latencies,
             now=self.now,
         )
-        self._peer_endpoint = PeerEndpoint(
-            leadership=self.leadership,
-            exchange=self.peers,
-            confirmations=self.confirmations,
-            partitions=self.partitions,
-            status=self.status,
-            user_api=user_api,
-            now=self.now,
-        )
 
     def _switch_partitions(self, partitions: PartitionService | None) -> PartitionSwitch:
         host = PartitionHost(
@@ -387,16 +388,6 @@
                 group.start_soon(_run_supervised, name, loop)
 
 
-def max_client_sockets(deployment: Deployment) -> int:
-    """How many connections of workers and users may be open.
-
-    The state service, the cloud and the peers keep theirs, whatever workers and users do.
-    """
-    own = OWN_SOCKETS + 8 * deployment.count
-    state_calls = 2.0 * CALL_S * deployment.state.rps / deployment.count
-    return max(MIN_CLIENT_SOCKETS, deployment.machine_limits.fd_limit - int(own + state_calls))
-
-
 async def _run_supervised(name: str, loop: Callable[[], Awaitable[None]]) -> None:
     """Run a loop; one that breaks is logged and started again, and ends nothing else."""
     while True:
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass, field
 
 import anyio
+import msgspec
 
 from dapplewick.controller.leader_writer import LeaderWriter
 from dapplewick.controller.owned_shards import OwnedShards
@@ -39,6 +40,7 @@
 MAX_REST_S = 0.8
 # After a pass the leader leaves the processor alone for this times as long, within the limits.
 REST_FACTOR = 20.0
+FIRST_PRIORITY = 0  # of writes: lower ones go first
 
 
 @dataclass(eq=False, kw_only=True)
@@ -132,9 +134,10 @@
         """Write the new owners of shards, each by itself."""
         for name, shard in self.assigner.changes(now, planner.unreachable_shards()).items():
             key = SHARDS + name
-            value = {"owner": shard.owner, "boot": shard.incarnation}
-            version = self.records.cache.version(key)
-            await self.election.write(epoch, [ConditionalWrite(key, value, version, 0)])
+            change = ConditionalWrite(
+                key, msgspec.to_builtins(shard), self.records.cache.version(key), FIRST_PRIORITY
+            )
+            await self.election.write(epoch, [change])
 
     def _take_own_statuses(self, planner: LeaderPlanner, now: Seconds) -> None:
         """Give the planner the statuses of this process's own shards."""
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -63,22 +63,54 @@
     await Controller(settings, tuning=tuning, partitions=partitions).run()
 
 
-def _load_partitions(path: str, settings: Settings) -> PartitionService:
-    """Make the service that keeps the partitions of zones, by the plan in this file.
+class StartRefusedError(Exception):
+    """The process can't start with what it was given; the text says why in one line."""
 
-    It is loaded only here: controllers without partitions do without it.
+
+def _load_settings(path: str) -> Settings:
+    """Read the settings; a StartRefusedError says what is wrong with them."""
+    try:
+        return load(path)
+    except SettingsError as err:
+        raise StartRefusedError(f"settings: {err}") from None
+
+
+def _load_tuning(path: str | None) -> Tuning:
+    """Run the operators' script, if there is one; a StartRefusedError says what is wrong."""
+    if not path:
+        return Tuning()
+    # Loaded only here: most controllers run without a script.
+    from dapplewick.script import ScriptError
+    from dapplewick.script import load as load_script
+
+    try:
+        return load_script(path)
+    except ScriptError as err:
+        raise StartRefusedError(f"script: {err}") from None
+
+
+def _load_partitions(path: str | None, settings: Settings) -> PartitionService | None:
+    """Make the service that keeps the partitions of zones by the plan in a file, if there is one.
 
     Raises:
-        PlanError: the plan is bad, or names what the deployment does not have.
+        StartRefusedError: the plan is bad, or names what the deployment does not have.
     """
-    from dapplewick.partitions.plan import PlanError, load, unknown_names
+    if not path:
+        return None
+    # Loaded only here: controllers without partitions do without it and its solver.
+    from dapplewick.partitions.plan import PlanError, unknown_names
+    from dapplewick.partitions.plan import load as load_plan
     from dapplewick.partitions.service import PartitionService
 
-    plan = load(path)
     deployment = settings.deployment
-    complaint = unknown_names(plan, (t.name for t in deployment.teams), deployment.zones, None)
+    try:
+        plan = load_plan(path)
+    except PlanError as err:
+        raise StartRefusedError(f"shares: {err}") from None
+    teams = (team.name for team in deployment.teams)
+    complaint = unknown_names(plan, teams, deployment.zones, None)
     if complaint:
-        raise PlanError(f"{path}: {complaint}")
+        raise StartRefusedError(f"shares: {path}: {complaint}")
     return PartitionService(plan)
 
 
@@ -88,30 +120,13 @@
     Returns:
         The exit code: 2 for bad settings, scripts and plans, 1 where it can't listen.
     """
-    tuning = Tuning()
-    partitions = None
     try:
-        settings = load(config)
-    except SettingsError as err:
-        print(f"dapplewick: settings: {err}", file=sys.stderr)
+        settings = _load_settings(config)
+        tuning = _load_tuning(script)
+        partitions = _load_partitions(partition_plan_path, settings)
+    except StartRefusedError as err:
+        print(f"dapplewick: {err}", file=sys.stderr)
         return 2
-    if script:
-        from dapplewick.script import ScriptError
-        from dapplewick.script import load as load_script
-
-        try:
-            tuning = load_script(script)
-        except ScriptError as err:
-            print(f"dapplewick: script: {err}", file=sys.stderr)
-            return 2
-    if partition_plan_path:
-        from dapplewick.partitions.plan import PlanError
-
-        try:
-            partitions = _load_partitions(partition_plan_path, settings)
-        except PlanError as err:
-            print(f"dapplewick: shares: {err}", file=sys.stderr)
-            return 2
     configure_memory()
     complaint = configure_logging()
     if complaint:
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -86,7 +86,7 @@
             scheduler.refuse(now)
             return CUT_OFF
         # A start needs no lease: should there be a newer owner, what this machine is told
-        # under our token is on it when it first reports under the newer one, and until
+        # under our token is on it at its first heartbeat under the newer one, and until
         # then that owner takes it for unreconciled. What the records assign to us is taken
         # back only when we say that it is not here. So in an outage starts go on, as
         # long as no cancellation can have been missed.
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -2,8 +2,8 @@
 
 A worker's lease may be kept up only by a controller that can't have missed a cancellation for
 long. The records tell of all of them; in an outage nobody reads these. But users are told of a
-cancellation only by controllers, and each of them has it in its mirror before it tells. So once
-every other controller has listed all that its mirror has, none told before can be missed.
+cancellation only by controllers, and each of them has it in its watch cache before it tells. So
+once every other controller has listed all that its watch cache has, none told before can be missed.
 
 How old that is counts from when the question was sent: messages carry the sender's time, and the
 answer names the newest time that it had heard. A lost message, a peer that is not heard, or one
@@ -13,6 +13,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
@@ -21,10 +22,30 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import ControllerName, JobId, Revision, Seconds
 
-HEARD_S = 10.0  # a peer not heard for longer is not waited for with what it has not read
+HEARD_WITHIN_S = 10.0  # a peer not heard for longer is not waited for with what it has not read
 MAX_LISTED = 2000  # cancellations in one message; with more of them it assures nothing
 
 
+NEVER_S = -1e9  # before any time of the steady clock
+
+
+class Question(NamedTuple):
+    """A peer's question, by which its answers are told from those to earlier ones."""
+
+    incarnation: str
+    at: Seconds  # by the asking controller's steady clock
+
+
+class PeerRead(NamedTuple):
+    """Up to which revision a peer said that it had read the records."""
+
+    heard_at: Seconds  # by this controller's steady clock
+    revision: Revision
+
+
+NO_QUESTION = Question("", 0.0)
+
+
 class CancellationMessage(msgspec.Struct):
     """What a controller tells its peers of cancellations; at the same time a question to them.
 
@@ -34,7 +55,7 @@
     at: Seconds
     incarnation: str = msgspec.field(name="boot")
     revision: Revision
-    heard: dict[ControllerName, tuple[str, Seconds]]  # the newest question of each peer
+    heard: dict[ControllerName, Question]  # the newest question of each peer
     complete: bool  # whether the list is all that is known and is newer than `since`
     since: Revision
     cancelled: list[tuple[int, JobId]]
@@ -53,21 +74,32 @@
 
 
 class CancellationWatch:
-    """One controller's side of the exchange; a state machine without I/O."""
+    """One controller's side of the exchange; a state machine without I/O.
+
+    Times are seconds of the steady clock of the controller that the field or argument names.
+    """
 
     def __init__(self, incarnation: str, peers: Iterable[ControllerName], count: int) -> None:
         self._incarnation = incarnation
         self._peers = frozenset(peers)
         # Who is not named among the peers can't be asked, and may tell users of cancellations.
         self._all_named = len(self._peers) + 1 >= count
-        self._questions: dict[ControllerName, tuple[str, Seconds]] = {}
-        self._revisions: dict[ControllerName, tuple[Seconds, Revision]] = {}
+        self._questions: dict[ControllerName, Question] = {}
+        self._reads: dict[ControllerName, PeerRead] = {}
         self._answered: dict[ControllerName, Seconds] = {}
 
     def message(self, now: Seconds, cache: WatchCache, ready: bool) -> CancellationMessage:
-        """What to tell the peers now; at the same time a question to them."""
-        read = [r for at, r in self._revisions.values() if now - at < HEARD_S]
-        since = min(read, default=cache.revision)
+        """Make what to tell the peers now; at the same time a question to them.
+
+        Args:
+            now: the steady clock of this process.
+            cache: what this controller has read of the records.
+            ready: whether it has read the records since it started.
+        """
+        recent = [
+            read.revision for read in self._reads.values() if now - read.heard_at < HEARD_WITHIN_S
+        ]
+        since = min(recent, default=cache.revision)
         listed = cache.cancellations(since)
         if len(listed) > MAX_LISTED:
             ready = False
@@ -89,24 +121,35 @@
         message: CancellationMessage,
         cache: WatchCache,
     ) -> None:
-        """Take over a peer's message; what it lists goes into the watch cache."""
+        """Take over a peer's message; what it lists goes into the watch cache.
+
+        Args:
+            now: the steady clock of this process.
+            own_name: this controller.
+            peer: the sender; one that is not of this deployment is ignored.
+            message: what the peer tells.
+            cache: this controller's copy of the records.
+        """
         if peer not in self._peers:
             return  # not of this deployment
-        incarnation, at = message.heard.get(own_name, ("", 0.0))
-        self._questions[peer] = (message.incarnation, message.at)
-        self._revisions[peer] = (now, message.revision)
+        question = message.heard.get(own_name, NO_QUESTION)
+        self._questions[peer] = Question(message.incarnation, message.at)
+        self._reads[peer] = PeerRead(now, message.revision)
         for version, job in message.cancelled:
             cache.told_cancelled(job, version)
         # A list that begins after what we have read may lack some.
         if (
             message.complete
-            and incarnation == self._incarnation
+            and question.incarnation == self._incarnation
             and message.since <= cache.revision
         ):
-            self._answered[peer] = max(at, self._answered.get(peer, at))
+            self._answered[peer] = max(question.at, self._answered.get(peer, question.at))
 
     def known_at(self, now: Seconds) -> Seconds:
-        """Every cancellation that another controller had told by this time is known here."""
+        """The time by which all cancellations that other controllers had told are known here.
+
+        It is far in the past while a peer has not answered yet, or can't be asked.
+        """
         if not self._all_named:
-            return -1e9
-        return min((self._answered.get(peer, -1e9) for peer in self._peers), default=now)
+            return NEVER_S
+        return min((self._answered.get(peer, NEVER_S) for peer in self._peers), default=now)
--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -12,6 +12,7 @@
 from typing import NamedTuple
 
 import anyio
+import msgspec
 
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.leadership import Leadership
@@ -19,6 +20,7 @@
 from dapplewick.coordination.records import Records
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.controller_records import LeaderRecord
 from dapplewick.storage.errors import (
     OutcomeUnknownError,
     RequestRefusedError,
@@ -185,7 +187,7 @@
     async def _write_leader(self) -> None:
         """Write the leader's key anew, which begins an epoch."""
         assert self._presence.lease is not None
-        value = {"node": self._identity.name, "boot": self._identity.incarnation}
+        value = msgspec.to_builtins(LeaderRecord(self._identity.name, self._identity.incarnation))
         version = await self._state.transaction(
             {LEADER: self._records.cache.version(LEADER)},
             {LEADER: value},
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -7,9 +7,11 @@
 from collections.abc import Callable
 
 import anyio
+import msgspec
 
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.records import Records
+from dapplewick.storage.controller_records import ControllerRecord
 from dapplewick.storage.errors import (
     LeaseExpiredError,
     OutcomeUnknownError,
@@ -98,11 +100,10 @@
         # A late write of an earlier incarnation, or of ours without an answer, replaces
         # only what it knew of: without the condition it took a controller out.
         _, before = await self._state.get(key)
-        value = {
-            "boot": self._identity.incarnation,
-            "zone": self._identity.zone,
-            "version": self._format_version,
-        }
+        record = ControllerRecord(
+            self._identity.incarnation, self._identity.zone, self._format_version
+        )
+        value = msgspec.to_builtins(record)
         version = await self._state.transaction(
             {key: before}, {key: value}, leases={key: lease}, urgent=True
         )
