--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -116,7 +116,8 @@
         if not self._changed_keys:
             return
         keys, self._changed_keys = dict.fromkeys(self._changed_keys), []
-        machines, self.cache.changed_machines = dict.fromkeys(self.cache.changed_machines), []
+        machines = dict.fromkeys(self.cache.changed_machines)
+        self.cache.changed_machines.clear()
         self._notifier.notify(self.now(), keys, machines)
 
     def _on_key(self, key: str) -> None:
