--- /dev/null
+++ b/tests/compatibility/__init__.py
@@ -0,0 +1,1 @@
+"""Stored and sent formats, and versions beside one another."""
--- a/tests/test_golden_data.py
+++ b/tests/compatibility/test_golden_data.py
@@ -1,7 +1,8 @@
 """What is stored and sent stays the same to the byte, whatever the sources call it.
 
-The golden data was written by `make_golden_data.py`. Each of its values is read with the present
-sources, written again and compared. What is sent on the days is compared as a whole, too.
+The golden data was written by `tests/tools/make_golden_data.py`. Each of its values is read with
+the present sources, written again and compared. What is sent in the scenarios is compared as a
+whole, too.
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 
 import pytest
 
-import make_golden_data
-from golden import WRITERS
-from make_golden_data import FOLDER
+from support.golden import WRITERS
+from tools import make_golden_data
+from tools.make_golden_data import FOLDER
 
 GOLDEN: dict[str, Any] = {
     file.stem.replace("_", " "): json.loads(file.read_text()) for file in FOLDER.glob("*.json")
--- a/tests/test_shares_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -4,19 +4,16 @@
 
 import subprocess
 import sys
-from pathlib import Path
 from typing import Any
 
 import anyio
 import pytest
 from msgspec import UNSET
 
-import production
 from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, SHARDS, TRANSFERS
 from dapplewick.types import partition_of
-from standins import World, now
-from test_shares_moves import (
+from simulation.test_partition_moves import (
     FIXED_PLAN,
     NIGHT,
     busy_zone,
@@ -29,8 +26,9 @@
     shares_begun,
     until,
 )
-
-ROOT = Path(__file__).resolve().parent.parent
+from standins import World, now
+from support import production
+from support.paths import ROOT
 
 
 def traces(world: World) -> list[str]:
--- a/tests/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -8,16 +8,16 @@
 import msgspec
 import pytest
 
-import production
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.machine_records import MachineGroupRecord, MachineRecord
 from dapplewick.storage.watch_cache import WatchCache
-from rolls import TROUBLES, Trouble, play_roll
+from simulation.test_failure_pairs import finished
 from standins import NEXT
-from test_meetings import finished
+from support import production
+from support.rolls import TROUBLES, Trouble, play_roll
 
 VALUE_BYTES = 942  # what the lower limit leaves of 1 KiB
 TXN_OPS = 4
--- a/tests/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -6,14 +6,12 @@
 import logging
 import random
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any
 
 import anyio
 import msgspec
 import pytest
 
-import production
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
@@ -26,9 +24,8 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request
 from dapplewick.types import FencingToken, JobId
-from rolls import TROUBLES, Trouble, hand_in_large, lower_limits, nothing, play_roll
-from standins import NEXT, World, now, settings
-from test_days import (
+from simulation.test_failure_pairs import cancel, finished, leader
+from simulation.test_scenarios import (
     cut_from_state,
     hand_in,
     late_copies,
@@ -38,10 +35,13 @@
     state_outage,
     zone_cut,
 )
-from test_four_points import Bench, spec
-from test_meetings import cancel, finished, leader
+from standins import NEXT, World, now, settings
+from support import production
+from support.paths import DATA
+from support.rolls import TROUBLES, Trouble, hand_in_large, lower_limits, nothing, play_roll
+from unit.test_scheduler_models import Bench, spec
 
-DATA = Path(__file__).parent / "data" / "production.json"
+PRODUCTION = DATA / "production.json"
 
 
 def stored(world: World) -> dict[str, tuple[Any, int]]:
@@ -53,7 +53,7 @@
 
 def test_what_production_wrote_is_read(caplog: pytest.LogCaptureFixture) -> None:
     """`tests/data/production.json` holds what controllers of that commit wrote and sent."""
-    data = json.loads(DATA.read_text())
+    data = json.loads(PRODUCTION.read_text())
     assert data["commit"] == production.commit()
     cache = WatchCache()
     cache.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
--- /dev/null
+++ b/tests/loopback/__init__.py
@@ -0,0 +1,1 @@
+"""Real controller processes and sockets on loopback."""
--- a/tests/test_sockets.py
+++ b/tests/loopback/test_controllers.py
@@ -26,8 +26,7 @@
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
 from dapplewick.transport.stream import MOST_READ, accept
 from standins import ZONES, World, deployment, now
-
-ROOT = Path(__file__).resolve().parent.parent
+from support.paths import ROOT
 
 
 def free_ports(count: int) -> list[int]:
--- a/tests/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -17,8 +17,9 @@
 from dapplewick.cli.main import main, status_lines
 from dapplewick.controller.status import controller_status
 from dapplewick.tuning import Tuning
+from loopback.test_controllers import RealWorld, until_healthy, world  # noqa: F401
 from standins import World, run_day
-from test_sockets import ROOT, RealWorld, until_healthy, world  # noqa: F401
+from support.paths import ROOT
 
 
 def test_a_script_sets_what_it_names() -> None:
--- a/tests/test_shares_sockets.py
+++ b/tests/loopback/test_partitions.py
@@ -13,10 +13,10 @@
 from click.testing import CliRunner
 
 from dapplewick.cli.main import main
-from share_history import ShareHistory
+from loopback.test_controllers import RealWorld
+from simulation.test_partition_moves import NIGHT, machines_of, owner, pinned, shares_begun, until
 from standins import now
-from test_shares_moves import NIGHT, machines_of, owner, pinned, shares_begun, until
-from test_sockets import RealWorld
+from support.partition_history import ShareHistory
 
 PLAN_TEXT = """
 shares = {
--- /dev/null
+++ b/tests/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Whole scenarios in virtual time against the stand-ins."""
--- a/tests/test_answers.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -13,7 +13,6 @@
 import pytest
 from msgspec.structs import replace
 
-from answer_days import play_answers
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
 from dapplewick.protocol import peers
@@ -26,8 +25,9 @@
 from dapplewick.storage.watch_cache import REMOVALS_LEAST, WatchCache
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import ControllerName, JobId
+from simulation.test_scenarios import run_script
 from standins import AnswerHistory, World, now, run_day
-from test_days import run_script
+from support.answer_scenarios import play_answers
 
 Reply = tuple[int, bytes]
 
--- a/tests/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -18,16 +18,16 @@
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.transport.http import Request
 from dapplewick.transport.http_client import HttpClient
-from day_checks import Onlooker, ask, end_of_day
-from rolls import lower_limits
-from standins import World, now
-from test_checks_can_fail import (
+from simulation.test_failure_pairs import cancel, day, finished, leader
+from simulation.test_mutations import (
     no_check_that_the_mirror_is_current,
     no_stop_of_cancelled_tasks,
     no_wait_for_unheard_machines,
 )
-from test_days import hand_in, owners, run_script
-from test_meetings import cancel, day, finished, leader
+from simulation.test_scenarios import hand_in, owners, run_script
+from standins import World, now
+from support.rolls import lower_limits
+from support.scenario_checks import Onlooker, ask, end_of_day
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
--- a/tests/test_meetings.py
+++ b/tests/simulation/test_failure_pairs.py
@@ -17,13 +17,12 @@
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
-from standins import WORKERS, World, now
-from test_checks_can_fail import (
+from simulation.test_mutations import (
     no_stop_of_cancelled_tasks,
     no_team_limit,
     no_wait_for_unheard_machines,
 )
-from test_days import (
+from simulation.test_scenarios import (
     all_crash,
     blinks,
     cut_from_state,
@@ -39,6 +38,7 @@
     state_outage,
     zone_cut,
 )
+from standins import WORKERS, World, now
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -245,7 +245,7 @@
 
 
 def test_what_a_peer_tells_stays_until_the_record_itself_comes() -> None:
-    from test_four_points import Bench, spec
+    from unit.test_scheduler_models import Bench, spec
 
     bench = Bench(1)
     machine = bench.names[0]
@@ -370,7 +370,7 @@
     from dapplewick.core.estimates import Estimates
     from dapplewick.protocol.workers import Heartbeat, TaskStatus
     from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
-    from test_four_points import TOKEN, ZONE, Bench, spec, starts
+    from unit.test_scheduler_models import TOKEN, ZONE, Bench, spec, starts
 
     bench = Bench(2)
     first, second = bench.names
--- a/tests/test_size.py
+++ b/tests/simulation/test_fleet_size.py
@@ -9,9 +9,9 @@
 from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.transport.peer import MAX_FRAME
+from simulation.test_scenarios import run_script
 from standins import World
-from test_days import run_script
-from test_growth import busy_part
+from unit.test_work_scaling import busy_part
 
 MACHINES_UP = 4000
 GROUP = 150  # machines in a record, as the leader writes them
--- a/tests/test_checks_can_fail.py
+++ b/tests/simulation/test_mutations.py
@@ -10,8 +10,16 @@
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.types import Seconds
+from simulation.test_scenarios import (
+    Fault,
+    all_crash,
+    cut_from_state,
+    lost_answers,
+    play,
+    quick_restarts,
+    quiet,
+)
 from standins import World
-from test_days import Fault, all_crash, cut_from_state, lost_answers, play, quick_restarts, quiet
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
--- a/tests/test_shares_moves.py
+++ b/tests/simulation/test_partition_moves.py
@@ -12,8 +12,8 @@
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, SHARDS
 from dapplewick.types import shard_name
-from share_history import ShareHistory
 from standins import World, now, run_day
+from support.partition_history import ShareHistory
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/test_shares_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -28,12 +28,12 @@
     partition_of,
     shard_name,
 )
-from share_history import ShareHistory
+from simulation.test_fleet_size import GROUP, MACHINES_UP
+from simulation.test_partition_moves import machines_of
+from simulation.test_scenarios import run_script
 from standins import World
-from test_days import run_script
-from test_growth import calls
-from test_shares_moves import machines_of
-from test_size import GROUP, MACHINES_UP
+from support.partition_history import ShareHistory
+from unit.test_work_scaling import calls
 
 SHARES = [f"s{n}" for n in range(20)]
 PLAN = plans.convert(
--- a/tests/test_services.py
+++ b/tests/simulation/test_services.py
@@ -21,8 +21,8 @@
 from dapplewick.storage.keys import MACHINES
 from dapplewick.transport.http import Request
 from dapplewick.types import JobId, MachineId, TaskIndex, TaskRef, TypeName
-from standins import WORKERS, World, now
-from test_days import (
+from simulation.test_failure_pairs import call, finished
+from simulation.test_scenarios import (
     all_crash,
     bad_machines,
     blinks,
@@ -37,8 +37,8 @@
     state_outage,
     zone_cut,
 )
-from test_four_points import IN_ZONE, TOKEN, Bench, spec, starts
-from test_meetings import call, finished
+from standins import WORKERS, World, now
+from unit.test_scheduler_models import IN_ZONE, TOKEN, Bench, spec, starts
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/standins/recorder.py
+++ b/tests/standins/recorder.py
@@ -1,7 +1,7 @@
 """A trace of what controllers send, answer and tell one another; off unless it is switched on.
 
-`tests/compare_behaviour.py` compares the traces of two versions. So the names of events and of
-their fields are part of its format: a refactoring leaves them as they are.
+`tests/tools/compare_behaviour.py` compares the traces of two versions. So the names of events and
+of their fields are part of its format: a refactoring leaves them as they are.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What several tests and tools share."""
--- a/tests/answer_days.py
+++ b/tests/support/answer_scenarios.py
@@ -1,14 +1,11 @@
 """Drawn days on which many users ask all controllers about short jobs while troubles meet.
 
-`python tests/answer_days.py FIRST LAST [SIZE]` plays a range of seeds and prints what broke;
-the test suite plays a fixed few of them.
+`tests/tools/play_answers.py` plays a range of seeds; the test suite plays a fixed few of them.
 """
 
 from __future__ import annotations
 
 import json
-import logging
-import sys
 from collections.abc import Callable, Coroutine
 from typing import Any
 
@@ -16,9 +13,9 @@
 
 from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
-from rolls import lower_limits
+from simulation.test_failure_pairs import leader
 from standins import World, now, run_day
-from test_meetings import leader
+from support.rolls import lower_limits
 
 POLL_WAIT_S, CHANGE_WAIT_S = 2.0, 5.0  # how long users wait for an answer
 LENGTH_S = 100.0
@@ -231,24 +228,3 @@
 
     run_day(main)
     return world
-
-
-def main(arguments: list[str]) -> None:
-    first, last = int(arguments[0]), int(arguments[1])
-    jobs = int(arguments[2]) if len(arguments) > 2 else 40
-    logging.disable(logging.CRITICAL)
-    broken = 0
-    for seed in range(first, last + 1):
-        world = play_answers(seed, jobs)
-        broken += bool(world.broken)
-        print(
-            f"seed {seed}: {world.history.answers} answers, {len(world.accepted)} jobs,",
-            f"{len(world.cloud.provisioning_requests)} bookings, {world.cloud.next_name} machines,",
-            f"{len(world.broken)} broken: {world.broken[:3]}",
-            flush=True,
-        )
-    print(f"{last - first + 1} days played, rules broken on {broken}")
-
-
-if __name__ == "__main__":
-    main(sys.argv[1:])
--- a/tests/share_history.py
+++ b/tests/support/partition_history.py
@@ -1,7 +1,8 @@
 """A checker of all written revisions: each machine in one share, each handover proven.
 
 It reads what the state service's log tells, in the order of the revisions, and knows nothing of the
-code that wrote it. `tests/test_share_history.py` shows that it fails on made-up bad histories.
+code that wrote it. `tests/unit/test_partition_history.py` shows that it fails on made-up bad
+histories.
 """
 
 from __future__ import annotations
--- a/tests/production.py
+++ b/tests/support/production.py
@@ -20,7 +20,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
+from support.paths import ROOT
 
 # The last main before the present round of work: it has services and writes records of format 3.
 PREVIOUS_MAIN = "c6e3367"
--- a/tests/rolls.py
+++ b/tests/support/rolls.py
@@ -11,9 +11,9 @@
 
 from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT
+from simulation.test_failure_pairs import leader
+from simulation.test_scenarios import run_script
 from standins import NEXT, World, now
-from test_days import run_script
-from test_meetings import leader
 
 Trouble = Callable[[World], Coroutine[Any, Any, None]]
 
--- /dev/null
+++ b/tests/tools/__init__.py
@@ -0,0 +1,1 @@
+"""Programs that are not tests."""
--- a/tests/behaviour_days.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -1,25 +1,24 @@
-"""The days that `tests/compare_behaviour.py` plays: drawn days of the tests, under fixed names."""
+"""The scenarios that `tests/tools/compare_behaviour.py` plays, under fixed names."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-import production
-import rolls
-import test_compound_failures as compound
-import test_days as days
-import test_meetings as meetings
-import test_services as services
-import test_shares_moves as shares
-import test_shares_versions as versions
-import test_upgrade as upgrade
-from answer_days import play_answers
+import compatibility.test_partition_versions as versions
+import compatibility.test_upgrade as upgrade
+import simulation.test_compound_failures as compound
+import simulation.test_failure_pairs as meetings
+import simulation.test_partition_moves as shares
+import simulation.test_scenarios as days
+import simulation.test_services as services
 from dapplewick.protocol import peers
 from dapplewick.protocol.workers import encode_heartbeat_response
 from standins import World, recorder
-from test_four_points import TOKEN
-from test_growth import busy_part, leader_of
+from support import production, rolls
+from support.answer_scenarios import play_answers
+from unit.test_scheduler_models import TOKEN
+from unit.test_work_scaling import busy_part, leader_of
 
 Play = Callable[[], Any]
 
--- a/tests/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -1,10 +1,11 @@
 """Whether two versions of the sources behave alike, event by event, on the same simulated days.
 
-`python tests/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` plays the days of
-`tests/behaviour_days.py` on the revision BASE and on the present working tree, and compares all
-that controllers send to services, workers, users, operators and one another. Each version is
-played with its own tests and stand-ins, each day in a process of its own, and the two sides with
-different hash seeds. It ends with 0 where all are equal and with 1 at the first difference.
+`python tests/tools/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` plays the scenarios
+("days") of `tests/tools/behaviour_scenarios.py` on the revision BASE and on the present working
+tree, and compares all that controllers send to services, workers, users, operators and one another.
+Each version is played with its own tests and stand-ins, each day in a process of its own, and the
+two sides with different hash seeds. It ends with 0 where all are equal and with 1 at the first
+difference.
 """
 
 from __future__ import annotations
@@ -24,7 +25,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
+# Where this tool is in a checkout: now, and in revisions that had it beside the tests.
+PLACES = ("tests/tools/compare_behaviour.py", "tests/compare_behaviour.py")
 HASH_SEEDS = {"base": "1", "present": "2"}
 BEFORE = 4  # events that are shown before a difference
 SHOWN = 2000  # characters of an event that are shown
@@ -97,8 +100,8 @@
 def play(day: str, out: Path) -> None:
     """Play a day and write its trace."""
     import dapplewick
-    from behaviour_days import DAYS
     from standins import recorder
+    from tools.behaviour_scenarios import DAYS
 
     if Path(dapplewick.__file__).resolve().parent != ROOT / "src" / "dapplewick":
         raise SystemExit(f"{dapplewick.__file__} is not of the version that is to be played")
@@ -129,10 +132,18 @@
     }
 
 
+def tool_of(root: Path) -> Path | None:
+    """A checkout's own copy of this tool; None where it has none."""
+    return next((root / place for place in PLACES if (root / place).exists()), None)
+
+
 def run_tool(root: Path, side: str, cache: Path, *arguments: str) -> str:
     """Run a version's own copy of this tool."""
+    tool = tool_of(root)
+    if tool is None:
+        raise Failed(f"{side}: there is no {' and no '.join(PLACES)}")
     done = subprocess.run(
-        [sys.executable, str(root / "tests" / "compare_behaviour.py"), *arguments],
+        [sys.executable, str(tool), *arguments],
         cwd=root,
         env=environment(root, side, cache),
         capture_output=True,
@@ -154,8 +165,8 @@
         done = subprocess.run(["git", *step], capture_output=True, text=True)
         if done.returncode:
             raise Failed(f"git {' '.join(step)}: {done.stderr.strip()}")
-    if not (target / "tests" / "compare_behaviour.py").exists():
-        raise Failed(f"{revision} has no tests/compare_behaviour.py and cannot be played")
+    if tool_of(target) is None:
+        raise Failed(f"{revision} has no compare_behaviour.py and cannot be played")
 
 
 def resolve(revision: str) -> str:
@@ -236,7 +247,7 @@
         for folder in ("tests", "src"):
             sys.path.insert(0, str(ROOT / folder))
     if given.list:
-        from behaviour_days import DAYS
+        from tools.behaviour_scenarios import DAYS
 
         print("\n".join(DAYS))
         return 0
--- a/tests/make_golden_data.py
+++ b/tests/tools/make_golden_data.py
@@ -1,9 +1,9 @@
 """Makes tests/data/golden: what the present sources make of given values, and send on two days.
 
-`python tests/make_golden_data.py` writes the files anew: after a change of what is stored, sent or
-planned, which its commit then says. A renaming must not need it.
-`python tests/make_golden_data.py days` prints what is sent on the days; sets are read in an order
-that hangs on PYTHONHASHSEED, so it is run with 0.
+`python tests/tools/make_golden_data.py` writes the files anew: after a change of what is stored,
+sent or planned, which its commit then says. A renaming must not need it.
+`python tests/tools/make_golden_data.py days` prints what is sent in the scenarios; sets are read in
+an order that depends on PYTHONHASHSEED, so it is run with 0.
 """
 
 from __future__ import annotations
@@ -16,12 +16,14 @@
 from pathlib import Path
 from typing import Any
 
-sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent / "src")]
+ROOT = Path(__file__).resolve().parents[2]
+sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "src")]
 
-import golden  # noqa: E402
 import standins  # noqa: E402
+from support import golden  # noqa: E402
+from support.paths import DATA  # noqa: E402
 
-FOLDER = Path(__file__).parent / "data" / "golden"
+FOLDER = DATA / "golden"
 
 SPEC: dict[str, Any] = {
     "bundle": "x",
--- a/tests/make_production_data.py
+++ b/tests/tools/make_production_data.py
@@ -7,11 +7,13 @@
 import anyio
 import cbor2
 
-sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent / "src")]
+ROOT = Path(__file__).resolve().parents[2]
+sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "src")]
 
-import production  # noqa: E402
 import standins  # noqa: E402
-from test_days import hand_in, run_script  # noqa: E402
+from simulation.test_scenarios import hand_in, run_script  # noqa: E402
+from support import production  # noqa: E402
+from support.paths import DATA  # noqa: E402
 
 
 def main() -> None:
@@ -36,8 +38,9 @@
     run_script(world, 32.0, script)
     records = [[key, value, version] for key, (value, version, _) in world.state.keys.items()]
     data = {"commit": production.commit(), "records": records, "messages": [*messages.values()]}
-    path = Path(__file__).parent / "data" / "production.json"
+    path = DATA / "production.json"
     path.write_text(json.dumps(data, indent=1, sort_keys=True) + "\n")
 
 
-main()
+if __name__ == "__main__":
+    main()
--- a/tests/measure_shares.py
+++ b/tests/tools/measure_partitions.py
@@ -1,7 +1,7 @@
 """How long moves of machines between shares take, and what the work there waits (simulated).
 
-Not a test: `PYTHONPATH=src:tests target/ci/bin/python tests/measure_shares.py` plays each move with
-the stand-ins in virtual time and prints a table for `docs/shares.md`.
+Not a test: `PYTHONPATH=src:tests target/ci/bin/python tests/tools/measure_partitions.py` plays each
+move with the stand-ins in virtual time and prints a table for `docs/shares.md`.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
+from simulation.test_partition_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
 from standins import World, now, run_day
-from test_shares_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
 
 SIZES = (4, 16, 48)
 LOADS = {"idle": 0.0, "tasks of 10 s": 10.0, "tasks of 60 s": 60.0}
--- /dev/null
+++ b/tests/tools/play_answers.py
@@ -0,0 +1,33 @@
+"""Plays drawn scenarios in which users ask about short jobs while troubles meet.
+
+`PYTHONPATH=src:tests target/ci/bin/python tests/tools/play_answers.py FIRST LAST [SIZE]` plays a
+range of seeds and prints what broke.
+"""
+
+from __future__ import annotations
+
+import logging
+import sys
+
+from support.answer_scenarios import play_answers
+
+
+def main(arguments: list[str]) -> None:
+    first, last = int(arguments[0]), int(arguments[1])
+    jobs = int(arguments[2]) if len(arguments) > 2 else 40
+    logging.disable(logging.CRITICAL)
+    broken = 0
+    for seed in range(first, last + 1):
+        world = play_answers(seed, jobs)
+        broken += bool(world.broken)
+        print(
+            f"seed {seed}: {world.history.answers} answers, {len(world.accepted)} jobs,",
+            f"{len(world.cloud.provisioning_requests)} bookings, {world.cloud.next_name} machines,",
+            f"{len(world.broken)} broken: {world.broken[:3]}",
+            flush=True,
+        )
+    print(f"{last - first + 1} days played, rules broken on {broken}")
+
+
+if __name__ == "__main__":
+    main(sys.argv[1:])
--- /dev/null
+++ b/tests/unit/__init__.py
@@ -0,0 +1,1 @@
+"""State machines, models and parsers, each alone."""
--- a/tests/test_compare_behaviour.py
+++ b/tests/unit/test_compare_behaviour.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from compare_behaviour import (
+from standins import recorder
+from tools.compare_behaviour import (
     HASH_SEEDS,
     ROOT,
     Difference,
@@ -16,7 +17,6 @@
     report,
     run_tool,
 )
-from standins import recorder
 
 EVENTS = [
     json.dumps({"at": float(n), "event": "frame", "message": {"number": n}}) + "\n"
--- a/tests/test_share_history.py
+++ b/tests/unit/test_partition_history.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from share_history import Entry, ShareHistory
+from support.partition_history import Entry, ShareHistory
 
 NIGHT = "a/~night"
 
--- a/tests/test_shares_model.py
+++ b/tests/unit/test_partition_model.py
@@ -40,7 +40,7 @@
     TransferId,
     shard_name,
 )
-from share_history import ShareHistory
+from support.partition_history import ShareHistory
 
 OWN = ShardName("a")
 NIGHT, DAY = shard_name("a", "night"), shard_name("a", "day")
--- a/tests/test_shares_plan.py
+++ b/tests/unit/test_partition_plan.py
@@ -24,10 +24,10 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources
-from test_operators import settings_file
+from loopback.test_operators import settings_file
+from support.paths import ROOT
 
 MACHINE = Resources(8.0, 0.0, 32.0)
-ROOT = Path(__file__).resolve().parent.parent
 
 
 def rule(**fields: Any) -> dict[str, Any]:
--- a/tests/test_growth.py
+++ b/tests/unit/test_work_scaling.py
@@ -26,7 +26,7 @@
 from dapplewick.storage.transactions import split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
-from test_four_points import IN_ZONE, KIND, ZONE, Bench, spec
+from unit.test_scheduler_models import IN_ZONE, KIND, ZONE, Bench, spec
 
 
 def calls(work: Callable[[], Any]) -> int:
