--- a/tests/compatibility/test_golden_data.py
+++ b/tests/compatibility/test_golden_data.py
@@ -19,14 +19,14 @@
 GOLDEN: dict[str, Any] = {
     file.stem.replace("_", " "): json.loads(file.read_text()) for file in FOLDER.glob("*.json")
 }
-DAYS: dict[str, Any] = GOLDEN.pop("days")
+SCENARIOS: dict[str, Any] = GOLDEN.pop("days")
 ITEMS = [(kind, label) for kind in sorted(GOLDEN) for label in GOLDEN[kind]]
-SENT = [(label, kind) for label in DAYS for kind in DAYS[label]]
+SENT = [(label, kind) for label in SCENARIOS for kind in SCENARIOS[label]]
 STORED = [
     (label, kind, number)
     for label, kind in SENT
     if kind.startswith("record ") and kind != "record dw/d/"
-    for number in range(len(DAYS[label][kind]["samples"]))
+    for number in range(len(SCENARIOS[label][kind]["samples"]))
 ]
 
 
@@ -54,26 +54,26 @@
 
 
 @pytest.mark.parametrize(("label", "kind", "number"), STORED)
-def test_a_record_of_a_day_is_written_as_it_was_read(label: str, kind: str, number: int) -> None:
-    stored = DAYS[label][kind]["samples"][number]
+def test_a_scenarios_record_is_written_as_it_was_read(label: str, kind: str, number: int) -> None:
+    stored = SCENARIOS[label][kind]["samples"][number]
     key, value = json.loads(stored)
     again = WRITERS["records"]([[key, value, 5]])["again"]
     assert [f'["{key}",{text}]' for key, text in again] == [stored]
 
 
 @pytest.fixture(scope="module")
-def days_now() -> Any:
-    return make_golden_data.days()
+def scenarios_now() -> Any:
+    return make_golden_data.scenarios()
 
 
 @pytest.mark.parametrize(("label", "kind"), SENT)
-def test_all_that_is_sent_on_a_day_is_as_before(days_now: Any, label: str, kind: str) -> None:
+def test_all_that_a_scenario_sends_is_as_before(scenarios_now: Any, label: str, kind: str) -> None:
     """A change of what is planned changes it, and then the data is made anew."""
-    now, before = days_now[label].get(kind), DAYS[label][kind]
+    now, before = scenarios_now[label].get(kind), SCENARIOS[label][kind]
     assert now is not None and now["samples"] == before["samples"]
     assert now == before
 
 
-@pytest.mark.parametrize("label", DAYS)
-def test_nothing_else_is_sent_on_a_day(days_now: Any, label: str) -> None:
-    assert days_now[label].keys() == DAYS[label].keys()
+@pytest.mark.parametrize("label", SCENARIOS)
+def test_a_scenario_sends_nothing_else(scenarios_now: Any, label: str) -> None:
+    assert scenarios_now[label].keys() == SCENARIOS[label].keys()
--- a/tests/compatibility/test_partition_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -1,4 +1,4 @@
-"""Shares beside versions and controllers without them, and shares that are switched off."""
+"""Partitions beside versions and controllers without them, and partitions switched off."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     machines_of,
     move,
     new_world,
+    partitions_begun,
     pinned,
     play_moves,
-    shares_begun,
     until,
 )
 from standins import World, now
@@ -32,7 +32,7 @@
 
 
 def traces(world: World) -> list[str]:
-    """What shares have left in the state service, ever."""
+    """What partitions have ever written to the state service."""
     found = []
     for _, key, value, _ in world.state.log:
         if key.startswith(TRANSFERS) or (key.startswith(SHARDS) and partition_of(key)):
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("earlier", ["production", "the main before"])
-def test_shares_begin_only_once_all_controllers_understand_them(earlier: str) -> None:
+def test_partitions_begin_once_all_controllers_understand_them(earlier: str) -> None:
     world = new_world(21, FIXED_PLAN)
     revision = production.commit() if earlier == "production" else production.PREVIOUS_MAIN
     world.old = production.load_commit(revision)
@@ -62,7 +62,7 @@
             world.crash(name)
             await anyio.sleep(1.0)
             world.start_controller(name)
-        await shares_begun(world)
+        await partitions_begun(world)
         pinned(world, "run-000002", 16, 12.0)
         await until(lambda: bool(machines_of(world, NIGHT)), 60.0)
         world.calm_at = now()
@@ -73,7 +73,7 @@
     assert traces(world) and len(world.told) == 2
 
 
-def test_one_controller_without_shares_keeps_all_from_them() -> None:
+def test_one_controller_without_partitions_keeps_all_from_them() -> None:
     world = new_world(22, FIXED_PLAN)
     world.without_partitions = {"n1"}
     seen: list[list[str]] = []
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("after", [0.5, 6.0, 25.0])
-def test_switched_off_in_mid_move_all_machines_come_to_rest_in_the_zones_part(
+def test_switched_off_in_mid_move_all_machines_return_to_the_zones_shard(
     after: float,
 ) -> None:
     world = new_world(23)
@@ -118,11 +118,11 @@
 
     history = play_moves(world, script, 260.0)
     assert history.open_transfers() == []
-    assert not any(partition_of(shard) for shard in history.parts_in_grants())
+    assert not any(partition_of(shard) for shard in history.shards_in_assignments())
     assert len(world.told) == 3
 
 
-def test_switched_off_nothing_of_shares_is_written_sent_or_answered() -> None:
+def test_switched_off_nothing_of_partitions_is_written_sent_or_answered() -> None:
     world = World(24)
     said: list[dict[str, Any]] = []
 
@@ -142,7 +142,7 @@
     assert FORMAT_NOW < PARTITIONS_FORMAT
 
 
-def test_switched_off_nothing_of_shares_is_loaded() -> None:
+def test_switched_off_nothing_of_partitions_is_loaded() -> None:
     text = (
         "import sys, dapplewick.controller.startup, dapplewick.cli.main\n"
         "from click.testing import CliRunner\n"
--- a/tests/compatibility/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -17,20 +17,20 @@
 from simulation.test_failure_pairs import finished
 from standins import NEXT
 from support import production
-from support.rolls import TROUBLES, Trouble, play_roll
+from support.rolls import FAULTS, Fault, play_roll
 
 VALUE_BYTES = 942  # what the lower limit leaves of 1 KiB
 TXN_OPS = 4
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
-def test_rolls_of_the_main_before_and_this_version(trouble: Trouble) -> None:
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
+def test_rolling_upgrades_from_the_previous_main(fault: Fault) -> None:
     """The limits fall at a drawn moment of the roll; services run from before it."""
-    seed = TROUBLES.index(trouble) + 1
+    seed = FAULTS.index(fault) + 1
     lowered_after = random.Random(seed).uniform(4.0, 60.0)
     earlier = production.load_commit(production.PREVIOUS_MAIN)
-    world = play_roll(earlier, trouble, seed, lowered_after=lowered_after).world
-    assert world.broken == []
+    world = play_roll(earlier, fault, seed, lowered_after=lowered_after).world
+    assert world.violations == []
     assert finished(world) == {"run-service0": "running", "run-service1": "running"}
     assert world.told["run-service2"] == "withdrawn"
     largest = max(encoded_size(value) for value, _, _ in world.state.keys.values())
@@ -43,7 +43,7 @@
 
 
 class Store:
-    """Machine groups as the state service has them, with a mirror that follows."""
+    """Machine groups as the state service has them, with a watch cache that follows."""
 
     def __init__(self, count: int) -> None:
         self.cache = WatchCache()
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -27,18 +27,18 @@
 from simulation.test_failure_pairs import cancel, finished, leader
 from simulation.test_scenarios import (
     cut_from_state,
-    hand_in,
     late_copies,
     lost_answers,
     quick_restarts,
     run_script,
     state_outage,
+    submit_jobs,
     zone_cut,
 )
 from standins import NEXT, World, now, settings
 from support import production
 from support.paths import DATA
-from support.rolls import TROUBLES, Trouble, hand_in_large, lower_limits, nothing, play_roll
+from support.rolls import FAULTS, Fault, lower_limits, nothing, play_roll, submit_large_arrays
 from unit.test_scheduler_models import Bench, spec
 
 PRODUCTION = DATA / "production.json"
@@ -86,7 +86,7 @@
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 8, pieces=40, cpus=2.0, true_s=6.0)
+        submit_jobs(world, 8, pieces=40, cpus=2.0, true_s=6.0)
         for n in range(8, 12):
             body = world.job(name_id=f"run-{n:06d}", shape="group", pieces=3, true_s=9.0)
             world.group.start_soon(world.user, body["name_id"], body, 12.0 if n == 9 else None)
@@ -96,7 +96,7 @@
         assert (answer.status, answer.retry_after) == (503, 5)
 
     run_script(world, 70.0, script)
-    assert world.broken == [] and FORMAT not in world.state.keys
+    assert world.violations == [] and FORMAT not in world.state.keys
     old = production.load()
     theirs, ours = old.WatchCache(), WatchCache()
     for cache in (theirs, ours):
@@ -137,14 +137,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
-def test_rolls_of_production_and_this_version(
-    trouble: Trouble, seed: int, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
+def test_rolling_upgrades_from_production(
+    fault: Fault, seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    played = play_roll(production.load(), trouble, seed)
+    played = play_roll(production.load(), fault, seed)
     world = played.world
-    assert played.raised_early == [] and world.broken == []
+    assert played.raised_early == [] and world.violations == []
     services_left = {f"run-service{n}" for n in range(2)}
     assert finished(world).keys() == services_left
     assert set(finished(world).values()) == {"running"}
@@ -160,13 +160,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [quick_restarts, late_copies, lost_answers, cut_from_state, state_outage, zone_cut],
     ids=lambda f: f.__name__,
 )
-def test_arrays_in_chunks_keep_the_rules_in_every_trouble(trouble: Trouble, seed: int) -> None:
-    """Grants move between parts, tasks end in no order, some jobs are cancelled, and the limits
-    are the lower ones from the start."""
+def test_arrays_in_chunks_keep_the_rules_under_every_fault(fault: Fault, seed: int) -> None:
+    """Assignments move between shards, tasks end in no order, some jobs are cancelled, and the
+    limits are the lower ones from the start."""
     world = World(seed)
     lower_limits(world)
 
@@ -186,11 +186,11 @@
                 expected_s=4.0,
             )
             world.group.start_soon(world.user, body["name_id"], body, 40.0 if n == 3 else None)
-        await trouble(world)
+        await fault(world)
         world.calm_at = now()
 
     run_script(world, 330.0, script)
-    assert world.broken == [] and finished(world) == {} and len(world.told) == 5
+    assert world.violations == [] and finished(world) == {} and len(world.told) == 5
     # In chunks from the start, whatever is left of them.
     assert all(world.state.keys[f"{JOBS}run-{n:06d}"][0]["chunk"] for n in range(5))
     assert any(key.startswith(CHUNKS) for _, key, _, gone in world.state.log if not gone)
@@ -206,8 +206,8 @@
 
     async def script() -> None:
         await anyio.sleep(2)
-        hand_in_large(world, 0)
-        hand_in_large(world, 2)
+        submit_large_arrays(world, 0)
+        submit_large_arrays(world, 2)
         await anyio.sleep(24)
         for name in world.names:
             world.old_names.discard(name)
@@ -232,7 +232,7 @@
         world.calm_at = now()
 
     run_script(world, 260.0, script)
-    assert world.broken == [] and finished(world) == {} and len(world.told) == 4
+    assert world.violations == [] and finished(world) == {} and len(world.told) == 4
     assert "run-large1" in world.cancelled_at
     assert not any(key.startswith(CHUNKS) for key in world.state.keys)
 
@@ -275,7 +275,7 @@
 
 def test_what_was_given_back_stays_so_until_its_own_chunk_changes() -> None:
     """Two chunks of a job are written one after the other: with the first, what is taken back in
-    the second was started again, while the leader gave it to another part."""
+    the second was started again, while the leader gave it to another shard."""
     bench = Bench(0)
     job = JobRecord(spec(4, 1.0, 10.0), 0.0)
     job.chunk_size = 2
@@ -293,7 +293,7 @@
     bench.put(f"{CHUNKS}run-1/0", {"grants": {"b": "0"}})
     bench.scheduler.job_changed(101.0, job_id)
     assert released(101.0) == [2]
-    # Granted anew, or changed without being taken back: it may run here.
+    # Assigned anew, or changed without being taken back: it may run here.
     bench.put(f"{CHUNKS}run-1/1", {"grants": {"a": "2", "b": "3"}})
     bench.scheduler.job_changed(102.0, job_id)
     assert released(102.0) == []
@@ -309,7 +309,7 @@
         assert tasks <= unpack(value["grants"][zone])
 
 
-def test_the_place_of_a_long_gang_from_before_the_upgrade_is_moved_to_shares() -> None:
+def test_the_placement_of_a_long_gang_from_before_the_upgrade_is_split() -> None:
     """Its record is larger than the lower limit allows: once that has fallen, a cancellation,
     which keeps the places, was refused until the gang had ended."""
     cache = WatchCache()
@@ -334,7 +334,7 @@
     assert leader.plan(2.0, 2.0) == []
 
 
-def test_a_long_gangs_place_is_read_from_its_shares_whatever_order_they_come_in() -> None:
+def test_a_long_gangs_placement_is_joined_from_its_pieces_in_any_order() -> None:
     cache = WatchCache()
     job = JobRecord(spec(5, 1.0, 10.0, is_gang=True), 0.0)
     placements = [("a", f"vm-{n:06d}") for n in range(5)]
@@ -413,7 +413,7 @@
     assert (lowest.value_kb, lowest.write_rps) == (16.0, 80.0)
 
 
-# Guards taken out
+# Mutations: guards removed
 
 
 def the_format_is_raised_by_guess(patch: pytest.MonkeyPatch) -> None:
@@ -436,11 +436,11 @@
 
 
 @pytest.mark.parametrize("patch", [the_format_is_raised_by_guess, no_chunks])
-def test_a_guard_of_the_upgrade_that_is_taken_out_is_noticed(
+def test_a_removed_guard_of_the_upgrade_is_detected(
     patch: Callable[[pytest.MonkeyPatch], None],
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     patch(monkeypatch)
     with pytest.raises((AssertionError, BaseExceptionGroup)):  # the script's own come in a group
-        test_rolls_of_production_and_this_version(nothing, 1, caplog)
+        test_rolling_upgrades_from_production(nothing, 1, caplog)
--- a/tests/loopback/test_controllers.py
+++ b/tests/loopback/test_controllers.py
@@ -201,7 +201,7 @@
                 ]:
                     break
             users.cancel_scope.cancel()
-        assert world.broken == []
+        assert world.violations == []
         assert world.told == {
             "run-000001": "done",
             "run-000002": "done",
@@ -367,7 +367,7 @@
     anyio.run(main, backend_options={"use_uvloop": use_uvloop})
 
 
-def test_random_bytes_are_no_report() -> None:
+def test_random_bytes_are_no_heartbeat() -> None:
     from dapplewick.protocol.errors import MalformedMessageError
     from dapplewick.protocol.users import parse_submission
     from dapplewick.protocol.workers import parse_heartbeat
--- a/tests/loopback/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -18,7 +18,7 @@
 from dapplewick.controller.status import controller_status
 from dapplewick.tuning import Tuning
 from loopback.test_controllers import RealWorld, until_healthy, world  # noqa: F401
-from standins import World, run_day
+from standins import World, run_in_virtual_time
 from support.paths import ROOT
 
 
@@ -158,7 +158,7 @@
     async def main_() -> None:
         await day.play(60.0, script_)
 
-    run_day(main_)
+    run_in_virtual_time(main_)
     assert len(seen) == 3
     assert any(status["owned"] for status in seen)
     json.dumps(seen)
--- a/tests/loopback/test_partitions.py
+++ b/tests/loopback/test_partitions.py
@@ -1,4 +1,4 @@
-"""Shares with real processes on loopback and stand-in workers: a move there and back."""
+"""Partitions with real processes on loopback and stand-in workers: a move there and back."""
 
 from __future__ import annotations
 
@@ -14,9 +14,16 @@
 
 from dapplewick.cli.main import main
 from loopback.test_controllers import RealWorld
-from simulation.test_partition_moves import NIGHT, machines_of, owner, pinned, shares_begun, until
+from simulation.test_partition_moves import (
+    NIGHT,
+    machines_of,
+    owner,
+    partitions_begun,
+    pinned,
+    until,
+)
 from standins import now
-from support.partition_history import ShareHistory
+from support.partition_history import PartitionHistory
 
 PLAN_TEXT = """
 shares = {
@@ -53,7 +60,7 @@
     raise AssertionError(said.output)
 
 
-def move(source: str, target: str, count: int, order: str) -> list[str]:
+def move(source: str, target: str, count: int, command_id: str) -> list[str]:
     return [
         "move",
         "--zone",
@@ -65,7 +72,7 @@
         "--to",
         target,
         "--id",
-        order,
+        command_id,
         str(count),
     ]
 
@@ -76,7 +83,7 @@
 
     async def script() -> None:
         with anyio.fail_after(110.0):
-            await shares_begun(world)
+            await partitions_begun(world)
             pinned(world, "run-000001", 12, 9.0, expected_s=100.0)
             await until(lambda: len(world.first_start) == 12, 40.0)
             have = len(machines_of(world, "a"))
@@ -102,9 +109,9 @@
         await world.run(script)
 
     anyio.run(play)
-    history = ShareHistory()
+    history = PartitionHistory()
     assert history.check(world.state.log) == []
-    assert world.broken == []
+    assert world.violations == []
     assert world.reruns == [] and max(world.starts_of.values()) == 1  # no running task was lost
     assert "share night  for red" in shown[0] and "(no share) to night  c8  " in shown[0]
     assert [t["state"] for t in json.loads(shown[1])["transfers"]] == ["complete", "complete"]
--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -26,7 +26,7 @@
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import ControllerName, JobId
 from simulation.test_scenarios import run_script
-from standins import AnswerHistory, World, now, run_day
+from standins import AnswerHistory, World, now, run_in_virtual_time
 from support.answer_scenarios import play_answers
 
 Reply = tuple[int, bytes]
@@ -84,7 +84,7 @@
         answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 80.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
     assert status == 200 and said["stage"] == stage
 
@@ -119,7 +119,7 @@
         statuses.append((await world.ask_controller("n1", request))[0])
 
     run_script(world, 30.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert statuses[0] == 503 and statuses[1] in (200, 201)
 
 
@@ -168,7 +168,7 @@
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
     assert status in (200, 201) and said["stage"] == "withdrawn"
 
@@ -211,7 +211,7 @@
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
     assert status in (0, 503) or said["stage"] == "withdrawn"
 
@@ -256,7 +256,7 @@
         answers.append(await world.ask_controller("n2", POLL))
 
     run_script(world, 40.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert [status for status, _ in answers] == [503, 503, 503, 503, 200]
     assert answers[-1][1]["stage"] == "withdrawn"
     assert max(waited) < 1.0
@@ -285,7 +285,7 @@
             assert (await world.ask_controller(name, POLL))[1]["stage"] == "withdrawn"
 
     run_script(world, 30.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert answers == [503] * 9
 
 
@@ -303,7 +303,7 @@
             assert status == 503
 
     run_script(world, 12.0, script)
-    assert world.broken == []
+    assert world.violations == []
 
 
 class PagesWithoutEnd:
@@ -325,7 +325,7 @@
         with pytest.raises(RequestRefusedError):
             await client.listing("dw/")
 
-    run_day(script)
+    run_in_virtual_time(script)
 
 
 # Refusals
@@ -347,7 +347,7 @@
         answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 40.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
     assert status == 200 and said["stage"] == "withdrawn"
 
@@ -377,7 +377,7 @@
             ]
 
     run_script(world, 60.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert set(seen["malformed"] + seen["incomplete"]) == {(400, None)}
     for what in ("another", "too large", "unknown team"):
         assert set(seen[what]) == {(200, stage)}
@@ -439,7 +439,7 @@
 # Changes that are told late
 
 
-def test_an_answer_that_was_overtaken_brings_nothing_back() -> None:
+def test_an_overtaken_watch_response_brings_nothing_back() -> None:
     """More keys were removed since than are remembered; a watch that was asked before tells of
     what was there before that."""
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
@@ -472,13 +472,13 @@
     assert len(cache._removals) <= REMOVALS_LEAST + 1
 
 
-# Drawn days
+# Random scenarios
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_no_answer_goes_back_on_drawn_days(seed: int) -> None:
+def test_no_answer_goes_back_in_random_scenarios(seed: int) -> None:
     world = play_answers(seed)
-    assert world.broken == []
+    assert world.violations == []
     assert world.history.answers > 1000 and len(world.accepted) > 30
 
 
@@ -490,7 +490,7 @@
     history = AnswerHistory()
     for verb, status, stage in answers:
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
-    return history.broken
+    return history.violations
 
 
 @pytest.mark.parametrize(
@@ -509,14 +509,14 @@
         ([("poll", 200, "done"), ("poll", 404, "")], "forgotten"),
     ],
 )
-def test_each_kind_of_answer_that_goes_back_is_noticed(
+def test_each_kind_of_answer_that_goes_back_is_detected(
     answers: list[tuple[str, int, str]], rule: str
 ) -> None:
-    (broken,) = told(*answers)
-    assert broken.startswith(rule)
+    (violations,) = told(*answers)
+    assert violations.startswith(rule)
 
 
-def test_answers_that_do_not_go_back_are_not_noticed() -> None:
+def test_answers_that_do_not_go_back_pass() -> None:
     history = AnswerHistory()
     early = history.ask(JOB, "poll")  # put before the job was known, answered at the end
     before = history.ask(JOB, "poll")
@@ -534,7 +534,7 @@
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
     history.answered(early, 404, {})
     history.answered(before, 200, {"stage": "running"})
-    assert history.broken == [] and history.answers == 9
+    assert history.violations == [] and history.answers == 9
 
 
 def test_two_final_states_contradict_each_other_in_any_order() -> None:
@@ -542,5 +542,5 @@
     first, second = history.ask(JOB, "abort"), history.ask(JOB, "poll")
     history.answered(second, 200, {"stage": "done"})
     history.answered(first, 200, {"stage": "withdrawn"})
-    (broken,) = history.broken
-    assert broken.startswith("went_back")
+    (violations,) = history.violations
+    assert violations.startswith("went_back")
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -1,4 +1,4 @@
-"""Failures that meet: each is brought about here, and its guard taken out is noticed.
+"""Compound failures: each is brought about, and the removal of its guard is detected.
 
 `docs/meetings.md` has a row for each, with what guards against it.
 """
@@ -18,16 +18,16 @@
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.transport.http import Request
 from dapplewick.transport.http_client import HttpClient
-from simulation.test_failure_pairs import cancel, day, finished, leader
+from simulation.test_failure_pairs import cancel, finished, leader, play_scenario
 from simulation.test_mutations import (
-    no_check_that_the_mirror_is_current,
+    no_check_that_the_watch_cache_is_current,
     no_stop_of_cancelled_tasks,
     no_wait_for_unheard_machines,
 )
-from simulation.test_scenarios import hand_in, owners, run_script
+from simulation.test_scenarios import owners, run_script, submit_jobs
 from standins import World, now
 from support.rolls import lower_limits
-from support.scenario_checks import Onlooker, ask, end_of_day
+from support.scenario_checks import AnswerProbe, ask, final_check_failures
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
@@ -40,10 +40,10 @@
 # Only the answers of transactions are lost, and users ask everywhere at once
 
 
-async def close_looks(world: World, lost_answers: float) -> Onlooker:
+async def close_looks(world: World, lost_answers: float) -> AnswerProbe:
     """Jobs are accepted, ended and cancelled; right after each answer all controllers are asked,
     and submissions and cancellations are repeated at others."""
-    onlooker = Onlooker(world)
+    probe = AnswerProbe(world)
     await anyio.sleep(4)
     world.lost_answers = lost_answers
 
@@ -53,23 +53,23 @@
         status = 0
         while status not in (200, 201):
             name = world.random.choice(world.names)
-            status, _ = await onlooker.request(name, ask(body, job_id), job_id)
-            await onlooker.look(job_id)
+            status, _ = await probe.request(name, ask(body, job_id), job_id)
+            await probe.look(job_id)
             await anyio.sleep(0.3)
         world.accepted.add(job_id)
         world.accepted_at[job_id] = now()
         for n in range(60):
             await anyio.sleep(0.7)
-            await onlooker.look(job_id)
+            await probe.look(job_id)
             name = world.random.choice(world.names)
             if n == 2 and number % 3 == 0:
-                status, said = await onlooker.request(name, ask(None, job_id, "abort"), job_id)
+                status, said = await probe.request(name, ask(None, job_id, "abort"), job_id)
                 if status == 200:
                     world.cancelled_at[job_id] = now()
                     world.told[job_id] = said["stage"]
-                await onlooker.look(job_id)
+                await probe.look(job_id)
             if n % 9 == 4:
-                status, _ = await onlooker.request(name, ask(body, job_id), job_id)
+                status, _ = await probe.request(name, ask(body, job_id), job_id)
                 assert status in (0, 200, 503)
 
     async with anyio.create_task_group() as group:
@@ -77,7 +77,7 @@
             group.start_soon(user, number)
             await anyio.sleep(1.5)
         group.start_soon(restarts, world)
-    return onlooker
+    return probe
 
 
 async def restarts(world: World) -> None:
@@ -90,42 +90,42 @@
             world.start_controller(name)
 
 
-def played_close_looks(seed: int, lost_answers: float) -> Onlooker:
-    seen: list[Onlooker] = []
+def played_close_looks(seed: int, lost_answers: float) -> AnswerProbe:
+    seen: list[AnswerProbe] = []
     world = World(seed)
 
     async def script() -> None:
         seen.append(await close_looks(world, lost_answers))
 
     run_script(world, 130.0, script)
-    assert world.broken == []
-    (onlooker,) = seen
-    assert onlooker.answers > 1000 and set(onlooker.known.values()) == {2}
-    return onlooker
+    assert world.violations == []
+    (probe,) = seen
+    assert probe.answers > 1000 and set(probe.known.values()) == {2}
+    return probe
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("lost_answers", [0.0, 0.25])
 def test_no_controller_answers_something_older_than_another(seed: int, lost_answers: float) -> None:
-    assert played_close_looks(seed, lost_answers).broken == []
+    assert played_close_looks(seed, lost_answers).violations == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_answers_from_a_mirror_that_may_be_old_are_noticed(
+def test_answers_from_a_stale_watch_cache_are_detected(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    no_check_that_the_mirror_is_current(monkeypatch)
-    assert any("older_answer" in b for b in played_close_looks(seed, 0.0).broken)
+    no_check_that_the_watch_cache_is_current(monkeypatch)
+    assert any("older_answer" in b for b in played_close_looks(seed, 0.0).violations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_whole_days_with_lost_answers_of_transactions_start_nothing_twice(seed: int) -> None:
+def test_lost_answers_of_transactions_start_nothing_twice(seed: int) -> None:
     """Attempts and tokens that were written without knowing stay unique (the stand-in of a worker
     fails on one that is repeated), leaders and owners change meanwhile."""
 
     async def script(world: World) -> None:
         await anyio.sleep(3)
-        hand_in(world, 8, pieces=5, cpus=2.0, true_s=14.0)
+        submit_jobs(world, 8, pieces=5, cpus=2.0, true_s=14.0)
         for n in range(8, 12):
             body = world.job(name_id=f"run-{n:06d}", shape="group", pieces=3, true_s=20.0)
             world.group.start_soon(world.user, body["name_id"], body, 25.0 if n == 9 else None)
@@ -139,24 +139,24 @@
         world.lost_answers = 0.0
         world.calm_at = now()
 
-    world = day(script, seed, 330.0)
-    assert world.broken == [] and end_of_day(world) == []
+    world = play_scenario(script, seed, 330.0)
+    assert world.violations == [] and final_check_failures(world) == []
     assert finished(world) == {} and len(world.accepted) == 12
 
 
-# Reports that are kept for the next leader
+# Heartbeats that are kept for the next leader
 
 
 async def kept_for_the_next_leader(world: World) -> None:
-    """Copies of reports reach every controller just as a new leader and new owners begin."""
+    """Copies of heartbeats reach every controller just as a new leader and new owners begin."""
     await anyio.sleep(3)
-    hand_in(world, 16, pieces=8, cpus=2.0, true_s=11.0)
+    submit_jobs(world, 16, pieces=8, cpus=2.0, true_s=11.0)
     for _ in range(4):
         await anyio.sleep(8)
         copies: list[Request] = []
-        world.kept_reports = copies
+        world.kept_heartbeats = copies
         await anyio.sleep(4)
-        world.kept_reports = None
+        world.kept_heartbeats = None
         await anyio.sleep(6)
         unreachable = [w for _, w in sorted(world.workers.items())][::3]
         for worker in unreachable:
@@ -177,36 +177,36 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_reports_kept_for_the_next_leader_settle_nothing(
+def test_heartbeats_kept_for_the_next_leader_settle_nothing(
     seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = day(kept_for_the_next_leader, seed, 330.0)
+    world = play_scenario(kept_for_the_next_leader, seed, 330.0)
     assert world.copied > 200
     assert "event=task_unexpected" not in caplog.text  # no owner finds what it thought elsewhere
-    assert world.broken == [] and end_of_day(world) == [] and finished(world) == {}
+    assert world.violations == [] and final_check_failures(world) == [] and finished(world) == {}
 
 
-def old_reports_settle(patch: pytest.MonkeyPatch) -> None:
-    """Whatever a report shows counts, whichever token it carries."""
+def stale_heartbeats_settle(patch: pytest.MonkeyPatch) -> None:
+    """Whatever a heartbeat shows counts, whichever token it carries."""
     take = ShardScheduler._take_tasks
 
     def trusting(
-        self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
+        self: ShardScheduler, at: float, machine: Any, heartbeat: Any, settles: bool, new: bool
     ) -> Any:
         self.unreconciled.discard(machine.id)
-        commands = take(self, at, machine, report, True, new)
+        commands = take(self, at, machine, heartbeat, True, new)
         self._release_unconfirmed(at)
         return commands
 
     patch.setattr(ShardScheduler, "_take_tasks", trusting)
 
 
-def test_old_reports_that_settle_are_noticed(
+def test_stale_heartbeats_that_settle_are_detected(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Tasks that run were waiting to be started by then."""
-    old_reports_settle(monkeypatch)
-    day(kept_for_the_next_leader, 1, 330.0)
+    stale_heartbeats_settle(monkeypatch)
+    play_scenario(kept_for_the_next_leader, 1, 330.0)
     assert "event=task_unexpected" in caplog.text
 
 
@@ -240,7 +240,7 @@
             wire.request = request  # type: ignore[method-assign]
 
     monkeypatch.setattr(World, "start_controller", spy)
-    day(kept_for_the_next_leader, 1, 120.0)
+    play_scenario(kept_for_the_next_leader, 1, 120.0)
     assert asked == {
         ("state", "keys"),
         ("state", "changes"),
@@ -273,7 +273,7 @@
     world.late_writes = 0.1
     await anyio.sleep(3)
     for n in range(16):
-        hand_in(world, 1, first=n, pieces=4, cpus=2.0, true_s=12.0)
+        submit_jobs(world, 1, first=n, pieces=4, cpus=2.0, true_s=12.0)
         await anyio.sleep(3)
         if n % 4 == 2:
             for name in dict.fromkeys([leader(world), *owners(world)[:1]]):
@@ -286,16 +286,16 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_machines_that_are_up_at_once_get_work_while_writes_lag(seed: int) -> None:
-    world = day(up_at_once, seed, 330.0)
-    assert world.broken == [] and end_of_day(world) == [] and finished(world) == {}
+    world = play_scenario(up_at_once, seed, 330.0)
+    assert world.violations == [] and final_check_failures(world) == [] and finished(world) == {}
 
 
-def test_work_on_machines_that_nobody_waits_for_is_noticed(
+def test_work_on_machines_that_nobody_waits_for_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_wait_for_unheard_machines(monkeypatch)
-    worlds = (day(up_at_once, seed, 330.0) for seed in range(1, 6))
-    assert any(b.startswith("ran_twice") for world in worlds for b in world.broken)
+    worlds = (play_scenario(up_at_once, seed, 330.0) for seed in range(1, 6))
+    assert any(b.startswith("ran_twice") for world in worlds for b in world.violations)
 
 
 # Many small jobs
@@ -345,31 +345,31 @@
         world.calm_at = now()
 
     run_script(world, 190.0, script)
-    assert world.broken == [] and end_of_day(world) == []
+    assert world.violations == [] and final_check_failures(world) == []
     assert len(ended) == 480 and caplog.records == []
     assert sorted(waits)[int(0.99 * len(waits))] < 1.0
     assert sorted(ended)[int(0.95 * len(ended))] < 45.0
     assert world.state.refused[400] == 0 and world.state.refused[429] <= 5
 
 
-# Cancellations while a part changes its owner, teams at their limit
+# Cancellations while a shard changes its owner, teams at their limit
 
 
 async def cancelled_in_a_handover(world: World) -> None:
     await anyio.sleep(3)
-    hand_in(world, 10, pieces=4, cpus=4.0, true_s=25.0, crew="blue")  # at its limit of 24 CPUs
-    hand_in(world, 8, first=10, pieces=3, cpus=2.0, true_s=90.0)
+    submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0, crew="blue")  # at its limit of 24 CPUs
+    submit_jobs(world, 8, first=10, pieces=3, cpus=2.0, true_s=90.0)
     for step in range(5):
         await anyio.sleep(16)
         owner = owners(world)[0]
         there = [(w, n.split("/")[0]) for w, n in world.on_machines()]
         running = sorted({j for _, j in there} - world.cancelled_at.keys())
-        called_off = [running[0], running[-1]]
-        lost = [w for w, j in there if j in called_off][:2]
+        cancelled_jobs = [running[0], running[-1]]
+        lost = [w for w, j in there if j in cancelled_jobs][:2]
         for worker in lost:
             worker.cut, worker.hanging = step % 2 == 0, step % 2 == 1
         world.crash(owner)
-        for job_id in called_off:
+        for job_id in cancelled_jobs:
             name = next(
                 n for n in world.names if n in world.controllers and world.controllers[n].ready
             )
@@ -383,25 +383,25 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_cancellations_while_a_part_changes_its_owner(seed: int) -> None:
-    world = day(cancelled_in_a_handover, seed, 420.0)
+def test_cancellations_while_a_shard_changes_its_owner(seed: int) -> None:
+    world = play_scenario(cancelled_in_a_handover, seed, 420.0)
     assert len(world.cancelled_at) > 6
-    assert world.broken == [] and end_of_day(world) == [] and finished(world) == {}
+    assert world.violations == [] and final_check_failures(world) == [] and finished(world) == {}
 
 
-def test_cancelled_tasks_that_go_on_after_a_handover_are_noticed(
+def test_cancelled_tasks_that_go_on_after_a_handover_are_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_stop_of_cancelled_tasks(monkeypatch)
-    world = day(cancelled_in_a_handover, 1, 420.0)
-    assert any(b.startswith("ran_cancelled") for b in world.broken)
+    world = play_scenario(cancelled_in_a_handover, 1, 420.0)
+    assert any(b.startswith("ran_cancelled") for b in world.violations)
 
 
-# The day's checks can fail
+# The scenario's checks can fail
 
 
 def world_of_jobs(started: dict[str, float], pieces: int = 1) -> World:
-    """A day of three jobs at 0 s; `started` says which task began when."""
+    """A scenario of three jobs at 0 s; `started` says which task began when."""
     world = World(1)
     for n in range(3):
         name = f"run-{n}"
@@ -417,7 +417,7 @@
 
 
 @pytest.mark.parametrize(
-    ("started", "broken"),
+    ("started", "violations"),
     [
         (ALL_STARTED, []),
         ({}, ["nothing_ran", "served class x", "served team red", "served largest x"]),
@@ -425,22 +425,22 @@
         (ALL_STARTED | {"run-2/0": 241.0}, ["late run-2"]),
     ],
 )
-def test_the_end_of_a_day_is_checked(started: dict[str, float], broken: list[str]) -> None:
-    found = end_of_day(world_of_jobs(started))
-    assert [b for b in found if b in broken] == broken
-    assert bool(found) == bool(broken)
+def test_the_end_of_a_scenario_is_checked(started: dict[str, float], violations: list[str]) -> None:
+    found = final_check_failures(world_of_jobs(started))
+    assert [b for b in found if b in violations] == violations
+    assert bool(found) == bool(violations)
 
 
 def test_starts_after_a_confirmed_cancellation_are_counted() -> None:
     world = world_of_jobs(ALL_STARTED)
     world.started_after_cancel["run-0/0"] = 2.0  # was on its way
     world.started_after_cancel["run-1/0"] = 12.5
-    assert end_of_day(world) == ["started_after_cancel run-1/0 12.5"]
+    assert final_check_failures(world) == ["started_after_cancel run-1/0 12.5"]
 
 
-def test_an_older_answer_is_noticed() -> None:
-    onlooker = Onlooker(World(1))
-    for before, stage, broken in [
+def test_a_stale_answer_is_detected() -> None:
+    probe = AnswerProbe(World(1))
+    for before, stage, violations in [
         (0, "unknown", 0),
         (0, "queued", 0),
         (1, "unknown", 1),
@@ -448,6 +448,6 @@
         (2, "running", 2),
         (2, "done", 2),
     ]:
-        onlooker.note("run-1", before, stage)
-        assert len(onlooker.broken) == broken
-    assert onlooker.known == {"run-1": 2}
+        probe.note("run-1", before, stage)
+        assert len(probe.violations) == violations
+    assert probe.known == {"run-1": 2}
--- a/tests/simulation/test_failure_pairs.py
+++ b/tests/simulation/test_failure_pairs.py
@@ -1,4 +1,4 @@
-"""Meetings of two troubles: each is brought about here, and its guard taken out is noticed.
+"""Pairs of faults: each is brought about, and the removal of its guard is detected.
 
 `docs/meetings.md` has a row for each, with what guards against it.
 """
@@ -26,8 +26,6 @@
     all_crash,
     blinks,
     cut_from_state,
-    deaf_machines,
-    hand_in,
     late_copies,
     one_crash,
     owners,
@@ -36,6 +34,8 @@
     run_script,
     stands_still,
     state_outage,
+    submit_jobs,
+    unreachable_machines,
     zone_cut,
 )
 from standins import WORKERS, World, now
@@ -73,7 +73,7 @@
     return {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")}
 
 
-def day(script: Script, seed: int, length: float, count: int = 3) -> World:
+def play_scenario(script: Script, seed: int, length: float, count: int = 3) -> World:
     world = World(seed, count)
 
     async def run() -> None:
@@ -93,7 +93,7 @@
     async def script(world: World) -> None:
         world.lease_ends_hung = hang  # no deletion can be recorded meanwhile
         await anyio.sleep(3)
-        hand_in(world, 12, pieces=3, cpus=4.0, true_s=150.0, expected_s=150.0)
+        submit_jobs(world, 12, pieces=3, cpus=4.0, true_s=150.0, expected_s=150.0)
         await anyio.sleep(27)
         refused = {"leader": [leader(world)], "owner": owners(world)[:1]}.get(who, [])
         refused = refused or sorted({leader(world), *owners(world)[:1]})
@@ -134,8 +134,8 @@
 def test_a_confirmed_cancellation_binds_in_the_gap(
     who: str, lost: bool, hang: bool, seed: int
 ) -> None:
-    world = day(gap(who, lost, hang), seed, 450.0)
-    assert world.broken == []
+    world = play_scenario(gap(who, lost, hang), seed, 450.0)
+    assert world.violations == []
     assert len(world.cancelled_at) == 7
     assert finished(world) == {}
     # Where the controllers can tell one another that none was missed, the others' work goes on.
@@ -146,19 +146,19 @@
 def test_a_quiet_controller_starts_nothing_long_after_a_cancellation() -> None:
     async def script(world: World) -> None:
         await anyio.sleep(3)
-        hand_in(world, 8, pieces=12, cpus=4.0, true_s=20.0)
+        submit_jobs(world, 8, pieces=12, cpus=4.0, true_s=20.0)
         for job in range(6):
             await anyio.sleep(4)
             await cancel(world, world.names[job % 3], [f"run-{job:06d}"])
 
-    world = day(script, 3, 200.0)
-    assert world.broken == [] and finished(world) == {}
-    # An image may be on its way when the user is told; the next report's answer stops it.
+    world = play_scenario(script, 3, 200.0)
+    assert world.violations == [] and finished(world) == {}
+    # An image may be on its way when the user is told; the next heartbeat's answer stops it.
     assert max(world.started_after_cancel.values(), default=0.0) < 5.0
 
 
 @pytest.mark.parametrize("lost", [False, True], ids=["told", "lost"])
-def test_in_an_outage_what_is_granted_starts_unless_a_cancellation_may_be_missed(
+def test_in_an_outage_what_is_assigned_starts_unless_a_cancellation_may_be_missed(
     lost: bool,
 ) -> None:
     world = World(12)
@@ -170,7 +170,7 @@
         world.group.start_soon(world.user, "run-first", body, None)
         await anyio.sleep(4)
         world.cloud.down = True  # no more machines than these
-        hand_in(world, 6, pieces=20, cpus=4.0, true_s=25.0, expected_s=25.0)
+        submit_jobs(world, 6, pieces=20, cpus=4.0, true_s=25.0, expected_s=25.0)
         await anyio.sleep(16)
         if lost:
             world.cut_peers.update(world.names)
@@ -185,7 +185,7 @@
         world.calm_at = now()
 
     run_script(world, 200.0, script)
-    assert world.broken == [] and finished(world) == {}
+    assert world.violations == [] and finished(world) == {}
     assert begun[0] > 4
     assert (begun[1] == begun[0]) is lost
 
@@ -211,7 +211,7 @@
         self.watches[receiver].hear(heard_at, receiver, sender, message, self.mirrors[receiver])  # type: ignore[arg-type]
 
 
-def test_the_age_of_what_is_known_counts_from_the_question() -> None:
+def test_the_age_of_what_is_known_counts_from_the_request() -> None:
     talk = Talk()
     assert talk.watches["a"].known_at(100.0) < 0  # nothing was ever heard
     talk.tell(100.0, "a", 103.0)
@@ -236,7 +236,7 @@
     talk.mirrors["a"].revision = 10  # type: ignore[assignment]
     talk.tell(2.0, "b", 2.0)
     assert talk.watches["a"].known_at(3.0) < 0
-    # Another boot's question is not this one's.
+    # A request of another incarnation is not this one's.
     talk = Talk()
     talk.tell(1.0, "a", 1.0)
     talk.watches["a"] = CancellationWatch("boot-2", ["b"], 2)  # type: ignore[list-item]
@@ -249,13 +249,13 @@
 
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
-    bench.grant("run-1", spec(1, 1.0, 10.0), 0.0)
-    assert len(bench.report(machine, 1.0)) == 1
+    bench.heartbeat(machine, 0.0)
+    bench.assign("run-1", spec(1, 1.0, 10.0), 0.0)
+    assert len(bench.heartbeat(machine, 1.0)) == 1
     version = bench.cache.jobs["run-1"].version  # type: ignore[index]
     bench.cache.told_cancelled("run-1", version + 5)  # type: ignore[arg-type]
     bench.scheduler.job_changed(2.0, "run-1")  # type: ignore[arg-type]
-    assert [o.op for o in bench.report(machine, 2.0)] == ["stop"]
+    assert [o.op for o in bench.heartbeat(machine, 2.0)] == ["stop"]
     # A record that is older than what the peer told changes nothing.
     old = bench.cache.jobs["run-1"].copy()  # type: ignore[index]
     old.stage = "open"
@@ -288,10 +288,10 @@
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 10, pieces=6, cpus=4.0, true_s=8.0, crew="blue")
+        submit_jobs(world, 10, pieces=6, cpus=4.0, true_s=8.0, crew="blue")
 
     run_script(world, 200.0, script)
-    assert len(lost) == 3 and world.broken == [] and finished(world) == {}
+    assert len(lost) == 3 and world.violations == [] and finished(world) == {}
     for at, epoch in lost:
         after = [
             body
@@ -305,7 +305,7 @@
 async def many_late_writes(world: World) -> None:
     world.late_writes = 0.25
     await anyio.sleep(3)
-    hand_in(world, 14, pieces=5, cpus=4.0, true_s=8.0, crew="blue")
+    submit_jobs(world, 14, pieces=5, cpus=4.0, true_s=8.0, crew="blue")
     for name in [*world.names, *world.names]:
         await anyio.sleep(11)
         world.crash(name)
@@ -316,12 +316,12 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_late_writes_and_restarts_meet(seed: int) -> None:
-    world = day(many_late_writes, seed, 300.0)
-    assert world.broken == [] and finished(world) == {}
+def test_late_writes_and_restarts_together(seed: int) -> None:
+    world = play_scenario(many_late_writes, seed, 300.0)
+    assert world.violations == [] and finished(world) == {}
 
 
-def test_a_late_presence_record_of_an_earlier_boot_takes_no_controller_out() -> None:
+def test_a_late_presence_record_of_an_earlier_incarnation_takes_no_controller_out() -> None:
     world = World(5)
     kept: list[dict[str, Any]] = []
 
@@ -374,11 +374,11 @@
 
     bench = Bench(2)
     first, second = bench.names
-    bench.grant("run-1", spec(1, 1.0, 100.0), 0.0)
+    bench.assign("run-1", spec(1, 1.0, 100.0), 0.0)
     scheduler = ShardScheduler(ZONE, FencingToken(60), bench.cache, Estimates(), 2.0)
     task = TaskRef("run-1", TaskIndex(0))  # type: ignore[arg-type]
 
-    def report(name: str, sequence: int, token: int, attempt: int, at: float) -> list[Any]:
+    def heartbeat(name: str, sequence: int, token: int, attempt: int, at: float) -> list[Any]:
         tasks = [TaskStatus(task, attempt, "running", None, False)] if attempt else []  # type: ignore[arg-type]
         machine, zone = MachineId(name), zone_of(ZONE)
         said = Heartbeat(
@@ -386,28 +386,28 @@
         )
         return scheduler.handle_heartbeat(at, said, True)
 
-    copy_says = report(first, 5, TOKEN, 1, 3.0)
+    copy_says = heartbeat(first, 5, TOKEN, 1, 3.0)
     assert copy_says == []  # neither stopped nor settled
-    assert report(first, 9, 60, 0, 4.0) == []  # it is not there, and the other is not heard yet
-    assert report(second, 7, TOKEN, 2, 5.0) == []
-    assert report(second, 8, 60, 2, 6.0) == []
+    assert heartbeat(first, 9, 60, 0, 4.0) == []  # it is not there, and the other is not heard yet
+    assert heartbeat(second, 7, TOKEN, 2, 5.0) == []
+    assert heartbeat(second, 8, 60, 2, 6.0) == []
     for sequence in range(10, 14):
         scheduler.tick(float(sequence))
-        assert starts(report(first, sequence, 60, 0, float(sequence))) == []
-        assert report(second, sequence, 60, 2, float(sequence)) == []
+        assert starts(heartbeat(first, sequence, 60, 0, float(sequence))) == []
+        assert heartbeat(second, sequence, 60, 2, float(sequence)) == []
 
 
 @pytest.mark.parametrize("seed", [5, 6])
-def test_held_and_copied_reports_meet_new_owners(seed: int) -> None:
+def test_delayed_and_copied_heartbeats_reach_new_owners(seed: int) -> None:
     async def script(world: World) -> None:
         await anyio.sleep(3)
-        hand_in(world, 10, pieces=6, cpus=2.0, true_s=40.0)
+        submit_jobs(world, 10, pieces=6, cpus=2.0, true_s=40.0)
         await late_copies(world)
         world.calm_at = now()
 
-    world = day(script, seed, 360.0)
+    world = play_scenario(script, seed, 360.0)
     assert world.copied > 100
-    assert world.broken == [] and finished(world) == {}
+    assert world.violations == [] and finished(world) == {}
 
 
 # Changes of leader and owner
@@ -420,7 +420,7 @@
     async def script(world: World) -> None:
         await anyio.sleep(3)
         each = [4.0, 60.0, 150.0]
-        hand_in(world, 6, pieces=3, cpus=2.0, true_each=each, true_s=150.0, expected_s=40.0)
+        submit_jobs(world, 6, pieces=3, cpus=2.0, true_each=each, true_s=150.0, expected_s=40.0)
         await anyio.sleep(20)
         for n in range(10):
             await anyio.sleep(9)
@@ -435,20 +435,20 @@
         world.state.set_down(False)
         world.calm_at = now()
 
-    world = day(script, 7, 460.0)
-    assert world.broken == [] and finished(world) == {}
+    world = play_scenario(script, 7, 460.0)
+    assert world.violations == [] and finished(world) == {}
     assert len(world.accepted) == 6
     assert world.reruns == []
 
 
 def test_a_leader_that_finds_its_old_key_after_an_outage_begins_a_new_epoch() -> None:
-    """It counted bookings and attempts from one again, under the names of its last term."""
+    """It numbered provisioning requests and attempts from one again, under its last epoch."""
     world = World(8)
     epochs: list[int] = []
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 4, pieces=12, cpus=4.0, true_s=30.0)
+        submit_jobs(world, 4, pieces=12, cpus=4.0, true_s=30.0)
         for _ in range(3):
             await anyio.sleep(12)
             record = world.state.keys[LEADER]
@@ -461,7 +461,7 @@
         epochs.append(world.state.keys[LEADER][1])
 
     run_script(world, 150.0, script)
-    assert world.broken == [] and finished(world) == {}
+    assert world.violations == [] and finished(world) == {}
     assert len(set(epochs)) == len(epochs)
     names = [
         op["write"]
@@ -473,7 +473,7 @@
 
 
 def test_a_write_is_made_under_the_epoch_that_was_planned_under() -> None:
-    """Between two writes of a pass the mirror may come to show another leader's key."""
+    """Between two writes of a pass the watch cache may come to show another leader's key."""
     world = World(9)
     seen: list[str] = []
 
@@ -501,7 +501,7 @@
 async def all_away(world: World) -> None:
     """All controllers are gone for longer than a lease; one comes back first."""
     await anyio.sleep(3)
-    hand_in(world, 10, pieces=4, cpus=4.0, true_s=25.0)
+    submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0)
     await anyio.sleep(20)
     for name in world.names:
         world.crash(name)
@@ -539,7 +539,7 @@
     """The leader and an owner end while machines with long tasks can't be reached, or don't
     hear the new owner's answers."""
     await anyio.sleep(3)
-    hand_in(world, 8, pieces=3, cpus=4.0, true_s=90.0)
+    submit_jobs(world, 8, pieces=3, cpus=4.0, true_s=90.0)
     await anyio.sleep(22)
     names = sorted(world.workers)
     for n, name in enumerate(names):
@@ -559,7 +559,7 @@
     """A team is at its limit when the leader changes, some of its machines can't be asked, and
     a cancellation falls into that spell."""
     await anyio.sleep(3)
-    hand_in(world, 8, pieces=4, cpus=4.0, true_s=40.0, crew="blue")
+    submit_jobs(world, 8, pieces=4, cpus=4.0, true_s=40.0, crew="blue")
     await anyio.sleep(22)
     used = [n for _, n in world.on_machines()]
     assert len(used) == 6  # 24 of 24 CPUs
@@ -581,7 +581,7 @@
     """The leader loses the state service and its peers, not workers and users; jobs are
     cancelled through the new one."""
     await anyio.sleep(3)
-    hand_in(world, 10, pieces=3, cpus=4.0, true_s=110.0)
+    submit_jobs(world, 10, pieces=3, cpus=4.0, true_s=110.0)
     await anyio.sleep(27)
     old = leader(world)
     owned = owners(world)[0]
@@ -602,7 +602,7 @@
 async def mute_machines(world: World) -> None:
     """Half of the machines reach no controller for longer than a lease, twice."""
     await anyio.sleep(3)
-    hand_in(world, 10, pieces=4, cpus=4.0, true_s=30.0)
+    submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=30.0)
     for _ in range(2):
         await anyio.sleep(20)
         mute = [w for _, w in sorted(world.workers.items())][::2]
@@ -643,7 +643,7 @@
 async def long_outage(world: World) -> None:
     """Out for longer than all leases, while no controller can ask its peers."""
     await anyio.sleep(3)
-    hand_in(world, 8, pieces=4, cpus=4.0, true_s=70.0)
+    submit_jobs(world, 8, pieces=4, cpus=4.0, true_s=70.0)
     await anyio.sleep(25)
     world.before = set(world.workers)  # type: ignore[attr-defined]
     world.cut_peers.update(world.names)
@@ -657,12 +657,12 @@
 
 
 async def zone_cut_and_calm(world: World) -> None:
-    hand_in(world, 10, pieces=4, cpus=4.0, true_s=40.0)
+    submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=40.0)
     await zone_cut(world)
     world.calm_at = now()
 
 
-MEETINGS = [
+COMPOUND_FAILURES = [
     all_away,
     overload,
     unreachable_with_long_tasks,
@@ -676,16 +676,16 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("script", MEETINGS, ids=lambda f: f.__name__)
-def test_the_rules_hold_and_all_is_served_where_troubles_meet(script: Script, seed: int) -> None:
-    world = day(script, seed, 420.0)
-    assert world.broken == []
+@pytest.mark.parametrize("script", COMPOUND_FAILURES, ids=lambda f: f.__name__)
+def test_under_compound_failures_rules_hold_and_all_is_served(script: Script, seed: int) -> None:
+    world = play_scenario(script, seed, 420.0)
+    assert world.violations == []
     assert finished(world) == {} and len(world.told) == len(world.accepted) > 0
 
 
 def test_a_long_outage_costs_no_machine() -> None:
     """By their age alone all were silent or idle when the state service was back."""
-    world = day(long_outage, 3, 110.0)
+    world = play_scenario(long_outage, 3, 110.0)
     before, after = world.before, world.after  # type: ignore[attr-defined]
     assert len(before) > 3 and before <= after
 
@@ -714,7 +714,7 @@
 
 
 async def cancel_running(world: World) -> None:
-    """Users call off what runs, within a moment, and some of its machines hang for a while."""
+    """Users cancel what runs, within a moment, and some of its machines hang for a while."""
     await anyio.sleep(30)
     running = sorted({n.split("/")[0] for _, n in world.on_machines()} - world.cancelled_at.keys())
     hung = [w for w, n in world.on_machines() if n.split("/")[0] in running[:4]]
@@ -734,7 +734,7 @@
     all_crash,
     blinks,
     cut_from_state,
-    deaf_machines,
+    unreachable_machines,
     late_copies,
     one_crash,
     refused_by_state,
@@ -745,7 +745,7 @@
 
 
 @pytest.mark.parametrize("seed", range(41, 53))
-def test_a_drawn_pair_of_troubles_breaks_nothing(seed: int) -> None:
+def test_a_random_pair_of_faults_breaks_no_rule(seed: int) -> None:
     async def pair(world: World) -> None:
         async with anyio.create_task_group() as group:
             for fault in world.random.sample(DRAWN, 2):
@@ -754,7 +754,7 @@
 
     # Long enough for the most work with accelerators that may be drawn, at its team's limit.
     world = play(pair, seed, length=360.0, slow=2.5)
-    assert world.broken == []
+    assert world.violations == []
     assert finished(world) == {} and len(world.accepted) == 14
 
 
@@ -762,7 +762,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_cancellation_at_the_end_has_one_answer_everywhere_and_for_good(seed: int) -> None:
+def test_a_cancellation_at_completion_has_one_final_answer_everywhere(seed: int) -> None:
     world = World(seed)
     final: dict[str, set[str]] = {}
 
@@ -805,7 +805,7 @@
                 final[job].add(said["stage"])
 
     run_script(world, 70.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert len(final) == 12 and all(len(stages) == 1 for stages in final.values())
     assert {s for stages in final.values() for s in stages} == {"done", "withdrawn"}
 
@@ -849,7 +849,7 @@
 ]
 
 
-def test_odd_requests_get_the_protocols_answer_also_in_an_outage() -> None:
+def test_invalid_requests_get_the_protocols_answer_also_in_an_outage() -> None:
     world = World(2)
     seen: list[str] = []
 
@@ -908,7 +908,7 @@
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 1, pieces=12, true_s=900.0)
+        submit_jobs(world, 1, pieces=12, true_s=900.0)
         await anyio.sleep(22)
         body = world.job(name_id="run-000009", pieces=2, cpus=8.0, true_s=5.0)
         world.group.start_soon(world.user, body["name_id"], body, None)
@@ -921,7 +921,7 @@
     assert begun and begun[0] < 110.0
 
 
-# Guards taken out
+# Mutations: guards removed
 
 
 def a_lie_about_what_is_known(patch: pytest.MonkeyPatch) -> None:
@@ -935,14 +935,14 @@
     patch.setattr(Controller, "_settle_epoch", settle)
 
 
-def old_reports_place_tasks(patch: pytest.MonkeyPatch) -> None:
+def stale_heartbeats_place_tasks(patch: pytest.MonkeyPatch) -> None:
     take = ShardScheduler._take_tasks
 
     def trusting(
-        self: ShardScheduler, at: float, machine: Any, report: Any, settles: bool, new: bool
+        self: ShardScheduler, at: float, machine: Any, heartbeat: Any, settles: bool, new: bool
     ) -> Any:
-        commands = take(self, at, machine, report, settles, new)
-        for item in report.tasks:
+        commands = take(self, at, machine, heartbeat, settles, new)
+        for item in heartbeat.tasks:
             if item.stage != "exited":
                 self._present(at, machine, item)
         return commands
@@ -969,7 +969,7 @@
     ),
     (a_new_term_under_the_old_epoch, test_nothing_is_planned_while_a_write_may_still_come),
     (
-        old_reports_place_tasks,
+        stale_heartbeats_place_tasks,
         test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice,
     ),
     (refused_machines_are_silent, test_a_long_outage_costs_no_machine),
@@ -981,7 +981,7 @@
 
 
 @pytest.mark.parametrize(("patch", "test"), GUARDS, ids=lambda c: getattr(c, "__name__", "_"))
-def test_a_guard_that_is_taken_out_is_noticed(
+def test_a_removed_guard_is_detected(
     patch: Patch, test: Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     patch(monkeypatch)
@@ -989,7 +989,7 @@
         test()
 
 
-MEETING_GUARDS: list[tuple[Patch, Script, str]] = [
+COMPOUND_FAILURE_GUARDS: list[tuple[Patch, Script, str]] = [
     (no_wait_for_unheard_machines, unreachable_with_long_tasks, "ran_twice"),
     (no_wait_for_unheard_machines, zone_cut_and_calm, "ran_twice"),
     (no_wait_for_unheard_machines, cut_leader_and_new_one, "ran_twice"),
@@ -999,11 +999,11 @@
 
 
 @pytest.mark.parametrize(
-    ("patch", "script", "rule"), MEETING_GUARDS, ids=lambda c: getattr(c, "__name__", c)
+    ("patch", "script", "rule"), COMPOUND_FAILURE_GUARDS, ids=lambda c: getattr(c, "__name__", c)
 )
-def test_where_troubles_meet_a_guard_that_is_taken_out_breaks_its_rule(
+def test_under_compound_failures_a_removed_guard_breaks_its_rule(
     patch: Patch, script: Script, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     patch(monkeypatch)
-    worlds = (day(script, seed, 420.0) for seed in (1, 2))
-    assert any(b.startswith(rule) for world in worlds for b in world.broken)
+    worlds = (play_scenario(script, seed, 420.0) for seed in (1, 2))
+    assert any(b.startswith(rule) for world in worlds for b in world.violations)
--- a/tests/simulation/test_fleet_size.py
+++ b/tests/simulation/test_fleet_size.py
@@ -11,7 +11,7 @@
 from dapplewick.transport.peer import MAX_FRAME
 from simulation.test_scenarios import run_script
 from standins import World
-from unit.test_work_scaling import busy_part
+from unit.test_work_scaling import busy_shard
 
 MACHINES_UP = 4000
 GROUP = 150  # machines in a record, as the leader writes them
@@ -34,7 +34,7 @@
 
 
 def test_four_thousand_machines_are_served_through_a_change_of_leader() -> None:
-    """The controllers start, read the state, take reports, place, cancel and change leaders."""
+    """The controllers start, read the state, take heartbeats, place, cancel and change leaders."""
     world = World(seed=5)
     array = world.job(name_id="run-000001", pieces=300, cpus=8.0, image_gb=0.0, true_s=3.0)
     gang = world.job(name_id="run-000002", shape="group", pieces=20, image_gb=0.0, true_s=4.0)
@@ -55,7 +55,7 @@
         world.start_controller(leader)
 
     run_script(world, 22.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert world.told == {
         "run-000001": "done",
         "run-000002": "done",
@@ -65,10 +65,10 @@
     assert len(world.workers) >= MACHINES_UP
 
 
-def test_all_that_a_part_of_four_thousand_machines_tells_fits_into_a_frame() -> None:
+def test_the_status_of_a_shard_of_four_thousand_machines_fits_into_a_frame() -> None:
     """A status that is refused for its length is refused again and again: the leader would never
-    hear of the part. Long names, and as many tasks on each machine as the largest take."""
-    bench = busy_part(40)
+    hear of the shard. Long names, and as many tasks on each machine as the largest take."""
+    bench = busy_shard(40)
     frame = len(cbor2.dumps(peers.encode(bench.scheduler.status(3.0))))
     tasks = sum(len(machine.task_attempts) for machine in bench.scheduler.machines.values())
     of_a_task = frame / tasks
--- a/tests/simulation/test_mutations.py
+++ b/tests/simulation/test_mutations.py
@@ -1,4 +1,4 @@
-"""Guards broken on purpose: the stand-ins must notice each, or their checks are worth nothing."""
+"""Mutations: guards broken on purpose, each of which the checks of the stand-ins must detect."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     patch.setattr(ShardScheduler, "_stops", lambda self, now, machine: [])
 
 
-def no_check_that_the_mirror_is_current(patch: pytest.MonkeyPatch) -> None:
+def no_check_that_the_watch_cache_is_current(patch: pytest.MonkeyPatch) -> None:
     async def unchecked(self: Controller) -> Seconds:
         return self.now()
 
@@ -57,28 +57,28 @@
     (no_wait_for_unheard_machines, quick_restarts, "ran_twice"),
     (no_team_limit, quiet, "quota"),
     (no_stop_of_cancelled_tasks, quiet, "ran_cancelled"),
-    (no_check_that_the_mirror_is_current, cut_from_state, "forgotten"),
+    (no_check_that_the_watch_cache_is_current, cut_from_state, "forgotten"),
     (any_machine_will_do, quiet, "wrong_place"),
 ]
 
 
-def first_broken(fault: Fault, rule: str) -> World | None:
+def first_violation(fault: Fault, rule: str) -> World | None:
     for seed in range(1, 9):
         slow = 8.0 if rule == "ran_cancelled" else 1.0
         world = play(fault, seed, jobs=30, length=150.0, slow=slow)
-        if any(b.startswith(rule) for b in world.broken):
+        if any(b.startswith(rule) for b in world.violations):
             return world
     return None
 
 
 @pytest.mark.parametrize(("patch", "fault", "rule"), CASES, ids=lambda c: getattr(c, "__name__", c))
-def test_a_broken_guard_is_noticed(
+def test_a_mutated_guard_is_detected(
     patch: Patch, fault: Fault, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     patch(monkeypatch)
-    assert first_broken(fault, rule) is not None
+    assert first_violation(fault, rule) is not None
 
 
 @pytest.mark.parametrize("fault", [all_crash, lost_answers], ids=lambda f: f.__name__)
-def test_the_unbroken_guards_keep_the_same_days(fault: Fault) -> None:
-    assert play(fault, 1, jobs=30, length=150.0).broken == []
+def test_with_all_guards_the_same_scenarios_break_no_rule(fault: Fault) -> None:
+    assert play(fault, 1, jobs=30, length=150.0).violations == []
--- a/tests/simulation/test_partition_moves.py
+++ b/tests/simulation/test_partition_moves.py
@@ -1,4 +1,4 @@
-"""Moves of machines between shares, with what may fail on the way, in virtual time."""
+"""Moves of machines between partitions, with what may fail on the way, in virtual time."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, SHARDS
 from dapplewick.types import shard_name
-from standins import World, now, run_day
-from support.partition_history import ShareHistory
+from standins import World, now, run_in_virtual_time
+from support.partition_history import PartitionHistory
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 
@@ -59,9 +59,11 @@
     raise AssertionError("no controller answered")
 
 
-async def move(world: World, order: str, source: str, target: str, count: int) -> dict[str, Any]:
+async def move(
+    world: World, command_id: str, source: str, target: str, count: int
+) -> dict[str, Any]:
     return await command(
-        world, "move", id=order, zone="a", type="c8", source=source, target=target, count=count
+        world, "move", id=command_id, zone="a", type="c8", source=source, target=target, count=count
     )
 
 
@@ -82,7 +84,7 @@
 
 
 def machines_of(world: World, shard: str) -> set[str]:
-    """The machines that the stored records count in a part."""
+    """The machines that the stored records assign to a shard."""
     return {
         machine
         for key, (group, _, _) in world.state.keys.items()
@@ -92,7 +94,7 @@
     }
 
 
-async def shares_begun(world: World) -> None:
+async def partitions_begun(world: World) -> None:
     def begun() -> bool:
         record = world.state.keys.get(FORMAT)
         return record is not None and record[0]["version"] == PARTITIONS_FORMAT
@@ -102,7 +104,7 @@
 
 async def busy_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
     """Machines come up for work in zone a: four tasks on each."""
-    await shares_begun(world)
+    await partitions_begun(world)
     pinned(world, "run-000001", tasks, seconds, expected_s=200.0)
     await until(lambda: len(world.first_start) == tasks, 60.0)
 
@@ -112,8 +114,8 @@
     return {name for _, name in world.on_machines()}
 
 
-def play_moves(world: World, script: Script, length: float = 150.0) -> ShareHistory:
-    """Play a day; gives its history once it was found good."""
+def play_moves(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
+    """Play a scenario; returns its history, which the checker has found valid."""
 
     async def main() -> None:
         async def run() -> None:
@@ -121,14 +123,14 @@
 
         await world.play(length, run)
 
-    run_day(main)
-    history = ShareHistory()
+    run_in_virtual_time(main)
+    history = PartitionHistory()
     assert history.check(world.state.log) == []
-    assert world.broken == []
+    assert world.violations == []
     return history
 
 
-def test_idle_machines_go_at_once_and_work_there_starts_under_the_new_holder() -> None:
+def test_idle_machines_move_at_once_and_work_starts_under_the_new_owner() -> None:
     world = new_world(1)
     seen: dict[str, Any] = {}
 
@@ -169,7 +171,7 @@
     assert world.reruns == [] and max(world.starts_of.values()) == 1
 
 
-def test_why_a_machine_has_not_moved_is_told_in_plain_words() -> None:
+def test_why_a_machine_has_not_moved_is_shown_to_operators() -> None:
     world = new_world(3)
     told: list[str] = []
 
@@ -188,14 +190,14 @@
     world = new_world(4)
 
     async def script(world: World) -> None:
-        await shares_begun(world)
+        await partitions_begun(world)
         pinned(world, "run-000001", 2, 400.0, cpus=8.0)
         await until(lambda: len(running(world)) == 2, 40.0)
         have = len(machines_of(world, "a"))
         await move(world, "o-00000004", "", "night", have)
         await until(lambda: len(machines_of(world, NIGHT)) == have - 2, 15.0)
         await anyio.sleep(28.0)
-        # Another machine, soon empty: work that may not use the share has it rented.
+        # Another machine, soon empty: work that may not use the partition has it rented.
         pinned(world, "run-000002", 1, 20.0, cpus=8.0, crew="blue", borrowed=True)
         await until(lambda: len(machines_of(world, NIGHT)) == have - 1, 110.0)
         said = await command(world, "show")
@@ -222,7 +224,7 @@
     assert history.open_transfers() == []
 
 
-def test_on_to_a_third_holder_within_a_minute() -> None:
+def test_on_to_a_third_owner_within_a_minute() -> None:
     world = new_world(6)
 
     async def script(world: World) -> None:
@@ -238,7 +240,7 @@
     assert len(each) == 3
 
 
-def test_a_later_move_from_the_same_share_takes_machines_over() -> None:
+def test_a_later_move_from_the_same_partition_takes_machines_over() -> None:
     world = new_world(7)
 
     async def script(world: World) -> None:
@@ -285,7 +287,7 @@
     assert len(moves) >= 2
 
 
-def test_work_that_no_share_serves_may_use_idle_room_after_a_while() -> None:
+def test_work_that_no_partition_serves_may_use_idle_room_after_a_while() -> None:
     """No job waits beside room that fits it, whoever the room is kept for."""
     world = new_world(10)
     started: list[float] = []
@@ -329,7 +331,7 @@
     return owner(world, shard) or world.names[0]
 
 
-async def trouble(world: World, kind: str, names: list[str]) -> None:
+async def inject_fault(world: World, kind: str, names: list[str]) -> None:
     """What happens to these controllers, and its end."""
     async with anyio.create_task_group() as group:
         for name in dict.fromkeys(names):
@@ -360,7 +362,7 @@
 
 
 def play_trouble(seed: int, kind: str, roles: list[str], after: float) -> None:
-    """A move of machines of which some are busy, with a trouble at one of its steps; in the end
+    """A move of machines of which some are busy, with a fault at one of its steps; in the end
     the plan's wish is met, all work is done, and nothing has run twice."""
     world = new_world(seed)
 
@@ -370,7 +372,7 @@
         pinned(world, "run-000003", 3, 9.0, shape="group", cpus=4.0)
         await move(world, "o-0000000d", "", "night", 3)
         await anyio.sleep(after)
-        await trouble(world, kind, [who(world, role) for role in roles])
+        await inject_fault(world, kind, [who(world, role) for role in roles])
         world.calm_at = now()
         pinned(world, "run-000004", 6, 4.0)
         await until(
@@ -389,7 +391,7 @@
     play_trouble(100 + number, kind, roles, after)
 
 
-# Troubles of the services and of machines on the way
+# Faults of the services and of machines on the way
 
 
 async def state_down(world: World) -> None:
@@ -411,8 +413,8 @@
     world.late_writes = 0.0
 
 
-async def late_reports(world: World) -> None:
-    """Copies of reports that name the former holder, up to three leases late."""
+async def late_heartbeats(world: World) -> None:
+    """Copies of heartbeats that name the former holder, up to three leases late."""
     world.copies = 0.3
     await anyio.sleep(40.0)
     world.copies = 0.0
@@ -434,15 +436,15 @@
 
 
 async def machine_taken(world: World) -> None:
-    """Machines of the giving share are gone without notice; new ones come up in mid-move."""
+    """Machines of the giving partition are gone without notice; new ones come up in mid-move."""
     for machine in sorted(machines_of(world, "a"))[:2]:
         world.remove_machine(machine)
     pinned(world, "run-000005", 12, 5.0)
     await anyio.sleep(20.0)
 
 
-async def workers_deaf(world: World) -> None:
-    """Machines whose reports arrive but that hear nothing."""
+async def unreachable_workers(world: World) -> None:
+    """Machines whose heartbeats arrive but that no answer reaches."""
     unreachable = [
         world.workers[m] for m in sorted(machines_of(world, "a"))[:2] if m in world.workers
     ]
@@ -468,21 +470,21 @@
 
 
 async def giver_cut_from_workers(world: World) -> None:
-    """The giving part gets another owner for a reason of its own."""
+    """The giving shard gets another owner for a reason of its own."""
     name = owner(world, "a")
     world.cut_workers.add(name)
     await anyio.sleep(30.0)
     world.cut_workers.discard(name)
 
 
-WORLD_TROUBLES: list[Script] = [
+WORLD_FAULTS: list[Script] = [
     state_down,
     answers_lost,
     writes_late,
-    late_reports,
+    late_heartbeats,
     machine_hangs,
     machine_taken,
-    workers_deaf,
+    unreachable_workers,
     all_killed,
     leaders_in_turn,
     giver_cut_from_workers,
@@ -490,11 +492,11 @@
 
 
 @pytest.mark.parametrize("second", [False, True], ids=["one move", "moved on"])
-@pytest.mark.parametrize("fault", WORLD_TROUBLES, ids=lambda f: f.__name__)
-def test_troubles_of_services_and_machines_while_machines_move(fault: Script, second: bool) -> None:
+@pytest.mark.parametrize("fault", WORLD_FAULTS, ids=lambda f: f.__name__)
+def test_faults_of_services_and_machines_while_machines_move(fault: Script, second: bool) -> None:
     """In the end every move has ended, all work is done, and nothing was counted twice. With a
     second move a minute is not over before the machines are sent on to a third holder."""
-    world = new_world(300 + WORLD_TROUBLES.index(fault))
+    world = new_world(300 + WORLD_FAULTS.index(fault))
 
     async def script(world: World) -> None:
         await busy_zone(world, 16, 8.0)
@@ -518,7 +520,7 @@
     assert history.open_transfers() == []
 
 
-def test_a_held_gang_is_released_whole_when_its_machine_is_drained() -> None:
+def test_a_reserved_gang_is_released_when_its_machine_is_drained() -> None:
     world = new_world(31)
 
     async def script(world: World) -> None:
@@ -538,7 +540,7 @@
     before: list[float] = []
 
     async def script(world: World) -> None:
-        await shares_begun(world)
+        await partitions_begun(world)
         service = {"shape": "daemon", "urgency": "critical", "expected_s": 0.0, "cpus": 1.0}
         pinned(world, "run-000001", 2, 0.0, **service)
         pinned(world, "run-000002", 4, 30.0, cpus=8.0)
@@ -576,8 +578,8 @@
         assert history.open_transfers() == []
 
 
-def test_limits_of_teams_hold_over_all_shares() -> None:
-    """Blue may use 24 CPUs in all, in the zone's part and in its share together."""
+def test_limits_of_teams_hold_over_all_partitions() -> None:
+    """Blue may use 24 CPUs in all, in the zone's shard and in its partition together."""
     world = new_world(33)
     most: list[float] = []
 
@@ -588,7 +590,7 @@
             await anyio.sleep(0.25)
 
     async def script(world: World) -> None:
-        await shares_begun(world)
+        await partitions_begun(world)
         world.group.start_soon(watch, world)
         for n in range(6):
             pinned(world, f"run-00000{n}", 8, 9.0, crew="blue")
@@ -600,7 +602,7 @@
     assert 16.0 <= max(most) <= 24.0
 
 
-BAD_ORDERS: list[tuple[dict[str, Any], str]] = [
+BAD_COMMANDS: list[tuple[dict[str, Any], str]] = [
     ({"count": 99}, "count: the zone itself has"),
     ({"count": 0}, "count: a number from 1"),
     ({"count": "2"}, "count: a number from 1"),
@@ -614,7 +616,7 @@
 ]
 
 
-def test_bad_orders_and_plans_are_refused_and_the_plan_in_force_stays() -> None:
+def test_bad_commands_and_plans_are_refused() -> None:
     world = new_world(34)
     good = {
         "id": "o-000000aa",
@@ -627,7 +629,7 @@
 
     async def script(world: World) -> None:
         await busy_zone(world, 4, 5.0)
-        for fields, complaint in BAD_ORDERS:
+        for fields, complaint in BAD_COMMANDS:
             said = await command(world, "move", **(good | fields))
             assert said["status"] == 400 and complaint in said["error"], said
             assert "\n" not in said["error"]
@@ -652,21 +654,21 @@
     rules = [{"types": ["c8"], "least": 0.5}]
     plan = {"shares": {"x": {"teams": ["red"], "rules": rules}}}
 
-    async def shares_now(world: World) -> set[str]:
+    async def partitions_now(world: World) -> set[str]:
         return set((await command(world, "show"))["plan"].get("shares", {}))
 
     async def script(world: World) -> None:
         await busy_zone(world, 8, 30.0)
         assert (await command(world, "plan", plan=plan))["status"] == 200
         await anyio.sleep(2.0)
-        assert await shares_now(world) == {"x"}
+        assert await partitions_now(world) == {"x"}
         await crash(world, who(world, "leader"))
         await anyio.sleep(10.0)
-        assert await shares_now(world) == {"x"}
+        assert await partitions_now(world) == {"x"}
         await until(lambda: bool(machines_of(world, shard_name("a", "x"))), 40.0)
         assert (await command(world, "plan"))["status"] == 200
         await anyio.sleep(2.0)
-        assert await shares_now(world) == {"night", "day"}
+        assert await partitions_now(world) == {"night", "day"}
         await until(lambda: not machines_of(world, shard_name("a", "x")), 60.0)
 
     play_moves(world, script)
@@ -716,8 +718,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_drawn_days_of_moves_and_troubles(seed: int) -> None:
-    """Any moves, with any of the troubles above, one after the other."""
+def test_random_moves_and_faults(seed: int) -> None:
+    """Any moves, with any of the faults above, one after the other."""
     world = new_world(400 + seed)
 
     async def moves(world: World) -> None:
@@ -731,14 +733,14 @@
         for _ in range(4):
             await anyio.sleep(world.random.uniform(3.0, 12.0))
             if world.random.random() < 0.4:
-                await world.random.choice(WORLD_TROUBLES[1:])(world)
+                await world.random.choice(WORLD_FAULTS[1:])(world)
             else:
                 roles = world.random.choice(ROLES)
                 kind = world.random.choice(KINDS)
-                await trouble(world, kind, [who(world, role) for role in roles])
+                await inject_fault(world, kind, [who(world, role) for role in roles])
 
     async def script(world: World) -> None:
-        await shares_begun(world)
+        await partitions_begun(world)
         for n in range(12):
             body = world.random_job() | {"name_id": f"run-1{n:05d}"}
             cancel = 20.0 if n % 4 == 0 else None
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -1,4 +1,4 @@
-"""Shares of 4,000 machines: what a move costs follows the machines that move."""
+"""Partitions of 4,000 machines: what a move costs follows the machines that move."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from simulation.test_partition_moves import machines_of
 from simulation.test_scenarios import run_script
 from standins import World
-from support.partition_history import ShareHistory
+from support.partition_history import PartitionHistory
 from unit.test_work_scaling import calls
 
 SHARES = [f"s{n}" for n in range(20)]
@@ -48,7 +48,7 @@
 
 
 class Provisioner:
-    """A leader's side of shares over many machines, all of them idle."""
+    """A leader's side of partitions over many machines, all of them idle."""
 
     def __init__(self, machines: int) -> None:
         self.cache = WatchCache()
@@ -122,7 +122,7 @@
         )
         return view
 
-    def order(self) -> None:
+    def command_move(self) -> None:
         record = TransferRecord(
             0, "a", self.shards[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
         )
@@ -130,7 +130,7 @@
 
     def passes(self) -> int:
         """Passes until the move is complete; owners see each write at once. Gives how many
-        function calls the keeping of shares made."""
+        function calls the rebalancing made."""
         made = 0
         changes: list[ConditionalWrite] = []
 
@@ -159,7 +159,7 @@
     def cost(machines: int) -> float:
         provisioner = Provisioner(machines)
         before = provisioner.cache.machines.copy()
-        provisioner.order()
+        provisioner.command_move()
         spent = provisioner.passes()
         there = [m for m, r in provisioner.cache.machines.items() if r.shard != before[m].shard]
         assert len(there) == MOVED
@@ -169,8 +169,8 @@
     assert large < 1.2 * small + 200
 
 
-def test_four_thousand_machines_and_twenty_shares_come_to_their_targets() -> None:
-    """The plan gives each of twenty shares its part while all machines report."""
+def test_four_thousand_machines_and_twenty_partitions_come_to_their_targets() -> None:
+    """The plan gives each of twenty partitions its machines while all of them send heartbeats."""
     world = World(seed=6)
     world.partition_plan = PLAN
 
@@ -193,18 +193,18 @@
                 world.new_machine(name, "c8", zone, False)
         world.cloud.next_name = MACHINES_UP
         with anyio.move_on_after(30.0):
-            while not all(19 <= count <= 21 for count in in_shares()):
+            while not all(19 <= count <= 21 for count in in_partitions()):
                 await anyio.sleep(1.0)
         world.group.cancel_scope.cancel()
 
-    def in_shares() -> list[int]:
+    def in_partitions() -> list[int]:
         return [len(machines_of(world, shard_name("a", name))) for name in SHARES]
 
     run_script(world, 40.0, script)
-    history = ShareHistory()
+    history = PartitionHistory()
     assert history.check(world.state.log) == []
-    assert world.broken == []
-    assert all(19 <= count <= 21 for count in in_shares()), in_shares()
+    assert world.violations == []
+    assert all(19 <= count <= 21 for count in in_partitions()), in_partitions()
     assert {machine for _, machine, _, _ in history.handovers} <= {
         MachineId(f"vm-{n:06d}") for n in range(MACHINES_UP)
     }
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole days against the stand-ins: every rule is checked as the day goes."""
+"""Whole scenarios against the stand-ins: every rule is checked throughout."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import pytest
 
 from dapplewick.transport.http import Request
-from standins import World, now, run_day, zone_of
+from standins import World, now, run_in_virtual_time, zone_of
 
 Fault = Callable[[World], Coroutine[Any, Any, None]]
 
 
 def owners(world: World) -> list[str]:
-    """The controllers that own a part now; any one if none does."""
+    """The controllers that own a shard now; any one if none does."""
     return (
         sorted(n for n, controller in world.controllers.items() if controller.shard_schedulers)
         or world.names[:1]
@@ -117,14 +117,14 @@
         if not world.workers:
             continue
         worker = world.workers[world.random.choice(sorted(world.workers))]
-        trouble = world.random.choice(["hang", "cut", "taken", "notice"])
-        if trouble == "taken":
+        fault = world.random.choice(["hang", "cut", "taken", "notice"])
+        if fault == "taken":
             world.remove_machine(worker.name)
-        elif trouble == "notice":
+        elif fault == "notice":
             worker.spot_notice_s = 10.0
             worker.changed = True
         else:
-            attribute = "hanging" if trouble == "hang" else "cut"
+            attribute = "hanging" if fault == "hang" else "cut"
             setattr(worker, attribute, True)
 
             async def over(worker: object = worker, attribute: str = attribute) -> None:
@@ -134,7 +134,7 @@
             world.group.start_soon(over)
 
 
-async def deaf_machines(world: World) -> None:
+async def unreachable_machines(world: World) -> None:
     await anyio.sleep(25)
     for _ in range(4):
         for name in sorted(world.workers)[:2]:
@@ -168,7 +168,7 @@
 
 
 async def alone_with_its_workers(world: World) -> None:
-    """A controller that owns a part loses the state service and its peers, not its workers."""
+    """A controller that owns a shard loses the state service and its peers, not its workers."""
     await anyio.sleep(25)
     owner = owners(world)[0]
     for service in ("state", "cloud"):
@@ -257,7 +257,7 @@
 
 
 async def drawn(world: World) -> None:
-    """Several troubles at once, as the seed has it."""
+    """Several faults at once, as the seed has it."""
     faults = [
         one_crash,
         all_crash,
@@ -268,7 +268,7 @@
         state_outage,
         cloud_outage,
         bad_machines,
-        deaf_machines,
+        unreachable_machines,
         late_copies,
         blinks,
         stands_still,
@@ -311,23 +311,23 @@
     async def main() -> None:
         await world.play(length, script)
 
-    run_day(main)
+    run_in_virtual_time(main)
     return world
 
 
 def run_script(
     world: World, length: float, script: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Play a day with a script beside it, in virtual time."""
+    """Play a scenario with a script beside it, in virtual time."""
 
     async def main() -> None:
         await world.play(length, script)
 
-    run_day(main)
+    run_in_virtual_time(main)
 
 
-def hand_in(world: World, count: int, first: int = 0, **fields: object) -> None:
-    """Users hand in jobs that are alike, from run-000000 on."""
+def submit_jobs(world: World, count: int, first: int = 0, **fields: object) -> None:
+    """Users submit jobs that are alike, from run-000000 on."""
     for n in range(first, first + count):
         body = world.job(name_id=f"run-{n:06d}", **fields)
         world.group.start_soon(world.user, body["name_id"], body, None)
@@ -347,7 +347,7 @@
     cloud_outage,
     bad_machines,
     everything,
-    deaf_machines,
+    unreachable_machines,
     late_copies,
     blinks,
     alone_with_its_workers,
@@ -362,7 +362,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_rules_hold_and_service_comes_back(fault: Fault, seed: int) -> None:
     world = play(fault, seed)
-    assert world.broken == []
+    assert world.violations == []
     assert len(world.accepted) == 14
     unfinished = {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")}
     assert unfinished == {}
@@ -370,9 +370,9 @@
 
 
 @pytest.mark.parametrize("seed", range(11, 21))
-def test_rules_hold_on_days_of_drawn_troubles(seed: int) -> None:
+def test_rules_hold_under_random_faults(seed: int) -> None:
     world = play(drawn, seed, length=300.0)
-    assert world.broken == []
+    assert world.violations == []
     assert {j for j, s in world.told.items() if s not in ("done", "withdrawn")} == set()
 
 
@@ -392,11 +392,11 @@
         world = World(seed, count, zones)
         world.cloud.lacking = {(lacking, True)}
         play(quick_restarts if seed == 31 else bad_machines, seed, length=300.0, world=world)
-        assert world.broken == []
+        assert world.violations == []
         assert {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")} == {}
 
 
-def test_the_same_day_twice_is_the_same() -> None:
+def test_the_same_scenario_twice_is_the_same() -> None:
     first, second = play(all_crash, 3), play(all_crash, 3)
     assert (first.starts, first.told) == (second.starts, second.told)
 
@@ -409,11 +409,11 @@
         await anyio.sleep(3600)
         seen.append(now() - begun)
 
-    run_day(main)
+    run_in_virtual_time(main)
     assert 3600 <= seen[0] < 3601
 
 
-def test_users_of_a_node_that_the_state_service_refuses_are_served_through_a_peer() -> None:
+def test_users_of_a_controller_that_the_state_service_refuses_are_served_through_a_peer() -> None:
     world = World(6)
     answers: list[tuple[int, str]] = []
 
@@ -441,13 +441,13 @@
 
 
 def test_a_machine_that_hears_nothing_gets_no_more_work_and_is_returned() -> None:
-    """What was started there was sent again with every report, and never ran."""
+    """What was started there was sent again with every heartbeat, and never ran."""
     world = World(8)
     seen: dict[str, object] = {}
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 2, pieces=16, true_s=15.0, cpus=4.0, crew="red")
+        submit_jobs(world, 2, pieces=16, true_s=15.0, cpus=4.0, crew="red")
         await anyio.sleep(20)
         seen["deaf"] = sorted(world.workers)[0]
         world.workers[sorted(world.workers)[0]].unreachable = True
@@ -455,19 +455,19 @@
         seen["kept"] = seen["deaf"] in world.workers
 
     run_script(world, 100.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert seen["kept"] is False
     assert set(world.told.values()) == {"done"}
 
 
-def test_a_part_whose_owner_hears_no_worker_changes_hands() -> None:
+def test_a_shard_whose_owner_hears_no_worker_gets_another_owner() -> None:
     """Its machines were all deleted as silent, for one controller's broken network."""
     world = World(7)
     seen: dict[str, object] = {}
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 3, pieces=12, true_s=60.0, cpus=4.0, crew="red")
+        submit_jobs(world, 3, pieces=12, true_s=60.0, cpus=4.0, crew="red")
         await anyio.sleep(27)
         controller = world.controllers["n0"]
         heard = {
@@ -483,7 +483,7 @@
         seen["kept"] = len(machines & world.workers.keys()) / len(machines)
 
     run_script(world, 60.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert seen["before"][0]  # type: ignore[index]
     assert seen["after"] != seen["before"][1]  # type: ignore[index]
     assert seen["kept"] == 1.0
@@ -496,7 +496,7 @@
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 25, pieces=4, true_s=20.0, crew="red")
+        submit_jobs(world, 25, pieces=4, true_s=20.0, crew="red")
         await anyio.sleep(20)
         for name in world.names:
             world.crash(name)
@@ -513,12 +513,12 @@
                 late[f"{job} {controller}"] = now() - back
 
     run_script(world, 90.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert len(world.accepted) == 25 and len(late) == 75
     assert max(late.values()) < 30.0
 
 
-def test_a_node_that_is_behind_says_so_and_takes_nothing_from_users() -> None:
+def test_an_overloaded_controller_says_so_and_takes_nothing_from_users() -> None:
     """It fell further behind with each request, and workers' leases ran out meanwhile."""
     world = World(10)
     seen: list[list[int]] = []
@@ -534,7 +534,7 @@
             ]
             seen.append([a.status for a in answers])
             assert all(a.retry_after for a in answers if a.status == 503)
-        # A node that stands still knows of it before it answers anything.
+        # A controller that stands still knows of it before it answers anything.
         loop = asyncio.get_running_loop()
         loop.at += 8.0  # type: ignore[attr-defined]
         await anyio.sleep(0.0)
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -1,4 +1,4 @@
-"""Services: replicas that run until the job is called off, as singles that never end."""
+"""Services: replicas that run until the job is cancelled, as array tasks that never end."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     bad_machines,
     blinks,
     cut_from_state,
-    deaf_machines,
-    hand_in,
     late_copies,
     lost_answers,
     quick_restarts,
     refused_by_state,
     run_script,
     state_outage,
+    submit_jobs,
+    unreachable_machines,
     zone_cut,
 )
 from standins import WORKERS, World, now
@@ -57,15 +57,15 @@
     return sum(n.rpartition("/")[0] == name for _, n in world.on_machines())
 
 
-# Days
+# Under faults
 
 
-TROUBLES: list[Script] = [
+FAULTS: list[Script] = [
     all_crash,
     bad_machines,
     blinks,
     cut_from_state,
-    deaf_machines,
+    unreachable_machines,
     late_copies,
     lost_answers,
     quick_restarts,
@@ -75,8 +75,8 @@
 ]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
-def test_services_come_back_after_every_trouble(trouble: Script) -> None:
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
+def test_services_recover_from_every_fault(fault: Script) -> None:
     """Replicas also end by themselves, each way, now and then; batch work runs beside them."""
     world = World(17)
     wanted = {"run-s1": 3, "run-s2": 4, "run-s3": 2}
@@ -89,15 +89,15 @@
         submit_service(world, "run-s2", pieces=4, crew="blue")
         submit_service(world, "run-s3", pieces=2, same_place=True, urgency="standard")
         submit_service(world, "run-s4", cancel=70.0, pieces=2, yard="a")
-        hand_in(world, 6, pieces=8, cpus=2.0, true_s=12.0)
-        await trouble(world)
+        submit_jobs(world, 6, pieces=8, cpus=2.0, true_s=12.0)
+        await fault(world)
         world.calm_at = now()
         world.replica_ends = 0.0
         await anyio.sleep(75)
         there.append({name: replicas_on(world, name) for name in wanted})
 
     run_script(world, 320.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert there == [wanted]
     assert finished(world) == dict.fromkeys(wanted, "running")
     assert world.told["run-s4"] == "withdrawn" and replicas_on(world, "run-s4") == 0
@@ -110,7 +110,7 @@
     async def script() -> None:
         await anyio.sleep(4)
         submit_service(world, "run-s1", pieces=2)
-        hand_in(world, 4, pieces=8, cpus=1.0, true_s=200.0, expected_s=200.0, borrowed=False)
+        submit_jobs(world, 4, pieces=8, cpus=1.0, true_s=200.0, expected_s=200.0, borrowed=False)
         await anyio.sleep(35)
         assert replicas_on(world, "run-s1") == 2
         lost = next(w for w, n in world.on_machines() if n.startswith("run-s1/"))
@@ -122,8 +122,8 @@
         back.append(now() - begun)
 
     run_script(world, 100.0, script)
-    assert world.broken == []
-    # Half of a lease until it is deleted, then a report and the image: not a lease and more.
+    assert world.violations == []
+    # Half of a lease until it is deleted, then a heartbeat and the image: not a lease and more.
     assert back and back[0] < WORKERS["lease_s"]
 
 
@@ -159,14 +159,14 @@
         seen.append((await call(world, "n0", "GET", "run-s"))[1]["stage"])
 
     run_script(world, 85.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert seen[:6] == [422, 422, 422, 400, 201, 200]
     assert seen[6:12] == [(200, True, 0)] * 6
     assert seen[12:] == ["withdrawn", "withdrawn"]
     assert "running" in ran
 
 
-# The design: a replica is a single of its priority that is not expected to end
+# The design: a replica is an array task of its priority that is not expected to end
 
 
 def ended(
@@ -181,24 +181,24 @@
     attempt = bench.on[machine].pop(task)
     tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[machine].items()]
     tasks.append(TaskStatus(task, attempt, "exited", cause, False))
-    report = Heartbeat(
+    heartbeat = Heartbeat(
         machine, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, notice, "", tasks
     )
-    return bench.scheduler.handle_heartbeat(at, report, False)
+    return bench.scheduler.handle_heartbeat(at, heartbeat, False)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "full", "halted", "no_such"])
 def test_a_replica_that_ends_runs_again_under_a_new_attempt(cause: str) -> None:
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
-    bench.grant("run-1", service(1), 0.0)
-    (task,) = starts(bench.report(machine, 1.0))
+    bench.heartbeat(machine, 0.0)
+    bench.assign("run-1", service(1), 0.0)
+    (task,) = starts(bench.heartbeat(machine, 1.0))
     first = bench.on[machine][task]
-    bench.report(machine, 2.0)
+    bench.heartbeat(machine, 2.0)
     assert [o.op for o in ended(bench, machine, task, cause, 40.0)] == ["forget"]
     bench.scheduler.tick(40.3)
-    assert starts(bench.report(machine, 41.0)) == [task]
+    assert starts(bench.heartbeat(machine, 41.0)) == [task]
     assert bench.on[machine][task] != first
     assert bench.job_status(41.0, "run-1").done == []
 
@@ -206,15 +206,15 @@
 def test_one_that_fails_everywhere_is_paused_for_longer_and_longer() -> None:
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
-    bench.grant("run-1", service(1), 0.0)
+    bench.heartbeat(machine, 0.0)
+    bench.assign("run-1", service(1), 0.0)
     at, begun = 0.0, []
     task = TaskRef(JobId("run-1"), TaskIndex(0))
     while at < 200.0:
         at += 0.5
         bench.scheduler.machines[machine].failures.clear()  # it is not the machine's fault
         bench.scheduler.tick(at)
-        if starts(bench.report(machine, at)):
+        if starts(bench.heartbeat(machine, at)):
             begun.append(at)
             ended(bench, machine, task, "error", at + 0.2)
     pauses = [b - a for a, b in pairwise(begun)]
@@ -224,14 +224,14 @@
 def test_a_replica_passes_no_gang_and_nothing_waits_behind_it() -> None:
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
-    bench.grant("run-1", service(3), 0.0)
-    assert len(starts(bench.report(machine, 1.0))) == 3
-    bench.grant("run-2", spec(8, 1.0, 10.0), 2.0)
+    bench.heartbeat(machine, 0.0)
+    bench.assign("run-1", service(3), 0.0)
+    assert len(starts(bench.heartbeat(machine, 1.0))) == 3
+    bench.assign("run-2", spec(8, 1.0, 10.0), 2.0)
     bench.scheduler.tick(2.0)
-    assert len(starts(bench.report(machine, 2.5))) == 1
+    assert len(starts(bench.heartbeat(machine, 2.5))) == 1
     scheduler = bench.scheduler
-    # One CPU is a single's; the others' tasks wait behind it alone.
+    # One CPU is an array task's; the others' tasks wait behind it alone.
     assert all(not s.queue for s in scheduler.machines[machine].slots if s.endless)
     # A gang held here waits for slots that are never free again.
     bench.reservation("run-3", spec(1, 2.0, 10.0, is_gang=True), [machine], 3.0)
@@ -247,46 +247,46 @@
 def test_critical_replicas_stop_lower_work_and_start_once_it_is_gone() -> None:
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
-    bench.grant("run-1", spec(4, 1.0, 100.0), 0.0)
-    assert len(starts(bench.report(machine, 1.0))) == 4
-    bench.report(machine, 1.5)
-    bench.grant("run-2", service(1, cpus=2.0), 2.0)
-    commands = bench.report(machine, 2.5)
+    bench.heartbeat(machine, 0.0)
+    bench.assign("run-1", spec(4, 1.0, 100.0), 0.0)
+    assert len(starts(bench.heartbeat(machine, 1.0))) == 4
+    bench.heartbeat(machine, 1.5)
+    bench.assign("run-2", service(1, cpus=2.0), 2.0)
+    commands = bench.heartbeat(machine, 2.5)
     assert [o.op for o in commands] == ["stop", "stop"]
-    assert starts(bench.report(machine, 3.0)) == []  # they are still there
+    assert starts(bench.heartbeat(machine, 3.0)) == []  # they are still there
     for n, order in enumerate(commands):
         assert starts(ended(bench, machine, order.task, "halted", 3.5 + n / 10)) == []
-    assert starts(bench.report(machine, 4.0)) == [TaskRef(JobId("run-2"), TaskIndex(0))]
+    assert starts(bench.heartbeat(machine, 4.0)) == [TaskRef(JobId("run-2"), TaskIndex(0))]
     # Work of the same priority, and services, are not stopped.
-    bench.grant("run-3", service(1, cpus=3.0), 5.0)
+    bench.assign("run-3", service(1, cpus=3.0), 5.0)
     bench.scheduler.tick(5.0)
-    assert all(o.op != "stop" or o.task.job == "run-1" for o in bench.report(machine, 5.5))
-    bench.grant("run-4", service(1, cpus=2.0, priority=1), 6.0)
+    assert all(o.op != "stop" or o.task.job == "run-1" for o in bench.heartbeat(machine, 5.5))
+    bench.assign("run-4", service(1, cpus=2.0, priority=1), 6.0)
     bench.scheduler.tick(6.0)
-    assert not [o for o in bench.report(machine, 6.5) if o.op == "stop"]
+    assert not [o for o in bench.heartbeat(machine, 6.5) if o.op == "stop"]
 
 
 def test_replicas_are_spread_over_machines() -> None:
     bench = Bench(4)
     for name in bench.names:
-        bench.report(name, 0.0)
-    bench.grant("run-1", service(4), 1.0)
+        bench.heartbeat(name, 0.0)
+    bench.assign("run-1", service(4), 1.0)
     bench.scheduler.tick(1.0)
-    assert [len(starts(bench.report(name, 1.5))) for name in bench.names] == [1, 1, 1, 1]
+    assert [len(starts(bench.heartbeat(name, 1.5))) for name in bench.names] == [1, 1, 1, 1]
 
 
 def test_before_its_machine_goes_a_replica_moves_and_is_never_on_both() -> None:
     bench = Bench(2)
     first, second = bench.names
     for name in bench.names:
-        bench.report(name, 0.0)
-    bench.grant("run-1", service(1), 1.0)
+        bench.heartbeat(name, 0.0)
+    bench.assign("run-1", service(1), 1.0)
     task = TaskRef(JobId("run-1"), TaskIndex(0))
-    on = first if starts(bench.report(first, 1.5)) else second
+    on = first if starts(bench.heartbeat(first, 1.5)) else second
     other = second if on == first else first
     if on == second or task not in bench.on[on]:
-        assert starts(bench.report(on, 1.6)) == [task]
+        assert starts(bench.heartbeat(on, 1.6)) == [task]
 
     def notice(at: float, left: float) -> list[Command]:
         bench.sequence += 1
@@ -296,14 +296,14 @@
         )
         return bench.scheduler.handle_heartbeat(at, said, True)
 
-    bench.report(on, 2.0)
-    bench.report(other, 2.0)
+    bench.heartbeat(on, 2.0)
+    bench.heartbeat(other, 2.0)
     assert [o.op for o in notice(3.0, 12.0)] == ["stop"]
     bench.scheduler.tick(3.2)
-    assert starts(bench.report(other, 3.5)) == []
+    assert starts(bench.heartbeat(other, 3.5)) == []
     ended(bench, on, task, "halted", 4.0, 11.0)
     bench.scheduler.tick(4.2)
-    assert starts(bench.report(other, 4.5)) == [task]
+    assert starts(bench.heartbeat(other, 4.5)) == [task]
 
 
 def test_a_dear_machine_is_not_kept_for_replicas_alone() -> None:
@@ -319,13 +319,13 @@
     bench.put(MACHINES + "large", value)
     # The small one has the image, but no room at first.
     small = bench.names[0]
-    bench.report(small, 0.0)
-    bench.grant("run-0", replace(spec(1, 4.0, 10.0), priority=3), 0.0)
-    (other,) = starts(bench.report(small, 0.1))
-    bench.report(small, 0.2)
+    bench.heartbeat(small, 0.0)
+    bench.assign("run-0", replace(spec(1, 4.0, 10.0), priority=3), 0.0)
+    (other,) = starts(bench.heartbeat(small, 0.1))
+    bench.heartbeat(small, 0.2)
     bench.on[large] = {}
 
-    def report(at: float) -> list[Command]:
+    def heartbeat(at: float) -> list[Command]:
         bench.sequence += 1
         tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[large].items()]
         said = Heartbeat(
@@ -335,24 +335,24 @@
         bench.on[large] |= {o.task: o.attempt for o in commands if o.op == "start"}
         return commands
 
-    report(0.0)
-    bench.grant("run-1", service(1), 0.5)
-    assert len(starts(report(1.0))) == 1
+    heartbeat(0.0)
+    bench.assign("run-1", service(1), 0.5)
+    assert len(starts(heartbeat(1.0))) == 1
     stopped = 0.0
     for step in range(1, 60):
         at = 1.0 + 2.0 * step
-        bench.report(small, at, {other} if step == 5 else set())
+        bench.heartbeat(small, at, {other} if step == 5 else set())
         if step == 5:
             bench.store({other}, at)
         bench.scheduler.tick(at)
-        if any(o.op == "stop" for o in report(at + 0.5)):
+        if any(o.op == "stop" for o in heartbeat(at + 0.5)):
             stopped = at
             break
     assert 60.0 < stopped < 110.0
     assert bench.machine_status(stopped, large).leaving is True
 
 
-# The checker can fail, and guards taken out are noticed
+# Mutations: the checker can fail, and removed guards are detected
 
 
 def services_count_as_done(patch: pytest.MonkeyPatch) -> None:
@@ -382,7 +382,7 @@
 
 
 @pytest.mark.parametrize(("patch", "test"), GUARDS, ids=lambda c: getattr(c, "__name__", "_"))
-def test_a_guard_of_services_that_is_taken_out_is_noticed(
+def test_a_removed_guard_of_services_is_detected(
     patch: Callable[[pytest.MonkeyPatch], None],
     test: Callable[[], None],
     monkeypatch: pytest.MonkeyPatch,
@@ -396,14 +396,14 @@
 
 
 def test_a_process_that_stood_still_takes_no_machine_for_silent() -> None:
-    """Its reports are still unread: all machines with replicas were deleted when it went on."""
+    """Its heartbeats are still unread: all machines with replicas were deleted when it went on."""
     bench = Bench(2)
     for name in bench.names:
-        bench.report(name, 0.0)
-    bench.grant("run-s", service(2), 0.0)
+        bench.heartbeat(name, 0.0)
+    bench.assign("run-s", service(2), 0.0)
     bench.scheduler.tick(0.5)
     for name in bench.names:
-        bench.report(name, 0.5)
+        bench.heartbeat(name, 0.5)
     assert all(bench.on[name] for name in bench.names)
     at = 0.5
     while at < 6.0:
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,7 +1,7 @@
 """Stand-ins for the state service, the cloud, the workers and the users, in virtual time.
 
 They follow the published protocols and check the rules as things happen. Everything is driven
-by a seeded generator and an event loop whose clock jumps, so a day repeats exactly.
+by a seeded generator and an event loop whose clock jumps, so a scenario repeats exactly.
 """
 
 from standins.answers import AnswerHistory
@@ -10,8 +10,8 @@
 from standins.network import Link, Wire
 from standins.rules import RuleChecker
 from standins.state_service import StateService
-from standins.virtual_time import now, run_day
-from standins.worker import Piece, Worker
+from standins.virtual_time import now, run_in_virtual_time
+from standins.worker import TaskRun, Worker
 from standins.world import World
 
 __all__ = [
@@ -23,15 +23,15 @@
     "AnswerHistory",
     "Cloud",
     "Link",
-    "Piece",
     "RuleChecker",
     "StateService",
+    "TaskRun",
     "Wire",
     "Worker",
     "World",
     "deployment",
     "now",
-    "run_day",
+    "run_in_virtual_time",
     "settings",
     "zone_of",
 ]
--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -34,7 +34,7 @@
     that name different final states contradict each other in whatever order they came.
     """
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     answers: int = 0
     jobs: dict[str, Told] = field(default_factory=dict)
 
@@ -53,20 +53,20 @@
         elif status == 404:
             self.answers += 1
             if question.known > UNKNOWN:
-                self.broken.append(f"forgotten {question.job} 404 to {question.verb}")
+                self.violations.append(f"forgotten {question.job} 404 to {question.verb}")
         elif status in (400, 422) and question.verb == "submit" and question.known > UNKNOWN:
-            self.broken.append(f"forgotten {question.job} {status} to submit")
+            self.violations.append(f"forgotten {question.job} {status} to submit")
 
     def _stage(self, question: Question, stage: str) -> None:
         told = self.jobs[question.job]
         what = f"{question.job} {stage} to {question.verb}"
         if stage not in FINAL_STAGES:
             if question.known == OVER:
-                self.broken.append(f"went_back {what} after {told.final}")
+                self.violations.append(f"went_back {what} after {told.final}")
             told.known = max(told.known, ACCEPTED)
             return
         if stage == "withdrawn" and not told.cancel_asked:
-            self.broken.append(f"went_back {what}, nobody cancelled it")
+            self.violations.append(f"went_back {what}, nobody cancelled it")
         if told.final and told.final != stage:
-            self.broken.append(f"went_back {what} after {told.final}")
+            self.violations.append(f"went_back {what} after {told.final}")
         told.known, told.final = OVER, told.final or stage
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -47,7 +47,7 @@
 ]
 
 
-# What the state service takes from some moment on, on days on which that comes.
+# What the state service takes from some moment on, in scenarios in which that comes.
 NEXT = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0}
 
 
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -93,7 +93,7 @@
         with anyio.move_on_after(within):
             answer: tuple[int, bytes] = await self.service.answer(method, target, body)
             if "/changes" in target and self.world.mode(self.controller, self.service) == "refused":
-                # The open watch of a node that alone is refused waits as in an outage.
+                # The open watch of a controller that alone is refused waits as in an outage.
                 await anyio.sleep(within)
             return answer
         raise self.errors.HttpError("timeout")
--- a/tests/standins/recorder.py
+++ b/tests/standins/recorder.py
@@ -58,7 +58,7 @@
     try:
         at = round(asyncio.get_running_loop().time(), 6)
     except RuntimeError:
-        at = 0.0  # outside of a day
+        at = 0.0  # outside of a scenario
     line = {"at": at, "event": event, **{name: plain(value) for name, value in fields.items()}}
     _out.write(json.dumps(line, sort_keys=True, separators=(",", ":")) + "\n")
 
@@ -93,7 +93,7 @@
 
 
 async def ask_operators(world: World) -> None:
-    """An operator asks every controller for its status and its shares, all day, if recorded."""
+    """While recording, an operator asks every controller for its status and its partitions."""
     while _out is not None:
         await anyio.sleep(ASK_S)
         for name in sorted(world.controllers):
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -1,4 +1,4 @@
-"""The users' rules, checked by plain counting while a day is played."""
+"""The users' rules, checked by plain counting while a scenario is played."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
             late = now() - self.world.cancelled_at[job_id]
             self.world.started_after_cancel[name] = late
             if late > WORKERS["cancel_s"]:
-                self.world.broken.append(f"ran_cancelled {name} started")
+                self.world.violations.append(f"ran_cancelled {name} started")
         there = self.world.on_machines()
         for other, other_name in there:
             if other_name == name and other is not worker:
-                self.world.broken.append(f"ran_twice {name}")
+                self.world.violations.append(f"ran_twice {name}")
         if job["builds"] is not None and worker.type not in job["builds"]:
-            self.world.broken.append(f"wrong_place {name} type")
+            self.world.violations.append(f"wrong_place {name} type")
         if job["yard"] not in (None, worker.zone):
-            self.world.broken.append(f"wrong_place {name} zone")
+            self.world.violations.append(f"wrong_place {name} zone")
         if worker.spot and not job["borrowed"]:
-            self.world.broken.append(f"wrong_place {name} spot")
+            self.world.violations.append(f"wrong_place {name} spot")
         mates = [w for w, n in there if n.rpartition("/")[0] == job_id and n != name]
         if job["same_place"] and any(w.zone != worker.zone for w in mates):
-            self.world.broken.append(f"wrong_place {name} same_place")
+            self.world.violations.append(f"wrong_place {name} same_place")
         if job["scatter"]:
             here = sum(w.zone == worker.zone for w in mates) + 1
             if here > (job["pieces"] + 1) // 2:
-                self.world.broken.append(f"wrong_place {name} scatter")
+                self.world.violations.append(f"wrong_place {name} scatter")
         team = next(t for t in TEAMS if t["name"] == job["crew"])
         for limit, field in (("cpus_max", "cpus"), ("gpus_max", "accelerators")):
             used = sum(
@@ -58,7 +58,7 @@
                 if self.world.jobs[n.rpartition("/")[0]]["crew"] == job["crew"] and n != name
             )
             if 0 < team[limit] < used + job[field] - 1e-6:  # type: ignore[operator]
-                self.world.broken.append(f"quota {name}")
+                self.world.violations.append(f"quota {name}")
 
     def check_cancelled(self) -> None:
         """No task of a cancelled job is on a machine for longer than it may."""
@@ -68,10 +68,10 @@
                 # Hung beyond its lease it ends its tasks before it goes on with anything.
                 over = worker.hanging and now() - worker.renewed > WORKERS["lease_s"]
                 if not (over and self.world.lease_ends_hung):
-                    self.world.broken.append(f"ran_cancelled {name}")
+                    self.world.violations.append(f"ran_cancelled {name}")
 
     def check_waiting(self) -> None:
-        """Once troubles are over, no job waits for 90 s while a machine that fits has room and
+        """Once faults are over, no job waits for 90 s while a machine that fits has room and
         its team is under its limit."""
         assert self.world.calm_at is not None
         there = self.world.on_machines_or_fetching()
@@ -92,7 +92,7 @@
                 continue
             since = max(self.world.calm_at, self.world.waiting_since.setdefault(job_id, now()))
             if now() - since > 90.0:
-                self.world.broken.append(f"waits {job_id}")
+                self.world.violations.append(f"waits {job_id}")
                 self.world.waiting_since.pop(job_id)
 
     def could_start(
--- a/tests/standins/virtual_time.py
+++ b/tests/standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps, so that a day takes seconds and repeats exactly."""
+"""An event loop whose clock jumps, so that a scenario takes seconds and repeats exactly."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         return super().select(0)
 
 
-def run_day(main: Any) -> None:
+def run_in_virtual_time(main: Any) -> None:
     """Run a coroutine function to its end in virtual time."""
     anyio.run(main, backend_options={"loop_factory": VirtualLoop})
 
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -15,7 +15,7 @@
     from standins.world import World
 
 
-class Piece:
+class TaskRun:
     def __init__(self, attempt: int) -> None:
         self.attempt = attempt
         self.stage = "fetching"
@@ -38,14 +38,14 @@
         self.sequence = 0
         self.token = 0
         self.spot_notice_s: float | None = None
-        self.pieces: dict[str, Piece] = {}
+        self.tasks: dict[str, TaskRun] = {}
         self.images: set[str] = set()
         self.renewed = now()
         self.changed = True
-        self.sent_elsewhere = False  # the last report got no answer, or one that names another
+        self.sent_elsewhere = False  # the last heartbeat got no answer, or one that names another
         self.hanging = False
         self.cut = False
-        self.unreachable = False  # its reports arrive, no answer reaches it
+        self.unreachable = False  # its heartbeats arrive, no answer reaches it
         self.gone = False
 
     async def run(self) -> None:
@@ -64,9 +64,9 @@
                 return
             self.changed = False
             last = now()
-            target = await self._report(target)
+            target = await self._send_heartbeat(target)
 
-    async def _report(self, target: str) -> str:
+    async def _send_heartbeat(self, target: str) -> str:
         self.sequence += 1
         incarnation, sent = self.incarnation, now()
         body = {
@@ -82,7 +82,7 @@
             "pieces": [
                 {"piece": n, "try": p.attempt, "stage": p.stage}
                 | ({"cause": p.cause, "saved": p.saved} if p.cause else {})
-                for n, p in self.pieces.items()
+                for n, p in self.tasks.items()
             ],
         }
         raw = json.dumps(body).encode()
@@ -111,97 +111,97 @@
             self.token = said["baton"]
             self.changed = True
         self.renewed = sent
-        for order in said["orders"]:
-            self.order(order)
+        for command in said["orders"]:
+            self.execute(command)
         return target
 
-    def order(self, order: dict[str, Any]) -> None:
-        name, attempt, verb = order["piece"], order["try"], order["verb"]
-        piece = self.pieces.get(name)
+    def execute(self, command: dict[str, Any]) -> None:
+        name, attempt, verb = command["piece"], command["try"], command["verb"]
+        task = self.tasks.get(name)
         if verb == "launch":
-            if piece is not None and piece.attempt == attempt:
+            if task is not None and task.attempt == attempt:
                 return
             if (name, attempt) in self.world.launched:
                 gang = self.world.jobs[name.split("/")[0]]["shape"] == "group"
                 assert gang, f"attempt {attempt} of {name} was repeated"
             self.world.launched.add((name, attempt))
-            if piece is not None and piece.stage != "exited":
-                self.world.broken.append(f"in_use {name}")
+            if task is not None and task.stage != "exited":
+                self.world.violations.append(f"in_use {name}")
                 return
-            new = self.pieces[name] = Piece(attempt)
+            new = self.tasks[name] = TaskRun(attempt)
             job = self.world.jobs[name.split("/")[0]]
             new.until = now() + (0.0 if job["kit"] in self.images else 1.0)
             used = [
                 self.world.jobs[n.split("/")[0]]
-                for n, p in self.pieces.items()
+                for n, p in self.tasks.items()
                 if p.stage != "exited"
             ]
             kind = next(t for t in TYPES if t["sku"] == self.type)
             for field in ("cpus", "accelerators", "ram_gb"):
                 if sum(j[field] for j in used) > kind[field] + 1e-6:  # type: ignore[operator]
                     new.stage, new.cause = "exited", "full"
-        elif verb == "kill" and piece is not None and piece.attempt == attempt:
-            if piece.stage != "exited":
-                piece.stage, piece.cause = "exited", "halted"
-        elif verb == "forget" and piece is not None and piece.attempt == attempt:
-            assert piece.stage == "exited", name
-            del self.pieces[name]
+        elif verb == "kill" and task is not None and task.attempt == attempt:
+            if task.stage != "exited":
+                task.stage, task.cause = "exited", "halted"
+        elif verb == "forget" and task is not None and task.attempt == attempt:
+            assert task.stage == "exited", name
+            del self.tasks[name]
         self.changed = True
 
     def tick(self) -> None:
         if self.hanging:
             return
         if now() - self.renewed > WORKERS["lease_s"]:
-            self.pieces.clear()
+            self.tasks.clear()
             self.incarnation += 1
             self.renewed = now()
             self.changed = True
             return
-        for name, piece in list(self.pieces.items()):
+        for name, task in list(self.tasks.items()):
             job_id = name.split("/")[0]
             job = self.world.jobs[job_id]
-            if piece.stage == "fetching" and now() >= piece.until:
+            if task.stage == "fetching" and now() >= task.until:
                 self.images.add(job["kit"])
                 self.world.rules.check_start(self, name)
-                piece.stage = "gathering" if job["shape"] == "group" else "running"
-                piece.until = now() + self.world.run_time(name)
+                task.stage = "gathering" if job["shape"] == "group" else "running"
+                task.until = now() + self.world.run_time(name)
                 if name in self.world.results:
-                    piece.stage, piece.cause = "exited", "done"
+                    task.stage, task.cause = "exited", "done"
                 self.changed = True
-            elif piece.stage == "gathering":
-                self._gather(job_id, job, piece)
-            elif piece.stage == "running" and job["shape"] == "daemon":
-                self._replica(name, piece)
-            elif piece.stage == "running" and now() >= piece.until:
-                if job["shape"] == "group" and not self.world.complete(job_id, piece.attempt):
-                    piece.stage, piece.cause = "exited", "peers"
+            elif task.stage == "gathering":
+                self._gather(job_id, job, task)
+            elif task.stage == "running" and job["shape"] == "daemon":
+                self._replica(name, task)
+            elif task.stage == "running" and now() >= task.until:
+                if job["shape"] == "group" and not self.world.complete(job_id, task.attempt):
+                    task.stage, task.cause = "exited", "peers"
                 else:
-                    piece.stage, piece.cause = "exited", "done"
+                    task.stage, task.cause = "exited", "done"
                     self.world.results.add(name)
                     if job["shape"] == "group":
-                        self.world.finish(job_id, piece.attempt)
+                        self.world.finish(job_id, task.attempt)
                 self.changed = True
             elif (
-                piece.stage == "running"
+                task.stage == "running"
                 and job["shape"] == "group"
-                and not self.world.complete(job_id, piece.attempt)
+                and not self.world.complete(job_id, task.attempt)
             ):
-                piece.stage, piece.cause = "exited", "peers"
+                task.stage, task.cause = "exited", "peers"
                 self.changed = True
 
-    def _replica(self, name: str, piece: Piece) -> None:
-        """A replica runs until it is stopped, unless the day has it end by itself."""
+    def _replica(self, name: str, task: TaskRun) -> None:
+        """A replica runs until it is stopped, unless the scenario has it end by itself."""
         self.world.served[name] = self.world.served.get(name, 0.0) + 0.25
         if self.world.random.random() < self.world.replica_ends * 0.25:
-            piece.stage = "exited"
-            piece.cause = self.world.random.choice(["done", "error", "full"])
+            task.stage = "exited"
+            task.cause = self.world.random.choice(["done", "error", "full"])
             self.changed = True
 
-    def _gather(self, job_id: str, job: dict[str, Any], piece: Piece) -> None:
-        if self.world.complete(job_id, piece.attempt):
-            piece.stage = "running"
-            piece.until = now() + job["true_s"]
+    def _gather(self, job_id: str, job: dict[str, Any], task: TaskRun) -> None:
+        if self.world.complete(job_id, task.attempt):
+            task.stage = "running"
+            task.until = now() + job["true_s"]
             self.changed = True
-        elif now() > piece.until - job["true_s"] + WORKERS["gang_wait_s"]:
-            piece.stage, piece.cause = "exited", "alone"
+        elif now() > task.until - job["true_s"] + WORKERS["gang_wait_s"]:
+            task.stage, task.cause = "exited", "alone"
             self.changed = True
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -1,4 +1,4 @@
-"""Controllers, services, machines and users together, in one day."""
+"""Controllers, services, machines and users together, in one scenario."""
 
 from __future__ import annotations
 
@@ -47,20 +47,22 @@
         self.results: set[str] = set()
         self.launched: set[tuple[str, int]] = set()
         self.starts = 0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.modes: dict[tuple[str, str], str] = {}
         self.cut_peers: set[str] = set()
         self.cut_workers: set[str] = set()
         self.slow = 1.0  # how many times as long the state service takes to answer
-        self.lost_answers = 0.0  # the share of transactions of which only the answer is lost
+        self.lost_answers = 0.0  # the fraction of transactions of which only the answer is lost
         self.boot_s = (2.0, 10.0)  # the least and the most that a machine takes to come up
-        self.kept_reports: list[Request] | None = None  # copies of reports, while they are kept
+        self.kept_heartbeats: list[Request] | None = (
+            None  # copies of heartbeats, while they are kept
+        )
         self.accepted_at: dict[str, float] = {}
         self.first_start: dict[str, float] = {}  # of each task
-        self.late_writes = 0.0  # the share of transactions without an answer, carried out late
+        self.late_writes = 0.0  # the fraction of transactions without an answer, carried out late
         self.lose: Any = None  # or which: called with a controller's name and the transaction
         self.writes: list[tuple[float, str, dict[str, Any]]] = []  # what was sent, and by whom
-        self.calm_at: float | None = None  # since when there are no more troubles
+        self.calm_at: float | None = None  # since when there are no more faults
         self.lease_ends_hung = False  # hung beyond its lease, a machine can't go on with tasks
         self.waiting_since: dict[str, float] = {}
         self.answered_at: dict[str, float] = {}
@@ -69,16 +71,16 @@
         self.reruns: list[str] = []  # tasks that were started again after they were done
         self.starts_of: dict[str, int] = {}
         self.started_after_cancel: dict[str, float] = {}
-        self.copies = 0.0  # the share of reports of which a late copy comes
+        self.copies = 0.0  # the fraction of heartbeats of which a late copy comes
         self.copied = 0
         self.old: Any = None  # the version in production
         self.old_names: set[str] = set()  # controllers that start with it
         self.partition_plan: PartitionPlan | None = (
-            None  # of controllers on which shares are switched on
+            None  # of controllers on which partitions are switched on
         )
         self.without_partitions: set[str] = set()  # controllers on which they are off all the same
         self.frozen: set[str] = set()  # controllers that stand still
-        self.held: dict[str, list[Any]] = {}  # frames and reports for them
+        self.held: dict[str, list[Any]] = {}  # frames and heartbeats for them
         self.group: Any = None
         self.rules = RuleChecker(self)
         self.history = AnswerHistory()
@@ -124,8 +126,8 @@
             return None
         if worker is not None and self.random.random() < self.copies:
             self.group.start_soon(self._late_copy, request)
-        if worker is not None and self.kept_reports is not None:
-            self.kept_reports.append(request)
+        if worker is not None and self.kept_heartbeats is not None:
+            self.kept_heartbeats.append(request)
         answer = await controller.handle(request)
         await self.thawed(name)
         if worker is not None and worker.unreachable:
@@ -154,7 +156,7 @@
                     controller.on_message(cbor2.loads(item))
 
     async def _late_copy(self, request: Request) -> None:
-        """A copy of a report, seconds to well over a lease late, at any controller."""
+        """A copy of a heartbeat, seconds to well over a lease late, at any controller."""
         await anyio.sleep(self.random.choice([1.0, 4.0, 12.0, 30.0]) * (0.5 + self.random.random()))
         controller = self.controllers.get(self.random.choice(self.names))
         if controller is not None:
@@ -162,7 +164,7 @@
             await controller.handle(request)
 
     async def deliver(self, copies: list[Request]) -> None:
-        """Each controller gets copies of reports that were kept."""
+        """Deliver copies of recorded heartbeats to each controller."""
         for request in copies:
             for controller in list(self.controllers.values()):
                 self.copied += 1
@@ -172,7 +174,7 @@
 
     def start_controller(self, name: str) -> None:
         if name in self.controllers:
-            return  # another trouble's restart was quicker: a node runs once
+            return  # the restart of another fault was quicker: a controller runs once
 
         old = self.old if name in self.old_names else None
         errors = old.http_client if old is not None else http_client
@@ -211,7 +213,7 @@
         self.group.start_soon(run)
 
     def _partitions(self, name: str) -> PartitionService | None:
-        """A controller's shares. The solver runs in its turn: threads know no virtual time."""
+        """A controller's partitions. The solver runs in its turn: threads know no virtual time."""
         if self.partition_plan is None or name in self.without_partitions:
             return None
 
@@ -236,14 +238,14 @@
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.gone = True
-            worker.pieces.clear()
+            worker.tasks.clear()
 
     def complete(self, job_id: str, attempt: int) -> bool:
         there = {
             n
             for w in self.workers.values()
             if not w.hanging
-            for n, p in w.pieces.items()
+            for n, p in w.tasks.items()
             if n.split("/")[0] == job_id
             and p.attempt == attempt
             and (p.stage in ("gathering", "running") or p.cause == "done")
@@ -253,9 +255,9 @@
     def finish(self, job_id: str, attempt: int) -> None:
         """The tasks of a gang complete together: if one is done, all are."""
         for worker in self.workers.values():
-            for name, piece in worker.pieces.items():
-                if name.split("/")[0] == job_id and piece.attempt == attempt:
-                    piece.stage, piece.cause = "exited", "done"
+            for name, task in worker.tasks.items():
+                if name.split("/")[0] == job_id and task.attempt == attempt:
+                    task.stage, task.cause = "exited", "done"
                     worker.changed = True
                     self.results.add(name)
 
@@ -265,16 +267,13 @@
         return [
             (w, n)
             for w in self.workers.values()
-            for n, p in w.pieces.items()
+            for n, p in w.tasks.items()
             if p.stage not in ("exited", "fetching")
         ]
 
     def on_machines_or_fetching(self) -> list[tuple[Worker, str]]:
         return [
-            (w, n)
-            for w in self.workers.values()
-            for n, p in w.pieces.items()
-            if p.stage != "exited"
+            (w, n) for w in self.workers.values() for n, p in w.tasks.items() if p.stage != "exited"
         ]
 
     def tick(self) -> None:
@@ -309,19 +308,21 @@
     def note_answer(self, question: Question, name: str, answer: Answer) -> Any:
         """Compare a controller's answer with all answers before; gives what it says."""
         said = json.loads(answer.body)
-        before = len(self.history.broken)
+        before = len(self.history.violations)
         self.history.answered(question, answer.status, said)
-        self.broken += [f"{b} by {name} at {now():.2f}" for b in self.history.broken[before:]]
+        self.violations += [
+            f"{b} by {name} at {now():.2f}" for b in self.history.violations[before:]
+        ]
         if answer.status == 503 and not answer.retry_after:
-            self.broken.append(f"no Retry-After from {name}")
+            self.violations.append(f"no Retry-After from {name}")
         return said
 
     @staticmethod
     def _asked(request: Request) -> tuple[str, str]:
         """The job that a request is about, and what it asks of it."""
-        shards = request.target.split("/")
-        if len(shards) > 3:
-            return shards[3], "abort" if shards[-1] == "abort" else "poll"
+        segments = request.target.split("/")
+        if len(segments) > 3:
+            return segments[3], "abort" if segments[-1] == "abort" else "poll"
         body = json.loads(request.body)
         return str(body.get("name_id", "")) if isinstance(body, dict) else "", "submit"
 
@@ -333,7 +334,7 @@
             if status in (200, 201):
                 break
             if status in (400, 422) and job_id in self.accepted:
-                self.broken.append(f"forgotten {job_id}")
+                self.violations.append(f"forgotten {job_id}")
             assert status not in (400, 422, 500), (status, _said)
             await anyio.sleep(1.0)
         else:
@@ -350,29 +351,29 @@
                     cancel_after = None
             status, said = await self.ask("GET", f"/v2/runs/{job_id}")
             if status == 404:
-                self.broken.append(f"forgotten {job_id}")
+                self.violations.append(f"forgotten {job_id}")
             if status == 200:
                 self.answered_at[job_id] = now()
                 self._told(job_id, said["stage"], asked or job_id in self.cancelled_at)
             elif self.calm_at is not None and (
                 now() - max(self.calm_at, self.answered_at.get(job_id, 0.0)) > 75.0
             ):
-                self.broken.append(f"forgotten {job_id} for 75 s")
+                self.violations.append(f"forgotten {job_id} for 75 s")
             await anyio.sleep(3.0)
 
     def _told(self, job_id: str, stage: str, may_be_cancelled: bool) -> None:
         before = self.told.get(job_id)
         if before in ("done", "withdrawn") and stage != before:
-            self.broken.append(f"went_back {job_id}")
+            self.violations.append(f"went_back {job_id}")
         if stage == "done" and self.jobs[job_id]["shape"] == "daemon":
-            self.broken.append(f"not_done {job_id} is a service")
+            self.violations.append(f"not_done {job_id} is a service")
         if stage == "done":
             pieces = self.jobs[job_id]["pieces"]
             if any(f"{job_id}/{i}" not in self.results for i in range(pieces)):
-                self.broken.append(f"not_done {job_id}")
+                self.violations.append(f"not_done {job_id}")
         if stage == "withdrawn":
             if not may_be_cancelled:
-                self.broken.append(f"went_back {job_id} was not cancelled")
+                self.violations.append(f"went_back {job_id} was not cancelled")
             self.cancelled_at.setdefault(job_id, now())
         self.told[job_id] = stage
 
--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -1,4 +1,4 @@
-"""Drawn days on which many users ask all controllers about short jobs while troubles meet.
+"""Random scenarios in which many users ask all controllers about short jobs during faults.
 
 `tests/tools/play_answers.py` plays a range of seeds; the test suite plays a fixed few of them.
 """
@@ -14,16 +14,16 @@
 from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
 from simulation.test_failure_pairs import leader
-from standins import World, now, run_day
+from standins import World, now, run_in_virtual_time
 from support.rolls import lower_limits
 
 POLL_WAIT_S, CHANGE_WAIT_S = 2.0, 5.0  # how long users wait for an answer
 LENGTH_S = 100.0
-TROUBLES_UNTIL_S = 80.0
+FAULTS_UNTIL_S = 80.0
 CONTROLLERS = 4
 LONG_ARRAYS = 0.05  # the share of jobs
 
-Trouble = Callable[[World, str], Coroutine[Any, Any, None]]
+Fault = Callable[[World, str], Coroutine[Any, Any, None]]
 
 
 def _leader_or(world: World, name: str) -> str:
@@ -97,7 +97,7 @@
     world.state.set_down(False)
 
 
-TROUBLES: list[Trouble] = [
+FAULTS: list[Fault] = [
     _restart,
     _refused,
     _cut,
@@ -112,11 +112,11 @@
 ]
 
 
-async def _troubles(world: World) -> None:
-    """One trouble after another; several of these run at once."""
-    while now() < 1000.0 + TROUBLES_UNTIL_S:
+async def _faults(world: World) -> None:
+    """One fault after another; several of these run at once."""
+    while now() < 1000.0 + FAULTS_UNTIL_S:
         await anyio.sleep(world.random.uniform(0.5, 5.0))
-        await world.random.choice(TROUBLES)(world, world.random.choice(world.names))
+        await world.random.choice(FAULTS)(world, world.random.choice(world.names))
 
 
 def _drawn_job(world: World, job_id: str) -> dict[str, Any]:
@@ -141,7 +141,7 @@
 
 
 class JobUsers:
-    """All who ask about one job: they submit, cancel and repeat both as long as the day lasts."""
+    """All who ask about one job: they submit, cancel and repeat both until the end."""
 
     def __init__(self, world: World, job_id: str) -> None:
         self.world = world
@@ -168,7 +168,7 @@
         if stage == "done" and any(
             f"{self.job_id}/{n}" not in self.world.results for n in range(self.body["pieces"])
         ):
-            self.world.broken.append(f"not_done {self.job_id}")
+            self.world.violations.append(f"not_done {self.job_id}")
         return status, said
 
     async def run(self) -> None:
@@ -209,7 +209,7 @@
 
 
 def play_answers(seed: int, jobs: int = 40) -> World:
-    """Play a drawn day. Tens of machines come up, as many as the jobs need."""
+    """Play a random scenario. Tens of machines come up, as many as the jobs need."""
     world = World(seed, CONTROLLERS)
     world.boot_s = (0.5, 4.0)
 
@@ -218,13 +218,13 @@
         if seed % 2:
             lower_limits(world)
         for _ in range(3):
-            world.group.start_soon(_troubles, world)
+            world.group.start_soon(_faults, world)
         for number in range(jobs):
-            await anyio.sleep(world.random.uniform(0.0, 2 * (TROUBLES_UNTIL_S - 10.0) / jobs))
+            await anyio.sleep(world.random.uniform(0.0, 2 * (FAULTS_UNTIL_S - 10.0) / jobs))
             world.group.start_soon(JobUsers(world, f"run-{number:06d}").run)
 
     async def main() -> None:
         await world.play(LENGTH_S, script)
 
-    run_day(main)
+    run_in_virtual_time(main)
     return world
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -79,7 +79,7 @@
     TaskIndex,
     TaskRef,
 )
-from standins import Link, Wire, World, now, run_day, settings
+from standins import Link, Wire, World, now, run_in_virtual_time, settings
 
 Writer = Callable[[Any], Any]
 
@@ -112,8 +112,8 @@
 # Stored records
 
 
-def mirror_of(records: list[list[Any]]) -> WatchCache:
-    """A mirror that has read these records: key, value and version of each."""
+def watch_cache_of(records: list[list[Any]]) -> WatchCache:
+    """A watch cache that has read these records: key, value and version of each."""
     cache = WatchCache()
     for key, value, version in records:
         cache.put(key, value, version)
@@ -156,7 +156,7 @@
 
 def rewrite(records: list[list[Any]]) -> Any:
     """Records read and written again, and what was read of machines, which no record names."""
-    cache = mirror_of(records)
+    cache = watch_cache_of(records)
     again = [[key, text(_rewritten(cache, key))] for key, _, _ in records]
     return {"again": again, "machines": neutral(cache.machines)}
 
@@ -166,18 +166,18 @@
 
 
 def _draft_of(given: Any) -> tuple[JobWrites, WatchCache, JobId]:
-    cache = mirror_of(given["records"])
+    cache = watch_cache_of(given["records"])
     return JobWrites(cache, ["a", "b"], given["most"]), cache, JobId(given["job"])
 
 
-def write_places(given: Any) -> Any:
-    """The keys of a long gang's place."""
+def write_placements(given: Any) -> Any:
+    """The keys of a long gang's placement."""
     writes, cache, job = _draft_of(given)
     return _changes(writes.changes(10.0, job, cache.jobs[job].copy(), PRIORITY_ASSIGNMENTS))
 
 
-def write_grants(given: Any) -> Any:
-    """The keys of a job of which a part is granted some tasks."""
+def write_assignments(given: Any) -> Any:
+    """The keys of a job of which a shard is assigned some tasks."""
     writes, cache, job = _draft_of(given)
     draft = cache.jobs[job].copy()
     draft.assignments.setdefault(given["part"], set()).update(given["tasks"])
@@ -197,14 +197,14 @@
 
 
 def write_widened(given: Any) -> Any:
-    """A cancelled job whose grants do not fit into a value."""
+    """A cancelled job whose assignments do not fit into a value."""
     _, cache, job = _draft_of(given)
     return text(cache.jobs[job].dump(given["most"]))
 
 
 def write_machines(given: Any) -> Any:
-    """A group of which a machine is doomed, and one of which machines go to another share."""
-    cache = mirror_of(given["records"])
+    """A group with a terminating machine, and one of which machines move to another partition."""
+    cache = watch_cache_of(given["records"])
     machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0)  # type: ignore[arg-type]
     machine_lifecycle.begin()
     if "doom" in given:
@@ -262,7 +262,7 @@
     async def main() -> None:
         out.append(await scene())
 
-    run_day(main)
+    run_in_virtual_time(main)
     return out[0]
 
 
@@ -358,7 +358,7 @@
 
 
 def work(given: Any) -> Any:
-    """An owner of a part: its answers to workers, the status that it sends, and operators'."""
+    """An owner of a shard: its answers to workers, the status that it sends, and operators'."""
 
     async def scene() -> Any:
         controller, service, link = _controller(given["records"], given.get("answers", []))
@@ -502,7 +502,7 @@
 
 
 def report(given: Any) -> Any:
-    """What is read of a worker's report."""
+    """What is read of a worker's heartbeat."""
     return neutral(parse_heartbeat(given.encode()))
 
 
@@ -516,7 +516,7 @@
 
 
 def redirection(given: Any) -> Any:
-    """The answer to a worker that names the owner of its part."""
+    """The answer to a worker that names the owner of its shard."""
     return encode_redirect(given).decode()
 
 
@@ -526,7 +526,7 @@
 
 
 def plan_script(given: Any) -> Any:
-    """A plan of shares as it is stored."""
+    """A plan of partitions as it is stored."""
     return text(msgspec.to_builtins(plan.parse("plan.star", given)))
 
 
@@ -580,8 +580,8 @@
 
 WRITERS: dict[str, Writer] = {
     "records": rewrite,
-    "places": write_places,
-    "grants": write_grants,
+    "places": write_placements,
+    "grants": write_assignments,
     "cut": write_cut,
     "leftovers": write_leftovers,
     "widened": write_widened,
@@ -607,7 +607,7 @@
 }
 
 
-# A day of which all that is sent is kept
+# A scenario of which all that is sent is kept
 
 IDS = re.compile(r"^(run-|vm-|[rox]-|n\d|dw/|[a-z](/|$)|[a-z]\d+$)")
 
@@ -626,7 +626,7 @@
 
 
 class Kept:
-    """What is sent on a day, by its kind: a sum of all, and the first ones with new fields."""
+    """What is sent in a scenario, by its kind: a sum of all, and the first ones with new fields."""
 
     def __init__(self) -> None:
         self._sums: dict[str, Any] = {}
@@ -680,8 +680,8 @@
     return json.loads(raw) if raw else None
 
 
-def _kept_day(world: World, kept: Kept, script: Any, length: float) -> None:
-    """Play a day and keep what controllers send and answer."""
+def _recorded_scenario(world: World, kept: Kept, script: Any, length: float) -> None:
+    """Play a scenario and keep what controllers send and answer."""
     call, post, ask, handle = Wire.request, Link.post, Link.ask, Controller.handle
 
     async def keep_call(
@@ -729,8 +729,8 @@
         patch.object(Controller, handle.__name__, keep_handle),
         patch.object(time, "time_ns", lambda: 1),
     ):
-        run_day(main)
-    assert world.broken == []
+        run_in_virtual_time(main)
+    assert world.violations == []
 
 
 async def _operator(world: World, kept: Kept, kind: str, message: dict[str, Any]) -> Any:
@@ -746,9 +746,9 @@
     world.group.start_soon(world.user, job, body, cancel_after)
 
 
-def day() -> dict[str, Any]:
-    """What is sent on a day without shares: arrays, gangs, services, cancellations, refusals, a
-    restart, and a state service that one controller does not reach."""
+def scenario() -> dict[str, Any]:
+    """What is sent in a scenario without partitions: arrays, gangs, services, cancellations,
+    refusals, a restart, and a state service that one controller does not reach."""
     kept = Kept()
     world = World(5)
     world.boot_s = (0.5, 2.0)
@@ -816,12 +816,12 @@
         await anyio.sleep(1.0)
         world.start_controller("n2")
 
-    _kept_day(world, kept, script, 32.0)
+    _recorded_scenario(world, kept, script, 32.0)
     return kept.view()
 
 
-def day_of_shares() -> dict[str, Any]:
-    """What is sent on a day on which machines change from one share to another."""
+def partition_scenario() -> dict[str, Any]:
+    """What is sent in a scenario in which machines move between partitions."""
     kept = Kept()
     world = World(11)
     world.partition_plan = plan.parse("plan.star", PLAN)
@@ -854,8 +854,11 @@
         await _operator(world, kept, "show", {**shares, "verb": "show"})
         await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": None})
 
-    _kept_day(world, kept, script, 34.0)
+    _recorded_scenario(world, kept, script, 34.0)
     return kept.view()
 
 
-DAYS: dict[str, Callable[[], dict[str, Any]]] = {"without shares": day, "shares": day_of_shares}
+SCENARIOS: dict[str, Callable[[], dict[str, Any]]] = {
+    "without shares": scenario,
+    "shares": partition_scenario,
+}
--- a/tests/support/partition_history.py
+++ b/tests/support/partition_history.py
@@ -1,4 +1,4 @@
-"""A checker of all written revisions: each machine in one share, each handover proven.
+"""A checker of all written revisions: each machine in one partition, each handover proven.
 
 It reads what the state service's log tells, in the order of the revisions, and knows nothing of the
 code that wrote it. `tests/unit/test_partition_history.py` shows that it fails on made-up bad
@@ -17,11 +17,11 @@
 Entry = tuple[int, str, Any, bool]  # revision, key, value, whether it was removed
 
 
-class ShareHistory:
+class PartitionHistory:
     """The records after each revision, and what was wrong with any of them."""
 
     def __init__(self) -> None:
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.handovers: list[tuple[int, str, str, str]] = []  # revision, machine, from, to
         self._records: dict[str, Any] = {}
         self._versions: dict[str, int] = {}
@@ -46,10 +46,10 @@
             for key in keys:
                 if key.startswith(TRANSFERS):
                     self._check_transfer(revision, key, before[key])
-        return self.broken
+        return self.violations
 
     def _fail(self, revision: int, what: str) -> None:
-        self.broken.append(f"revision {revision}: {what}")
+        self.violations.append(f"revision {revision}: {what}")
 
     # Machines
 
@@ -160,7 +160,7 @@
         ]
 
     def counts(self) -> dict[tuple[str, str], int]:
-        """How many machines of each type each part has, without those to be deleted."""
+        """How many machines of each type each shard has, without those to be deleted."""
         out: dict[tuple[str, str], int] = {}
         for key, group in self._records.items():
             if key.startswith(MACHINES):
@@ -170,8 +170,8 @@
                     out[name] = out.get(name, 0) + live
         return out
 
-    def parts_in_grants(self) -> set[str]:
-        """Every part that a job's record names."""
+    def shards_in_assignments(self) -> set[str]:
+        """Every shard that a job's record names."""
         named: set[str] = set()
         for key, value in self._records.items():
             if key.startswith((JOBS, CHUNKS)):
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -1,4 +1,4 @@
-"""Whole days on which the controllers are replaced one after the other by this version."""
+"""Whole scenarios on which the controllers are replaced one after the other by this version."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from simulation.test_scenarios import run_script
 from standins import NEXT, World, now
 
-Trouble = Callable[[World], Coroutine[Any, Any, None]]
+Fault = Callable[[World], Coroutine[Any, Any, None]]
 
 
 async def nothing(world: World) -> None:
@@ -85,7 +85,7 @@
     world.state.set_down(False)
 
 
-TROUBLES: list[Trouble] = [
+FAULTS: list[Fault] = [
     nothing,
     dies_before_its_turn,
     outage,
@@ -99,13 +99,13 @@
 
 @dataclass
 class PlayedRoll:
-    """A day on which this version replaced an earlier one."""
+    """A scenario on which this version replaced an earlier one."""
 
     world: World
     raised_early: list[str] = field(default_factory=list)  # before whose turn the format was new
 
 
-def hand_in_large(world: World, first: int) -> None:
+def submit_large_arrays(world: World, first: int) -> None:
     """Arrays whose records outgrow the lower limit, done in no order."""
     for n in range(first, first + 2):
         each = [world.random.choice([1.0, 45.0]) for _ in range(420)]
@@ -120,8 +120,8 @@
         world.group.start_soon(world.user, body["name_id"], body, None)
 
 
-def hand_in_services(world: World) -> None:
-    """Three services, the last of which is called off after a minute."""
+def submit_services(world: World) -> None:
+    """Three services, the last of which is cancelled after a minute."""
     for n in range(3):
         body = world.job(
             name_id=f"run-service{n}",
@@ -142,9 +142,9 @@
 
 
 def play_roll(
-    earlier: SimpleNamespace, trouble: Trouble, seed: int, *, lowered_after: float | None = None
+    earlier: SimpleNamespace, fault: Fault, seed: int, *, lowered_after: float | None = None
 ) -> PlayedRoll:
-    """Play a day that begins with the earlier version alone, and a trouble during the roll.
+    """Play a scenario that begins with the earlier version alone, and a fault during the roll.
 
     The limits of the state service fall once all controllers are of this version, or with
     `lowered_after` so many seconds after the beginning.
@@ -175,20 +175,20 @@
             body = world.random_job() | {"name_id": f"run-{n:06d}"}
             body["true_s"] *= 3.0
             world.group.start_soon(world.user, body["name_id"], body, 30.0 if n % 5 == 0 else None)
-        hand_in_large(world, 2)
+        submit_large_arrays(world, 2)
         async with anyio.create_task_group() as group:
             group.start_soon(roll)
-            group.start_soon(trouble, world)
+            group.start_soon(fault, world)
             if lowered_after is not None:
                 group.start_soon(fall)
-                hand_in_services(world)
+                submit_services(world)
         await anyio.sleep(world.random.uniform(5.0, 9.0))
         assert world.state.keys[FORMAT][0] == {"version": FORMAT_NOW}
         if lowered_after is None:
-            hand_in_services(world)
+            submit_services(world)
             await anyio.sleep(world.random.uniform(0.0, 10.0))
             lower_limits(world)
-        hand_in_large(world, 4)
+        submit_large_arrays(world, 4)
         world.calm_at = now()
         await anyio.sleep(110)
 
--- a/tests/support/scenario_checks.py
+++ b/tests/support/scenario_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a whole day of the stand-ins: by plain counting, at its end or beside the users."""
+"""Checks of a whole scenario, by plain counting: at its end, or beside the users."""
 
 from __future__ import annotations
 
@@ -36,24 +36,24 @@
     return groups
 
 
-def end_of_day(world: World) -> list[str]:
-    """What makes a day fail beside the rules that are checked as things happen."""
-    broken = []
+def final_check_failures(world: World) -> list[str]:
+    """What makes a scenario fail beside the rules that are checked as things happen."""
+    violations = []
     if not world.starts:
-        broken.append("nothing_ran")
+        violations.append("nothing_ran")
     for (kind, name), jobs in groups_of_jobs(world).items():
         served = sum(started_tasks(world, j) == world.jobs[j]["pieces"] for j in jobs)
         if 2 * served < len(jobs):
-            broken.append(f"served {kind} {name}")
+            violations.append(f"served {kind} {name}")
         if kind == "largest":
             for job_id in jobs:
                 begun = world.first_start.get(f"{job_id}/0")
                 if begun is None or begun - world.accepted_at[job_id] > BEGIN_WITHIN_S:
-                    broken.append(f"late {job_id}")
+                    violations.append(f"late {job_id}")
     for name, late in world.started_after_cancel.items():
         if late > START_IN_FLIGHT_S:
-            broken.append(f"started_after_cancel {name} {late:.1f}")
-    return broken
+            violations.append(f"started_after_cancel {name} {late:.1f}")
+    return violations
 
 
 def ask(body: bytes | None, job_id: str, verb: str = "") -> Request:
@@ -62,13 +62,13 @@
     return Request(method, path, body or b"", False)
 
 
-class Onlooker:
+class AnswerProbe:
     """Asks every controller about a job, and keeps that no answer is older than an earlier one."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.known: dict[str, int] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.answers = 0
 
     async def request(self, name: str, request: Request, job_id: str) -> tuple[int, Any]:
@@ -79,7 +79,7 @@
         answer = await controller.handle(request)
         said = json.loads(answer.body)
         if answer.status == 503 and not answer.retry_after:
-            self.broken.append(f"no Retry-After {job_id}")
+            self.violations.append(f"no Retry-After {job_id}")
         if answer.status in (200, 201, 404):
             stage = "unknown" if answer.status == 404 else said["stage"]
             self.note(job_id, before, stage)
@@ -89,7 +89,7 @@
         """An answer whose question was put when `before` was known."""
         self.answers += 1
         if ORDER[stage] < before:
-            self.broken.append(f"older_answer {job_id} {stage}")
+            self.violations.append(f"older_answer {job_id} {stage}")
         self.known[job_id] = max(self.known.get(job_id, 0), ORDER[stage])
 
     async def look(self, job_id: str) -> None:
--- a/tests/tools/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -1,11 +1,11 @@
-"""Whether two versions of the sources behave alike, event by event, on the same simulated days.
+"""Compares the behaviour of two versions of the sources, event by event, in simulated scenarios.
 
 `python tests/tools/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` plays the scenarios
-("days") of `tests/tools/behaviour_scenarios.py` on the revision BASE and on the present working
-tree, and compares all that controllers send to services, workers, users, operators and one another.
-Each version is played with its own tests and stand-ins, each day in a process of its own, and the
-two sides with different hash seeds. It ends with 0 where all are equal and with 1 at the first
-difference.
+(called days on the command line) of `tests/tools/behaviour_scenarios.py` on the revision BASE and
+on the present working tree, and compares all that controllers send to services, workers, users,
+operators and one another. Each version is played with its own tests and stand-ins, each scenario in
+a process of its own, and the two sides with different hash seeds. It exits with 0 where all are
+equal and with 1 at the first difference.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class Failed(Exception):
-    """A day or a version that cannot be played."""
+    """A scenario or a version that cannot be played."""
 
 
 def first_difference(base: Path, present: Path) -> Difference | None:
@@ -94,14 +94,14 @@
     return text if len(text) <= SHOWN else f"{text[:SHOWN]}... ({len(text)} characters)"
 
 
-# One day, in a process of its own
+# One scenario, in a process of its own
 
 
 def play(day: str, out: Path) -> None:
-    """Play a day and write its trace."""
+    """Play a scenario and write its trace."""
     import dapplewick
     from standins import recorder
-    from tools.behaviour_scenarios import DAYS
+    from tools.behaviour_scenarios import SCENARIOS
 
     if Path(dapplewick.__file__).resolve().parent != ROOT / "src" / "dapplewick":
         raise SystemExit(f"{dapplewick.__file__} is not of the version that is to be played")
@@ -111,9 +111,9 @@
     with out.open("w") as file:
         recorder.start(file)
         try:
-            DAYS[day]()
+            SCENARIOS[day]()
         except* AssertionError:
-            # A check of the day itself: an event like others, the tests tell what it means.
+            # A check of the scenario itself: an event like others, the tests tell what it means.
             recorder.record("check_failed")
         finally:
             recorder.stop()
@@ -155,8 +155,8 @@
 
 
 def check_out(revision: str, target: Path) -> None:
-    """A revision in a folder of its own. It is a clone, which shares the history: days with the
-    version in production read that from there."""
+    """Check a revision out in a folder of its own. It is a clone, which shares the history:
+    scenarios with the version in production read that from there."""
     steps = [
         ["clone", "-q", "--shared", "--no-checkout", str(ROOT), str(target)],
         ["-C", str(target), "checkout", "-q", "--detach", revision],
@@ -182,7 +182,7 @@
 
 
 def compare(revision: str, chosen: Sequence[str], jobs: int) -> int:
-    """Play days on a revision and on the working tree; gives the exit status."""
+    """Play scenarios on a revision and on the working tree; gives the exit status."""
     begun = time.monotonic()
     commit = resolve(revision)
     with tempfile.TemporaryDirectory(prefix="behaviour-") as name:
@@ -247,9 +247,9 @@
         for folder in ("tests", "src"):
             sys.path.insert(0, str(ROOT / folder))
     if given.list:
-        from tools.behaviour_scenarios import DAYS
+        from tools.behaviour_scenarios import SCENARIOS
 
-        print("\n".join(DAYS))
+        print("\n".join(SCENARIOS))
         return 0
     if given.play:
         if given.out is None:
--- a/tests/tools/make_golden_data.py
+++ b/tests/tools/make_golden_data.py
@@ -1,4 +1,4 @@
-"""Makes tests/data/golden: what the present sources make of given values, and send on two days.
+"""Makes tests/data/golden: what the present sources make of given values, and send in scenarios.
 
 `python tests/tools/make_golden_data.py` writes the files anew: after a change of what is stored,
 sent or planned, which its commit then says. A renaming must not need it.
@@ -94,12 +94,12 @@
 
 
 def long_gang(**more: Any) -> dict[str, Any]:
-    """A gang whose place is in keys of its own."""
+    """A gang whose placement is in keys of its own."""
     return job(LONG, is_gang={"attempt": 4194305, "places": [], **more, "shares": 2})
 
 
 def placements(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
-    """A share of that place."""
+    """A chunk of that placement."""
     return {"attempt": attempt, "places": LONG_PLACES[first:last]}
 
 
@@ -332,7 +332,7 @@
 def checkin(
     machine: str, sequence: int, pieces: list[dict[str, Any]], **more: Any
 ) -> dict[str, Any]:
-    """A worker's report."""
+    """A worker's heartbeat."""
     return {
         "loom": machine,
         "endpoint": "10.0.0.1:9",
@@ -362,7 +362,7 @@
 
 
 def shard_status(**more: Any) -> dict[str, Any]:
-    """A part's status, as a controller of the present version sends it."""
+    """A shard's status, as a controller of the present version sends it."""
     one = {"placed": 2, "running": 1, "done": [0, 3], "returned": [4], "version": 11}
     return {
         "kind": "part",
@@ -484,7 +484,7 @@
 
 
 def owners() -> dict[str, Any]:
-    """An owner of a part that hears workers, users, peers and operators."""
+    """An owner of a shard that hears workers, users, peers and operators."""
     running = {"piece": "run-1/0", "try": 7340033, "stage": "running"}
     exited = {"piece": "run-1/1", "try": 5, "stage": "exited", "cause": "done", "saved": True}
     gone = {"piece": "run-4/0", "try": 6, "stage": "running"}
@@ -907,8 +907,8 @@
     }
 
 
-def days() -> dict[str, Any]:
-    """What is sent on the days, played by a process of its own."""
+def scenarios() -> dict[str, Any]:
+    """What is sent in the scenarios, played by a process of its own."""
     done = subprocess.run(
         [sys.executable, __file__, "days"],
         env=os.environ | {"PYTHONHASHSEED": "0"},
@@ -929,7 +929,7 @@
 def main(arguments: list[str]) -> None:
     logging.disable(logging.CRITICAL)
     if arguments == ["days"]:
-        print(json.dumps({label: play() for label, play in golden.DAYS.items()}))
+        print(json.dumps({label: play() for label, play in golden.SCENARIOS.items()}))
         return
     for kind, values in given_values().items():
         plain = json.loads(json.dumps(values))
@@ -938,7 +938,7 @@
             for label, given in plain.items()
         }
         _write(f"{kind.replace(' ', '_')}.json", items)
-    _write("days.json", days())
+    _write("days.json", scenarios())
 
 
 if __name__ == "__main__":
--- a/tests/tools/make_production_data.py
+++ b/tests/tools/make_production_data.py
@@ -11,7 +11,7 @@
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "src")]
 
 import standins  # noqa: E402
-from simulation.test_scenarios import hand_in, run_script  # noqa: E402
+from simulation.test_scenarios import run_script, submit_jobs  # noqa: E402
 from support import production  # noqa: E402
 from support.paths import DATA  # noqa: E402
 
@@ -30,7 +30,7 @@
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 10, pieces=12, cpus=2.0, true_s=9.0)
+        submit_jobs(world, 10, pieces=12, cpus=2.0, true_s=9.0)
         for n in range(10, 16):
             body = world.job(name_id=f"run-{n:06d}", shape="group", pieces=2, true_s=30.0)
             world.group.start_soon(world.user, body["name_id"], body, 14.0 if n == 12 else None)
--- a/tests/tools/measure_partitions.py
+++ b/tests/tools/measure_partitions.py
@@ -1,4 +1,4 @@
-"""How long moves of machines between shares take, and what the work there waits (simulated).
+"""How long moves of machines between partitions take, and what the work there waits (simulated).
 
 Not a test: `PYTHONPATH=src:tests target/ci/bin/python tests/tools/measure_partitions.py` plays each
 move with the stand-ins in virtual time and prints a table for `docs/shares.md`.
@@ -17,7 +17,7 @@
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
 from simulation.test_partition_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
-from standins import World, now, run_day
+from standins import World, now, run_in_virtual_time
 
 SIZES = (4, 16, 48)
 LOADS = {"idle": 0.0, "tasks of 10 s": 10.0, "tasks of 60 s": 60.0}
@@ -93,8 +93,8 @@
     async def main() -> None:
         await world.play(1200.0, script)
 
-    run_day(main)
-    assert world.broken == []
+    run_in_virtual_time(main)
+    assert world.violations == []
     return measured[0]
 
 
--- a/tests/tools/play_answers.py
+++ b/tests/tools/play_answers.py
@@ -1,4 +1,4 @@
-"""Plays drawn scenarios in which users ask about short jobs while troubles meet.
+"""Plays random scenarios in which users ask about short jobs during compound failures.
 
 `PYTHONPATH=src:tests target/ci/bin/python tests/tools/play_answers.py FIRST LAST [SIZE]` plays a
 range of seeds and prints what broke.
@@ -16,17 +16,17 @@
     first, last = int(arguments[0]), int(arguments[1])
     jobs = int(arguments[2]) if len(arguments) > 2 else 40
     logging.disable(logging.CRITICAL)
-    broken = 0
+    violations = 0
     for seed in range(first, last + 1):
         world = play_answers(seed, jobs)
-        broken += bool(world.broken)
+        violations += bool(world.violations)
         print(
             f"seed {seed}: {world.history.answers} answers, {len(world.accepted)} jobs,",
             f"{len(world.cloud.provisioning_requests)} bookings, {world.cloud.next_name} machines,",
-            f"{len(world.broken)} broken: {world.broken[:3]}",
+            f"{len(world.violations)} broken: {world.violations[:3]}",
             flush=True,
         )
-    print(f"{last - first + 1} days played, rules broken on {broken}")
+    print(f"{last - first + 1} scenarios played, rules broken in {violations}")
 
 
 if __name__ == "__main__":
--- a/tests/unit/test_compare_behaviour.py
+++ b/tests/unit/test_compare_behaviour.py
@@ -77,7 +77,7 @@
         recorder.plain(object())
 
 
-def test_a_day_is_the_same_in_two_processes_with_different_hash_seeds(tmp_path: Path) -> None:
+def test_a_scenario_is_the_same_in_two_processes_with_different_hash_seeds(tmp_path: Path) -> None:
     traces = []
     for side in HASH_SEEDS:
         out = tmp_path / f"{side}.jsonl"
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -110,7 +110,7 @@
                 return
 
 
-def test_a_body_over_the_limit_is_not_kept() -> None:
+def test_a_body_over_the_limit_is_not_buffered() -> None:
     """With a length or without one: the answer goes out before the rest is read."""
     chunked = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     chunked += (b"1000\r\n" + b"x" * 4096 + b"\r\n") * 17
--- a/tests/unit/test_partition_history.py
+++ b/tests/unit/test_partition_history.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from support.partition_history import Entry, ShareHistory
+from support.partition_history import Entry, PartitionHistory
 
 NIGHT = "a/~night"
 
@@ -51,11 +51,11 @@
 
 
 def check(*entries: Entry) -> list[str]:
-    return ShareHistory().check([*BEGUN, *entries])
+    return PartitionHistory().check([*BEGUN, *entries])
 
 
 def test_a_good_handover_is_found_good() -> None:
-    history = ShareHistory()
+    history = PartitionHistory()
     assert history.check([*BEGUN, *HANDED_OVER]) == []
     assert history.handovers == [(14, "m1", "a", NIGHT)]
     assert history.open_transfers() == []
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -1,4 +1,4 @@
-"""The keeping of shares against a slow plain model of machines, owners and workers.
+"""The rebalancing of partitions against a slow plain model of machines, owners and workers.
 
 The real leader's side (`PartitionRebalancer`, `MachineLifecycle`, `WatchCache`)
 writes to a store in which any write may be lost, come late, or be the last of its leader. Owners
@@ -40,11 +40,11 @@
     TransferId,
     shard_name,
 )
-from support.partition_history import ShareHistory
+from support.partition_history import PartitionHistory
 
 OWN = ShardName("a")
 NIGHT, DAY = shard_name("a", "night"), shard_name("a", "day")
-PARTS_OF_ZONE = [OWN, NIGHT, DAY]
+SHARDS_OF_ZONE = [OWN, NIGHT, DAY]
 PLAN = PartitionPlan(
     partitions={
         name: Partition(teams=[name], rules=[PartitionRule(types=["m"], most=0.0)])
@@ -85,7 +85,7 @@
         assert self.write([ConditionalWrite(key, value, self.keys.get(key, (None, 0))[1], 0)])
 
     def follow(self, cache: WatchCache, most: int | None = None) -> None:
-        """Let a mirror read on, perhaps not up to the newest revision."""
+        """Let a watch cache read on, perhaps not up to the newest revision."""
         end = self.revision if most is None else min(self.revision, cache.revision + most)
         events = [
             Event(revision, delete=key) if gone else Event(revision, put=key, value=value)
@@ -100,11 +100,11 @@
 
     def __init__(self) -> None:
         self.token = 0
-        self.running: set[str] = set()  # names of the parts whose work is there
+        self.running: set[str] = set()  # names of the shards whose work is there
 
 
 class Owner:
-    """One life of a part's owner; earlier ones may go on for as long as they like."""
+    """One incarnation of a shard's owner; earlier ones may go on for any time."""
 
     def __init__(self, shard: ShardName, token: int) -> None:
         self.shard = shard
@@ -113,7 +113,7 @@
         self.heard: dict[MachineId, set[str]] = {}  # what each worker reported under our token
 
     def command(self, machine: MachineId, worker: Worker, start: bool) -> None:
-        """A worker reports to this owner, which may start work in its answer."""
+        """A worker sends a heartbeat to this owner, which may start work in its answer."""
         record = self.cache.machines.get(machine)
         if record is None or record.shard != self.shard:
             self.heard.pop(machine, None)
@@ -131,7 +131,7 @@
         self.heard[machine] = set(worker.running)
 
     def status(self, number: int) -> ObservedShard:
-        """What the leader knows of the part after this owner's newest status."""
+        """What the leader knows of the shard after this owner's newest status."""
         view = ObservedShard(self.shard, self.token)
         machines = {
             machine: MachineStatus(
@@ -174,7 +174,7 @@
         return view
 
 
-class Play:
+class Simulation:
     """All of it, driven by drawn numbers."""
 
     def __init__(self, seed: int, machines: int) -> None:
@@ -190,7 +190,7 @@
             self.store.put(f"{MACHINES}r-{first}", group)
         self.owners: dict[ShardName, Owner] = {}
         self.former: list[Owner] = []
-        for shard in PARTS_OF_ZONE:
+        for shard in SHARDS_OF_ZONE:
             self.new_owner(shard)
         self.late: list[list[ConditionalWrite]] = []  # transactions without an answer
         self.commands = 0
@@ -220,7 +220,7 @@
         owner = self.owners[shard] = Owner(shard, self.store.revision)
         self.store.follow(owner.cache)
 
-    def order(self, source: ShardName, target: ShardName, count: int) -> None:
+    def command_move(self, source: ShardName, target: ShardName, count: int) -> None:
         self.commands += 1
         record = TransferRecord(
             0,
@@ -235,12 +235,12 @@
         )
         self.keeper.commands = [TransferCommand(TransferId(f"o-{self.commands}"), record)]
 
-    def lead(self, trouble: bool) -> None:
+    def lead(self, faults: bool) -> None:
         """A pass of the leader, whose writes may be lost, cut off or come late. After one without
         an answer the next pass writes under a new epoch, so that it can't come any more."""
         self.late.clear()
         self.store.follow(self.cache)
-        if trouble and not self.keeper.commands and self.random.random() < 0.05:
+        if faults and not self.keeper.commands and self.random.random() < 0.05:
             self.keeper.commands = [
                 TransferCommand(name, None)
                 for name, r in self.cache.transfers.records.items()
@@ -256,7 +256,7 @@
             if SHARDS + shard not in self.store.keys:
                 self.new_owner(shard)  # as the leader's choice of owners does
         for batch in self.transactions(changes):
-            if not trouble or self.random.random() < 0.7:
+            if not faults or self.random.random() < 0.7:
                 self.store.write(batch)
                 continue
             self.late.append(batch)
@@ -276,29 +276,31 @@
                 out.append([change])
         return out
 
-    def step(self, trouble: bool) -> None:
+    def step(self, faults: bool) -> None:
         """Something happens."""
         self.now += self.random.random()
         machine = self.random.choice(self.names)
         worker = self.workers[machine]
         pick = self.random.random()
         if pick < 0.25:
-            self.lead(trouble)
+            self.lead(faults)
         elif pick < 0.45:
             owner = self.random.choice(list(self.owners.values()))
-            self.store.follow(owner.cache, None if not trouble else self.random.randint(0, 4))
+            self.store.follow(owner.cache, None if not faults else self.random.randint(0, 4))
         elif pick < 0.55:
             owner = self.random.choice(list(self.owners.values()))
-            if not trouble or self.random.random() < 0.8:
+            if not faults or self.random.random() < 0.8:
                 self.statuses += 1
                 self.capacities[owner.shard] = owner.status(self.statuses)
         elif pick < 0.88:
-            lives = [*self.owners.values(), *self.former] if trouble else [*self.owners.values()]
-            self.random.choice(lives).command(machine, worker, self.random.random() < 0.5)
-        elif pick < 0.97 or not trouble:
+            incarnations = (
+                [*self.owners.values(), *self.former] if faults else [*self.owners.values()]
+            )
+            self.random.choice(incarnations).command(machine, worker, self.random.random() < 0.5)
+        elif pick < 0.97 or not faults:
             worker.running.clear()  # its work ends by itself
         elif pick < 0.985:
-            self.new_owner(self.random.choice(PARTS_OF_ZONE))
+            self.new_owner(self.random.choice(SHARDS_OF_ZONE))
         elif self.late and self.random.random() < 0.5:
             self.store.write(self.late.pop(self.random.randrange(len(self.late))))
         else:
@@ -310,7 +312,7 @@
             assert len(worker.running) <= 1, f"{name} has work of {worker.running}"
 
     def calm(self, steps: int) -> None:
-        """Troubles are over: owners read on, report, and work ends."""
+        """Without faults: owners read on, send their status, and work ends."""
         self.late.clear()
         self.former.clear()
         for _ in range(steps):
@@ -324,7 +326,7 @@
             for worker in self.workers.values():
                 if self.random.random() < 0.3:
                     worker.running.clear()
-            self.lead(trouble=False)
+            self.lead(faults=False)
             self.check()
         for name, worker in self.workers.items():
             holder = self.owners[self.cache.machines[name].shard]
@@ -337,7 +339,7 @@
     seed=st.integers(0, 1 << 30),
     machines=st.integers(1, 24),
     moves=st.lists(
-        st.tuples(st.permutations(PARTS_OF_ZONE), st.integers(1, 9), st.integers(0, 40)),
+        st.tuples(st.permutations(SHARDS_OF_ZONE), st.integers(1, 9), st.integers(0, 40)),
         min_size=1,
         max_size=5,
     ),
@@ -345,42 +347,42 @@
 def test_drawn_moves_failures_and_lags(
     seed: int, machines: int, moves: list[tuple[list[ShardName], int, int]]
 ) -> None:
-    """No machine has work of two parts or counts twice, and every move ends."""
-    play = Play(seed, machines)
+    """No machine has work of two shards or counts twice, and every move ends."""
+    simulation = Simulation(seed, machines)
     for (source, target, _), count, pause in moves:
-        play.order(source, target, count)
+        simulation.command_move(source, target, count)
         for _ in range(10 + pause):
-            play.step(trouble=True)
-    play.calm(160)
-    history = ShareHistory()
-    assert history.check(play.store.log) == []
+            simulation.step(faults=True)
+    simulation.calm(160)
+    history = PartitionHistory()
+    assert history.check(simulation.store.log) == []
     assert history.open_transfers() == []
     assert sum(history.counts().values()) == machines
 
 
-def test_a_move_without_trouble_is_met_in_full() -> None:
+def test_a_move_without_faults_is_completed() -> None:
     for seed in range(5):
-        play = Play(seed, 12)
-        play.order(OWN, NIGHT, 5)
-        play.calm(30)
-        play.order(NIGHT, DAY, 3)
-        play.calm(30)
-        history = ShareHistory()
-        assert history.check(play.store.log) == []
+        simulation = Simulation(seed, 12)
+        simulation.command_move(OWN, NIGHT, 5)
+        simulation.calm(30)
+        simulation.command_move(NIGHT, DAY, 3)
+        simulation.calm(30)
+        history = PartitionHistory()
+        assert history.check(simulation.store.log) == []
         assert history.counts() == {("a", "m"): 7, (NIGHT, "m"): 2, (DAY, "m"): 3}
 
 
 def play_seed(seed: int) -> None:
     """A play of drawn moves; fails if anything is wrong."""
     draw = random.Random(seed)
-    play = Play(seed, draw.randint(1, 3))
+    simulation = Simulation(seed, draw.randint(1, 3))
     for _ in range(8):
-        source, target, _ = draw.sample(PARTS_OF_ZONE, 3)
-        play.order(source, target, draw.randint(1, 3))
+        source, target, _ = draw.sample(SHARDS_OF_ZONE, 3)
+        simulation.command_move(source, target, draw.randint(1, 3))
         for _ in range(60):
-            play.step(trouble=True)
-    play.calm(40)
-    assert ShareHistory().check(play.store.log) == []
+            simulation.step(faults=True)
+    simulation.calm(40)
+    assert PartitionHistory().check(simulation.store.log) == []
 
 
 def untied(
@@ -398,7 +400,7 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_a_guard_that_is_taken_out_is_noticed(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_removed_guard_is_detected(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     for seed in range(5):
         play_seed(seed)
     monkeypatch.setattr(*GUARDS[guard])
@@ -411,48 +413,48 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_what_an_owner_told_before_a_transfer_proves_nothing(
+def test_what_an_owner_reported_before_a_transfer_proves_nothing(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A cancelled transfer's machine has got work again, and the next transfer of it must not rest
     on the status from before; a status may be seconds old."""
     if not guarded:
         monkeypatch.setattr(PartitionRebalancer, "_owner_knows", lambda *_: True)
-    play = Play(1, 1)
-    machine, owner = play.names[0], play.owners[OWN]
-    worker = play.workers[machine]
+    simulation = Simulation(1, 1)
+    machine, owner = simulation.names[0], simulation.owners[OWN]
+    worker = simulation.workers[machine]
 
     def catch_up(start: bool) -> None:
-        play.store.follow(owner.cache)
+        simulation.store.follow(owner.cache)
         owner.command(machine, worker, start)
         owner.command(machine, worker, start)
 
-    play.order(OWN, NIGHT, 1)
-    play.lead(trouble=False)
+    simulation.command_move(OWN, NIGHT, 1)
+    simulation.lead(faults=False)
     catch_up(start=False)
-    play.capacities[OWN] = owner.status(1)
-    assert play.capacities[OWN].latest.drained == [machine]
-    (first,) = play.cache.transfers.records or [TransferId("o-1")]
-    play.keeper.commands = [TransferCommand(first, None)]
-    play.lead(trouble=False)
+    simulation.capacities[OWN] = owner.status(1)
+    assert simulation.capacities[OWN].latest.drained == [machine]
+    (first,) = simulation.cache.transfers.records or [TransferId("o-1")]
+    simulation.keeper.commands = [TransferCommand(first, None)]
+    simulation.lead(faults=False)
     catch_up(start=True)
     assert worker.running == {OWN}
-    play.order(OWN, NIGHT, 1)
+    simulation.command_move(OWN, NIGHT, 1)
     for _ in range(3):
-        play.lead(trouble=False)
-    play.store.follow(play.cache)
-    assert (play.cache.machines[machine].shard == OWN) is guarded
+        simulation.lead(faults=False)
+    simulation.store.follow(simulation.cache)
+    assert (simulation.cache.machines[machine].shard == OWN) is guarded
 
 
-def test_the_model_notices_a_start_by_a_former_holder() -> None:
+def test_the_model_detects_a_start_by_a_former_owner() -> None:
     """Without floors a former holder's command is taken by the worker after the handover."""
-    play = Play(1, 2)
-    play.order(OWN, NIGHT, 2)
-    play.calm(10)
-    former = Owner(OWN, int(play.owners[OWN].token))
-    play.store.follow(former.cache, 5)  # as it was before the transfer
-    machine, worker = play.names[0], play.workers[play.names[0]]
-    play.owners[NIGHT].command(machine, worker, start=True)
+    simulation = Simulation(1, 2)
+    simulation.command_move(OWN, NIGHT, 2)
+    simulation.calm(10)
+    former = Owner(OWN, int(simulation.owners[OWN].token))
+    simulation.store.follow(former.cache, 5)  # as it was before the transfer
+    machine, worker = simulation.names[0], simulation.workers[simulation.names[0]]
+    simulation.owners[NIGHT].command(machine, worker, start=True)
     former.command(machine, worker, start=True)
     former.command(machine, worker, start=True)
     assert worker.running == {NIGHT}
--- a/tests/unit/test_partition_plan.py
+++ b/tests/unit/test_partition_plan.py
@@ -1,4 +1,4 @@
-"""Plans of shares: what is refused, what the solver makes of them, and how they change."""
+"""Plans of partitions: what is refused, what the solver makes of them, and how they change."""
 
 from __future__ import annotations
 
@@ -154,7 +154,7 @@
         assert bounds(problem(plan, 8, minute=minute)).get(cell, (0, 0))[0] == count
 
 
-def test_pressing_work_and_heavier_shares_come_first() -> None:
+def test_urgent_work_and_heavier_partitions_come_first() -> None:
     plan = plan_of(x=[rule()], y=[rule()])
     asked = problem(plan, 4)._replace(
         demand={
@@ -210,7 +210,7 @@
     assert targets[cell] <= 9
 
 
-def test_a_new_leader_goes_on_from_what_the_shares_have() -> None:
+def test_a_new_leader_goes_on_from_what_the_partitions_have() -> None:
     plan = plan_of(night=[rule(most=0.9)])
     targets = TargetsInForce()
     asked = problem(plan, 40, {"night": 160.0}, {"night": 22})
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -95,7 +95,7 @@
 
 
 class Bench:
-    """A part on four-CPU machines, its records, and its workers."""
+    """A shard on four-CPU machines, its records, and its workers."""
 
     def __init__(self, machines: int, threshold: Seconds = 0.0) -> None:
         self.cache = WatchCache()
@@ -114,7 +114,7 @@
         self.version += 1
         self.cache.put(key, value, self.version)
 
-    def grant(self, job: str, asked: JobSpec, at: Seconds) -> None:
+    def assign(self, job: str, asked: JobSpec, at: Seconds) -> None:
         record = JobRecord(asked, at)
         record.assignments = {"a": set(range(asked.task_count))}
         self.put(JOBS + job, record.dump())
@@ -146,7 +146,7 @@
         assert status is not None
         return status
 
-    def report(
+    def heartbeat(
         self, name: MachineId, at: Seconds, done: Set[TaskRef] = frozenset()
     ) -> list[Command]:
         self.sequence += 1
@@ -160,10 +160,10 @@
             )
             for task, attempt in self.on[name].items()
         ]
-        report = Heartbeat(
+        heartbeat = Heartbeat(
             name, TypeName("k"), IN_ZONE, False, 1, self.sequence, TOKEN, None, "", tasks
         )
-        commands = self.scheduler.handle_heartbeat(at, report, True)
+        commands = self.scheduler.handle_heartbeat(at, heartbeat, True)
         for task in done:
             self.on[name].pop(task, None)
         for order in commands:
@@ -172,7 +172,7 @@
         return commands
 
     def store(self, done: set[TaskRef], at: Seconds) -> None:
-        """What the leader does with results: they are stored, and the grants are over."""
+        """What the leader does with results: they are stored, and the assignments are over."""
         for job in {t.job for t in done}:
             record = JobRecord.load(self.cache.jobs[job].dump(), 0)
             numbers = {int(t.number) for t in done if t.job == job}
@@ -193,29 +193,29 @@
     at=st.floats(0.0, 50.0),
     threshold=st.sampled_from([0.0, 5.0]),
 )
-def test_a_single_passes_a_held_gang_only_by_the_test(
+def test_an_array_task_passes_a_reserved_gang_only_by_the_backfill_condition(
     running: list[float], backfill: float, at: float, threshold: float
 ) -> None:
     """Point four: backfill iff estimate <= remaining wait + T.
 
-    Plain model: one-CPU singles with known ends run on the only machine, a four-CPU gang holds
+    Plain model: one-CPU array tasks with known ends run on the only machine, a four-CPU gang holds
     it, and the wait is until the last of them ends, at least zero.
     """
     bench = Bench(1, threshold)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
+    bench.heartbeat(machine, 0.0)
     for n, estimate in enumerate(running):
-        bench.grant(f"run-s{n}", spec(1, 1.0, estimate), 0.0)
-    # The rest of the machine is taken by a single that ends now and so frees held room.
+        bench.assign(f"run-s{n}", spec(1, 1.0, estimate), 0.0)
+    # The rest of the machine is taken by an array task that ends now and so frees reserved room.
     rest = 4 - len(running)
     if rest:
-        bench.grant("run-rest", spec(1, float(rest), 1000.0, job_class="rest"), 0.0)
-    assert len(starts(bench.report(machine, 0.0))) == len(running) + bool(rest)
-    bench.report(machine, 0.0)
+        bench.assign("run-rest", spec(1, float(rest), 1000.0, job_class="rest"), 0.0)
+    assert len(starts(bench.heartbeat(machine, 0.0))) == len(running) + bool(rest)
+    bench.heartbeat(machine, 0.0)
     bench.reservation("run-g", spec(1, 4.0, 30.0, is_gang=True), [machine], 0.0)
-    bench.grant("run-b", spec(1, 1.0, backfill), 0.0)
+    bench.assign("run-b", spec(1, 1.0, backfill), 0.0)
     freed = {TaskRef(JobId("run-rest"), TaskIndex(0))} if rest else set()
-    commands = bench.report(machine, at, freed)
+    commands = bench.heartbeat(machine, at, freed)
     wait = max(0.0, max(running) - at)
     passes = bool(rest) and backfill <= wait + threshold
     assert (TaskRef(JobId("run-b"), TaskIndex(0)) in starts(commands)) == passes
@@ -227,20 +227,20 @@
     jobs=st.lists(st.tuples(st.integers(1, 6), st.sampled_from([1.0, 2.0])), max_size=4),
     rounds=st.integers(1, 8),
 )
-def test_room_is_never_overfilled_and_never_idle_beside_waiting_singles(
+def test_room_is_never_overfilled_and_never_idle_beside_waiting_array_tasks(
     machines: int, jobs: list[tuple[int, float]], rounds: int
 ) -> None:
     """Points one and stealing: a plain count of what each machine must be running.
 
-    Whatever queue a single joined, a machine that reports has no room left for any single that
-    still waits, and everything runs once, in the end.
+    Whatever queue an array task joined, a machine that sends a heartbeat has no room left for
+    any that still waits, and everything runs once, in the end.
     """
     bench = Bench(machines)
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     sizes: dict[TaskRef, float] = {}
     for n, (tasks, cpus) in enumerate(jobs):
-        bench.grant(f"run-{n}", spec(tasks, cpus, 10.0), 0.0)
+        bench.assign(f"run-{n}", spec(tasks, cpus, 10.0), 0.0)
         sizes |= {TaskRef(JobId(f"run-{n}"), TaskIndex(i)): cpus for i in range(tasks)}
     waiting = set(sizes)
     finished: set[TaskRef] = set()
@@ -251,7 +251,7 @@
         for name in bench.names:
             at += 0.25
             done = set(bench.on[name]) if at > 5.0 else set()
-            begun = starts(bench.report(name, at, done))
+            begun = starts(bench.heartbeat(name, at, done))
             finished |= done
             bench.store(done, at)
             assert set(begun) <= waiting
@@ -371,7 +371,7 @@
 
 
 def test_a_pass_asks_for_as_many_machines_as_the_cloud_takes_calls_for() -> None:
-    """At the start of a day hundreds are missing: a fixed number a pass cost half a minute."""
+    """While a deployment starts, hundreds are missing: a fixed number a pass cost half a minute."""
     cache = WatchCache()
     kinds = [
         MachineType(name=f"k{n}", cpus=4.0, ram_gb=64.0, price=1.0 + n, zones=["a", "b"])
@@ -391,7 +391,7 @@
         )
 
 
-def test_estimates_follow_a_day_of_estimates_that_are_all_too_low() -> None:
+def test_estimates_follow_where_all_expected_run_times_are_too_low() -> None:
     estimates = Estimates()
     asked = spec(1, 1.0, 10.0)
     assert math.isclose(estimates.run_time(asked), 10.0)
@@ -408,44 +408,44 @@
 def test_a_lost_forget_does_not_take_the_slot_of_a_task_assigned_anew() -> None:
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
-    bench.grant("run-1", spec(1, 1.0, 10.0), 0.0)
+    bench.heartbeat(machine, 0.0)
+    bench.assign("run-1", spec(1, 1.0, 10.0), 0.0)
     task = TaskRef(JobId("run-1"), TaskIndex(0))
-    assert starts(bench.report(machine, 0.5)) == [task]
+    assert starts(bench.heartbeat(machine, 0.5)) == [task]
 
     def failed(at: Seconds) -> list[Command]:
         bench.sequence += 1
         item = TaskStatus(task, bench.on[machine][task], "exited", "full", False)
-        report = Heartbeat(
+        heartbeat = Heartbeat(
             machine, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", [item]
         )
-        return bench.scheduler.handle_heartbeat(at, report, False)
+        return bench.scheduler.handle_heartbeat(at, heartbeat, False)
 
     assert [o.op for o in failed(1.0)] == ["forget"]
     # The forget was lost: the same exit is reported once more, after the task was assigned.
     assert [o.op for o in failed(1.5)] == ["forget"]
     del bench.on[machine][task]
-    assert starts(bench.report(machine, 2.0)) == [task]
+    assert starts(bench.heartbeat(machine, 2.0)) == [task]
 
 
-def test_what_was_given_back_and_granted_again_runs() -> None:
+def test_what_was_given_back_and_assigned_again_runs() -> None:
     bench = Bench(0)
-    bench.grant("run-1", spec(1, 1.0, 10.0), 0.0)
+    bench.assign("run-1", spec(1, 1.0, 10.0), 0.0)
     bench.scheduler.tick(100.0)
     assert bench.job_status(100.0, "run-1").released == [0]
-    bench.grant("run-1", spec(1, 1.0, 10.0), 101.0)
+    bench.assign("run-1", spec(1, 1.0, 10.0), 101.0)
     assert bench.job_status(101.0, "run-1").released == []
 
 
 def test_a_new_owner_does_not_start_again_what_may_be_on_an_unheard_machine() -> None:
     old = Bench(2)
     for name in old.names:
-        old.report(name, 0.0)
-    old.grant("run-1", spec(2, 4.0, 10.0), 0.0)
-    assert len(starts(old.report(old.names[0], 1.0))) == 1
+        old.heartbeat(name, 0.0)
+    old.assign("run-1", spec(2, 4.0, 10.0), 0.0)
+    assert len(starts(old.heartbeat(old.names[0], 1.0))) == 1
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
 
-    def report(
+    def heartbeat(
         name: MachineId, sequence: int, token: int, on: dict[TaskRef, Attempt]
     ) -> list[Command]:
         tasks = [TaskStatus(t, a, "running", None, False) for t, a in on.items()]
@@ -456,17 +456,17 @@
 
     # The second machine reports under the old token, then under the new one: still nothing
     # may start, for the first has not been heard.
-    assert starts(report(old.names[1], 100, TOKEN, {})) == []
-    assert starts(report(old.names[1], 101, 60, {})) == []
-    assert starts(report(old.names[0], 102, 60, old.on[old.names[0]])) == []
+    assert starts(heartbeat(old.names[1], 100, TOKEN, {})) == []
+    assert starts(heartbeat(old.names[1], 101, 60, {})) == []
+    assert starts(heartbeat(old.names[0], 102, 60, old.on[old.names[0]])) == []
     running = set(old.on[old.names[0]])
-    begun = starts(report(old.names[1], 103, 60, {}))
+    begun = starts(heartbeat(old.names[1], 103, 60, {}))
     assert len(begun) == 1 and not running & set(begun)
 
 
 def test_a_deleted_machine_counts_as_heard() -> None:
     old = Bench(2)
-    old.grant("run-1", spec(1, 4.0, 10.0), 0.0)
+    old.assign("run-1", spec(1, 4.0, 10.0), 0.0)
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
     name, silent = old.names
     said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
@@ -480,16 +480,16 @@
 def test_a_gang_cancelled_before_its_result_was_stored_is_cleared() -> None:
     bench = Bench(1)
     machine = bench.names[0]
-    bench.report(machine, 0.0)
+    bench.heartbeat(machine, 0.0)
     bench.reservation("run-1", spec(1, 2.0, 10.0, is_gang=True), [machine], 0.0)
-    (task,) = starts(bench.report(machine, 1.0))
-    bench.report(machine, 2.0, {task})
+    (task,) = starts(bench.heartbeat(machine, 1.0))
+    bench.heartbeat(machine, 2.0, {task})
     assert bench.gang_state(2.0, "run-1") == "done"
     record = JobRecord.load(bench.cache.jobs[JobId("run-1")].dump(), 0)
     record.stage = CANCELLED
     bench.put(JOBS + "run-1", record.dump())
     bench.scheduler.job_changed(3.0, JobId("run-1"))
-    bench.report(machine, 3.0)
+    bench.heartbeat(machine, 3.0)
     assert bench.gang_state(3.0, "run-1") == "clear"
 
 
@@ -497,19 +497,19 @@
     bench = Bench(4)
     slow = bench.names[2]
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     at = 0.0
     for n in range(60):
         if bench.scheduler.machines[slow].slow:
             break
-        bench.grant(f"run-{n}", spec(4, 4.0, 10.0), at)
+        bench.assign(f"run-{n}", spec(4, 4.0, 10.0), at)
         order = bench.names[n % 4 :] + bench.names[: n % 4]
         for name in order + order:
-            bench.report(name, at)
+            bench.heartbeat(name, at)
         for name in order:
             late = 20.0 if name == slow else 10.0
             done = set(bench.on[name])
-            bench.report(name, at + late, done)
+            bench.heartbeat(name, at + late, done)
             bench.store(done, at + late)
         at += 30.0
         bench.scheduler.tick(at)
@@ -529,22 +529,22 @@
     assert scheduler.status(3.0).gangs[JobId("run-1")] == GangStatus(7, "bad", 0.0)
 
 
-def test_no_single_passes_a_gang_for_which_singles_are_stopped() -> None:
-    """It passed by its estimate and was stopped with the next report, thousands of times."""
+def test_no_array_task_passes_a_gang_for_which_array_tasks_are_preempted() -> None:
+    """It passed by its estimate and was stopped with the next heartbeat, thousands of times."""
     bench = Bench(2)
     for name in bench.names:
-        bench.report(name, 0.0)
-    bench.grant("run-long", spec(1, 4.0, 500.0), 0.0)
-    bench.grant("run-s", spec(8, 1.0, 5.0), 0.0)
+        bench.heartbeat(name, 0.0)
+    bench.assign("run-long", spec(1, 4.0, 500.0), 0.0)
+    bench.assign("run-s", spec(8, 1.0, 5.0), 0.0)
     bench.scheduler.tick(0.0)
     for name in bench.names:
-        bench.report(name, 1.0)
+        bench.heartbeat(name, 1.0)
     record = JobRecord(replace(spec(2, 4.0, 30.0, is_gang=True), priority=2), 1.0)
     record.gang = GangPlacement(7, [("a", m) for m in bench.names], preempt=True)
     bench.put(JOBS + "run-g", record.dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
     short = next(n for n in bench.names if len(bench.on[n]) == 4)
-    stops = [o.task for o in bench.report(short, 2.0) if o.op == "stop"]
+    stops = [o.task for o in bench.heartbeat(short, 2.0) if o.op == "stop"]
     assert len(stops) == 4
     halted = {t: bench.on[short].pop(t) for t in stops}
     bench.sequence += 1
@@ -555,16 +555,16 @@
     assert starts(bench.scheduler.handle_heartbeat(3.0, said, True)) == []
 
 
-def test_among_equally_short_queues_a_single_joins_where_its_image_is() -> None:
+def test_among_equally_short_queues_an_array_task_joins_where_its_image_is() -> None:
     bench = Bench(6)
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     for n, name in enumerate(bench.names):
         asked = replace(spec(1, 4.0, 30.0), image=f"img-{n}")
-        bench.grant(f"run-{n}", asked, 0.0)
-        bench.report(name, 1.0)
-        bench.report(name, 1.5)
-    bench.grant("run-w", replace(spec(1, 4.0, 30.0), image="img-4"), 2.0)
+        bench.assign(f"run-{n}", asked, 0.0)
+        bench.heartbeat(name, 1.0)
+        bench.heartbeat(name, 1.5)
+    bench.assign("run-w", replace(spec(1, 4.0, 30.0), image="img-4"), 2.0)
     bench.scheduler.tick(2.0)
     (queued,) = [m for m in bench.scheduler.machines.values() if any(s.queue for s in m.slots)]
     assert "img-4" in queued.images
@@ -572,19 +572,19 @@
 
 def test_the_tasks_of_a_job_join_where_its_image_will_be_and_fetches_are_spread() -> None:
     """Tasks that joined together each had their image fetched by another machine, and several
-    images that one machine fetches at once may share its rate."""
+    images that one machine fetches at once share its rate."""
     bench = Bench(30)
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     for n in range(5):
-        bench.grant(f"run-{n}", replace(spec(3, 1.0, 30.0), image=f"img-{n}"), 0.0)
+        bench.assign(f"run-{n}", replace(spec(3, 1.0, 30.0), image=f"img-{n}"), 0.0)
     bench.scheduler.tick(0.0)
     for name in bench.names:
-        bench.report(name, 1.0)
+        bench.heartbeat(name, 1.0)
     used = [m for m in bench.scheduler.machines.values() if m.task_attempts]
     assert [len(m.images) for m in used] == [1] * len(used)
     assert len(used) < 10
-    # What is known of a machine's images is bounded, and gone with its session.
+    # What is known of a machine's images is bounded, and gone with its incarnation.
     first = used[0]
     for n in range(IMAGES_MOST + 5):
         bench.scheduler.images.add(first, f"more-{n}")
@@ -595,13 +595,13 @@
     )
 
 
-def test_a_gang_held_on_a_machine_that_gets_no_more_work_is_placed_anew() -> None:
+def test_a_gang_reserved_on_a_machine_that_gets_no_more_work_is_placed_anew() -> None:
     """It waited for ever, and the machine was kept for it."""
-    for trouble in ("unreachable", "slow"):
+    for fault in ("unreachable", "slow"):
         bench = Bench(2)
         for name in bench.names:
-            bench.report(name, 0.0)
+            bench.heartbeat(name, 0.0)
         bench.reservation("run-g", spec(2, 4.0, 30.0, is_gang=True), bench.names, 1.0)
         assert bench.gang_state(1.0, "run-g") == "held"
-        setattr(bench.scheduler.machines[bench.names[0]], trouble, True)
+        setattr(bench.scheduler.machines[bench.names[0]], fault, True)
         assert bench.gang_state(2.0, "run-g") == "bad"
