--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -1,4 +1,4 @@
-"""Singles and small gangs beside gangs that wait for room."""
+"""Array tasks and small gangs beside gangs that wait for room."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 IN_ZONE = zone_of(ZONE)
 LARGE, SMALL = Resources(16.0, 0.0, 64.0), Resources(8.0, 0.0, 16.0)
 GANG = spec(4, 15.0, 60.0, is_gang=True)
-SINGLES = spec(40, 1.0, 60.0)
+ARRAY_TASKS = spec(40, 1.0, 60.0)
 
 
 def records(gang_rank: int = 1) -> WatchCache:
@@ -50,8 +50,8 @@
     cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
     gang = JobRecord(replace(GANG, priority=gang_rank), 0.0)
     cache.put(JOBS + "run-gang", gang.dump(), 3)
-    array = JobRecord(SINGLES, 0.0)
-    array.assignments = {"a": set(range(SINGLES.task_count))}
+    array = JobRecord(ARRAY_TASKS, 0.0)
+    array.assignments = {"a": set(range(ARRAY_TASKS.task_count))}
     cache.put(JOBS + "run-array", array.dump(), 4)
     return cache
 
@@ -74,26 +74,26 @@
     [
         # The gang's task leaves one CPU of the large machine.
         ({"large": LARGE, "small": SMALL}, 1 + 8),
-        # Without a smaller machine the singles would have nowhere to go, and might starve.
+        # Without a smaller machine the array tasks would have nowhere to go, and might starve.
         ({"large": LARGE}, 16),
     ],
 )
-def test_the_leader_keeps_slots_for_waiting_gangs_where_singles_have_smaller_machines(
+def test_the_leader_keeps_slots_for_waiting_gangs_where_array_tasks_have_smaller_machines(
     machines: dict[str, Resources], taken: int
 ) -> None:
     cache = records()
     rooms = ShardCapacity(ZONE, [view(name, size) for name, size in machines.items()])
     rooms.keep_for_gangs(demand(cache), 1.0)
-    assert rooms.take_most(SINGLES, SINGLES.task_count) == taken
+    assert rooms.take_most(ARRAY_TASKS, ARRAY_TASKS.task_count) == taken
 
 
-def test_gangs_that_may_stop_singles_need_no_slots_kept() -> None:
+def test_gangs_that_may_preempt_array_tasks_need_no_slots_kept() -> None:
     kept = demand(records(gang_rank=2))
-    assert kept.kept_slots(True) == 0.0 and not kept.applies(SINGLES)
+    assert kept.kept_slots(True) == 0.0 and not kept.applies(ARRAY_TASKS)
 
 
 def launched(machines: dict[str, str]) -> dict[str, int]:
-    """How many singles a part starts on each of its machines, which are of these types."""
+    """How many array tasks a shard starts on each of its machines, which are of these types."""
     cache = records()
     for n, (name, kind) in enumerate(machines.items()):
         value = {"type": kind, "zone": "a", "spot": False, "machines": {name: "u"}}
@@ -102,7 +102,7 @@
     counts = dict.fromkeys(machines, 0)
     for turn in (1, 2):
         for name, kind in machines.items():
-            report = Heartbeat(
+            heartbeat = Heartbeat(
                 MachineId(name),
                 TypeName(kind),
                 IN_ZONE,
@@ -114,19 +114,19 @@
                 "",
                 [],
             )
-            commands = scheduler.handle_heartbeat(float(turn), report, may_launch=turn == 2)
+            commands = scheduler.handle_heartbeat(float(turn), heartbeat, may_launch=turn == 2)
             counts[name] += sum(order.op == "start" for order in commands)
         scheduler.job_changed(float(turn), JobId("run-array"))
         scheduler.tick(float(turn))
     return counts
 
 
-def test_a_part_keeps_slots_for_waiting_gangs_where_singles_have_smaller_machines() -> None:
+def test_a_shard_keeps_slots_for_waiting_gangs_where_array_tasks_have_smaller_machines() -> None:
     assert launched({"vm-large": "large", "vm-small": "small"}) == {"vm-large": 1, "vm-small": 8}
     assert launched({"vm-large": "large"}) == {"vm-large": 16}
 
 
-def test_a_gang_holds_behind_the_smallest_group_that_is_large_enough() -> None:
+def test_a_gang_reserves_behind_the_smallest_group_that_is_large_enough() -> None:
     """Small gangs took slots behind the largest, which then stood in pieces that no large gang
     could hold: under half of the largest began within four minutes."""
     sixteen = EndGroup(10.0, [view(f"a{n}", LARGE) for n in range(16)])
@@ -140,23 +140,23 @@
     assert fit_behind([], [sixteen, late], 8, 20.0) == sixteen.capacities[:8]
 
 
-def two_parts(machines: int) -> list[ShardCapacity]:
+def two_shards(machines: int) -> list[ShardCapacity]:
     return [
         ShardCapacity(ShardName(zone), [view(f"{zone}{n}", LARGE) for n in range(machines)])
         for zone in ("a", "b")
     ]
 
 
-def test_one_part_is_reserved_for_an_overdue_gang_for_a_bounded_time() -> None:
-    rooms, reservation = two_parts(8), ShardReservation()
+def test_one_shard_is_reserved_for_an_overdue_gang_for_a_bounded_time() -> None:
+    rooms, reservation = two_shards(8), ShardReservation()
     big = spec(6, 15.0, 60.0, is_gang=True)
 
     def open_after(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
-        """How many parts are open to the gangs after one that found no room, in a new pass."""
+        """How many shards are open to the gangs after one that found no room, in a new pass."""
         reservation.begin()
         assert reservation.open_shards(rooms) == rooms  # to the gangs before it, all
         reservation.ask(wall, big, waited, of, 20.0)
-        reservation.ask(wall, big, OVERDUE_S, of[::-1], 20.0)  # one part at a time
+        reservation.ask(wall, big, OVERDUE_S, of[::-1], 20.0)  # one shard at a time
         return len(reservation.open_shards(rooms))
 
     def alone(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
@@ -166,7 +166,7 @@
 
     assert alone(0.0, OVERDUE_S - 1.0) == 2
     assert alone(0.0, HOPELESS_S) == 2  # so late that others go first
-    assert alone(0.0, OVERDUE_S, two_parts(5)) == 2  # no part will ever hold all of it
+    assert alone(0.0, OVERDUE_S, two_shards(5)) == 2  # no shard will ever hold all of it
     assert open_after(0.0, OVERDUE_S) == 1
     # One that helps goes on; one that does not ends, and for a while there is none: idle slots
     # are not kept for ever.
--- a/tests/unit/test_watch_cache.py
+++ b/tests/unit/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""The mirror against a slow plain model, whatever the order in which it learns of changes.
+"""The watch cache against a slow plain model, whatever the order in which it learns of changes.
 
 The model keeps every fact that was ever delivered and looks for the newest one of a key each time.
 """
@@ -19,7 +19,7 @@
 from dapplewick.types import JobId
 
 JOB_IDS = [JobId("run-1"), JobId("run-2"), JobId("run-3")]
-BOOKING_KEYS = [PROVISIONING_REQUESTS + "x", PROVISIONING_REQUESTS + "y"]
+PROVISIONING_REQUEST_KEYS = [PROVISIONING_REQUESTS + "x", PROVISIONING_REQUESTS + "y"]
 SPEC = JobSpec("x", "red", False, 1, 2, 1.0, 0.0, 1.0, "img", 1.0, 5.0)
 PRIORITIES = {"none": 0, OPEN: 1, DONE: 2, CANCELLED: 2}
 
@@ -97,13 +97,13 @@
             stage = before  # what may still be there is cleared; the stage stays
         self.history.change(JOBS + job_id, job_value(stage))
 
-    @rule(key=st.sampled_from(BOOKING_KEYS))
-    def booking_comes_or_goes(self, key: str) -> None:
+    @rule(key=st.sampled_from(PROVISIONING_REQUEST_KEYS))
+    def booking_comes_or_goes(self, key: str) -> None:  # rules' names decide what is drawn
         there = key in self.history.at(self.history.revision)
         value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
         self.history.change(key, None if there else value)
 
-    # What the mirror learns, and when
+    # What the watch cache learns, and when
 
     @rule()
     def watch_is_answered(self) -> None:
@@ -142,7 +142,7 @@
         listing = self.listings.pop(which % len(self.listings))
         listing.finish(self.history)
         self.cache.reload(listing.items, listing.first)
-        for key in [*map(JOBS.__add__, JOB_IDS), *BOOKING_KEYS]:
+        for key in [*map(JOBS.__add__, JOB_IDS), *PROVISIONING_REQUEST_KEYS]:
             value, version = listing.items.get(key, (None, listing.first))
             self.learn(key, version, value)
 
@@ -196,7 +196,7 @@
                 version = max(v for v, _ in self.facts[JOBS + job_id])
                 cancelled = self.told.get(job_id, 0) > version
                 assert job.stage == (CANCELLED if cancelled else stage)
-        for key in BOOKING_KEYS:
+        for key in PROVISIONING_REQUEST_KEYS:
             assert (key in self.cache.versions) == (self.newest(key) is not None)
 
     @invariant()
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -1,4 +1,4 @@
-"""Work is counted, not timed: what a report, a status and a pass cost as a deployment grows.
+"""Work is counted, not timed: what a heartbeat, a status and a pass cost as a deployment grows.
 
 A count is the number of function calls that Python makes, which repeats exactly.
 """
@@ -45,16 +45,16 @@
     return count
 
 
-def busy_part(machines: int) -> Bench:
-    """A part whose machines are all full, with queues and gangs that hold slots."""
+def busy_shard(machines: int) -> Bench:
+    """A shard whose machines are all full, with queues and gangs that hold slots."""
     bench = Bench(machines)
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     for n in range(machines // 10):
-        bench.grant(f"run-{n}", spec(50, 1.0, 30.0), 0.0)
+        bench.assign(f"run-{n}", spec(50, 1.0, 30.0), 0.0)
     for _ in range(2):
         for name in bench.names:
-            bench.report(name, 1.0)
+            bench.heartbeat(name, 1.0)
         bench.scheduler.tick(1.0)
     for n in range(machines // 20):
         placements = bench.names[n * 10 : n * 10 + 5]
@@ -63,7 +63,7 @@
     return bench
 
 
-def report_cost(bench: Bench) -> int:
+def heartbeat_cost(bench: Bench) -> int:
     # A slot with a queue, at both sizes: stealing looks at the jobs that wait.
     name, task = next(
         (m.id, slot.current)
@@ -71,20 +71,20 @@
         for slot in m.slots
         if slot.queue and slot.current in bench.on[m.id]
     )
-    return calls(lambda: bench.report(name, 3.0, {task}))
+    return calls(lambda: bench.heartbeat(name, 3.0, {task}))
 
 
-def test_a_report_costs_what_its_machine_holds_not_what_the_part_does() -> None:
-    small, large = (report_cost(busy_part(n)) for n in (40, 400))
+def test_a_heartbeat_costs_what_its_machine_runs_not_what_the_shard_does() -> None:
+    small, large = (heartbeat_cost(busy_shard(n)) for n in (40, 400))
     assert large < 1.5 * small + 50
 
 
 def test_a_status_tells_only_what_changed_since_the_confirmed_one() -> None:
     def size(machines: int) -> tuple[int, int]:
-        bench = busy_part(machines)
+        bench = busy_shard(machines)
         first = bench.scheduler.status(3.0)
         name = bench.names[-1]
-        bench.report(name, 3.5, {next(iter(bench.on[name]))})
+        bench.heartbeat(name, 3.5, {next(iter(bench.on[name]))})
         second = bench.scheduler.status(4.0, first.number)
         assert set(second.machines) == {name}
         return len(cbor2.dumps(peers.encode(first))), len(cbor2.dumps(peers.encode(second)))
@@ -96,13 +96,13 @@
 
 def test_a_lost_status_is_made_up_for_by_the_next() -> None:
     """Only a confirmed status is a base, so what a lost one told is told again."""
-    bench = busy_part(20)
+    bench = busy_shard(20)
     leader = leader_of(bench, 1.0)
     confirmed = leader.shard_status(3.0, bench.scheduler.status(3.0))
     one, two = bench.names[-1], bench.names[-2]
-    bench.report(one, 3.5, {next(iter(bench.on[one]))})
+    bench.heartbeat(one, 3.5, {next(iter(bench.on[one]))})
     bench.scheduler.status(3.6, confirmed)  # never arrives
-    bench.report(two, 3.7, {next(iter(bench.on[two]))})
+    bench.heartbeat(two, 3.7, {next(iter(bench.on[two]))})
     leader.shard_status(3.8, bench.scheduler.status(3.8, confirmed))
     shard = next(iter(leader.shards.values()))
 
@@ -110,7 +110,7 @@
         return {m: (body.free, len(body.ends)) for m, body in machines.items()}
 
     assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8).machines)
-    # A leader that has nothing can't use a part of the picture, and says that it has none.
+    # A leader that has nothing can't use an incremental status, and says so.
     fresh = leader_of(bench, 4.0)
     assert fresh.shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
     assert fresh.shard_status(4.1, bench.scheduler.status(4.1)) > 0
@@ -126,7 +126,7 @@
     """Gangs that are alike are looked at once: machines times gangs was the cost before."""
 
     def cost(machines: int, gangs: int) -> int:
-        bench = busy_part(machines)
+        bench = busy_shard(machines)
         leader = leader_of(bench, 3.0)
         leader.shard_status(3.0, bench.scheduler.status(3.0))
         for n in range(gangs):
@@ -178,17 +178,17 @@
     assert len(msgspec.json.encode(record.dump())) < 16 * 1024
 
 
-def test_a_held_gang_that_waits_on_has_singles_of_lower_priority_stopped() -> None:
+def test_a_reserved_gang_that_waits_on_preempts_array_tasks_of_lower_priority() -> None:
     """Its slots were chosen to be idle soon, by estimates that were too low: it waited for
     minutes while it could have had them at once."""
     bench = Bench(2)
     for name in bench.names:
-        bench.report(name, 0.0)
-    bench.grant("run-s", spec(8, 1.0, 3.0), 0.0)
+        bench.heartbeat(name, 0.0)
+    bench.assign("run-s", spec(8, 1.0, 3.0), 0.0)
     bench.scheduler.tick(0.0)
     for _ in range(2):
         for name in bench.names:
-            bench.report(name, 1.0)
+            bench.heartbeat(name, 1.0)
     gang = replace(spec(2, 4.0, 30.0, is_gang=True), priority=2)
     bench.put("dw/j/run-g", JobRecord(gang, 1.0).dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
@@ -208,11 +208,11 @@
     waits = [placed(now) for now in (3.0, 4.0, 6.0, 8.0)]
     assert [w is not None and w.preempt for w in waits] == [False, False, False, True]
     assert waits[-1] is not None and waits[-1].attempt == first.attempt
-    stops = [o for name in bench.names for o in bench.report(name, 9.0) if o.op == "stop"]
+    stops = [o for name in bench.names for o in bench.heartbeat(name, 9.0) if o.op == "stop"]
     assert len(stops) == 8
 
 
-def test_rented_machines_are_written_before_their_booking_ends() -> None:
+def test_rented_machines_are_written_before_their_provisioning_request_ends() -> None:
     """A pass that the write budget cut off in between lost sight of them."""
     bench = Bench(0)
     provisioning_request = {"type": "k", "zone": "a", "spot": False, "count": 2, "at": 0.0}
@@ -226,11 +226,11 @@
 
 
 def test_work_without_aims_lets_gangs_with_some_go_first_but_not_for_ever() -> None:
-    """Long singles of which users expect nothing took each room before it was large enough
-    for a gang: gangs waited 233 s at the median, those singles 78 s."""
+    """Long array tasks of which users expect nothing took each room before it was large enough
+    for a gang: gangs waited 233 s at the median, those array tasks 78 s."""
     bench = Bench(2)
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     told = standins.settings("n0")
     told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
     bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
@@ -248,7 +248,7 @@
 
 
 def test_gangs_wait_for_plain_machines_that_are_coming() -> None:
-    """At the start of a day gangs of high priority took the machines with accelerators, which
+    """While a deployment starts, gangs of high priority took the machines with accelerators, which
     were up a few seconds sooner, and kept most accelerators idle for minutes."""
     kinds = [KIND, MachineType(name="g", cpus=4.0, gpus=2.0, ram_gb=64.0, zones=["a"])]
     bench = Bench(0)
@@ -277,7 +277,7 @@
 
 
 def test_coming_back_costs_the_same_for_each_record_and_machine_at_any_size() -> None:
-    """Reading all records back, rebuilding a part, and the first report of each machine."""
+    """Reading all records back, rebuilding a shard, and the first heartbeat of each machine."""
 
     def cost(size: int) -> list[float]:
         items: dict[str, tuple[Any, int]] = {TYPES: (encode_machine_types([KIND]), 1)}
