--- a/tests/compatibility/test_golden_data.py
+++ b/tests/compatibility/test_golden_data.py
@@ -70,7 +70,8 @@
 def test_all_that_a_scenario_sends_is_as_before(scenarios_now: Any, label: str, kind: str) -> None:
     """A change of what is planned changes it, and then the data is made anew."""
     now, before = scenarios_now[label].get(kind), SCENARIOS[label][kind]
-    assert now is not None and now["samples"] == before["samples"]
+    assert now is not None
+    assert now["samples"] == before["samples"]
     assert now == before
 
 
--- a/tests/compatibility/test_partition_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -70,7 +70,8 @@
 
     play_moves(world, script, 240.0)
     assert early == [[], [], []]
-    assert traces(world) and len(world.told) == 2
+    assert traces(world)
+    assert len(world.told) == 2
 
 
 def test_one_controller_without_partitions_keeps_all_from_them() -> None:
--- a/tests/compatibility/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -133,11 +133,14 @@
         for name, value, version in order:
             cache.put(MACHINES + name, value, version)
         machine = next(iter(cache.machines))
-        assert cache.machines[machine].terminating and cache.group_of[machine] == "r-1"
+        assert cache.machines[machine].terminating
+        assert cache.group_of[machine] == "r-1"
         cache.remove(MACHINES + "r-1", 6)
-        assert not cache.machines[machine].terminating and cache.group_of[machine] == "r-9"
+        assert not cache.machines[machine].terminating
+        assert cache.group_of[machine] == "r-9"
         cache.remove(MACHINES + "r-9", 7)
-        assert cache.machines == {} and cache.group_of == {}
+        assert cache.machines == {}
+        assert cache.group_of == {}
 
 
 def test_a_group_within_the_limit_is_left_alone() -> None:
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -14,6 +14,7 @@
 
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
+from dapplewick.core.leader.job_writes import JobWrites
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.encoding import encoded_size
@@ -58,8 +59,11 @@
     cache = WatchCache()
     cache.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
     assert "record_malformed" not in caplog.text
-    assert cache.format == FIRST_FORMAT and cache.upgraded_controllers == set()
-    assert len(cache.jobs) > 10 and len(cache.machines) > 3 and len(cache.shards) == 2
+    assert cache.format == FIRST_FORMAT
+    assert cache.upgraded_controllers == set()
+    assert len(cache.jobs) > 10
+    assert len(cache.machines) > 3
+    assert len(cache.shards) == 2
     assert any(job.assignments for job in cache.jobs.values())
     assert any(job.done for job in cache.jobs.values())
     assert any(job.gang for job in cache.jobs.values())
@@ -96,7 +100,8 @@
         assert (answer.status, answer.retry_after) == (503, 5)
 
     run_script(world, 70.0, script)
-    assert world.violations == [] and FORMAT not in world.state.keys
+    assert world.violations == []
+    assert FORMAT not in world.state.keys
     old = production.load()
     theirs, ours = old.WatchCache(), WatchCache()
     for cache in (theirs, ours):
@@ -106,10 +111,12 @@
             ("dw/leader", "dw/types", "dw/n/", "dw/p/", "dw/m/", "dw/b/", JOBS)
         )
     assert "record_malformed" not in caplog.text
-    assert theirs.jobs.keys() == ours.jobs.keys() and theirs.machines.keys() == ours.machines.keys()
+    assert theirs.jobs.keys() == ours.jobs.keys()
+    assert theirs.machines.keys() == ours.machines.keys()
     for job_id, job in ours.jobs.items():
         assert theirs.jobs[job_id].dump() == job.dump()
-        assert "daemon" not in json.dumps(job.dump()) and not job.chunk_size
+        assert "daemon" not in json.dumps(job.dump())
+        assert not job.chunk_size
 
 
 def submission(world: World, name: str, **fields: Any) -> Request:
@@ -144,7 +151,8 @@
     caplog.set_level(logging.INFO)
     played = play_roll(production.load(), fault, seed)
     world = played.world
-    assert played.raised_early == [] and world.violations == []
+    assert played.raised_early == []
+    assert world.violations == []
     services_left = {f"run-service{n}" for n in range(2)}
     assert finished(world).keys() == services_left
     assert set(finished(world).values()) == {"running"}
@@ -190,7 +198,9 @@
         world.calm_at = now()
 
     run_script(world, 330.0, script)
-    assert world.violations == [] and finished(world) == {} and len(world.told) == 5
+    assert world.violations == []
+    assert finished(world) == {}
+    assert len(world.told) == 5
     # In chunks from the start, whatever is left of them.
     assert all(world.state.keys[f"{JOBS}run-{n:06d}"][0]["chunk"] for n in range(5))
     assert any(key.startswith(CHUNKS) for _, key, _, gone in world.state.log if not gone)
@@ -232,7 +242,9 @@
         world.calm_at = now()
 
     run_script(world, 260.0, script)
-    assert world.violations == [] and finished(world) == {} and len(world.told) == 4
+    assert world.violations == []
+    assert finished(world) == {}
+    assert len(world.told) == 4
     assert "run-large1" in world.cancelled_at
     assert not any(key.startswith(CHUNKS) for key in world.state.keys)
 
@@ -322,12 +334,15 @@
     assert encoded_size(job.dump()) > room
     leader = LeaderPlanner(cache, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
-    assert changes[-1].key == JOBS + "run-1" and len(changes) > 2
+    assert changes[-1].key == JOBS + "run-1"
+    assert len(changes) > 2
     for version, change in enumerate(changes, start=3):
         assert encoded_size(change.value) <= room
         cache.put(change.key, change.value, version)
     read = cache.jobs[JobId("run-1")]
-    assert read.gang is not None and read.gang.placements == placements and read.gang.attempt == 77
+    assert read.gang is not None
+    assert read.gang.placements == placements
+    assert read.gang.attempt == 77
     cancelled = read.copy()
     cancelled.stage = "cancelled"
     assert encoded_size(cancelled.dump(room)) <= room
@@ -344,11 +359,13 @@
     cache.put(JOBS + "run-1", job.dump(), 3)
     cache.put("dw/g/run-1/0", {"attempt": 77, "places": placements[:3]}, 2)
     gang = cache.jobs["run-1"].gang  # type: ignore[index]
-    assert gang is not None and gang.placements == placements
+    assert gang is not None
+    assert gang.placements == placements
     # What a leader that ended on the way left of another attempt is not read.
     cache.put("dw/g/run-1/0", {"attempt": 76, "places": placements[:1]}, 4)
     gang = cache.jobs["run-1"].gang  # type: ignore[index]
-    assert gang is not None and gang.placements == placements[3:]
+    assert gang is not None
+    assert gang.placements == placements[3:]
 
 
 def test_a_group_of_machines_is_cut_at_once_and_none_is_lost() -> None:
@@ -361,7 +378,8 @@
     machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0, 1884, 4)  # type: ignore[arg-type]
     machine_lifecycle.begin()
     changes = machine_lifecycle.changes()
-    assert 1 < len(changes) <= 4 and len({c.transaction_group for c in changes}) == 1
+    assert 1 < len(changes) <= 4
+    assert len({c.transaction_group for c in changes}) == 1
     assert all(encoded_size(c.value) <= 1884 for c in changes)
     for change in changes:
         cache.put(change.key, change.value, 3)
@@ -385,7 +403,8 @@
     for version, value in enumerate(values, start=2):
         cache.put(key, value, version)
         cache.remove(key, version)
-    assert cache.jobs["run-1"].open and cache.format == FIRST_FORMAT  # type: ignore[index]
+    assert cache.jobs["run-1"].open  # type: ignore[index]
+    assert cache.format == FIRST_FORMAT
 
 
 @pytest.mark.parametrize(
@@ -417,8 +436,6 @@
 
 
 def the_format_is_raised_by_guess(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.leader.planner import LeaderPlanner
-
     raised = LeaderPlanner._raise_format
 
     def hasty(self: LeaderPlanner) -> Any:
@@ -429,10 +446,8 @@
 
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.leader.job_writes import JobWrites
-
-    patch.setattr(JobRecord, "outgrows", lambda self, zones, room: False)
-    patch.setattr(JobWrites, "convert", lambda self: [])
+    patch.setattr(JobRecord, "outgrows", lambda _, __, ___: False)
+    patch.setattr(JobWrites, "convert", lambda _: [])
 
 
 @pytest.mark.parametrize("patch", [the_format_is_raised_by_guess, no_chunks])
--- a/tests/loopback/test_controllers.py
+++ b/tests/loopback/test_controllers.py
@@ -13,13 +13,16 @@
 import sysconfig
 import tempfile
 import tomllib
-from collections.abc import Iterator
+from collections.abc import Awaitable, Callable, Iterable, Iterator
 from pathlib import Path
 from typing import Any
 
 import anyio
 import pytest
 
+from dapplewick.protocol.errors import MalformedMessageError
+from dapplewick.protocol.users import parse_submission
+from dapplewick.protocol.workers import parse_heartbeat
 from dapplewick.transport import listen
 from dapplewick.transport.http import Answer, Request, serve_connection
 from dapplewick.transport.http_client import HttpClient, HttpError
@@ -98,7 +101,7 @@
         return status, json.loads(answer)
 
     async def to_controller(
-        self, name: str, request: Request, worker: object = None
+        self, name: str, request: Request, _worker: object = None
     ) -> Answer | None:
         status, said = await self.call(name, request.method, request.target, request.body)
         return Answer(status, json.dumps(said).encode()) if status else None
@@ -235,7 +238,8 @@
     )
     assert done.returncode == 2
     lines = done.stderr.decode().strip().splitlines()
-    assert len(lines) == 1 and field in lines[0]
+    assert len(lines) == 1
+    assert field in lines[0]
 
 
 def test_what_the_build_makes_starts_compiled_and_without_site_packages(tmp_path: Path) -> None:
@@ -264,6 +268,24 @@
     )
 
 
+def unsteady_accept() -> Callable[[anyio.abc.SocketListener], Awaitable[Any]]:
+    """An accept that fails twice before it works."""
+    failures = [OSError(24, "no sockets"), OSError(104, "reset")]
+
+    async def unsteady(inner: anyio.abc.SocketListener) -> Any:
+        if failures:
+            raise failures.pop()
+        return await accept(inner)
+
+    return unsteady
+
+
+async def expect_success(streams: Iterable[anyio.abc.SocketStream]) -> None:
+    """Each of these connections receives an answer with status 200."""
+    for stream in streams:
+        assert b" 200 " in await stream.receive()
+
+
 def test_past_its_limit_a_listener_gives_up_idle_connections_and_never_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -283,14 +305,7 @@
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        take, failures = accept, [OSError(24, "no sockets"), OSError(104, "reset")]
-
-        async def unsteady(inner: anyio.abc.SocketListener) -> Any:
-            if failures:
-                raise failures.pop()
-            return await take(inner)
-
-        monkeypatch.setattr(listen, "accept", unsteady)
+        monkeypatch.setattr(listen, "accept", unsteady_accept())
 
         async def connect(path: bytes) -> anyio.abc.SocketStream:
             stream = await anyio.connect_tcp("127.0.0.1", port)
@@ -309,8 +324,7 @@
                     with pytest.raises(anyio.EndOfStream):
                         await stream.receive()
                 held.set()
-                for stream in busy:
-                    assert b" 200 " in await stream.receive()
+                await expect_success(busy)
                 await quiet[-1].send(ask % b"/")
                 assert b" 200 " in await quiet[-1].receive()
                 held = anyio.Event()
@@ -319,8 +333,7 @@
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                     await (await connect(b"/")).receive()
                 held.set()
-                for stream in full:
-                    assert b" 200 " in await stream.receive()
+                await expect_success(full)
             group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -346,7 +359,8 @@
                 got = 0
                 while got < size:
                     data = await stream.receive(1000)
-                    assert 0 < len(data) <= 1000 and set(data) == {ord("x")}
+                    assert 0 < len(data) <= 1000
+                    assert set(data) == {ord("x")}
                     got += len(data)
             with anyio.move_on_after(0.1) as scope:
                 await stream.receive()
@@ -368,10 +382,6 @@
 
 
 def test_random_bytes_are_no_heartbeat() -> None:
-    from dapplewick.protocol.errors import MalformedMessageError
-    from dapplewick.protocol.users import parse_submission
-    from dapplewick.protocol.workers import parse_heartbeat
-
     pick = random.Random(5)
     for _ in range(300):
         junk = bytes(pick.randrange(256) for _ in range(pick.randrange(60)))
--- a/tests/loopback/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -69,12 +69,15 @@
     assert run(main, ["check", "--config", config]).exit_code == 0
     (tmp_path / "good.star").write_text("spend_cap = 40\n")
     good = run(main, ["check", "--config", config, "--script", str(tmp_path / "good.star")])
-    assert good.exit_code == 0 and '"spend_cap": 40.0' in good.output
+    assert good.exit_code == 0
+    assert '"spend_cap": 40.0' in good.output
     (tmp_path / "bad.star").write_text("spend_kap = 40\n")
     bad = run(main, ["check", "--config", config, "--script", str(tmp_path / "bad.star")])
-    assert bad.exit_code == 2 and "spend_cap" in bad.output
+    assert bad.exit_code == 2
+    assert "spend_cap" in bad.output
     gone = run(main, ["check", "--config", str(tmp_path / "none.json")])
-    assert gone.exit_code == 2 and len(gone.output.strip().splitlines()) == 1
+    assert gone.exit_code == 2
+    assert len(gone.output.strip().splitlines()) == 1
     assert run(main, ["--version"]).output.startswith("dapplewick, version")
 
 
@@ -106,7 +109,8 @@
         timeout=30,
         env=os.environ | {"DAPPLEWICK_SCRIPT": str(tmp_path / "bad.star")},
     )
-    assert done.returncode == 2 and b"spend_cap" in done.stderr
+    assert done.returncode == 2
+    assert b"spend_cap" in done.stderr
 
 
 def test_the_command_line_against_a_running_controller(world: RealWorld) -> None:  # noqa: F811
@@ -132,7 +136,8 @@
 
     anyio.run(world.run, script_)
     status = said["status"]
-    assert status["node"] == "n0" and status["leader"] in ("n0", "n1")
+    assert status["node"] == "n0"
+    assert status["leader"] in ("n0", "n1")
     assert set(status["parts"]) == {"a", "b"}
     assert status["latencies_ms"]["submit"]["count"] >= 1
     assert any(line.startswith("leader n") for line in status_lines(status))
--- a/tests/loopback/test_partitions.py
+++ b/tests/loopback/test_partitions.py
@@ -112,7 +112,9 @@
     history = PartitionHistory()
     assert history.check(world.state.log) == []
     assert world.violations == []
-    assert world.reruns == [] and max(world.starts_of.values()) == 1  # no running task was lost
-    assert "share night  for red" in shown[0] and "(no share) to night  c8  " in shown[0]
+    assert world.reruns == []
+    assert max(world.starts_of.values()) == 1  # no running task was lost
+    assert "share night  for red" in shown[0]
+    assert "(no share) to night  c8  " in shown[0]
     assert [t["state"] for t in json.loads(shown[1])["transfers"]] == ["complete", "complete"]
     assert took["back"] < took["there"] + 20.0
--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 import anyio
+import msgspec
 import pytest
 from msgspec.structs import replace
 
@@ -78,7 +79,7 @@
         request = submission(world)
         await over_elsewhere(world, request, stage)
         if late:
-            world.lose = lambda controller, said: controller == "n2"
+            world.lose = lambda controller, _: controller == "n2"
         else:
             world.lost_answers = 1.0
         answers.append(await world.ask_controller("n2", request))
@@ -86,7 +87,8 @@
     run_script(world, 80.0, script)
     assert world.violations == []
     ((status, said),) = answers
-    assert status == 200 and said["stage"] == stage
+    assert status == 200
+    assert said["stage"] == stage
 
 
 def test_a_submission_that_was_carried_out_without_an_answer_is_accepted() -> None:
@@ -102,7 +104,8 @@
 
     run_script(world, 12.0, script)
     ((status, said),) = answers
-    assert status in (200, 201) and said["stage"] in ("queued", "running")
+    assert status in (200, 201)
+    assert said["stage"] in ("queued", "running")
 
 
 def test_a_submission_that_may_still_be_carried_out_is_not_answered_for_good() -> None:
@@ -113,14 +116,15 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        world.lose = lambda controller, said: KEY in json.dumps(said)
+        world.lose = lambda _, said: KEY in json.dumps(said)
         statuses.append((await world.ask_controller("n2", request))[0])
         world.lose = None
         statuses.append((await world.ask_controller("n1", request))[0])
 
     run_script(world, 30.0, script)
     assert world.violations == []
-    assert statuses[0] == 503 and statuses[1] in (200, 201)
+    assert statuses[0] == 503
+    assert statuses[1] in (200, 201)
 
 
 # A write that is known done late
@@ -170,7 +174,8 @@
     run_script(world, 20.0, script)
     assert world.violations == []
     ((status, said),) = answers
-    assert status in (200, 201) and said["stage"] == "withdrawn"
+    assert status in (200, 201)
+    assert said["stage"] == "withdrawn"
 
 
 async def watch_is_late(target: str, reply: Reply) -> Reply:
@@ -309,9 +314,7 @@
 class PagesWithoutEnd:
     """A state service of which a page says that more comes, and has no items."""
 
-    async def request(
-        self, method: str, target: str, body: bytes | None, within: float
-    ) -> tuple[int, bytes]:
+    async def request(self, _method: str, target: str, *_: Any) -> tuple[int, bytes]:
         if "since" in target:
             return 200, b'{"items":[],"more":true,"ledger":9}'
         return 200, b'{"items":[{"key":"dw/a","data":1,"stamp":3}],"more":true,"ledger":9}'
@@ -349,7 +352,8 @@
     run_script(world, 40.0, script)
     assert world.violations == []
     ((status, said),) = answers
-    assert status == 200 and said["stage"] == "withdrawn"
+    assert status == 200
+    assert said["stage"] == "withdrawn"
 
 
 @pytest.mark.parametrize("stage", ["running", "done", "withdrawn"])
@@ -419,10 +423,15 @@
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
     watch = CancellationWatch("boot-a", [peer], 2)
     message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
-    with pytest.raises(ValueError):
+
+    def hear_malformed() -> None:
         malformed = peers.decode(peers.encode(message) | change, CancellationMessage)
         watch.hear(6.0, ControllerName("a"), peer, malformed, cache)
-    assert cache.jobs[JobId(JOB)].open and cache.cancellations(0) == []
+
+    with pytest.raises(msgspec.ValidationError):
+        hear_malformed()
+    assert cache.jobs[JobId(JOB)].open
+    assert cache.cancellations(0) == []
     assert watch.known_at(7.0) < 0
 
 
@@ -433,7 +442,8 @@
     message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
     listed = peers.decode(peers.encode(message) | {"cancelled": [[7, JOB]]}, CancellationMessage)
     CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, cache)
-    assert not cache.jobs[JobId(JOB)].open and cache.cancellations(0) == [(7, JOB)]
+    assert not cache.jobs[JobId(JOB)].open
+    assert cache.cancellations(0) == [(7, JOB)]
 
 
 # Changes that are told late
@@ -450,7 +460,8 @@
     cache.follow([], 40 * len(keys))
     cache.remove(f"{PROVISIONING_REQUESTS}last", 40 * len(keys) + 1)
     cache.follow(late, len(keys))
-    assert cache.provisioning_requests == {} and cache.versions == {}
+    assert cache.provisioning_requests == {}
+    assert cache.versions == {}
     assert cache.revision == 40 * len(keys)
 
 
@@ -479,7 +490,8 @@
 def test_no_answer_goes_back_in_random_scenarios(seed: int) -> None:
     world = play_answers(seed)
     assert world.violations == []
-    assert world.history.answers > 1000 and len(world.accepted) > 30
+    assert world.history.answers > 1000
+    assert len(world.accepted) > 30
 
 
 # The checker of the answers can fail
@@ -534,7 +546,8 @@
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
     history.answered(early, 404, {})
     history.answered(before, 200, {"stage": "running"})
-    assert history.violations == [] and history.answers == 9
+    assert history.violations == []
+    assert history.answers == 9
 
 
 def test_two_final_states_contradict_each_other_in_any_order() -> None:
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -100,7 +100,8 @@
     run_script(world, 130.0, script)
     assert world.violations == []
     (probe,) = seen
-    assert probe.answers > 1000 and set(probe.known.values()) == {2}
+    assert probe.answers > 1000
+    assert set(probe.known.values()) == {2}
     return probe
 
 
@@ -140,8 +141,10 @@
         world.calm_at = now()
 
     world = play_scenario(script, seed, 330.0)
-    assert world.violations == [] and final_check_failures(world) == []
-    assert finished(world) == {} and len(world.accepted) == 12
+    assert world.violations == []
+    assert final_check_failures(world) == []
+    assert finished(world) == {}
+    assert len(world.accepted) == 12
 
 
 # Heartbeats that are kept for the next leader
@@ -183,7 +186,9 @@
     world = play_scenario(kept_for_the_next_leader, seed, 330.0)
     assert world.copied > 200
     assert "event=task_unexpected" not in caplog.text  # no owner finds what it thought elsewhere
-    assert world.violations == [] and final_check_failures(world) == [] and finished(world) == {}
+    assert world.violations == []
+    assert final_check_failures(world) == []
+    assert finished(world) == {}
 
 
 def stale_heartbeats_settle(patch: pytest.MonkeyPatch) -> None:
@@ -191,7 +196,7 @@
     take = ShardScheduler._take_tasks
 
     def trusting(
-        self: ShardScheduler, at: float, machine: Any, heartbeat: Any, settles: bool, new: bool
+        self: ShardScheduler, at: float, machine: Any, heartbeat: Any, _settles: bool, new: bool
     ) -> Any:
         self.unreconciled.discard(machine.id)
         commands = take(self, at, machine, heartbeat, True, new)
@@ -287,7 +292,9 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_machines_that_are_up_at_once_get_work_while_writes_lag(seed: int) -> None:
     world = play_scenario(up_at_once, seed, 330.0)
-    assert world.violations == [] and final_check_failures(world) == [] and finished(world) == {}
+    assert world.violations == []
+    assert final_check_failures(world) == []
+    assert finished(world) == {}
 
 
 def test_work_on_machines_that_nobody_waits_for_is_detected(
@@ -345,11 +352,14 @@
         world.calm_at = now()
 
     run_script(world, 190.0, script)
-    assert world.violations == [] and final_check_failures(world) == []
-    assert len(ended) == 480 and caplog.records == []
+    assert world.violations == []
+    assert final_check_failures(world) == []
+    assert len(ended) == 480
+    assert caplog.records == []
     assert sorted(waits)[int(0.99 * len(waits))] < 1.0
     assert sorted(ended)[int(0.95 * len(ended))] < 45.0
-    assert world.state.refused[400] == 0 and world.state.refused[429] <= 5
+    assert world.state.refused[400] == 0
+    assert world.state.refused[429] <= 5
 
 
 # Cancellations while a shard changes its owner, teams at their limit
@@ -386,7 +396,9 @@
 def test_cancellations_while_a_shard_changes_its_owner(seed: int) -> None:
     world = play_scenario(cancelled_in_a_handover, seed, 420.0)
     assert len(world.cancelled_at) > 6
-    assert world.violations == [] and final_check_failures(world) == [] and finished(world) == {}
+    assert world.violations == []
+    assert final_check_failures(world) == []
+    assert finished(world) == {}
 
 
 def test_cancelled_tasks_that_go_on_after_a_handover_are_detected(
--- a/tests/simulation/test_failure_pairs.py
+++ b/tests/simulation/test_failure_pairs.py
@@ -14,9 +14,14 @@
 
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.core.estimates import Estimates
 from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.protocol.workers import Heartbeat, TaskStatus
+from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.keys import LEADER
+from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request
+from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
 from simulation.test_mutations import (
     no_stop_of_cancelled_tasks,
     no_team_limit,
@@ -39,6 +44,7 @@
     zone_cut,
 )
 from standins import WORKERS, World, now
+from unit.test_scheduler_models import TOKEN, ZONE, Bench, spec, starts
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -152,7 +158,8 @@
             await cancel(world, world.names[job % 3], [f"run-{job:06d}"])
 
     world = play_scenario(script, 3, 200.0)
-    assert world.violations == [] and finished(world) == {}
+    assert world.violations == []
+    assert finished(world) == {}
     # An image may be on its way when the user is told; the next heartbeat's answer stops it.
     assert max(world.started_after_cancel.values(), default=0.0) < 5.0
 
@@ -185,7 +192,8 @@
         world.calm_at = now()
 
     run_script(world, 200.0, script)
-    assert world.violations == [] and finished(world) == {}
+    assert world.violations == []
+    assert finished(world) == {}
     assert begun[0] > 4
     assert (begun[1] == begun[0]) is lost
 
@@ -197,9 +205,7 @@
     """Two controllers' watches and the messages between them."""
 
     def __init__(self) -> None:
-        from dapplewick.storage.watch_cache import WatchCache
-
-        self.mirrors = {name: WatchCache() for name in "ab"}
+        self.caches = {name: WatchCache() for name in "ab"}
         self.watches = {
             "a": CancellationWatch("boot-a", ["b"], 2),  # type: ignore[list-item]
             "b": CancellationWatch("boot-b", ["a"], 2),  # type: ignore[list-item]
@@ -207,8 +213,8 @@
 
     def tell(self, at: float, sender: str, heard_at: float, ready: bool = True) -> None:
         receiver = "b" if sender == "a" else "a"
-        message = self.watches[sender].message(at, self.mirrors[sender], ready)
-        self.watches[receiver].hear(heard_at, receiver, sender, message, self.mirrors[receiver])  # type: ignore[arg-type]
+        message = self.watches[sender].message(at, self.caches[sender], ready)
+        self.watches[receiver].hear(heard_at, receiver, sender, message, self.caches[receiver])  # type: ignore[arg-type]
 
 
 def test_the_age_of_what_is_known_counts_from_the_request() -> None:
@@ -231,9 +237,9 @@
     assert talk.watches["a"].known_at(3.0) < 0
     # The list begins after what the other has read: one that it needs may be missing.
     talk = Talk()
-    talk.mirrors["b"].revision = talk.mirrors["a"].revision = 50  # type: ignore[assignment]
+    talk.caches["b"].revision = talk.caches["a"].revision = 50  # type: ignore[assignment]
     talk.tell(1.0, "a", 1.0)
-    talk.mirrors["a"].revision = 10  # type: ignore[assignment]
+    talk.caches["a"].revision = 10  # type: ignore[assignment]
     talk.tell(2.0, "b", 2.0)
     assert talk.watches["a"].known_at(3.0) < 0
     # A request of another incarnation is not this one's.
@@ -245,8 +251,6 @@
 
 
 def test_what_a_peer_tells_stays_until_the_record_itself_comes() -> None:
-    from unit.test_scheduler_models import Bench, spec
-
     bench = Bench(1)
     machine = bench.names[0]
     bench.heartbeat(machine, 0.0)
@@ -265,7 +269,7 @@
     assert bench.cache.cancellations(version + 5) == []
 
 
-# Late and old
+# Late and stale
 
 
 def test_nothing_is_planned_while_a_write_may_still_come() -> None:
@@ -274,7 +278,7 @@
     world = World(4)
     lost: list[tuple[float, int]] = []
 
-    def lose(controller: str, body: dict[str, Any]) -> bool:
+    def lose(_: str, body: dict[str, Any]) -> bool:
         keys = [op.get("write", "") for op in body.get("apply", [])]
         epoch = next((c["stamp"] for c in body.get("if", []) if c["key"] == LEADER), 0)
         assignments = any(k.startswith("dw/j/") for k in keys) and LEADER not in keys and epoch
@@ -291,7 +295,9 @@
         submit_jobs(world, 10, pieces=6, cpus=4.0, true_s=8.0, crew="blue")
 
     run_script(world, 200.0, script)
-    assert len(lost) == 3 and world.violations == [] and finished(world) == {}
+    assert len(lost) == 3
+    assert world.violations == []
+    assert finished(world) == {}
     for at, epoch in lost:
         after = [
             body
@@ -318,14 +324,15 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_late_writes_and_restarts_together(seed: int) -> None:
     world = play_scenario(many_late_writes, seed, 300.0)
-    assert world.violations == [] and finished(world) == {}
+    assert world.violations == []
+    assert finished(world) == {}
 
 
 def test_a_late_presence_record_of_an_earlier_incarnation_takes_no_controller_out() -> None:
     world = World(5)
     kept: list[dict[str, Any]] = []
 
-    def lose(controller: str, body: dict[str, Any]) -> bool:
+    def lose(_: str, body: dict[str, Any]) -> bool:
         mine = any(op.get("write") == "dw/n/n2" for op in body.get("apply", []))
         if mine and not kept:
             kept.append(body)
@@ -348,7 +355,8 @@
             )
 
     run_script(world, 45.0, script)
-    assert kept and all(seen[3:])
+    assert kept
+    assert all(seen[3:])
 
 
 def test_a_lost_presence_record_is_written_again() -> None:
@@ -367,11 +375,6 @@
 
 def test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice() -> None:
     """The task had moved under the old owner; the copy said where it was before."""
-    from dapplewick.core.estimates import Estimates
-    from dapplewick.protocol.workers import Heartbeat, TaskStatus
-    from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
-    from unit.test_scheduler_models import TOKEN, ZONE, Bench, spec, starts
-
     bench = Bench(2)
     first, second = bench.names
     bench.assign("run-1", spec(1, 1.0, 100.0), 0.0)
@@ -407,7 +410,8 @@
 
     world = play_scenario(script, seed, 360.0)
     assert world.copied > 100
-    assert world.violations == [] and finished(world) == {}
+    assert world.violations == []
+    assert finished(world) == {}
 
 
 # Changes of leader and owner
@@ -436,7 +440,8 @@
         world.calm_at = now()
 
     world = play_scenario(script, 7, 460.0)
-    assert world.violations == [] and finished(world) == {}
+    assert world.violations == []
+    assert finished(world) == {}
     assert len(world.accepted) == 6
     assert world.reruns == []
 
@@ -461,7 +466,8 @@
         epochs.append(world.state.keys[LEADER][1])
 
     run_script(world, 150.0, script)
-    assert world.violations == [] and finished(world) == {}
+    assert world.violations == []
+    assert finished(world) == {}
     assert len(set(epochs)) == len(epochs)
     names = [
         op["write"]
@@ -475,7 +481,7 @@
 def test_a_write_is_made_under_the_epoch_that_was_planned_under() -> None:
     """Between two writes of a pass the watch cache may come to show another leader's key."""
     world = World(9)
-    seen: list[str] = []
+    seen: list[bool] = []
 
     async def script() -> None:
         await anyio.sleep(5)
@@ -484,18 +490,11 @@
         epoch = controller.cache.version(LEADER)
         # Another leader's key, as the watch would bring it.
         controller.cache.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
-        try:
-            from dapplewick.storage.conditional_write import ConditionalWrite
-            from dapplewick.types import FencingToken
-
-            await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
-        except Exception as err:
-            seen.append(repr(err))
-        last = world.writes[-1][2]["if"]
-        seen.append(str({"key": LEADER, "stamp": epoch} in last))
+        await controller._write(FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, 0)])
+        seen.append({"key": LEADER, "stamp": epoch} in world.writes[-1][2]["if"])
 
     run_script(world, 8.0, script)
-    assert seen[-1] == "True"
+    assert seen == [True]
 
 
 async def all_away(world: World) -> None:
@@ -680,14 +679,16 @@
 def test_under_compound_failures_rules_hold_and_all_is_served(script: Script, seed: int) -> None:
     world = play_scenario(script, seed, 420.0)
     assert world.violations == []
-    assert finished(world) == {} and len(world.told) == len(world.accepted) > 0
+    assert finished(world) == {}
+    assert len(world.told) == len(world.accepted) > 0
 
 
 def test_a_long_outage_costs_no_machine() -> None:
     """By their age alone all were silent or idle when the state service was back."""
     world = play_scenario(long_outage, 3, 110.0)
     before, after = world.before, world.after  # type: ignore[attr-defined]
-    assert len(before) > 3 and before <= after
+    assert len(before) > 3
+    assert before <= after
 
 
 async def late_writes(world: World) -> None:
@@ -755,10 +756,31 @@
     # Long enough for the most work with accelerators that may be drawn, at its team's limit.
     world = play(pair, seed, length=360.0, slow=2.5)
     assert world.violations == []
-    assert finished(world) == {} and len(world.accepted) == 14
+    assert finished(world) == {}
+    assert len(world.accepted) == 14
+
+
+# Cancellation at completion
 
 
-# Ends that cross
+async def cancel_at_completion(world: World, job: str, final: dict[str, set[str]]) -> None:
+    """Ask all controllers about a job, and cancel it, around the end of its last task."""
+    last = f"{job}/1"
+    while last not in world.results:
+        await anyio.sleep(0.01)
+    await anyio.sleep(world.random.uniform(0.0, 1.2))
+
+    async def ask(name: str, method: str, verb: str) -> None:
+        status, said = await call(world, name, method, job, verb)
+        assert status in (200, 503)
+        if status == 200 and said["stage"] in ("done", "withdrawn"):
+            final.setdefault(job, set()).add(said["stage"])
+
+    async with anyio.create_task_group() as group:
+        for name in world.names:
+            group.start_soon(ask, name, "GET", "")
+        group.start_soon(ask, world.random.choice(world.names), "POST", "abort")
+        group.start_soon(ask, world.random.choice(world.names), "POST", "abort")
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -766,31 +788,13 @@
     world = World(seed)
     final: dict[str, set[str]] = {}
 
-    async def ends(job: str) -> None:
-        last = f"{job}/1"
-        while last not in world.results:
-            await anyio.sleep(0.01)
-        await anyio.sleep(world.random.uniform(0.0, 1.2))
-
-        async def ask(name: str, method: str, verb: str) -> None:
-            status, said = await call(world, name, method, job, verb)
-            assert status in (200, 503)
-            if status == 200 and said["stage"] in ("done", "withdrawn"):
-                final.setdefault(job, set()).add(said["stage"])
-
-        async with anyio.create_task_group() as group:
-            for name in world.names:
-                group.start_soon(ask, name, "GET", "")
-            group.start_soon(ask, world.random.choice(world.names), "POST", "abort")
-            group.start_soon(ask, world.random.choice(world.names), "POST", "abort")
-
     async def script() -> None:
         await anyio.sleep(3)
         for n in range(12):
             body = world.job(name_id=f"run-{n:06d}", pieces=2, true_s=5.0 + n)
             world.cancelled_at[body["name_id"]] = 1e9  # its user may be told either
             world.group.start_soon(world.user, body["name_id"], body, None)
-            world.group.start_soon(ends, body["name_id"])
+            world.group.start_soon(cancel_at_completion, world, body["name_id"], final)
         await anyio.sleep(45)
         for name in world.names:
             world.crash(name)
@@ -806,14 +810,15 @@
 
     run_script(world, 70.0, script)
     assert world.violations == []
-    assert len(final) == 12 and all(len(stages) == 1 for stages in final.values())
+    assert len(final) == 12
+    assert all(len(stages) == 1 for stages in final.values())
     assert {s for stages in final.values() for s in stages} == {"done", "withdrawn"}
 
 
-# Odd requests
+# Invalid requests
 
 
-ODD: list[tuple[dict[str, Any], int]] = [
+INVALID: list[tuple[dict[str, Any], int]] = [
     ({"cpus": 64.0}, 422),
     ({"crew": "green"}, 422),
     ({"yard": "z"}, 422),
@@ -863,7 +868,7 @@
         return answer.status
 
     async def odd() -> None:
-        for change, status in ODD:
+        for change, status in INVALID:
             got = await submit(world.job(name_id="run-odd", **change))
             if got != status:
                 seen.append(f"{change} got {got}")
@@ -918,14 +923,15 @@
         begun.append(now() - at)
 
     run_script(world, 180.0, script)
-    assert begun and begun[0] < 110.0
+    assert begun
+    assert begun[0] < 110.0
 
 
 # Mutations: guards removed
 
 
 def a_lie_about_what_is_known(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(CancellationWatch, "known_at", lambda self, at: at)
+    patch.setattr(CancellationWatch, "known_at", lambda _, at: at)
 
 
 def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
@@ -951,7 +957,7 @@
 
 
 def refused_machines_are_silent(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "refuse", lambda self, at: None)
+    patch.setattr(ShardScheduler, "refuse", lambda *_: None)
 
 
 def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
--- a/tests/simulation/test_mutations.py
+++ b/tests/simulation/test_mutations.py
@@ -35,11 +35,11 @@
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaderPlanner, "_within_limit", lambda self, spec, usage: spec.task_count)
+    patch.setattr(LeaderPlanner, "_within_limit", lambda _, spec, __: spec.task_count)
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "_stops", lambda self, now, machine: [])
+    patch.setattr(ShardScheduler, "_stops", lambda *_: [])
 
 
 def no_check_that_the_watch_cache_is_current(patch: pytest.MonkeyPatch) -> None:
@@ -50,7 +50,7 @@
 
 
 def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "allowed", lambda self, spec, machine: True)
+    patch.setattr(ShardScheduler, "allowed", lambda *_: True)
 
 
 CASES: list[tuple[Patch, Fault, str]] = [
--- a/tests/simulation/test_partition_moves.py
+++ b/tests/simulation/test_partition_moves.py
@@ -168,7 +168,8 @@
 
     play_moves(world, script)
     assert went[0] > 2.0  # nothing was stopped for it
-    assert world.reruns == [] and max(world.starts_of.values()) == 1
+    assert world.reruns == []
+    assert max(world.starts_of.values()) == 1
 
 
 def test_why_a_machine_has_not_moved_is_shown_to_operators() -> None:
@@ -183,7 +184,8 @@
         told.extend(said["transfers"][0]["waits_for"].values())
 
     play_moves(world, script, 60.0)
-    assert len(told) == 1 and "4 tasks on it, expected to end in" in told[0]
+    assert len(told) == 1
+    assert "4 tasks on it, expected to end in" in told[0]
 
 
 def test_a_long_task_does_not_block_the_rest_and_what_is_late_is_met_from_others() -> None:
@@ -205,7 +207,8 @@
 
     history = play_moves(world, script, 170.0)
     assert any("-again" in key for _, key, _, _ in world.state.log if key.startswith("dw/s/"))
-    assert world.reruns == [] and len(history.handovers) >= 1
+    assert world.reruns == []
+    assert len(history.handovers) >= 1
 
 
 def test_there_and_back_within_a_minute_the_later_move_wins() -> None:
@@ -631,7 +634,8 @@
         await busy_zone(world, 4, 5.0)
         for fields, complaint in BAD_COMMANDS:
             said = await command(world, "move", **(good | fields))
-            assert said["status"] == 400 and complaint in said["error"], said
+            assert said["status"] == 400, said
+            assert complaint in said["error"], said
             assert "\n" not in said["error"]
         assert (await command(world, "cancel", id="o-nothing"))["status"] == 404
         assert (await command(world, "dance"))["status"] == 400
@@ -643,7 +647,8 @@
             ({"shares": {"x" * 20_000: {}}}, "larger than a value"),
         ):
             said = await command(world, "plan", plan=plan)
-            assert said["status"] == 400 and complaint in said["error"], said
+            assert said["status"] == 400, said
+            assert complaint in said["error"], said
         assert (await command(world, "show"))["plan"] == before
 
     play_moves(world, script, 80.0)
@@ -754,4 +759,5 @@
 
     history = play_moves(world, script, 420.0)
     assert history.open_transfers() == []
-    assert set(world.told.values()) <= {"done", "withdrawn"} and len(world.told) >= 13
+    assert set(world.told.values()) <= {"done", "withdrawn"}
+    assert len(world.told) >= 13
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -11,7 +11,7 @@
 import pytest
 
 from dapplewick.transport.http import Request
-from standins import World, now, run_in_virtual_time, zone_of
+from standins import Worker, World, now, run_in_virtual_time, zone_of
 
 Fault = Callable[[World], Coroutine[Any, Any, None]]
 
@@ -111,6 +111,16 @@
     world.cloud.down = False
 
 
+async def end_hang(world: World, worker: Worker) -> None:
+    await anyio.sleep(world.random.uniform(5, 40))
+    worker.hanging = False
+
+
+async def end_cut(world: World, worker: Worker) -> None:
+    await anyio.sleep(world.random.uniform(5, 40))
+    worker.cut = False
+
+
 async def bad_machines(world: World) -> None:
     for _ in range(10):
         await anyio.sleep(10)
@@ -123,15 +133,12 @@
         elif fault == "notice":
             worker.spot_notice_s = 10.0
             worker.changed = True
+        elif fault == "hang":
+            worker.hanging = True
+            world.group.start_soon(end_hang, world, worker)
         else:
-            attribute = "hanging" if fault == "hang" else "cut"
-            setattr(worker, attribute, True)
-
-            async def over(worker: object = worker, attribute: str = attribute) -> None:
-                await anyio.sleep(world.random.uniform(5, 40))
-                setattr(worker, attribute, False)
-
-            world.group.start_soon(over)
+            worker.cut = True
+            world.group.start_soon(end_cut, world, worker)
 
 
 async def unreachable_machines(world: World) -> None:
@@ -508,13 +515,15 @@
             for controller in world.names:
                 request = Request("GET", f"/v2/runs/{job}", b"", False)
                 while (answer := await world.controllers[controller].handle(request)).status != 200:
-                    assert answer.status == 503 and answer.retry_after
+                    assert answer.status == 503
+                    assert answer.retry_after
                     await anyio.sleep(0.5)
                 late[f"{job} {controller}"] = now() - back
 
     run_script(world, 90.0, script)
     assert world.violations == []
-    assert len(world.accepted) == 25 and len(late) == 75
+    assert len(world.accepted) == 25
+    assert len(late) == 75
     assert max(late.values()) < 30.0
 
 
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -15,10 +15,11 @@
 from dapplewick.core.leader.provisioner import Provisioner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import Machine
+from dapplewick.protocol.cloud import MachineType, encode_machine_types
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
 from dapplewick.storage.job_records import JobRecord
-from dapplewick.storage.keys import MACHINES
+from dapplewick.storage.keys import MACHINES, TYPES
 from dapplewick.transport.http import Request
 from dapplewick.types import JobId, MachineId, TaskIndex, TaskRef, TypeName
 from simulation.test_failure_pairs import call, finished
@@ -100,7 +101,8 @@
     assert world.violations == []
     assert there == [wanted]
     assert finished(world) == dict.fromkeys(wanted, "running")
-    assert world.told["run-s4"] == "withdrawn" and replicas_on(world, "run-s4") == 0
+    assert world.told["run-s4"] == "withdrawn"
+    assert replicas_on(world, "run-s4") == 0
 
 
 def test_a_lost_machines_replicas_run_elsewhere_soon() -> None:
@@ -124,7 +126,8 @@
     run_script(world, 100.0, script)
     assert world.violations == []
     # Half of a lease until it is deleted, then a heartbeat and the image: not a lease and more.
-    assert back and back[0] < WORKERS["lease_s"]
+    assert back
+    assert back[0] < WORKERS["lease_s"]
 
 
 def test_services_are_answered_like_any_job_and_never_done() -> None:
@@ -218,7 +221,9 @@
             begun.append(at)
             ended(bench, machine, task, "error", at + 0.2)
     pauses = [b - a for a, b in pairwise(begun)]
-    assert pauses[0] <= 1.0 and pauses == sorted(pauses) and 30.0 < pauses[-1] <= 62.0
+    assert pauses[0] <= 1.0
+    assert pauses == sorted(pauses)
+    assert 30.0 < pauses[-1] <= 62.0
 
 
 def test_a_replica_passes_no_gang_and_nothing_waits_behind_it() -> None:
@@ -307,9 +312,6 @@
 
 
 def test_a_dear_machine_is_not_kept_for_replicas_alone() -> None:
-    from dapplewick.protocol.cloud import MachineType, encode_machine_types
-    from dapplewick.storage.keys import TYPES
-
     bench = Bench(1)
     dear = MachineType(name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, price=20.0, zones=["a"])
     cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, price=0.5, zones=["a"])
@@ -367,11 +369,11 @@
 
 
 def silent_machines_are_waited_for(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Machine, "has_replicas", lambda self: False)
+    patch.setattr(Machine, "has_replicas", lambda _: False)
 
 
 def lower_work_is_not_stopped(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "_make_room", lambda self, machine, stop: None)
+    patch.setattr(ShardScheduler, "_make_room", lambda *_: None)
 
 
 GUARDS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], None]]] = [
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Awaitable, Callable
+from functools import partial
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import anyio
 import cbor2
@@ -15,6 +17,9 @@
     from standins.world import World
 
 
+Deliver = Callable[[], Awaitable[Any]]
+
+
 class Wire:
     """The way of one controller to a service. Mode: how the network treats it now."""
 
@@ -49,17 +54,11 @@
         await anyio.sleep((0.002 + random_.random() * 0.004) * (self.world.slow if state else 1.0))
         if mode == "refused":
             return 503, b"{}"
+        deliver = partial(self.service.answer, method, target, body)
         if mode == "held":
-            # The network keeps the request and delivers it when the cut is over.
-            async def later() -> None:
-                while self.world.mode(self.controller, self.service) == "held":
-                    await anyio.sleep(0.05)
-                await self.service.answer(method, target, body)
-
             if "/changes" not in target:
-                self.world.group.start_soon(later)
-            await anyio.sleep(within)
-            raise self.errors.HttpError("timeout")
+                self.world.group.start_soon(self._deliver_after_cut, deliver)
+            await self._time_out(within)
         if mode == "cut":
             await anyio.sleep(within)
             known = random_.random() >= 0.5
@@ -68,36 +67,42 @@
         if lossy and random_.random() < 0.3:
             # The request is carried out late, or its answer is lost.
             delay = random_.choice([0.0, 1.0, 5.0, 20.0])
-
-            async def late() -> None:
-                await anyio.sleep(delay)
-                await self.service.answer(method, target, body)
-
-            self.world.group.start_soon(late)
-            await anyio.sleep(within)
-            raise self.errors.HttpError("timeout")
+            self.world.group.start_soon(self._deliver_after, delay, deliver)
+            await self._time_out(within)
         if state and target == "/multi" and random_.random() < self.world.lost_answers:
             # Carried out at once, and only its answer is lost.
-            await self.service.answer(method, target, body)
-            await anyio.sleep(within)
-            raise self.errors.HttpError("timeout")
+            await deliver()
+            await self._time_out(within)
         if state and target == "/multi" and self.world.put_off(self.controller, body):
             # No answer, and carried out after newer ones of the same controller.
-            async def put_off() -> None:
-                await anyio.sleep(random_.uniform(2.0, 12.0))
-                await self.service.answer(method, target, body)
-
-            self.world.group.start_soon(put_off)
-            await anyio.sleep(within)
-            raise self.errors.HttpError("timeout")
+            self.world.group.start_soon(self._deliver_late, deliver)
+            await self._time_out(within)
         with anyio.move_on_after(within):
-            answer: tuple[int, bytes] = await self.service.answer(method, target, body)
+            answer: tuple[int, bytes] = await deliver()
             if "/changes" in target and self.world.mode(self.controller, self.service) == "refused":
                 # The open watch of a controller that alone is refused waits as in an outage.
                 await anyio.sleep(within)
             return answer
         raise self.errors.HttpError("timeout")
 
+    async def _time_out(self, within: float) -> NoReturn:
+        await anyio.sleep(within)
+        raise self.errors.HttpError("timeout")
+
+    async def _deliver_after_cut(self, deliver: Deliver) -> None:
+        """The network keeps the request and delivers it when the cut is over."""
+        while self.world.mode(self.controller, self.service) == "held":
+            await anyio.sleep(0.05)
+        await deliver()
+
+    async def _deliver_after(self, delay: float, deliver: Deliver) -> None:
+        await anyio.sleep(delay)
+        await deliver()
+
+    async def _deliver_late(self, deliver: Deliver) -> None:
+        await anyio.sleep(self.world.random.uniform(2.0, 12.0))
+        await deliver()
+
 
 class Link:
     """The way of one controller to another."""
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -37,12 +37,19 @@
         for other, other_name in there:
             if other_name == name and other is not worker:
                 self.world.violations.append(f"ran_twice {name}")
+        self._check_placement(worker, name, job, there)
+        self._check_quota(name, job, there)
+
+    def _check_placement(
+        self, worker: Worker, name: str, job: dict[str, Any], there: list[tuple[Worker, str]]
+    ) -> None:
         if job["builds"] is not None and worker.type not in job["builds"]:
             self.world.violations.append(f"wrong_place {name} type")
         if job["yard"] not in (None, worker.zone):
             self.world.violations.append(f"wrong_place {name} zone")
         if worker.spot and not job["borrowed"]:
             self.world.violations.append(f"wrong_place {name} spot")
+        job_id = name.rpartition("/")[0]
         mates = [w for w, n in there if n.rpartition("/")[0] == job_id and n != name]
         if job["same_place"] and any(w.zone != worker.zone for w in mates):
             self.world.violations.append(f"wrong_place {name} same_place")
@@ -50,6 +57,8 @@
             here = sum(w.zone == worker.zone for w in mates) + 1
             if here > (job["pieces"] + 1) // 2:
                 self.world.violations.append(f"wrong_place {name} scatter")
+
+    def _check_quota(self, name: str, job: dict[str, Any], there: list[tuple[Worker, str]]) -> None:
         team = next(t for t in TEAMS if t["name"] == job["crew"])
         for limit, field in (("cpus_max", "cpus"), ("gpus_max", "accelerators")):
             used = sum(
@@ -103,6 +112,21 @@
         if gang and placed:
             return False
         want = job["pieces"] if gang else 1
+        if not self._within_quota(job, want, there):
+            return False
+        rooms = self._room_by_zone(job, there)
+        if job["same_place"]:
+            if placed:
+                rooms = {z: n for z, n in rooms.items() if z == placed[0].zone}
+            return max(rooms.values(), default=0) >= want
+        if job["scatter"]:
+            cap = (job["pieces"] + 1) // 2
+            rooms = {z: min(n, cap - sum(w.zone == z for w in placed)) for z, n in rooms.items()}
+        return sum(max(0, n) for n in rooms.values()) >= want
+
+    def _within_quota(
+        self, job: dict[str, Any], want: int, there: list[tuple[Worker, str]]
+    ) -> bool:
         team = next(t for t in TEAMS if t["name"] == job["crew"])
         for limit, field in (("cpus_max", "cpus"), ("gpus_max", "accelerators")):
             used = sum(
@@ -112,6 +136,10 @@
             )
             if 0 < team[limit] < used + want * job[field] - 1e-6:  # type: ignore[operator]
                 return False
+        return True
+
+    def _room_by_zone(self, job: dict[str, Any], there: list[tuple[Worker, str]]) -> dict[str, int]:
+        """How many tasks of a job would fit on the machines of each zone now."""
         rooms: dict[str, int] = {}
         for worker in self.world.workers.values():
             if (
@@ -135,11 +163,4 @@
                     room = float(kind[field]) - used + 1e-6  # type: ignore[arg-type]
                     fit = min(fit, room // job[field])
             rooms[worker.zone] = rooms.get(worker.zone, 0) + int(max(0.0, fit))
-        if job["same_place"]:
-            if placed:
-                rooms = {z: n for z, n in rooms.items() if z == placed[0].zone}
-            return max(rooms.values(), default=0) >= want
-        if job["scatter"]:
-            cap = (job["pieces"] + 1) // 2
-            rooms = {z: min(n, cap - sum(w.zone == z for w in placed)) for z, n in rooms.items()}
-        return sum(max(0, n) for n in rooms.values()) >= want
+        return rooms
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -46,7 +46,7 @@
         if not down:
             self.leases = {n: (now() + ttl, ttl) for n, (_, ttl) in self.leases.items()}
 
-    async def answer(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
+    async def answer(self, _method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         path, query = urlsplit(target).path, parse_qs(urlsplit(target).query)
         self.expire()
         if path == "/changes":
@@ -57,7 +57,7 @@
         if path == "/multi" and (status := self._over(said)):
             self.refused[status] += 1
             return status, b'{"error":"over the limit"}'
-        status, out = self._apply(method, path, query, said)
+        status, out = self._apply(path, query, said)
         return status, json.dumps(out).encode()
 
     def _over(self, said: dict[str, Any]) -> int:
@@ -95,7 +95,7 @@
         return 200, json.dumps({"ledger": self.ledger, "events": out}).encode()
 
     def _apply(
-        self, method: str, path: str, query: dict[str, list[str]], body: dict[str, Any]
+        self, path: str, query: dict[str, list[str]], body: dict[str, Any]
     ) -> tuple[int, Any]:
         if path == "/leases":
             lease, self.next_lease = self.next_lease, self.next_lease + 1
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -158,36 +158,39 @@
             self.changed = True
             return
         for name, task in list(self.tasks.items()):
-            job_id = name.split("/")[0]
-            job = self.world.jobs[job_id]
-            if task.stage == "fetching" and now() >= task.until:
-                self.images.add(job["kit"])
-                self.world.rules.check_start(self, name)
-                task.stage = "gathering" if job["shape"] == "group" else "running"
-                task.until = now() + self.world.run_time(name)
-                if name in self.world.results:
-                    task.stage, task.cause = "exited", "done"
-                self.changed = True
-            elif task.stage == "gathering":
-                self._gather(job_id, job, task)
-            elif task.stage == "running" and job["shape"] == "daemon":
-                self._replica(name, task)
-            elif task.stage == "running" and now() >= task.until:
-                if job["shape"] == "group" and not self.world.complete(job_id, task.attempt):
-                    task.stage, task.cause = "exited", "peers"
-                else:
-                    task.stage, task.cause = "exited", "done"
-                    self.world.results.add(name)
-                    if job["shape"] == "group":
-                        self.world.finish(job_id, task.attempt)
-                self.changed = True
-            elif (
-                task.stage == "running"
-                and job["shape"] == "group"
-                and not self.world.complete(job_id, task.attempt)
-            ):
+            self._advance(name, task)
+
+    def _advance(self, name: str, task: TaskRun) -> None:
+        job_id = name.split("/")[0]
+        job = self.world.jobs[job_id]
+        if task.stage == "fetching" and now() >= task.until:
+            self.images.add(job["kit"])
+            self.world.rules.check_start(self, name)
+            task.stage = "gathering" if job["shape"] == "group" else "running"
+            task.until = now() + self.world.run_time(name)
+            if name in self.world.results:
+                task.stage, task.cause = "exited", "done"
+            self.changed = True
+        elif task.stage == "gathering":
+            self._gather(job_id, job, task)
+        elif task.stage == "running" and job["shape"] == "daemon":
+            self._replica(name, task)
+        elif task.stage == "running" and now() >= task.until:
+            if job["shape"] == "group" and not self.world.complete(job_id, task.attempt):
                 task.stage, task.cause = "exited", "peers"
-                self.changed = True
+            else:
+                task.stage, task.cause = "exited", "done"
+                self.world.results.add(name)
+                if job["shape"] == "group":
+                    self.world.finish(job_id, task.attempt)
+            self.changed = True
+        elif (
+            task.stage == "running"
+            and job["shape"] == "group"
+            and not self.world.complete(job_id, task.attempt)
+        ):
+            task.stage, task.cause = "exited", "peers"
+            self.changed = True
 
     def _replica(self, name: str, task: TaskRun) -> None:
         """A replica runs until it is stopped, unless the scenario has it end by itself."""
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -54,9 +54,7 @@
         self.slow = 1.0  # how many times as long the state service takes to answer
         self.lost_answers = 0.0  # the fraction of transactions of which only the answer is lost
         self.boot_s = (2.0, 10.0)  # the least and the most that a machine takes to come up
-        self.kept_heartbeats: list[Request] | None = (
-            None  # copies of heartbeats, while they are kept
-        )
+        self.kept_heartbeats: list[Request] | None = None  # copies, while they are kept
         self.accepted_at: dict[str, float] = {}
         self.first_start: dict[str, float] = {}  # of each task
         self.late_writes = 0.0  # the fraction of transactions without an answer, carried out late
@@ -75,9 +73,7 @@
         self.copied = 0
         self.old: Any = None  # the version in production
         self.old_names: set[str] = set()  # controllers that start with it
-        self.partition_plan: PartitionPlan | None = (
-            None  # of controllers on which partitions are switched on
-        )
+        self.partition_plan: PartitionPlan | None = None  # where partitions are switched on
         self.without_partitions: set[str] = set()  # controllers on which they are off all the same
         self.frozen: set[str] = set()  # controllers that stand still
         self.held: dict[str, list[Any]] = {}  # frames and heartbeats for them
@@ -189,7 +185,7 @@
         made = old.Controller if old is not None else Controller
         parse = old.config if old is not None else config
         more: Any = {} if old is not None else {"partitions": self._partitions(name)}
-        controller = made(
+        controller: Any = made(
             settings(name, self.count, self.zones, parse),
             connect=connect,
             link=link,
@@ -197,9 +193,11 @@
             seed=seed,
             **more,
         )
-        # The earlier versions have another name for it.
-        setattr(controller, "boot" if old is not None else "incarnation", f"{name}-{seed}")
-        controller.wall = now  # type: ignore[method-assign]
+        if old is not None:
+            controller.boot = f"{name}-{seed}"  # the earlier versions' name for it
+        else:
+            controller.incarnation = f"{name}-{seed}"
+        controller.wall = now
         recorder.watch(name, controller)
         self.controllers[name] = controller
 
--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -73,25 +73,25 @@
     await world.stand_still(_leader_or(world, name), world.random.choice([0.4, 1.2, 3.0]))
 
 
-async def _late_writes(world: World, name: str) -> None:
+async def _late_writes(world: World, _: str) -> None:
     world.late_writes = 0.3
     await anyio.sleep(world.random.uniform(2.0, 8.0))
     world.late_writes = 0.0
 
 
-async def _lost_answers(world: World, name: str) -> None:
+async def _lost_answers(world: World, _: str) -> None:
     world.lost_answers = 0.4
     await anyio.sleep(world.random.uniform(2.0, 8.0))
     world.lost_answers = 0.0
 
 
-async def _slow_state(world: World, name: str) -> None:
+async def _slow_state(world: World, _: str) -> None:
     world.slow = world.random.choice([20.0, 100.0, 400.0])
     await anyio.sleep(world.random.uniform(2.0, 6.0))
     world.slow = 1.0
 
 
-async def _outage(world: World, name: str) -> None:
+async def _outage(world: World, _: str) -> None:
     world.state.set_down(True)
     await anyio.sleep(world.random.uniform(1.0, 6.0))
     world.state.set_down(False)
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -141,6 +141,11 @@
         return msgspec.to_builtins(plan.convert(cache.partition_plan))
     if key == LEADER:
         return msgspec.to_builtins(cache.leader)
+    return _table_record(cache, key, name)
+
+
+def _table_record(cache: WatchCache, key: str, name: str) -> Any:
+    """A record that stands as a whole in one table of the watch cache."""
     tables: list[tuple[str, Any]] = [
         (MACHINES, cache.groups),
         (SHARDS, cache.shards),
@@ -226,7 +231,7 @@
         self.asked: list[list[Any]] = []
 
     async def request(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, _within: float
     ) -> tuple[int, bytes]:
         """Give the next answer."""
         self.asked.append([method, target, None if body is None else body.decode()])
@@ -246,7 +251,7 @@
         """Keep a message."""
         self.posted.append([kind, cbor2.dumps(message).hex()])
 
-    async def ask(self, message: dict[str, Any], within: float) -> Any:
+    async def ask(self, message: dict[str, Any], _within: float) -> Any:
         """Keep a question, and give the answer."""
         self.asked.append(cbor2.dumps(message).hex())
         return self.answer
@@ -271,10 +276,10 @@
 ) -> tuple[Controller, Service, Peer]:
     service, link = Service(answers), Peer(answer)
 
-    def connect(host: str, port: int) -> Any:
+    def connect(_host: str, _port: int) -> Any:
         return service
 
-    def linked(host: str, port: int) -> Any:
+    def linked(_host: str, _port: int) -> Any:
         return link
 
     with patch.object(time, "time_ns", lambda: 1):
@@ -357,6 +362,18 @@
     return _in_time(scene)
 
 
+def _request_of(kind: str, body: Any) -> Request | None:
+    """The HTTP request of a step; None where it has none."""
+    if kind == "report":
+        return Request("POST", "/checkin", text(body).encode(), False)
+    if kind == "request":
+        method, target, sent = body
+        return Request(method, target, sent.encode(), False)
+    if kind == "too large":
+        return Request("POST", "/checkin", b"", True)
+    return None
+
+
 def work(given: Any) -> Any:
     """An owner of a shard: its answers to workers, the status that it sends, and operators'."""
 
@@ -364,14 +381,9 @@
         controller, service, link = _controller(given["records"], given.get("answers", []))
         out: list[Any] = []
         for kind, body in given["steps"]:
-            if kind == "report":
-                request = Request("POST", "/checkin", text(body).encode(), False)
+            if (request := _request_of(kind, body)) is not None:
                 answer = await controller.handle(request)
                 out.append([answer.status, answer.body.decode(), answer.retry_after])
-            elif kind == "request":
-                method, target, sent = body
-                answer = await controller.handle(Request(method, target, sent.encode(), False))
-                out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "asked":
                 said = await controller.on_request(through_frame(body))
                 out.append(cbor2.dumps(said).hex())
@@ -381,9 +393,6 @@
                     controller._send_status(now(), scheduler)
             elif kind == "wait":
                 await anyio.sleep(body)
-            elif kind == "too large":
-                answer = await controller.handle(Request("POST", "/checkin", b"", True))
-                out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "records are old":
                 controller.current_at = -1e9
             elif kind == "falls behind":
@@ -547,7 +556,7 @@
     """What the command line sends to a controller."""
     sent: list[str] = []
 
-    async def kept(at: str, message: Any) -> Any:
+    async def kept(_: str, message: Any) -> Any:
         sent.append(cbor2.dumps(message).hex())
         return given["said"]
 
--- a/tests/support/partition_history.py
+++ b/tests/support/partition_history.py
@@ -42,7 +42,7 @@
                     self._versions[key] = revision
             keys = list(before)
             if any(key.startswith(MACHINES) for key in keys):
-                self._check_machines(revision, keys, before)
+                self._check_machines(revision, before)
             for key in keys:
                 if key.startswith(TRANSFERS):
                     self._check_transfer(revision, key, before[key])
@@ -62,7 +62,7 @@
                     listed.setdefault(machine, []).append(key)
         return listed
 
-    def _check_machines(self, revision: int, keys: list[str], before: dict[str, Any]) -> None:
+    def _check_machines(self, revision: int, before: dict[str, Any]) -> None:
         listed = self._listed()
         for machine, groups in listed.items():
             shards = {self._shard(self._records[key]) for key in groups}
@@ -70,7 +70,7 @@
                 self._fail(revision, f"{machine} counts in {sorted(shards)}")
                 continue
             newest = max(groups, key=lambda key: self._versions[key])
-            self._check_move(revision, machine, shards.pop(), self._records[newest], keys, before)
+            self._check_move(revision, machine, shards.pop(), self._records[newest], before)
         for machine in self._shard_of.keys() - listed.keys():
             text = next(
                 (
@@ -94,7 +94,6 @@
         machine: str,
         shard: str,
         group: dict[str, Any],
-        keys: list[str],
         before: dict[str, Any],
     ) -> None:
         old = self._shard_of.get(machine)
--- a/tests/tools/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -49,7 +49,7 @@
     digest: str
 
 
-class Failed(Exception):
+class ComparisonError(Exception):
     """A scenario or a version that cannot be played."""
 
 
@@ -141,7 +141,7 @@
     """Run a version's own copy of this tool."""
     tool = tool_of(root)
     if tool is None:
-        raise Failed(f"{side}: there is no {' and no '.join(PLACES)}")
+        raise ComparisonError(f"{side}: there is no {' and no '.join(PLACES)}")
     done = subprocess.run(
         [sys.executable, str(tool), *arguments],
         cwd=root,
@@ -150,7 +150,9 @@
         text=True,
     )
     if done.returncode:
-        raise Failed(f"{side}: {' '.join(arguments)} ended with {done.returncode}\n{done.stderr}")
+        raise ComparisonError(
+            f"{side}: {' '.join(arguments)} ended with {done.returncode}\n{done.stderr}"
+        )
     return done.stdout
 
 
@@ -164,9 +166,9 @@
     for step in steps:
         done = subprocess.run(["git", *step], capture_output=True, text=True)
         if done.returncode:
-            raise Failed(f"git {' '.join(step)}: {done.stderr.strip()}")
+            raise ComparisonError(f"git {' '.join(step)}: {done.stderr.strip()}")
     if tool_of(target) is None:
-        raise Failed(f"{revision} has no compare_behaviour.py and cannot be played")
+        raise ComparisonError(f"{revision} has no compare_behaviour.py and cannot be played")
 
 
 def resolve(revision: str) -> str:
@@ -177,7 +179,7 @@
         text=True,
     )
     if done.returncode:
-        raise Failed(f"{revision} is no commit")
+        raise ComparisonError(f"{revision} is no commit")
     return done.stdout.strip()
 
 
@@ -196,9 +198,9 @@
         days = list(chosen) or listed["present"]
         for side, names in listed.items():
             if lacking := set(days) - set(names):
-                raise Failed(f"{side} has no day {', '.join(sorted(lacking))}")
+                raise ComparisonError(f"{side} has no day {', '.join(sorted(lacking))}")
         if not chosen and (gone := set(listed["base"]) - set(days)):
-            raise Failed(f"present has no day {', '.join(sorted(gone))}")
+            raise ComparisonError(f"present has no day {', '.join(sorted(gone))}")
 
         def trace(side: str, day: str) -> Path:
             out = folder / f"{side}-{day}.jsonl"
@@ -216,7 +218,7 @@
                         return 1
                     measured = measure(base.result())
                     if not measured.events:
-                        raise Failed(f"{day}: nothing was recorded")
+                        raise ComparisonError(f"{day}: nothing was recorded")
                     events += measured.events
                     failed = '"event":"check_failed"' in base.result().read_text()
                     print(
@@ -260,7 +262,7 @@
         parser.error("name a revision to compare with")
     try:
         return compare(given.base, given.days, max(1, given.jobs))
-    except Failed as err:
+    except ComparisonError as err:
         print(err, file=sys.stderr)
         return 1
 
--- a/tests/unit/test_atomic_transactions.py
+++ b/tests/unit/test_atomic_transactions.py
@@ -22,7 +22,8 @@
     machine_lifecycle = store.machine_lifecycle()
     machine_lifecycle.begin()
     changes = machine_lifecycle.changes()
-    assert len(changes) > 1 and len({change.transaction_group for change in changes}) == 1
+    assert len(changes) > 1
+    assert len({change.transaction_group for change in changes}) == 1
     for room in range(len(changes)):
         assert first_whole_groups(changes, room) == []
     for change in first_whole_groups(changes, len(changes)):
@@ -45,7 +46,8 @@
         for m in range(length)
     ]
     kept = first_whole_groups(changes, room)
-    assert kept == changes[: len(kept)] and len(kept) <= max(room, 0)
+    assert kept == changes[: len(kept)]
+    assert len(kept) <= max(room, 0)
     rest = changes[len(kept) :]
     assert not (
         kept
--- a/tests/unit/test_compare_behaviour.py
+++ b/tests/unit/test_compare_behaviour.py
@@ -32,7 +32,8 @@
 def test_equal_traces_are_equal(tmp_path: Path) -> None:
     base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", EVENTS)
     assert first_difference(base, present) is None
-    assert measure(base) == measure(present) and measure(base).events == len(EVENTS)
+    assert measure(base) == measure(present)
+    assert measure(base).events == len(EVENTS)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +52,8 @@
 ) -> None:
     base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", changed)
     found = first_difference(base, present)
-    assert found is not None and found.line == line
+    assert found is not None
+    assert found.line == line
     assert found.before == EVENTS[max(0, line - 5) : line - 1]
     assert found.base == (EVENTS[line - 1] if line <= len(EVENTS) else None)
     assert found.present == (changed[line - 1] if line <= len(changed) else None)
@@ -63,7 +65,8 @@
 def test_a_difference_far_into_a_long_event_is_shown() -> None:
     one, other = "x" * 9000 + "one\n", "x" * 9000 + "other\n"
     lines = report("quiet", Difference(1, [], one, other)).splitlines()
-    assert lines[-2].endswith("xone") and lines[-1].endswith("xother")
+    assert lines[-2].endswith("xone")
+    assert lines[-1].endswith("xother")
 
 
 def test_values_are_recorded_the_same_whatever_their_order() -> None:
@@ -83,5 +86,6 @@
         out = tmp_path / f"{side}.jsonl"
         run_tool(ROOT, side, tmp_path / "cache", "--play", "odd-requests", "--out", str(out))
         traces.append(measure(out))
-    assert traces[0] == traces[1] and traces[0].events > 100
+    assert traces[0] == traces[1]
+    assert traces[0].events > 100
     assert len(set(HASH_SEEDS.values())) == 2
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -61,7 +61,8 @@
         elif isinstance(event, h11.Data):
             body += bytes(event.data)
         else:
-            assert isinstance(event, h11.EndOfMessage) and head is not None
+            assert isinstance(event, h11.EndOfMessage)
+            assert head is not None
             return Request(head.method.decode(), head.target.decode("latin-1"), body, False)
 
 
@@ -104,11 +105,15 @@
 def test_what_is_no_request_is_refused_within_bounds(data: bytes) -> None:
     parser = RequestParser()
     parser.feed(data)
-    with pytest.raises(MalformedRequestError):
+
+    def take_all() -> None:
         for _ in range(MAX_QUEUED + 2):
             if parser.take() is None:
                 return
 
+    with pytest.raises(MalformedRequestError):
+        take_all()
+
 
 def test_a_body_over_the_limit_is_not_buffered() -> None:
     """With a length or without one: the answer goes out before the rest is read."""
@@ -121,11 +126,14 @@
         parser.feed(data)
         assert parser.take() == Request("POST", "/v2/runs", b"", True, False)
         parser.feed(b"x" * 100_000)
-        assert parser.take() is None and not parser._parts
+        assert parser.take() is None
+        assert not parser._parts
     parser = RequestParser()
     parser.feed(length[: length.index(b"9999999")] + b"%d\r\n\r\n" % MAX_BODY + b"x" * MAX_BODY)
     request = parser.take()
-    assert request is not None and len(request.body) == MAX_BODY and not request.too_large
+    assert request is not None
+    assert len(request.body) == MAX_BODY
+    assert not request.too_large
 
 
 def test_a_trailer_without_an_end_is_refused_and_a_body_in_single_bytes_is_not() -> None:
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -385,15 +385,13 @@
     assert PartitionHistory().check(simulation.store.log) == []
 
 
-def untied(
-    self: Any, transfer: Any, record: Any, transaction_group_name: str = ""
-) -> ConditionalWrite:
+def untied(self: Any, transfer: Any, record: Any, _: str = "") -> ConditionalWrite:
     key = f"dw/s/{transfer}"
     return ConditionalWrite(key, to_builtins(record), self._cache.version(key), 1)
 
 
 GUARDS: dict[str, tuple[Any, str, Any]] = {
-    "a floor above all tokens": (WatchCache, "token_for", lambda self, machine, token: token),
+    "a floor above all tokens": (WatchCache, "token_for", lambda _, __, token: token),
     "a machine that is proven empty": (MachineSelection, "is_empty", lambda *_: True),
     "one transaction": (PartitionRebalancer, "_write", untied),
 }
--- a/tests/unit/test_partition_plan.py
+++ b/tests/unit/test_partition_plan.py
@@ -93,7 +93,8 @@
 def test_a_bad_plan_is_refused_in_one_line_that_names_the_field(text: str, complaint: str) -> None:
     with pytest.raises(PlanError) as caught:
         parse("p.star", text)
-    assert complaint in str(caught.value) and "\n" not in str(caught.value)
+    assert complaint in str(caught.value)
+    assert "\n" not in str(caught.value)
 
 
 def test_names_that_the_deployment_does_not_have_are_found() -> None:
@@ -116,7 +117,8 @@
     plan.write_text("shares = {'x': {'teams': ['nobody'], 'rules': [{'types': ['m']}]}}")
     assert start(["--shares", str(plan), "--config", config]) == 2
     said = capsys.readouterr().err.strip()
-    assert "unknown team 'nobody'" in said and "\n" not in said
+    assert "unknown team 'nobody'" in said
+    assert "\n" not in said
     assert start(["--shares", str(tmp_path / "none.star"), "--config", config]) == 2
     assert start(["--shares", str(plan)]) == 2
 
@@ -125,12 +127,14 @@
     plan = tmp_path / "plan.star"
     plan.write_text("margin = 'wide'")
     said = CliRunner().invoke(main, ["shares", "plan", "--at", "127.0.0.1:1", str(plan)])
-    assert said.exit_code == 2 and "margin: Expected `float`" in said.output
+    assert said.exit_code == 2
+    assert "margin: Expected `float`" in said.output
     plan.write_text("margin = 0.2")
     good = ["shares", "plan", "--check", "--at", "127.0.0.1:1", str(plan)]
     assert CliRunner().invoke(main, good).exit_code == 0
     gone = CliRunner().invoke(main, ["shares", "show", "--at", "127.0.0.1:1"])
-    assert gone.exit_code == 1 and len(gone.output.strip().splitlines()) == 1
+    assert gone.exit_code == 1
+    assert len(gone.output.strip().splitlines()) == 1
 
 
 def test_the_example_plan_is_good() -> None:
@@ -143,7 +147,8 @@
     assert solve(problem(plan, 8)) == {Cell("night", "a", "m"): 2, Cell("day", "a", "m"): 0}
     solution = solve(problem(plan, 8, {"night": 100.0, "day": 100.0}))
     assert solution is not None
-    assert 2 <= solution[Cell("night", "a", "m")] <= 6 and solution[Cell("day", "a", "m")] <= 4
+    assert 2 <= solution[Cell("night", "a", "m")] <= 6
+    assert solution[Cell("day", "a", "m")] <= 4
     assert sum(solution.values()) == 8
 
 
@@ -163,7 +168,8 @@
         }
     )
     solution = solve(asked)
-    assert solution is not None and solution[Cell("x", "a", "m")] == 3
+    assert solution is not None
+    assert solution[Cell("x", "a", "m")] == 3
     heavy = convert(
         {
             "shares": {
@@ -173,16 +179,20 @@
         }
     )
     solution = solve(problem(heavy, 4, {"x": 32.0, "y": 32.0}))
-    assert solution is not None and solution[Cell("x", "a", "m")] == 4
+    assert solution is not None
+    assert solution[Cell("x", "a", "m")] == 4
 
 
 def test_without_a_solution_in_time_the_targets_stay() -> None:
     plan = plan_of(night=[rule(least=0.5)])
     targets = TargetsInForce()
-    assert not targets.adopt(problem(plan, 8), None) and not targets.known
+    assert not targets.adopt(problem(plan, 8), None)
+    assert not targets.known
     asked = problem(plan, 8)
-    assert targets.adopt(asked, solve(asked)) and targets[Cell("night", "a", "m")] == 4
-    assert not targets.adopt(asked, None) and targets[Cell("night", "a", "m")] == 4
+    assert targets.adopt(asked, solve(asked))
+    assert targets[Cell("night", "a", "m")] == 4
+    assert not targets.adopt(asked, None)
+    assert targets[Cell("night", "a", "m")] == 4
     many = plan_of(**{f"s{i}": [rule(most=0.5)] for i in range(12)})
     wide = problem(many, 1000, {f"s{i}": 300.0 + 7.0 * i for i in range(12)})
     assert solve(wide, within_s=0.0) is None
@@ -215,7 +225,8 @@
     targets = TargetsInForce()
     asked = problem(plan, 40, {"night": 160.0}, {"night": 22})
     targets.adopt(asked, solve(asked))
-    assert targets.known and targets[Cell("night", "a", "m")] == 22
+    assert targets.known
+    assert targets[Cell("night", "a", "m")] == 22
 
 
 @settings(max_examples=40, deadline=None)
@@ -285,7 +296,8 @@
         times.machine(seconds)
     times.transfer(30.0)
     said = times.view()
-    assert said["machines"]["count"] == 3 and 29.0 <= said["machines"]["max_s"] <= 31.0
+    assert said["machines"]["count"] == 3
+    assert 29.0 <= said["machines"]["max_s"] <= 31.0
     assert said["transfers"]["count"] == 1
 
 
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -10,8 +10,10 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
+import standins
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.capacity import MachineCapacity, ShardCapacity, fit_all
+from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import IMAGES_MOST
@@ -290,9 +292,6 @@
 )
 def test_the_largest_fitting_gang_is_placed_first(sizes: list[int], idle: int) -> None:
     """Point three, against the leader's real pass."""
-    import standins
-    from dapplewick.core.leader.planner import LeaderPlanner
-
     cache = WatchCache()
     cache.put(TYPES, encode_machine_types([KIND]), 1)
     cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
@@ -461,7 +460,8 @@
     assert starts(heartbeat(old.names[0], 102, 60, old.on[old.names[0]])) == []
     running = set(old.on[old.names[0]])
     begun = starts(heartbeat(old.names[1], 103, 60, {}))
-    assert len(begun) == 1 and not running & set(begun)
+    assert len(begun) == 1
+    assert not running & set(begun)
 
 
 def test_a_deleted_machine_counts_as_heard() -> None:
@@ -603,5 +603,6 @@
             bench.heartbeat(name, 0.0)
         bench.reservation("run-g", spec(2, 4.0, 30.0, is_gang=True), bench.names, 1.0)
         assert bench.gang_state(1.0, "run-g") == "held"
-        setattr(bench.scheduler.machines[bench.names[0]], fault, True)
+        machine = bench.scheduler.machines[bench.names[0]]
+        machine.unreachable, machine.slow = fault == "unreachable", fault == "slow"
         assert bench.gang_state(2.0, "run-g") == "bad"
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -89,7 +89,8 @@
 
 def test_gangs_that_may_preempt_array_tasks_need_no_slots_kept() -> None:
     kept = demand(records(gang_rank=2))
-    assert kept.kept_slots(True) == 0.0 and not kept.applies(ARRAY_TASKS)
+    assert kept.kept_slots(True) == 0.0
+    assert not kept.applies(ARRAY_TASKS)
 
 
 def launched(machines: dict[str, str]) -> dict[str, int]:
@@ -241,7 +242,8 @@
     made.update(1.0)
     counted = made._count
     made.update(1.0)
-    assert made._count == counted and len(made._seen) == 6000
+    assert made._count == counted
+    assert len(made._seen) == 6000
     for n in range(6000):
         over = JobRecord(GANG, 0.0)
         over.stage = DONE
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -33,7 +33,7 @@
     """How many function calls some work makes."""
     count = 0
 
-    def step(frame: Any, event: str, argument: Any) -> None:
+    def step(_frame: Any, event: str, _argument: Any) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
@@ -150,13 +150,16 @@
     cache.put("dw/m/r-1", group | {"machines": {"vm-1": "u", "vm-2": "b101"}}, 3)
     assert cache.changed_machines == ["vm-1"]
     assert cache.machines[MachineId("vm-2")].at == 101.0
-    assert cache.machines[MachineId("vm-1")].up and not cache.machines[MachineId("vm-2")].up
+    assert cache.machines[MachineId("vm-1")].up
+    assert not cache.machines[MachineId("vm-2")].up
     cache.changed_machines.clear()
     cache.put("dw/m/r-1", group | {"machines": {"vm-2": "d"}}, 4)
     assert cache.changed_machines == ["vm-1", "vm-2"]
-    assert "vm-1" not in cache.machines and cache.machines[MachineId("vm-2")].terminating
+    assert "vm-1" not in cache.machines
+    assert cache.machines[MachineId("vm-2")].terminating
     cache.remove("dw/m/r-1", 5)
-    assert not cache.machines and not cache.group_of
+    assert not cache.machines
+    assert not cache.group_of
 
 
 def test_transactions_stay_within_what_the_state_service_takes() -> None:
@@ -204,10 +207,12 @@
         return bench.cache.jobs[JobId("run-g")].gang
 
     first = placed(2.0)
-    assert first is not None and not first.preempt
+    assert first is not None
+    assert not first.preempt
     waits = [placed(now) for now in (3.0, 4.0, 6.0, 8.0)]
     assert [w is not None and w.preempt for w in waits] == [False, False, False, True]
-    assert waits[-1] is not None and waits[-1].attempt == first.attempt
+    assert waits[-1] is not None
+    assert waits[-1].attempt == first.attempt
     stops = [o for name in bench.names for o in bench.heartbeat(name, 9.0) if o.op == "stop"]
     assert len(stops) == 8
 
@@ -306,7 +311,8 @@
                 shard_schedulers[0].handle_heartbeat(1.0, said, True)
 
         heard = calls(hear)
-        assert not shard_schedulers[0].unreconciled and len(shard_schedulers[0].queues.unqueued) > 0
+        assert not shard_schedulers[0].unreconciled
+        assert len(shard_schedulers[0].queues.unqueued) > 0
         return [count / size for count in (read, rebuilt, heard)]
 
     for small, large in zip(cost(100), cost(800), strict=True):
