--- a/tests/compatibility/test_partition_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -13,7 +13,9 @@
 from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, SHARDS, TRANSFERS
 from dapplewick.types import partition_of
-from simulation.test_partition_moves import (
+from standins import World, now
+from support import production
+from support.partition_moves import (
     FIXED_PLAN,
     NIGHT,
     busy_zone,
@@ -26,8 +28,6 @@
     play_moves,
     until,
 )
-from standins import World, now
-from support import production
 from support.paths import ROOT
 
 
--- a/tests/compatibility/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -8,24 +8,20 @@
 import msgspec
 import pytest
 
-from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.storage.encoding import encoded_size
-from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.machine_records import MachineGroupRecord, MachineRecord
 from dapplewick.storage.watch_cache import WatchCache
-from simulation.test_failure_pairs import finished
 from standins import NEXT
 from support import production
+from support.machine_store import TXN_OPS, VALUE_BYTES, Store, group
 from support.rolls import FAULTS, Fault, play_roll
-
-VALUE_BYTES = 942  # what the lower limit leaves of 1 KiB
-TXN_OPS = 4
+from support.scenarios import finished
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_rolling_upgrades_from_the_previous_main(fault: Fault) -> None:
-    """The limits fall at a drawn moment of the roll; services run from before it."""
+    """The limits fall at a random moment of the roll; services run from before it."""
     seed = FAULTS.index(fault) + 1
     lowered_after = random.Random(seed).uniform(4.0, 60.0)
     earlier = production.load_commit(production.PREVIOUS_MAIN)
@@ -37,39 +33,6 @@
     assert largest <= float(NEXT["value_kb"]) * 1024
 
 
-def group(count: int) -> dict[str, Any]:
-    machines = {f"vm-{n:06d}": "u" if n % 3 else "b17" for n in range(count)}
-    return {"type": "c8", "zone": "a", "spot": False, "machines": machines}
-
-
-class Store:
-    """Machine groups as the state service has them, with a watch cache that follows."""
-
-    def __init__(self, count: int) -> None:
-        self.cache = WatchCache()
-        self.revision = 0
-        self.keys: dict[str, tuple[Any, int]] = {}
-        self.write(FORMAT, {"version": FORMAT_NOW})
-        self.write(MACHINES + "r-1", group(count))
-        self.machines = dict(self.cache.machines)
-
-    def write(self, key: str, value: Any) -> None:
-        self.revision += 1
-        if value is None:
-            del self.keys[key]
-            self.cache.remove(key, self.revision)
-        else:
-            self.keys[key] = (value, self.revision)
-            self.cache.put(key, value, self.revision)
-
-    def machine_lifecycle(self) -> MachineLifecycle:
-        return MachineLifecycle(self.cache, None, 14.0, 4.0, VALUE_BYTES, TXN_OPS)  # type: ignore[arg-type]
-
-    def read_anew(self, cache: Any) -> Any:
-        cache.reload(dict(sorted(self.keys.items())), self.revision)
-        return cache
-
-
 def states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
     return {
         str(name): (
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -25,22 +25,20 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request
 from dapplewick.types import FencingToken, JobId
-from simulation.test_failure_pairs import cancel, finished, leader
-from simulation.test_scenarios import (
+from standins import NEXT, World, now, settings
+from support import production
+from support.faults import (
     cut_from_state,
     late_copies,
     lost_answers,
     quick_restarts,
-    run_script,
     state_outage,
-    submit_jobs,
     zone_cut,
 )
-from standins import NEXT, World, now, settings
-from support import production
 from support.paths import DATA
 from support.rolls import FAULTS, Fault, lower_limits, nothing, play_roll, submit_large_arrays
-from unit.test_scheduler_models import Bench, spec
+from support.scenarios import cancel, finished, leader, run_script, submit_jobs
+from support.shard_bench import Bench, spec
 
 PRODUCTION = DATA / "production.json"
 
@@ -209,7 +207,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_the_limits_may_fall_while_records_are_cut(seed: int) -> None:
-    """At a drawn moment from when the format is raised: before, between and after the writes for
+    """At a random moment from when the format is raised: before, between and after the writes for
     each record, with a crash of the leader in the middle for half of the seeds."""
     world = World(seed)
     world.old, world.old_names = production.load(), set(world.names)
--- a/tests/loopback/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -17,9 +17,9 @@
 from dapplewick.cli.main import main, status_lines
 from dapplewick.controller.status import controller_status
 from dapplewick.tuning import Tuning
-from loopback.test_controllers import RealWorld, until_healthy, world  # noqa: F401
 from standins import World, run_in_virtual_time
 from support.paths import ROOT
+from support.real_world import RealWorld, until_healthy
 
 
 def test_a_script_sets_what_it_names() -> None:
@@ -113,7 +113,7 @@
     assert b"spend_cap" in done.stderr
 
 
-def test_the_command_line_against_a_running_controller(world: RealWorld) -> None:  # noqa: F811
+def test_the_command_line_against_a_running_controller(world: RealWorld) -> None:
     said: dict[str, Any] = {}
 
     async def script_() -> None:
--- a/tests/loopback/test_partitions.py
+++ b/tests/loopback/test_partitions.py
@@ -13,17 +13,10 @@
 from click.testing import CliRunner
 
 from dapplewick.cli.main import main
-from loopback.test_controllers import RealWorld
-from simulation.test_partition_moves import (
-    NIGHT,
-    machines_of,
-    owner,
-    partitions_begun,
-    pinned,
-    until,
-)
 from standins import now
 from support.partition_history import PartitionHistory
+from support.partition_moves import NIGHT, machines_of, owner, partitions_begun, pinned, until
+from support.real_world import RealWorld
 
 PLAN_TEXT = """
 shares = {
@@ -41,9 +34,7 @@
         made.options = ["--shares", str(plan)]
         made.boot_s = (0.5, 1.0)
         yield made
-        for process in made.processes.values():
-            process.kill()
-            process.wait()
+        made.kill_all()
 
 
 async def command(world: RealWorld, name: str, *arguments: str) -> str:
--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -26,9 +26,9 @@
 from dapplewick.storage.watch_cache import REMOVALS_LEAST, WatchCache
 from dapplewick.transport.http import Answer, Request
 from dapplewick.types import ControllerName, JobId
-from simulation.test_scenarios import run_script
 from standins import AnswerHistory, World, now, run_in_virtual_time
 from support.answer_scenarios import play_answers
+from support.scenarios import run_script
 
 Reply = tuple[int, bytes]
 
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -18,16 +18,23 @@
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.transport.http import Request
 from dapplewick.transport.http_client import HttpClient
-from simulation.test_failure_pairs import cancel, finished, leader, play_scenario
-from simulation.test_mutations import (
+from standins import World, now
+from support.mutations import (
     no_check_that_the_watch_cache_is_current,
     no_stop_of_cancelled_tasks,
     no_wait_for_unheard_machines,
 )
-from simulation.test_scenarios import owners, run_script, submit_jobs
-from standins import World, now
 from support.rolls import lower_limits
 from support.scenario_checks import AnswerProbe, ask, final_check_failures
+from support.scenarios import (
+    cancel,
+    finished,
+    leader,
+    owners,
+    play_scenario,
+    run_script,
+    submit_jobs,
+)
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
--- a/tests/simulation/test_fleet_size.py
+++ b/tests/simulation/test_fleet_size.py
@@ -9,9 +9,9 @@
 from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.transport.peer import MAX_FRAME
-from simulation.test_scenarios import run_script
 from standins import World
-from unit.test_work_scaling import busy_shard
+from support.scenarios import run_script
+from support.shard_bench import busy_shard
 
 MACHINES_UP = 4000
 GROUP = 150  # machines in a record, as the leader writes them
--- a/tests/simulation/test_mutations.py
+++ b/tests/simulation/test_mutations.py
@@ -2,56 +2,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 import pytest
 
-from dapplewick.controller.controller import Controller
-from dapplewick.core.leader.planner import LeaderPlanner
-from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.types import Seconds
-from simulation.test_scenarios import (
-    Fault,
-    all_crash,
-    cut_from_state,
-    lost_answers,
-    play,
-    quick_restarts,
-    quiet,
-)
 from standins import World
-
-Patch = Callable[[pytest.MonkeyPatch], None]
-
-
-def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
-    settle = ShardScheduler._release_unconfirmed
-
-    def hasty(self: ShardScheduler, now: float) -> None:
-        self.unreconciled.clear()
-        settle(self, now)
-
-    patch.setattr(ShardScheduler, "_release_unconfirmed", hasty)
-
-
-def no_team_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaderPlanner, "_within_limit", lambda _, spec, __: spec.task_count)
-
-
-def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "_stops", lambda *_: [])
-
-
-def no_check_that_the_watch_cache_is_current(patch: pytest.MonkeyPatch) -> None:
-    async def unchecked(self: Controller) -> Seconds:
-        return self.now()
-
-    patch.setattr(Controller, "current", unchecked)
-
-
-def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "allowed", lambda *_: True)
-
+from support.faults import all_crash, cut_from_state, lost_answers, quick_restarts, quiet
+from support.mutations import (
+    Patch,
+    any_machine_will_do,
+    no_check_that_the_watch_cache_is_current,
+    no_stop_of_cancelled_tasks,
+    no_team_limit,
+    no_wait_for_unheard_machines,
+)
+from support.scenarios import Fault, play
 
 CASES: list[tuple[Patch, Fault, str]] = [
     (no_wait_for_unheard_machines, quick_restarts, "ran_twice"),
--- /dev/null
+++ b/tests/simulation/test_partition_commands.py
@@ -0,0 +1,165 @@
+"""Commands of operators to partitions, stored plans, malformed records and limits of teams."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import anyio
+
+from dapplewick.types import shard_name
+from standins import World
+from support.partition_moves import (
+    NIGHT,
+    busy_zone,
+    command,
+    controller_in_role,
+    crash,
+    machines_of,
+    move,
+    new_world,
+    partitions_begun,
+    pinned,
+    play_moves,
+    until,
+)
+
+
+def test_limits_of_teams_hold_over_all_partitions() -> None:
+    """Blue may use 24 CPUs in all, in the zone's shard and in its partition together."""
+    world = new_world(33)
+    most: list[float] = []
+
+    async def watch(world: World) -> None:
+        while True:
+            used = [world.jobs[n.partition("/")[0]]["cpus"] for _, n in world.on_machines()]
+            most.append(sum(used))
+            await anyio.sleep(0.25)
+
+    async def script(world: World) -> None:
+        await partitions_begun(world)
+        world.group.start_soon(watch, world)
+        for n in range(6):
+            pinned(world, f"run-00000{n}", 8, 9.0, crew="blue")
+        await until(lambda: len(machines_of(world, "a")) >= 2, 30.0)
+        await move(world, "o-00000013", "", "day", 1)
+        await until(lambda: {"done"} == set(world.told.values()) and len(world.told) == 6, 150.0)
+
+    play_moves(world, script, 200.0)
+    assert 16.0 <= max(most) <= 24.0
+
+
+BAD_COMMANDS: list[tuple[dict[str, Any], str]] = [
+    ({"count": 99}, "count: the zone itself has"),
+    ({"count": 0}, "count: a number from 1"),
+    ({"count": "2"}, "count: a number from 1"),
+    ({"zone": "x"}, "zone: unknown zone 'x'"),
+    ({"type": "x9"}, "type: unknown type 'x9'"),
+    ({"source": "x"}, "source: unknown share 'x'"),
+    ({"target": "x"}, "target: unknown share 'x'"),
+    ({"target": ""}, "target: the same share as source"),
+    ({"id": "mine"}, "id: must be o-"),
+    ({"zone": None}, "zone: a text is needed"),
+]
+
+
+def test_bad_commands_and_plans_are_refused() -> None:
+    world = new_world(34)
+    good = {
+        "id": "o-000000aa",
+        "zone": "a",
+        "type": "c8",
+        "count": 1,
+        "source": "",
+        "target": "night",
+    }
+
+    async def script(world: World) -> None:
+        await busy_zone(world, 4, 5.0)
+        for fields, complaint in BAD_COMMANDS:
+            said = await command(world, "move", **(good | fields))
+            assert said["status"] == 400, said
+            assert complaint in said["error"], said
+            assert "\n" not in said["error"]
+        assert (await command(world, "cancel", id="o-nothing"))["status"] == 404
+        assert (await command(world, "dance"))["status"] == 400
+        before = (await command(world, "show"))["plan"]
+        for plan, complaint in (
+            (7, "Expected `object`"),
+            ({"shares": {"x": {"teams": ["nobody"], "rules": [{"types": ["c8"]}]}}}, "'nobody'"),
+            ({"shares": {"x": {"teams": ["red"], "rules": [{"types": ["c9"]}]}}}, "type 'c9'"),
+            ({"shares": {"x" * 20_000: {}}}, "larger than a value"),
+        ):
+            said = await command(world, "plan", plan=plan)
+            assert said["status"] == 400, said
+            assert complaint in said["error"], said
+        assert (await command(world, "show"))["plan"] == before
+
+    play_moves(world, script, 80.0)
+
+
+def test_a_stored_plan_is_in_force_at_every_leader_until_it_is_reset() -> None:
+    world = new_world(35)
+    rules = [{"types": ["c8"], "least": 0.5}]
+    plan = {"shares": {"x": {"teams": ["red"], "rules": rules}}}
+
+    async def partitions_now(world: World) -> set[str]:
+        return set((await command(world, "show"))["plan"].get("shares", {}))
+
+    async def script(world: World) -> None:
+        await busy_zone(world, 8, 30.0)
+        assert (await command(world, "plan", plan=plan))["status"] == 200
+        await anyio.sleep(2.0)
+        assert await partitions_now(world) == {"x"}
+        await crash(world, controller_in_role(world, "leader"))
+        await anyio.sleep(10.0)
+        assert await partitions_now(world) == {"x"}
+        await until(lambda: bool(machines_of(world, shard_name("a", "x"))), 40.0)
+        assert (await command(world, "plan"))["status"] == 200
+        await anyio.sleep(2.0)
+        assert await partitions_now(world) == {"night", "day"}
+        await until(lambda: not machines_of(world, shard_name("a", "x")), 60.0)
+
+    play_moves(world, script)
+
+
+def test_malformed_records_are_refused_and_end_nothing() -> None:
+    world = new_world(36)
+
+    async def script(world: World) -> None:
+        await busy_zone(world, 4, 8.0)
+        good: dict[str, Any] = {
+            "generation": 1,
+            "source": "a",
+            "target": "a/~night",
+            "type": "c8",
+            "count": 1,
+            "state": "draining",
+            "at": 0.0,
+            "until": 1e9,
+        }
+        bad_fields: list[dict[str, Any]] = [
+            {"state": "lost"},
+            {"count": 0},
+            {"count": "x"},
+            {"target": "a"},
+            {"moved": -1},
+            {"draining": ["m"] * 2},
+            {"draining": [f"m{n}" for n in range(61)]},
+            {"source": 4},
+        ]
+        for number, bad in enumerate(bad_fields):
+            world.state.ledger += 1
+            key, value = f"dw/s/bad{number}", good | bad
+            world.state.keys[key] = (value, world.state.ledger, None)
+            world.state.log.append((world.state.ledger, key, value, False))
+        world.state.ledger += 1
+        world.state.keys["dw/shares"] = ({"shares": 7}, world.state.ledger, None)
+        world.state.log.append((world.state.ledger, "dw/shares", {"shares": 7}, False))
+        await anyio.sleep(5.0)
+        assert (await command(world, "show"))["transfers"] == []
+        await move(world, "o-00000014", "", "night", 1)
+        await until(lambda: len(machines_of(world, NIGHT)) == 1, 60.0)
+        # They are no transfers: the checker of histories is not shown them.
+        world.state.log = [e for e in world.state.log if not e[1].startswith("dw/s/bad")]
+
+    play_moves(world, script, 110.0)
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -29,11 +29,11 @@
     shard_name,
 )
 from simulation.test_fleet_size import GROUP, MACHINES_UP
-from simulation.test_partition_moves import machines_of
-from simulation.test_scenarios import run_script
 from standins import World
 from support.partition_history import PartitionHistory
-from unit.test_work_scaling import calls
+from support.partition_moves import machines_of
+from support.scenarios import run_script
+from support.shard_bench import calls
 
 SHARES = [f"s{n}" for n in range(20)]
 PLAN = plans.convert(
--- /dev/null
+++ b/tests/simulation/test_removed_guards.py
@@ -0,0 +1,114 @@
+"""Mutations: with a guard removed, the test of its failure fails, or its rule is broken."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+import simulation.test_cancellations as cancellations
+import simulation.test_failure_pairs as failure_pairs
+import simulation.test_leadership as leadership
+import simulation.test_requests as requests
+from dapplewick.controller.controller import Controller
+from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.storage.keys import LEADER
+from support.mutations import (
+    Patch,
+    no_stop_of_cancelled_tasks,
+    no_team_limit,
+    no_wait_for_unheard_machines,
+)
+from support.scenarios import Script, play_scenario
+
+
+def a_lie_about_what_is_known(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(CancellationWatch, "known_at", lambda _, at: at)
+
+
+def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
+    async def settle(self: Controller) -> Any:
+        return self.cache.version(LEADER)
+
+    patch.setattr(Controller, "_settle_epoch", settle)
+
+
+def stale_heartbeats_place_tasks(patch: pytest.MonkeyPatch) -> None:
+    take = ShardScheduler._take_tasks
+
+    def trusting(
+        self: ShardScheduler, at: float, machine: Any, heartbeat: Any, settles: bool, new: bool
+    ) -> Any:
+        commands = take(self, at, machine, heartbeat, settles, new)
+        for item in heartbeat.tasks:
+            if item.stage != "exited":
+                self._present(at, machine, item)
+        return commands
+
+    patch.setattr(ShardScheduler, "_take_tasks", trusting)
+
+
+def refused_machines_are_silent(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(ShardScheduler, "refuse", lambda *_: None)
+
+
+def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr("dapplewick.core.leader.capacity_requests.STARVED_S", 1e9)
+
+
+GUARDS: list[tuple[Patch, Callable[[], None]]] = [
+    (
+        a_lie_about_what_is_known,
+        lambda: cancellations.test_a_confirmed_cancellation_binds_in_the_gap(
+            "both", True, False, 1
+        ),
+    ),
+    (
+        a_new_term_under_the_old_epoch,
+        leadership.test_a_leader_that_finds_its_old_key_after_an_outage_begins_a_new_epoch,
+    ),
+    (
+        a_new_term_under_the_old_epoch,
+        leadership.test_nothing_is_planned_while_a_write_may_still_come,
+    ),
+    (
+        stale_heartbeats_place_tasks,
+        leadership.test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice,
+    ),
+    (refused_machines_are_silent, failure_pairs.test_a_long_outage_costs_no_machine),
+    (
+        starved_jobs_wait_on,
+        requests.test_a_job_behind_others_that_run_on_and_on_gets_a_machine_of_its_own,
+    ),
+]
+
+
+@pytest.mark.parametrize(("patch", "test"), GUARDS, ids=lambda c: getattr(c, "__name__", "_"))
+def test_a_removed_guard_is_detected(
+    patch: Patch, test: Callable[[], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    patch(monkeypatch)
+    with pytest.raises(AssertionError):
+        test()
+
+
+COMPOUND_FAILURE_GUARDS: list[tuple[Patch, Script, str]] = [
+    (no_wait_for_unheard_machines, failure_pairs.unreachable_with_long_tasks, "ran_twice"),
+    (no_wait_for_unheard_machines, failure_pairs.zone_cut_and_calm, "ran_twice"),
+    (no_wait_for_unheard_machines, failure_pairs.cut_leader_and_new_one, "ran_twice"),
+    (no_stop_of_cancelled_tasks, failure_pairs.cut_leader_and_new_one, "ran_cancelled"),
+    (no_team_limit, failure_pairs.overload, "quota"),
+]
+
+
+@pytest.mark.parametrize(
+    ("patch", "script", "rule"), COMPOUND_FAILURE_GUARDS, ids=lambda c: getattr(c, "__name__", c)
+)
+def test_under_compound_failures_a_removed_guard_breaks_its_rule(
+    patch: Patch, script: Script, rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    patch(monkeypatch)
+    worlds = (play_scenario(script, seed, 420.0) for seed in (1, 2))
+    assert any(b.startswith(rule) for world in worlds for b in world.violations)
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -22,8 +22,8 @@
 from dapplewick.storage.keys import MACHINES, TYPES
 from dapplewick.transport.http import Request
 from dapplewick.types import JobId, MachineId, TaskIndex, TaskRef, TypeName
-from simulation.test_failure_pairs import call, finished
-from simulation.test_scenarios import (
+from standins import WORKERS, World, now
+from support.faults import (
     all_crash,
     bad_machines,
     blinks,
@@ -32,14 +32,12 @@
     lost_answers,
     quick_restarts,
     refused_by_state,
-    run_script,
     state_outage,
-    submit_jobs,
     unreachable_machines,
     zone_cut,
 )
-from standins import WORKERS, World, now
-from unit.test_scheduler_models import IN_ZONE, TOKEN, Bench, spec, starts
+from support.scenarios import call, finished, run_script, submit_jobs
+from support.shard_bench import IN_ZONE, TOKEN, Bench, spec, starts
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -13,9 +13,9 @@
 
 from dapplewick.storage.keys import LEADER
 from dapplewick.transport.http import Request
-from simulation.test_failure_pairs import leader
 from standins import World, now, run_in_virtual_time
 from support.rolls import lower_limits
+from support.scenarios import leader
 
 POLL_WAIT_S, CHANGE_WAIT_S = 2.0, 5.0  # how long users wait for an answer
 LENGTH_S = 100.0
--- /dev/null
+++ b/tests/support/partition_moves.py
@@ -0,0 +1,149 @@
+"""Scenarios with partitions: plans, commands of operators, and what has moved."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import anyio
+
+from dapplewick.partitions import plan as plans
+from dapplewick.storage.formats import PARTITIONS_FORMAT
+from dapplewick.storage.keys import FORMAT, SHARDS
+from dapplewick.types import shard_name
+from standins import World, now, run_in_virtual_time
+from support.partition_history import PartitionHistory
+
+Script = Callable[[World], Coroutine[Any, Any, None]]
+NIGHT = shard_name("a", "night")
+DAY = shard_name("a", "day")
+PLAN = plans.parse(
+    "plan.star",
+    """
+shares = {
+    "night": {"teams": ["red"], "rules": [{"types": ["c8"], "most": 0.0}]},
+    "day": {"teams": ["blue"], "rules": [{"types": ["c8"], "most": 0.0}]},
+}
+hold_orders_s = 600
+move_within_s = 40
+""",
+)
+
+
+FIXED_PLAN = plans.parse(
+    "plan.star",
+    """
+shares = {"night": {"teams": ["red"], "rules": [{"types": ["c8"], "least": 0.5, "most": 0.5}]}}
+move_within_s = 40
+""",
+)
+
+
+def new_world(seed: int, plan: plans.PartitionPlan = PLAN, count: int = 3) -> World:
+    world = World(seed, count)
+    world.partition_plan = plan
+    return world
+
+
+async def command(world: World, verb: str, **fields: Any) -> dict[str, Any]:
+    """An operator's command, repeated until a controller has answered it finally."""
+    for attempt in range(100):
+        names = sorted(world.controllers)
+        if names:
+            controller = world.controllers[names[attempt % len(names)]]
+            said = await controller.on_request({"kind": "shares", "verb": verb, **fields})
+            if said is not None and said["status"] != 503:
+                return said
+        await anyio.sleep(1.0)
+    raise AssertionError("no controller answered")
+
+
+async def move(
+    world: World, command_id: str, source: str, target: str, count: int
+) -> dict[str, Any]:
+    return await command(
+        world, "move", id=command_id, zone="a", type="c8", source=source, target=target, count=count
+    )
+
+
+def pinned(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
+    """A user's job in zone a on machines of type c8."""
+    cancel_after = fields.pop("cancel_after", None)
+    known = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
+    body = world.job(name_id=name, pieces=pieces, **({"expected_s": seconds} | known | fields))
+    world.group.start_soon(world.user, name, body, cancel_after)
+
+
+async def until(reached: Callable[[], bool], within: float = 60.0) -> None:
+    """Wait until something is so."""
+    end = now() + within
+    while not reached():
+        assert now() < end, "not reached"
+        await anyio.sleep(0.1)
+
+
+def machines_of(world: World, shard: str) -> set[str]:
+    """The machines that the stored records assign to a shard."""
+    return {
+        machine
+        for key, (group, _, _) in world.state.keys.items()
+        if key.startswith("dw/m/") and shard_name(group["zone"], group.get("share", "")) == shard
+        for machine, text in group["machines"].items()
+        if not text.startswith("d")
+    }
+
+
+async def partitions_begun(world: World) -> None:
+    def begun() -> bool:
+        record = world.state.keys.get(FORMAT)
+        return record is not None and record[0]["version"] == PARTITIONS_FORMAT
+
+    await until(begun)
+
+
+async def busy_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
+    """Machines come up for work in zone a: four tasks on each."""
+    await partitions_begun(world)
+    pinned(world, "run-000001", tasks, seconds, expected_s=200.0)
+    await until(lambda: len(world.first_start) == tasks, 60.0)
+
+
+def running(world: World) -> set[str]:
+    """The tasks that run on machines."""
+    return {name for _, name in world.on_machines()}
+
+
+def play_moves(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
+    """Play a scenario; returns its history, which the checker has found valid."""
+
+    async def main() -> None:
+        async def run() -> None:
+            await script(world)
+
+        await world.play(length, run)
+
+    run_in_virtual_time(main)
+    history = PartitionHistory()
+    assert history.check(world.state.log) == []
+    assert world.violations == []
+    return history
+
+
+async def crash(world: World, name: str, pause: float = 3.0) -> None:
+    world.crash(name)
+    await anyio.sleep(pause)
+    world.start_controller(name)
+
+
+def owner(world: World, shard: str) -> str:
+    record = world.state.keys.get(SHARDS + shard)
+    return str(record[0]["owner"]) if record is not None else ""
+
+
+def controller_in_role(world: World, role: str) -> str:
+    """The controller that plays a role in a move now."""
+    shard = {"giver": "a", "receiver": str(NIGHT)}.get(role)
+    if shard is None:
+        record = world.state.keys.get("dw/leader")
+        return str(record[0]["node"]) if record is not None else world.names[0]
+    return owner(world, shard) or world.names[0]
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -11,9 +11,8 @@
 
 from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT
-from simulation.test_failure_pairs import leader
-from simulation.test_scenarios import run_script
 from standins import NEXT, World, now
+from support.scenarios import leader, run_script
 
 Fault = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -7,24 +7,30 @@
 
 import compatibility.test_partition_versions as partition_versions
 import compatibility.test_upgrade as upgrade
+import simulation.test_cancellations as cancellations
 import simulation.test_compound_failures as compound_failures
 import simulation.test_failure_pairs as failure_pairs
+import simulation.test_leadership as leadership
+import simulation.test_partition_commands as partition_commands
+import simulation.test_partition_faults as partition_faults
 import simulation.test_partition_moves as moves
-import simulation.test_scenarios as scenarios
+import simulation.test_requests as requests
 import simulation.test_services as services
+import support.faults as faults
+import support.partition_moves as partition_moves
+import support.scenarios as scenarios
 from dapplewick.protocol import peers
 from dapplewick.protocol.workers import encode_heartbeat_response
 from standins import World, recorder
 from support import production, rolls
 from support.answer_scenarios import play_answers
-from unit.test_scheduler_models import TOKEN
-from unit.test_work_scaling import busy_shard, leader_of
+from support.shard_bench import TOKEN, busy_shard, leader_of
 
 Play = Callable[[], Any]
 
 
 def answers(seed: int, jobs: int) -> Play:
-    """Many users ask about short jobs while faults meet; limits are lowered on odd seeds."""
+    """Many users ask about short jobs during compound failures; limits are lowered on odd seeds."""
     return lambda: play_answers(seed, jobs)
 
 
@@ -38,9 +44,9 @@
     return lambda: scenarios.play(kind, seed, world=World(seed, count, zones))
 
 
-def compound(script: failure_pairs.Script, seed: int, length: float) -> Play:
+def compound(script: scenarios.Script, seed: int, length: float) -> Play:
     """Compound failures."""
-    return lambda: failure_pairs.play_scenario(script, seed, length)
+    return lambda: scenarios.play_scenario(script, seed, length)
 
 
 def service(fault: services.Script) -> Play:
@@ -62,17 +68,19 @@
 
 def move(seed: int, kind: str, roles: list[str], after: float) -> Play:
     """Machines move between partitions while controllers fail."""
-    return lambda: moves.play_trouble(seed, kind, roles, after)
+    return lambda: partition_faults.play_fault(seed, kind, roles, after)
 
 
-def moves_and(fault: moves.Script, moved_on: bool) -> Play:
+def moves_and(fault: partition_moves.Script, moved_on: bool) -> Play:
     """Machines move between partitions while services, machines or controllers fail."""
-    return lambda: moves.test_faults_of_services_and_machines_while_machines_move(fault, moved_on)
+    return lambda: partition_faults.test_faults_of_services_and_machines_while_machines_move(
+        fault, moved_on
+    )
 
 
 def drawn_moves(seed: int) -> Play:
     """Any moves between partitions with any faults."""
-    return lambda: moves.test_random_moves_and_faults(seed)
+    return lambda: partition_faults.test_random_moves_and_faults(seed)
 
 
 def large_shard() -> None:
@@ -92,7 +100,7 @@
 
 
 SCENARIOS: dict[str, Play] = {
-    # Every kind of failure of controllers, their network and the state service, drawn
+    # Random failures of controllers, their network and the state service
     "answers-1": answers(1, 14),
     "answers-2": answers(2, 14),
     "answers-3": answers(3, 20),
@@ -100,62 +108,62 @@
     "answers-5": answers(5, 30),
     "answers-6": answers(6, 30),
     # One kind of failure each, of controllers, services, machines and zones
-    "quiet": single_fault(scenarios.quiet, 1),
-    "all-killed": single_fault(scenarios.all_crash, 1),
-    "restarts": single_fault(scenarios.quick_restarts, 1),
-    "refused-by-state": single_fault(scenarios.refused_by_state, 1),
-    "cut-from-state": single_fault(scenarios.cut_from_state, 2),
-    "cut-from-workers": single_fault(scenarios.cut_from_workers, 1),
-    "state-outage": single_fault(scenarios.state_outage, 1),
-    "cloud-outage": single_fault(scenarios.cloud_outage, 2),
-    "lossy": single_fault(scenarios.lost_answers, 1),
-    "bad-machines": single_fault(scenarios.bad_machines, 1),
-    "deaf-machines": single_fault(scenarios.unreachable_machines, 2),
-    "late-copies": single_fault(scenarios.late_copies, 1),
-    "blinks": single_fault(scenarios.blinks, 1),
-    "alone-with-workers": single_fault(scenarios.alone_with_its_workers, 2),
-    "stands-still": single_fault(scenarios.stands_still, 1),
-    "all-end-in-an-outage": single_fault(scenarios.all_end_in_an_outage, 1),
-    "zone-cut": single_fault(scenarios.zone_cut, 1),
-    "many-machines": single_fault(scenarios.many_machines, 2),
-    "everything": single_fault(scenarios.everything, 2),
-    "drawn-11": single_fault(scenarios.drawn, 11),
-    "drawn-14": single_fault(scenarios.drawn, 14),
-    "five-controllers": layout(5, ["a", "b", "c"], scenarios.quick_restarts, 31),
-    "one-controller": layout(1, ["a", "b"], scenarios.bad_machines, 32),
+    "quiet": single_fault(faults.quiet, 1),
+    "all-killed": single_fault(faults.all_crash, 1),
+    "restarts": single_fault(faults.quick_restarts, 1),
+    "refused-by-state": single_fault(faults.refused_by_state, 1),
+    "cut-from-state": single_fault(faults.cut_from_state, 2),
+    "cut-from-workers": single_fault(faults.cut_from_workers, 1),
+    "state-outage": single_fault(faults.state_outage, 1),
+    "cloud-outage": single_fault(faults.cloud_outage, 2),
+    "lossy": single_fault(faults.lost_answers, 1),
+    "bad-machines": single_fault(faults.bad_machines, 1),
+    "deaf-machines": single_fault(faults.unreachable_machines, 2),
+    "late-copies": single_fault(faults.late_copies, 1),
+    "blinks": single_fault(faults.blinks, 1),
+    "alone-with-workers": single_fault(faults.alone_with_its_workers, 2),
+    "stands-still": single_fault(faults.stands_still, 1),
+    "all-end-in-an-outage": single_fault(faults.all_end_in_an_outage, 1),
+    "zone-cut": single_fault(faults.zone_cut, 1),
+    "many-machines": single_fault(faults.many_machines, 2),
+    "everything": single_fault(faults.everything, 2),
+    "drawn-11": single_fault(faults.drawn, 11),
+    "drawn-14": single_fault(faults.drawn, 14),
+    "five-controllers": layout(5, ["a", "b", "c"], faults.quick_restarts, 31),
+    "one-controller": layout(1, ["a", "b"], faults.bad_machines, 32),
     # Compound failures
-    "gap-told": compound(failure_pairs.gap("owner", False), 1, 200.0),
-    "gap-lost": compound(failure_pairs.gap("both", True, True), 2, 200.0),
-    "late-writes": compound(failure_pairs.many_late_writes, 1, 200.0),
+    "gap-told": compound(cancellations.gap("owner", False), 1, 200.0),
+    "gap-lost": compound(cancellations.gap("both", True, True), 2, 200.0),
+    "late-writes": compound(leadership.many_late_writes, 1, 200.0),
     "all-away": compound(failure_pairs.all_away, 1, 250.0),
     "limit-and-cancellation": compound(failure_pairs.limit_and_cancellation, 1, 250.0),
     "close-looks": lambda: compound_failures.played_close_looks(1, 0.25),
     "kept-reports": compound(compound_failures.kept_for_the_next_leader, 1, 200.0),
     "up-at-once": compound(compound_failures.up_at_once, 1, 200.0),
     "handover-cancelled": compound(compound_failures.cancelled_in_a_handover, 1, 200.0),
-    "odd-requests": failure_pairs.test_invalid_requests_get_the_protocols_answer_also_in_an_outage,
+    "odd-requests": requests.test_invalid_requests_get_the_protocols_answer_also_in_an_outage,
     # Services
-    "services-all-killed": service(scenarios.all_crash),
-    "services-bad-machines": service(scenarios.bad_machines),
+    "services-all-killed": service(faults.all_crash),
+    "services-bad-machines": service(faults.bad_machines),
     "services-answered": services.test_services_are_answered_like_any_job_and_never_done,
     # A roll from production, and limits that are lowered
     "roll": roll(rolls.nothing, 1),
     "roll-all-killed": roll(rolls.all_killed, 2),
     "roll-limits-fall": roll_with_services(rolls.leaders_in_turn, 1, 40.0),
     "chunks": lambda: upgrade.test_arrays_in_chunks_keep_the_rules_under_every_fault(
-        scenarios.quick_restarts, 1
+        faults.quick_restarts, 1
     ),
     "limits-fall": lambda: upgrade.test_the_limits_may_fall_while_records_are_cut(1),
     # Partitions switched on
     "shares-idle": moves.test_idle_machines_move_at_once_and_work_starts_under_the_new_owner,
     "shares-plan": moves.test_the_plan_moves_half_of_the_machines_and_keeps_to_it,
-    "shares-orders": moves.test_bad_commands_and_plans_are_refused,
+    "shares-orders": partition_commands.test_bad_commands_and_plans_are_refused,
     "shares-gang": moves.test_a_reserved_gang_is_released_when_its_machine_is_drained,
     "shares-services": moves.test_services_move_first_and_are_served_meanwhile,
     "shares-crash": move(124, "crash", ["leader", "giver"], 1.5),
     "shares-hang": move(112, "hang", ["receiver"], 0.3),
-    "shares-all-killed": moves_and(moves.all_killed, True),
-    "shares-late-writes": moves_and(moves.writes_late, False),
+    "shares-all-killed": moves_and(partition_faults.all_killed, True),
+    "shares-late-writes": moves_and(partition_faults.writes_late, False),
     "shares-drawn-0": drawn_moves(0),
     "shares-drawn-3": drawn_moves(3),
     "shares-roll": lambda: (
--- a/tests/tools/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -106,7 +106,7 @@
     if Path(dapplewick.__file__).resolve().parent != ROOT / "src" / "dapplewick":
         raise SystemExit(f"{dapplewick.__file__} is not of the version that is to be played")
     logging.disable(logging.CRITICAL)
-    # Incarnations of controllers are named by the time and a drawn number.
+    # Incarnations of controllers are named by the time and a random number.
     time.time_ns = lambda: 10**18
     with out.open("w") as file:
         recorder.start(file)
--- a/tests/tools/make_production_data.py
+++ b/tests/tools/make_production_data.py
@@ -11,9 +11,9 @@
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "src")]
 
 import standins  # noqa: E402
-from simulation.test_scenarios import run_script, submit_jobs  # noqa: E402
 from support import production  # noqa: E402
 from support.paths import DATA  # noqa: E402
+from support.scenarios import run_script, submit_jobs  # noqa: E402
 
 
 def main() -> None:
--- a/tests/tools/measure_partitions.py
+++ b/tests/tools/measure_partitions.py
@@ -16,8 +16,8 @@
 
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
-from simulation.test_partition_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
 from standins import World, now, run_in_virtual_time
+from support.partition_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
 
 SIZES = (4, 16, 48)
 LOADS = {"idle": 0.0, "tasks of 10 s": 10.0, "tasks of 60 s": 60.0}
--- a/tests/unit/test_atomic_transactions.py
+++ b/tests/unit/test_atomic_transactions.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from compatibility.test_previous_main import Store
 from dapplewick.config import StateLimits
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
+from support.machine_store import Store
 
 LIMITS = StateLimits(rps=100.0, write_rps=80.0, value_kb=1.0, txn_ops=4)
 
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -175,7 +175,7 @@
 
 
 class Simulation:
-    """All of it, driven by drawn numbers."""
+    """Store, leader, owners and workers together, driven by random numbers."""
 
     def __init__(self, seed: int, machines: int) -> None:
         self.random = random.Random(seed)
@@ -373,7 +373,7 @@
 
 
 def play_seed(seed: int) -> None:
-    """A play of drawn moves; fails if anything is wrong."""
+    """A simulation of random moves; fails if anything is wrong."""
     draw = random.Random(seed)
     simulation = Simulation(seed, draw.randint(1, 3))
     for _ in range(8):
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Set
-from typing import Any
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -17,16 +15,13 @@
 from dapplewick.core.leader.provisioner import CapacityRequest, Provisioner
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.core.shard.state import IMAGES_MOST
-from dapplewick.protocol import peers
 from dapplewick.protocol.cloud import MachineType, encode_machine_types
-from dapplewick.protocol.job_spec import JobSpec
-from dapplewick.protocol.peers import GangStatus, JobStatus, MachineStatus, ShardStatus
+from dapplewick.protocol.peers import GangStatus
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
 from dapplewick.storage.job_records import CANCELLED, GangPlacement, JobRecord
 from dapplewick.storage.keys import JOBS, MACHINES, TYPES
 from dapplewick.storage.ranges import pack, unpack
 from dapplewick.storage.watch_cache import WatchCache
-from dapplewick.tuning import Tuning
 from dapplewick.types import (
     Attempt,
     FencingToken,
@@ -34,158 +29,11 @@
     MachineId,
     Resources,
     Seconds,
-    ShardName,
     TaskIndex,
     TaskRef,
     TypeName,
-    zone_of,
 )
-
-TOKEN = FencingToken(50)
-ZONE = ShardName("a")
-IN_ZONE = zone_of(ZONE)
-KIND = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, zones=["a"])
-
-
-def spec(
-    task_count: int,
-    cpus: float,
-    estimated_run_s: float,
-    is_gang: bool = False,
-    job_class: str = "x",
-) -> JobSpec:
-    return JobSpec(
-        job_class=job_class,
-        team="red",
-        is_gang=is_gang,
-        priority=1,
-        task_count=task_count,
-        cpus=cpus,
-        gpus=0.0,
-        ram_gb=1.0,
-        image="img",
-        image_gb=1.0,
-        estimated_run_s=estimated_run_s,
-    )
-
-
-def group(name: str) -> dict[str, object]:
-    """The record of a machine that is up."""
-    return {"type": "k", "zone": "a", "spot": False, "machines": {name: "u"}}
-
-
-def shard_status(machines: dict[str, Any], number: int = 1, at: Seconds = 1.0) -> ShardStatus:
-    """The first status of shard a, as the leader reads it from the wire, with these machines."""
-    message = {
-        "zone": "a",
-        "token": 2,
-        "number": number,
-        "base": 0,
-        "at": at,
-        "seen": 500,
-        "machines": machines,
-        "jobs": {},
-        "gangs": {},
-        "silent": {},
-        "idle": {},
-        "heard_ago": 0.0,
-        "clear": [],
-        "estimates": {},
-        "unheard": 0,
-    }
-    return peers.decode(message, ShardStatus)
-
-
-class Bench:
-    """A shard on four-CPU machines, its records, and its workers."""
-
-    def __init__(self, machines: int, threshold: Seconds = 0.0) -> None:
-        self.cache = WatchCache()
-        self.version = 100
-        self.put(TYPES, encode_machine_types([KIND]))
-        self.names = [MachineId(f"vm-{i}") for i in range(machines)]
-        for name in self.names:
-            self.put(MACHINES + name, group(name))
-        self.scheduler = ShardScheduler(
-            ZONE, TOKEN, self.cache, Estimates(), 0.0, tuning=Tuning(threshold_s=threshold), seed=1
-        )
-        self.sequence = 0
-        self.on: dict[MachineId, dict[TaskRef, Attempt]] = {n: {} for n in self.names}
-
-    def put(self, key: str, value: object) -> None:
-        self.version += 1
-        self.cache.put(key, value, self.version)
-
-    def assign(self, job: str, asked: JobSpec, at: Seconds) -> None:
-        record = JobRecord(asked, at)
-        record.assignments = {"a": set(range(asked.task_count))}
-        self.put(JOBS + job, record.dump())
-        self.scheduler.job_changed(at, JobId(job))
-
-    def reservation(
-        self, job: str, asked: JobSpec, placements: list[MachineId], at: Seconds
-    ) -> None:
-        record = JobRecord(asked, at)
-        record.gang = GangPlacement(7, [("a", m) for m in placements])
-        self.put(JOBS + job, record.dump())
-        self.scheduler.job_changed(at, JobId(job))
-
-    def gang_state(self, at: Seconds, job: str) -> str:
-        """What the leader is told of a gang."""
-        status = self.scheduler.status(at).gangs[JobId(job)]
-        assert status is not None
-        return status.state
-
-    def job_status(self, at: Seconds, job: str) -> JobStatus:
-        """What the leader is told of a job's array tasks."""
-        status = self.scheduler.status(at).jobs[JobId(job)]
-        assert status is not None
-        return status
-
-    def machine_status(self, at: Seconds, name: MachineId) -> MachineStatus:
-        """What the leader is told of a machine."""
-        status = self.scheduler.status(at).machines[name]
-        assert status is not None
-        return status
-
-    def heartbeat(
-        self, name: MachineId, at: Seconds, done: Set[TaskRef] = frozenset()
-    ) -> list[Command]:
-        self.sequence += 1
-        tasks = [
-            TaskStatus(
-                task,
-                attempt,
-                "exited" if task in done else "running",
-                "done" if task in done else None,
-                False,
-            )
-            for task, attempt in self.on[name].items()
-        ]
-        heartbeat = Heartbeat(
-            name, TypeName("k"), IN_ZONE, False, 1, self.sequence, TOKEN, None, "", tasks
-        )
-        commands = self.scheduler.handle_heartbeat(at, heartbeat, True)
-        for task in done:
-            self.on[name].pop(task, None)
-        for order in commands:
-            if order.op == "start":
-                self.on[name][order.task] = order.attempt
-        return commands
-
-    def store(self, done: set[TaskRef], at: Seconds) -> None:
-        """What the leader does with results: they are stored, and the assignments are over."""
-        for job in {t.job for t in done}:
-            record = JobRecord.load(self.cache.jobs[job].dump(), 0)
-            numbers = {int(t.number) for t in done if t.job == job}
-            record.done |= numbers
-            record.assignments = {"a": record.assigned("a") - numbers}
-            self.put(JOBS + job, record.dump())
-            self.scheduler.job_changed(at, job)
-
-
-def starts(commands: list[Command]) -> list[TaskRef]:
-    return [o.task for o in commands if o.op == "start"]
+from support.shard_bench import IN_ZONE, KIND, TOKEN, ZONE, Bench, group, shard_status, spec, starts
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -30,7 +30,7 @@
 from dapplewick.storage.keys import JOBS, MACHINES, TYPES
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Resources, ShardName, TypeName, zone_of
-from unit.test_scheduler_models import KIND, group, shard_status, spec
+from support.shard_bench import KIND, group, shard_status, spec
 
 ZONE = ShardName("a")
 IN_ZONE = zone_of(ZONE)
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -5,8 +5,6 @@
 
 from __future__ import annotations
 
-import sys
-from collections.abc import Callable
 from typing import Any
 
 import cbor2
@@ -26,41 +24,7 @@
 from dapplewick.storage.transactions import split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
-from unit.test_scheduler_models import IN_ZONE, KIND, ZONE, Bench, spec
-
-
-def calls(work: Callable[[], Any]) -> int:
-    """How many function calls some work makes."""
-    count = 0
-
-    def step(_frame: Any, event: str, _argument: Any) -> None:
-        nonlocal count
-        count += event in ("call", "c_call")
-
-    sys.setprofile(step)
-    try:
-        work()
-    finally:
-        sys.setprofile(None)
-    return count
-
-
-def busy_shard(machines: int) -> Bench:
-    """A shard whose machines are all full, with queues and gangs that hold slots."""
-    bench = Bench(machines)
-    for name in bench.names:
-        bench.heartbeat(name, 0.0)
-    for n in range(machines // 10):
-        bench.assign(f"run-{n}", spec(50, 1.0, 30.0), 0.0)
-    for _ in range(2):
-        for name in bench.names:
-            bench.heartbeat(name, 1.0)
-        bench.scheduler.tick(1.0)
-    for n in range(machines // 20):
-        placements = bench.names[n * 10 : n * 10 + 5]
-        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, is_gang=True), placements, 1.5)
-    bench.scheduler.tick(2.5)
-    return bench
+from support.shard_bench import IN_ZONE, KIND, ZONE, Bench, busy_shard, calls, leader_of, spec
 
 
 def heartbeat_cost(bench: Bench) -> int:
@@ -117,11 +81,6 @@
     assert rooms(next(iter(fresh.shards.values())).machines) == rooms(shard.machines)
 
 
-def leader_of(bench: Bench, now: float) -> LeaderPlanner:
-    bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
-    return LeaderPlanner(bench.cache, standins.settings("n0"), Estimates(), FencingToken(9), now)
-
-
 def test_a_pass_costs_little_more_for_each_gang_that_waits() -> None:
     """Gangs that are alike are looked at once: machines times gangs was the cost before."""
 
