--- a/tests/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -8,68 +8,31 @@
 import msgspec
 import pytest
 
-import production
-from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.storage.encoding import encoded_size
-from dapplewick.storage.formats import FORMAT_NOW
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.machine_records import MachineGroupRecord, MachineRecord
 from dapplewick.storage.watch_cache import WatchCache
-from rolls import TROUBLES, Trouble, play_roll
 from standins import NEXT
-from test_meetings import finished
+from support import production
+from support.machine_store import TXN_OPS, VALUE_BYTES, Store, group
+from support.rolls import FAULTS, Fault, play_roll
+from support.scenarios import finished
 
-VALUE_BYTES = 942  # what the lower limit leaves of 1 KiB
-TXN_OPS = 4
 
-
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
-def test_rolls_of_the_main_before_and_this_version(trouble: Trouble) -> None:
-    """The limits fall at a drawn moment of the roll; services run from before it."""
-    seed = TROUBLES.index(trouble) + 1
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
+def test_rolling_upgrades_from_the_previous_main(fault: Fault) -> None:
+    """The limits fall at a random moment of the roll; services run from before it."""
+    seed = FAULTS.index(fault) + 1
     lowered_after = random.Random(seed).uniform(4.0, 60.0)
     earlier = production.load_commit(production.PREVIOUS_MAIN)
-    world = play_roll(earlier, trouble, seed, lowered_after=lowered_after).world
-    assert world.broken == []
+    world = play_roll(earlier, fault, seed, lowered_after=lowered_after).world
+    assert world.violations == []
     assert finished(world) == {"run-service0": "running", "run-service1": "running"}
     assert world.told["run-service2"] == "withdrawn"
     largest = max(encoded_size(value) for value, _, _ in world.state.keys.values())
     assert largest <= float(NEXT["value_kb"]) * 1024
 
 
-def group(count: int) -> dict[str, Any]:
-    machines = {f"vm-{n:06d}": "u" if n % 3 else "b17" for n in range(count)}
-    return {"type": "c8", "zone": "a", "spot": False, "machines": machines}
-
-
-class Store:
-    """Machine groups as the state service has them, with a mirror that follows."""
-
-    def __init__(self, count: int) -> None:
-        self.cache = WatchCache()
-        self.revision = 0
-        self.keys: dict[str, tuple[Any, int]] = {}
-        self.write(FORMAT, {"version": FORMAT_NOW})
-        self.write(MACHINES + "r-1", group(count))
-        self.machines = dict(self.cache.machines)
-
-    def write(self, key: str, value: Any) -> None:
-        self.revision += 1
-        if value is None:
-            del self.keys[key]
-            self.cache.remove(key, self.revision)
-        else:
-            self.keys[key] = (value, self.revision)
-            self.cache.put(key, value, self.revision)
-
-    def machine_lifecycle(self) -> MachineLifecycle:
-        return MachineLifecycle(self.cache, None, 14.0, 4.0, VALUE_BYTES, TXN_OPS)  # type: ignore[arg-type]
-
-    def read_anew(self, cache: Any) -> Any:
-        cache.reload(dict(sorted(self.keys.items())), self.revision)
-        return cache
-
-
 def states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
     return {
         str(name): (
@@ -133,11 +96,14 @@
         for name, value, version in order:
             cache.put(MACHINES + name, value, version)
         machine = next(iter(cache.machines))
-        assert cache.machines[machine].terminating and cache.group_of[machine] == "r-1"
+        assert cache.machines[machine].terminating
+        assert cache.group_of[machine] == "r-1"
         cache.remove(MACHINES + "r-1", 6)
-        assert not cache.machines[machine].terminating and cache.group_of[machine] == "r-9"
+        assert not cache.machines[machine].terminating
+        assert cache.group_of[machine] == "r-9"
         cache.remove(MACHINES + "r-9", 7)
-        assert cache.machines == {} and cache.group_of == {}
+        assert cache.machines == {}
+        assert cache.group_of == {}
 
 
 def test_a_group_within_the_limit_is_left_alone() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -6,16 +6,15 @@
 import logging
 import random
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any
 
 import anyio
 import msgspec
 import pytest
 
-import production
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
+from dapplewick.core.leader.job_writes import JobWrites
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.encoding import encoded_size
@@ -26,22 +25,22 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request
 from dapplewick.types import FencingToken, JobId
-from rolls import TROUBLES, Trouble, hand_in_large, lower_limits, nothing, play_roll
 from standins import NEXT, World, now, settings
-from test_days import (
+from support import production
+from support.faults import (
     cut_from_state,
-    hand_in,
     late_copies,
     lost_answers,
     quick_restarts,
-    run_script,
     state_outage,
     zone_cut,
 )
-from test_four_points import Bench, spec
-from test_meetings import cancel, finished, leader
+from support.paths import DATA
+from support.rolls import FAULTS, Fault, lower_limits, nothing, play_roll, submit_large_arrays
+from support.scenarios import cancel, finished, leader, run_script, submit_jobs
+from support.shard_bench import Bench, spec
 
-DATA = Path(__file__).parent / "data" / "production.json"
+PRODUCTION = DATA / "production.json"
 
 
 def stored(world: World) -> dict[str, tuple[Any, int]]:
@@ -53,13 +52,16 @@
 
 def test_what_production_wrote_is_read(caplog: pytest.LogCaptureFixture) -> None:
     """`tests/data/production.json` holds what controllers of that commit wrote and sent."""
-    data = json.loads(DATA.read_text())
+    data = json.loads(PRODUCTION.read_text())
     assert data["commit"] == production.commit()
     cache = WatchCache()
     cache.reload({key: (value, version) for key, value, version in data["records"]}, 10**6)
     assert "record_malformed" not in caplog.text
-    assert cache.format == FIRST_FORMAT and cache.upgraded_controllers == set()
-    assert len(cache.jobs) > 10 and len(cache.machines) > 3 and len(cache.shards) == 2
+    assert cache.format == FIRST_FORMAT
+    assert cache.upgraded_controllers == set()
+    assert len(cache.jobs) > 10
+    assert len(cache.machines) > 3
+    assert len(cache.shards) == 2
     assert any(job.assignments for job in cache.jobs.values())
     assert any(job.done for job in cache.jobs.values())
     assert any(job.gang for job in cache.jobs.values())
@@ -86,7 +88,7 @@
 
     async def script() -> None:
         await anyio.sleep(3)
-        hand_in(world, 8, pieces=40, cpus=2.0, true_s=6.0)
+        submit_jobs(world, 8, pieces=40, cpus=2.0, true_s=6.0)
         for n in range(8, 12):
             body = world.job(name_id=f"run-{n:06d}", shape="group", pieces=3, true_s=9.0)
             world.group.start_soon(world.user, body["name_id"], body, 12.0 if n == 9 else None)
@@ -96,7 +98,8 @@
         assert (answer.status, answer.retry_after) == (503, 5)
 
     run_script(world, 70.0, script)
-    assert world.broken == [] and FORMAT not in world.state.keys
+    assert world.violations == []
+    assert FORMAT not in world.state.keys
     old = production.load()
     theirs, ours = old.WatchCache(), WatchCache()
     for cache in (theirs, ours):
@@ -106,10 +109,12 @@
             ("dw/leader", "dw/types", "dw/n/", "dw/p/", "dw/m/", "dw/b/", JOBS)
         )
     assert "record_malformed" not in caplog.text
-    assert theirs.jobs.keys() == ours.jobs.keys() and theirs.machines.keys() == ours.machines.keys()
+    assert theirs.jobs.keys() == ours.jobs.keys()
+    assert theirs.machines.keys() == ours.machines.keys()
     for job_id, job in ours.jobs.items():
         assert theirs.jobs[job_id].dump() == job.dump()
-        assert "daemon" not in json.dumps(job.dump()) and not job.chunk_size
+        assert "daemon" not in json.dumps(job.dump())
+        assert not job.chunk_size
 
 
 def submission(world: World, name: str, **fields: Any) -> Request:
@@ -137,14 +142,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda f: f.__name__)
-def test_rolls_of_production_and_this_version(
-    trouble: Trouble, seed: int, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
+def test_rolling_upgrades_from_production(
+    fault: Fault, seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    played = play_roll(production.load(), trouble, seed)
+    played = play_roll(production.load(), fault, seed)
     world = played.world
-    assert played.raised_early == [] and world.broken == []
+    assert played.raised_early == []
+    assert world.violations == []
     services_left = {f"run-service{n}" for n in range(2)}
     assert finished(world).keys() == services_left
     assert set(finished(world).values()) == {"running"}
@@ -160,13 +166,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [quick_restarts, late_copies, lost_answers, cut_from_state, state_outage, zone_cut],
     ids=lambda f: f.__name__,
 )
-def test_arrays_in_chunks_keep_the_rules_in_every_trouble(trouble: Trouble, seed: int) -> None:
-    """Grants move between parts, tasks end in no order, some jobs are cancelled, and the limits
-    are the lower ones from the start."""
+def test_arrays_in_chunks_keep_the_rules_under_every_fault(fault: Fault, seed: int) -> None:
+    """Assignments move between shards, tasks end in no order, some jobs are cancelled, and the
+    limits are the lower ones from the start."""
     world = World(seed)
     lower_limits(world)
 
@@ -186,11 +192,13 @@
                 expected_s=4.0,
             )
             world.group.start_soon(world.user, body["name_id"], body, 40.0 if n == 3 else None)
-        await trouble(world)
+        await fault(world)
         world.calm_at = now()
 
     run_script(world, 330.0, script)
-    assert world.broken == [] and finished(world) == {} and len(world.told) == 5
+    assert world.violations == []
+    assert finished(world) == {}
+    assert len(world.told) == 5
     # In chunks from the start, whatever is left of them.
     assert all(world.state.keys[f"{JOBS}run-{n:06d}"][0]["chunk"] for n in range(5))
     assert any(key.startswith(CHUNKS) for _, key, _, gone in world.state.log if not gone)
@@ -199,15 +207,15 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_the_limits_may_fall_while_records_are_cut(seed: int) -> None:
-    """At a drawn moment from when the format is raised: before, between and after the writes for
+    """At a random moment from when the format is raised: before, between and after the writes for
     each record, with a crash of the leader in the middle for half of the seeds."""
     world = World(seed)
     world.old, world.old_names = production.load(), set(world.names)
 
     async def script() -> None:
         await anyio.sleep(2)
-        hand_in_large(world, 0)
-        hand_in_large(world, 2)
+        submit_large_arrays(world, 0)
+        submit_large_arrays(world, 2)
         await anyio.sleep(24)
         for name in world.names:
             world.old_names.discard(name)
@@ -232,7 +240,9 @@
         world.calm_at = now()
 
     run_script(world, 260.0, script)
-    assert world.broken == [] and finished(world) == {} and len(world.told) == 4
+    assert world.violations == []
+    assert finished(world) == {}
+    assert len(world.told) == 4
     assert "run-large1" in world.cancelled_at
     assert not any(key.startswith(CHUNKS) for key in world.state.keys)
 
@@ -275,7 +285,7 @@
 
 def test_what_was_given_back_stays_so_until_its_own_chunk_changes() -> None:
     """Two chunks of a job are written one after the other: with the first, what is taken back in
-    the second was started again, while the leader gave it to another part."""
+    the second was started again, while the leader gave it to another shard."""
     bench = Bench(0)
     job = JobRecord(spec(4, 1.0, 10.0), 0.0)
     job.chunk_size = 2
@@ -293,7 +303,7 @@
     bench.put(f"{CHUNKS}run-1/0", {"grants": {"b": "0"}})
     bench.scheduler.job_changed(101.0, job_id)
     assert released(101.0) == [2]
-    # Granted anew, or changed without being taken back: it may run here.
+    # Assigned anew, or changed without being taken back: it may run here.
     bench.put(f"{CHUNKS}run-1/1", {"grants": {"a": "2", "b": "3"}})
     bench.scheduler.job_changed(102.0, job_id)
     assert released(102.0) == []
@@ -309,7 +319,7 @@
         assert tasks <= unpack(value["grants"][zone])
 
 
-def test_the_place_of_a_long_gang_from_before_the_upgrade_is_moved_to_shares() -> None:
+def test_the_placement_of_a_long_gang_from_before_the_upgrade_is_split() -> None:
     """Its record is larger than the lower limit allows: once that has fallen, a cancellation,
     which keeps the places, was refused until the gang had ended."""
     cache = WatchCache()
@@ -322,19 +332,22 @@
     assert encoded_size(job.dump()) > room
     leader = LeaderPlanner(cache, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
-    assert changes[-1].key == JOBS + "run-1" and len(changes) > 2
+    assert changes[-1].key == JOBS + "run-1"
+    assert len(changes) > 2
     for version, change in enumerate(changes, start=3):
         assert encoded_size(change.value) <= room
         cache.put(change.key, change.value, version)
     read = cache.jobs[JobId("run-1")]
-    assert read.gang is not None and read.gang.placements == placements and read.gang.attempt == 77
+    assert read.gang is not None
+    assert read.gang.placements == placements
+    assert read.gang.attempt == 77
     cancelled = read.copy()
     cancelled.stage = "cancelled"
     assert encoded_size(cancelled.dump(room)) <= room
     assert leader.plan(2.0, 2.0) == []
 
 
-def test_a_long_gangs_place_is_read_from_its_shares_whatever_order_they_come_in() -> None:
+def test_a_long_gangs_placement_is_joined_from_its_pieces_in_any_order() -> None:
     cache = WatchCache()
     job = JobRecord(spec(5, 1.0, 10.0, is_gang=True), 0.0)
     placements = [("a", f"vm-{n:06d}") for n in range(5)]
@@ -344,11 +357,13 @@
     cache.put(JOBS + "run-1", job.dump(), 3)
     cache.put("dw/g/run-1/0", {"attempt": 77, "places": placements[:3]}, 2)
     gang = cache.jobs["run-1"].gang  # type: ignore[index]
-    assert gang is not None and gang.placements == placements
+    assert gang is not None
+    assert gang.placements == placements
     # What a leader that ended on the way left of another attempt is not read.
     cache.put("dw/g/run-1/0", {"attempt": 76, "places": placements[:1]}, 4)
     gang = cache.jobs["run-1"].gang  # type: ignore[index]
-    assert gang is not None and gang.placements == placements[3:]
+    assert gang is not None
+    assert gang.placements == placements[3:]
 
 
 def test_a_group_of_machines_is_cut_at_once_and_none_is_lost() -> None:
@@ -361,7 +376,8 @@
     machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0, 1884, 4)  # type: ignore[arg-type]
     machine_lifecycle.begin()
     changes = machine_lifecycle.changes()
-    assert 1 < len(changes) <= 4 and len({c.transaction_group for c in changes}) == 1
+    assert 1 < len(changes) <= 4
+    assert len({c.transaction_group for c in changes}) == 1
     assert all(encoded_size(c.value) <= 1884 for c in changes)
     for change in changes:
         cache.put(change.key, change.value, 3)
@@ -385,7 +401,8 @@
     for version, value in enumerate(values, start=2):
         cache.put(key, value, version)
         cache.remove(key, version)
-    assert cache.jobs["run-1"].open and cache.format == FIRST_FORMAT  # type: ignore[index]
+    assert cache.jobs["run-1"].open  # type: ignore[index]
+    assert cache.format == FIRST_FORMAT
 
 
 @pytest.mark.parametrize(
@@ -413,12 +430,10 @@
     assert (lowest.value_kb, lowest.write_rps) == (16.0, 80.0)
 
 
-# Guards taken out
+# Mutations: guards removed
 
 
 def the_format_is_raised_by_guess(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.leader.planner import LeaderPlanner
-
     raised = LeaderPlanner._raise_format
 
     def hasty(self: LeaderPlanner) -> Any:
@@ -429,18 +444,16 @@
 
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
-    from dapplewick.core.leader.job_writes import JobWrites
-
-    patch.setattr(JobRecord, "outgrows", lambda self, zones, room: False)
-    patch.setattr(JobWrites, "convert", lambda self: [])
+    patch.setattr(JobRecord, "outgrows", lambda _, __, ___: False)
+    patch.setattr(JobWrites, "convert", lambda _: [])
 
 
 @pytest.mark.parametrize("patch", [the_format_is_raised_by_guess, no_chunks])
-def test_a_guard_of_the_upgrade_that_is_taken_out_is_noticed(
+def test_a_removed_guard_of_the_upgrade_is_detected(
     patch: Callable[[pytest.MonkeyPatch], None],
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     patch(monkeypatch)
     with pytest.raises((AssertionError, BaseExceptionGroup)):  # the script's own come in a group
-        test_rolls_of_production_and_this_version(nothing, 1, caplog)
+        test_rolling_upgrades_from_production(nothing, 1, caplog)
--- a/tests/test_sockets.py
+++ b/tests/loopback/test_controllers.py
@@ -7,162 +7,27 @@
 import os
 import random
 import shutil
-import socket
 import subprocess
 import sys
 import sysconfig
-import tempfile
 import tomllib
-from collections.abc import Iterator
+from collections.abc import Awaitable, Callable, Iterable
 from pathlib import Path
 from typing import Any
 
 import anyio
 import pytest
 
+from dapplewick.protocol.errors import MalformedMessageError
+from dapplewick.protocol.users import parse_submission
+from dapplewick.protocol.workers import parse_heartbeat
 from dapplewick.transport import listen
 from dapplewick.transport.http import Request, Response, serve_connection
-from dapplewick.transport.http_client import HttpClient, HttpError
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
 from dapplewick.transport.stream import MOST_READ, accept
-from standins import ZONES, World, deployment, now
-
-ROOT = Path(__file__).resolve().parent.parent
-
-
-def free_ports(count: int) -> list[int]:
-    sockets = [socket.socket() for _ in range(count)]
-    for s in sockets:
-        s.bind(("127.0.0.1", 0))
-    ports = [s.getsockname()[1] for s in sockets]
-    for s in sockets:
-        s.close()
-    return ports
-
-
-class RealWorld(World):
-    """The stand-ins in real time; controllers are processes reached over HTTP."""
-
-    def __init__(self, folder: Path, count: int = 2) -> None:
-        super().__init__(1, count)
-        ports = free_ports(2 * count + 2)
-        self.state_port, self.cloud_port = ports[:2]
-        self.client_ports = dict(zip(self.names, ports[2 : 2 + count], strict=True))
-        self.peer_ports = peer_ports = dict(zip(self.names, ports[2 + count :], strict=True))
-        self.options: list[str] = []  # before the settings file
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.files: dict[str, Path] = {}
-        for n, name in enumerate(self.names):
-            value = {
-                "host_name": name,
-                "zone": ZONES[n % 2],
-                "client_listen": f"127.0.0.1:{self.client_ports[name]}",
-                "peer_listen": f"127.0.0.1:{peer_ports[name]}",
-                "peers": [
-                    {"host_name": o, "zone": "a", "peer_addr": f"127.0.0.1:{peer_ports[o]}"}
-                    for o in self.names
-                    if o != name
-                ],
-                "outside": {
-                    "cloud": f"127.0.0.1:{self.cloud_port}",
-                    "state": f"127.0.0.1:{self.state_port}",
-                },
-                "deployment": deployment(count),
-                "a_new_field": [1, 2, 3],
-            }
-            self.files[name] = folder / f"{name}.json"
-            self.files[name].write_text(json.dumps(value))
-
-    def start_controller(self, name: str) -> None:
-        environment = os.environ | {"LOG_LEVEL": "error"}
-        self.processes[name] = subprocess.Popen(
-            [
-                sys.executable,
-                str(ROOT / "run.py"),
-                *self.options,
-                "--config",
-                str(self.files[name]),
-            ],
-            env=environment,
-        )
-
-    def crash(self, name: str) -> None:
-        self.processes[name].kill()
-        self.processes[name].wait()
-
-    async def call(self, name: str, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        client = HttpClient("127.0.0.1", self.client_ports[name], max_connections=0)
-        try:
-            status, answer = await client.request(method, path, body or None, 4.0)
-        except HttpError:
-            return 0, {}
-        return status, json.loads(answer)
-
-    async def to_controller(
-        self, name: str, request: Request, worker: object = None
-    ) -> Response | None:
-        status, said = await self.call(name, request.method, request.target, request.body)
-        return Response(status, json.dumps(said).encode()) if status else None
-
-    async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        return await self.call(self.random.choice(self.names), method, path, body)
-
-    async def serve(self, port: int, service: Any) -> None:
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-
-        async def handle(request: Request) -> Response:
-            return Response(*await service.answer(request.method, request.target, request.body))
-
-        await listener.serve(lambda stream: serve_connection(stream, handle))
-
-    async def run(self, script: Any) -> None:
-        async with anyio.create_task_group() as group:
-            self.group = group
-            group.start_soon(self.serve, self.state_port, self.state)
-            group.start_soon(self.serve, self.cloud_port, self.cloud)
-            await anyio.sleep(0.1)
-            for name in self.names:
-                self.start_controller(name)
-
-            async def ticks() -> None:
-                while True:
-                    await anyio.sleep(0.1)
-                    self.tick()
-                    self.cloud.snapshot()
-
-            group.start_soon(ticks)
-            try:
-                await script()
-            finally:
-                group.cancel_scope.cancel()
-
-
-@pytest.fixture
-def world() -> Iterator[RealWorld]:
-    with tempfile.TemporaryDirectory() as folder:
-        made = RealWorld(Path(folder))
-        yield made
-        for process in made.processes.values():
-            process.kill()
-            process.wait()
-
-
-async def until_healthy(world: RealWorld) -> None:
-    for _ in range(200):
-        answers = [await world.call(n, "GET", "/healthz") for n in world.names]
-        if all(status == 200 for status, _ in answers):
-            return
-        await anyio.sleep(0.1)
-    raise AssertionError("not healthy")
-
-
-async def raw(port: int, data: bytes) -> bytes:
-    stream = await anyio.connect_tcp("127.0.0.1", port)
-    async with stream:
-        await stream.send(data)
-        with anyio.move_on_after(5):
-            return await stream.receive()
-    return b""
+from standins import now
+from support.paths import ROOT
+from support.real_world import RealWorld, raw, until_healthy
 
 
 def test_jobs_run_through_a_crash_and_bad_input_ends_nothing(world: RealWorld) -> None:
@@ -202,7 +67,7 @@
                 ]:
                     break
             users.cancel_scope.cancel()
-        assert world.broken == []
+        assert world.violations == []
         assert world.told == {
             "run-000001": "done",
             "run-000002": "done",
@@ -236,7 +101,8 @@
     )
     assert done.returncode == 2
     lines = done.stderr.decode().strip().splitlines()
-    assert len(lines) == 1 and field in lines[0]
+    assert len(lines) == 1
+    assert field in lines[0]
 
 
 def test_what_the_build_makes_starts_compiled_and_without_site_packages(tmp_path: Path) -> None:
@@ -265,6 +131,24 @@
     )
 
 
+def unsteady_accept() -> Callable[[anyio.abc.SocketListener], Awaitable[Any]]:
+    """An accept that fails twice before it works."""
+    failures = [OSError(24, "no sockets"), OSError(104, "reset")]
+
+    async def unsteady(inner: anyio.abc.SocketListener) -> Any:
+        if failures:
+            raise failures.pop()
+        return await accept(inner)
+
+    return unsteady
+
+
+async def expect_success(streams: Iterable[anyio.abc.SocketStream]) -> None:
+    """Each of these connections receives an answer with status 200."""
+    for stream in streams:
+        assert b" 200 " in await stream.receive()
+
+
 def test_past_its_limit_a_listener_gives_up_idle_connections_and_never_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -284,14 +168,7 @@
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        take, failures = accept, [OSError(24, "no sockets"), OSError(104, "reset")]
-
-        async def unsteady(inner: anyio.abc.SocketListener) -> Any:
-            if failures:
-                raise failures.pop()
-            return await take(inner)
-
-        monkeypatch.setattr(listen, "accept", unsteady)
+        monkeypatch.setattr(listen, "accept", unsteady_accept())
 
         async def connect(path: bytes) -> anyio.abc.SocketStream:
             stream = await anyio.connect_tcp("127.0.0.1", port)
@@ -310,8 +187,7 @@
                     with pytest.raises(anyio.EndOfStream):
                         await stream.receive()
                 held.set()
-                for stream in busy:
-                    assert b" 200 " in await stream.receive()
+                await expect_success(busy)
                 await quiet[-1].send(ask % b"/")
                 assert b" 200 " in await quiet[-1].receive()
                 held = anyio.Event()
@@ -320,8 +196,7 @@
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                     await (await connect(b"/")).receive()
                 held.set()
-                for stream in full:
-                    assert b" 200 " in await stream.receive()
+                await expect_success(full)
             group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -347,7 +222,8 @@
                 got = 0
                 while got < size:
                     data = await stream.receive(1000)
-                    assert 0 < len(data) <= 1000 and set(data) == {ord("x")}
+                    assert 0 < len(data) <= 1000
+                    assert set(data) == {ord("x")}
                     got += len(data)
             with anyio.move_on_after(0.1) as scope:
                 await stream.receive()
@@ -368,11 +244,7 @@
     anyio.run(main, backend_options={"use_uvloop": use_uvloop})
 
 
-def test_random_bytes_are_no_report() -> None:
-    from dapplewick.protocol.errors import MalformedMessageError
-    from dapplewick.protocol.users import parse_submission
-    from dapplewick.protocol.workers import parse_heartbeat
-
+def test_random_bytes_are_no_heartbeat() -> None:
     pick = random.Random(5)
     for _ in range(300):
         junk = bytes(pick.randrange(256) for _ in range(pick.randrange(60)))
--- a/tests/test_shares_sockets.py
+++ b/tests/loopback/test_partitions.py
@@ -1,4 +1,4 @@
-"""Shares with real processes on loopback and stand-in workers: a move there and back."""
+"""Partitions with real processes on loopback and stand-in workers: a move there and back."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from click.testing import CliRunner
 
 from dapplewick.cli.main import main
-from share_history import ShareHistory
 from standins import now
-from test_shares_moves import NIGHT, machines_of, owner, pinned, shares_begun, until
-from test_sockets import RealWorld
+from support.partition_history import PartitionHistory
+from support.partition_moves import NIGHT, machines_of, owner, partitions_begun, pinned, until
+from support.real_world import RealWorld
 
 PLAN_TEXT = """
 shares = {
@@ -34,9 +34,7 @@
         made.options = ["--shares", str(plan)]
         made.boot_s = (0.5, 1.0)
         yield made
-        for process in made.processes.values():
-            process.kill()
-            process.wait()
+        made.kill_all()
 
 
 async def command(world: RealWorld, name: str, *arguments: str) -> str:
@@ -53,7 +51,7 @@
     raise AssertionError(said.output)
 
 
-def move(source: str, target: str, count: int, order: str) -> list[str]:
+def move(source: str, target: str, count: int, command_id: str) -> list[str]:
     return [
         "move",
         "--zone",
@@ -65,7 +63,7 @@
         "--to",
         target,
         "--id",
-        order,
+        command_id,
         str(count),
     ]
 
@@ -76,7 +74,7 @@
 
     async def script() -> None:
         with anyio.fail_after(110.0):
-            await shares_begun(world)
+            await partitions_begun(world)
             pinned(world, "run-000001", 12, 9.0, expected_s=100.0)
             await until(lambda: len(world.first_start) == 12, 40.0)
             have = len(machines_of(world, "a"))
@@ -102,10 +100,12 @@
         await world.run(script)
 
     anyio.run(play)
-    history = ShareHistory()
+    history = PartitionHistory()
     assert history.check(world.state.log) == []
-    assert world.broken == []
-    assert world.reruns == [] and max(world.starts_of.values()) == 1  # no running task was lost
-    assert "share night  for red" in shown[0] and "(no share) to night  c8  " in shown[0]
+    assert world.violations == []
+    assert world.reruns == []
+    assert max(world.starts_of.values()) == 1  # no running task was lost
+    assert "share night  for red" in shown[0]
+    assert "(no share) to night  c8  " in shown[0]
     assert [t["state"] for t in json.loads(shown[1])["transfers"]] == ["complete", "complete"]
     assert took["back"] < took["there"] + 20.0
--- a/tests/test_answers.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 import anyio
+import msgspec
 import pytest
 from msgspec.structs import replace
 
-from answer_days import play_answers
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
 from dapplewick.protocol import peers
@@ -27,8 +27,9 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request, Response
 from dapplewick.types import ControllerName, JobId
-from standins import AnswerHistory, World, now, run_day
-from test_days import run_script
+from standins import AnswerHistory, World, now, run_in_virtual_time
+from support.answer_scenarios import play_answers
+from support.scenarios import run_script
 
 Reply = tuple[int, bytes]
 
@@ -79,15 +80,16 @@
         request = submission(world)
         await over_elsewhere(world, request, stage)
         if late:
-            world.lose = lambda controller, said: controller == "n2"
+            world.lose = lambda controller, _: controller == "n2"
         else:
             world.lost_answers = 1.0
         answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 80.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
-    assert status == 200 and said["stage"] == stage
+    assert status == 200
+    assert said["stage"] == stage
 
 
 def test_a_submission_that_was_carried_out_without_an_answer_is_accepted() -> None:
@@ -103,7 +105,8 @@
 
     run_script(world, 12.0, script)
     ((status, said),) = answers
-    assert status in (200, 201) and said["stage"] in ("queued", "running")
+    assert status in (200, 201)
+    assert said["stage"] in ("queued", "running")
 
 
 def test_a_submission_that_may_still_be_carried_out_is_not_answered_for_good() -> None:
@@ -114,14 +117,15 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        world.lose = lambda controller, said: KEY in json.dumps(said)
+        world.lose = lambda _, said: KEY in json.dumps(said)
         statuses.append((await world.ask_controller("n2", request))[0])
         world.lose = None
         statuses.append((await world.ask_controller("n1", request))[0])
 
     run_script(world, 30.0, script)
-    assert world.broken == []
-    assert statuses[0] == 503 and statuses[1] in (200, 201)
+    assert world.violations == []
+    assert statuses[0] == 503
+    assert statuses[1] in (200, 201)
 
 
 # A write that is known done late
@@ -169,9 +173,10 @@
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
-    assert status in (200, 201) and said["stage"] == "withdrawn"
+    assert status in (200, 201)
+    assert said["stage"] == "withdrawn"
 
 
 async def watch_is_late(target: str, reply: Reply) -> Reply:
@@ -212,7 +217,7 @@
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
     assert status in (0, 503) or said["stage"] == "withdrawn"
 
@@ -257,7 +262,7 @@
         answers.append(await world.ask_controller("n2", POLL))
 
     run_script(world, 40.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert [status for status, _ in answers] == [503, 503, 503, 503, 200]
     assert answers[-1][1]["stage"] == "withdrawn"
     assert max(waited) < 1.0
@@ -286,7 +291,7 @@
             assert (await world.ask_controller(name, POLL))[1]["stage"] == "withdrawn"
 
     run_script(world, 30.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert answers == [503] * 9
 
 
@@ -304,15 +309,13 @@
             assert status == 503
 
     run_script(world, 12.0, script)
-    assert world.broken == []
+    assert world.violations == []
 
 
 class PagesWithoutEnd:
     """A state service of which a page says that more comes, and has no items."""
 
-    async def request(
-        self, method: str, target: str, body: bytes | None, within: float
-    ) -> tuple[int, bytes]:
+    async def request(self, _method: str, target: str, *_: Any) -> tuple[int, bytes]:
         if "since" in target:
             return 200, b'{"items":[],"more":true,"ledger":9}'
         return 200, b'{"items":[{"key":"dw/a","data":1,"stamp":3}],"more":true,"ledger":9}'
@@ -326,7 +329,7 @@
         with pytest.raises(RequestRefusedError):
             await client.listing("dw/")
 
-    run_day(script)
+    run_in_virtual_time(script)
 
 
 # Refusals
@@ -348,9 +351,10 @@
         answers.append(await world.ask_controller("n2", request))
 
     run_script(world, 40.0, script)
-    assert world.broken == []
+    assert world.violations == []
     ((status, said),) = answers
-    assert status == 200 and said["stage"] == "withdrawn"
+    assert status == 200
+    assert said["stage"] == "withdrawn"
 
 
 @pytest.mark.parametrize("stage", ["running", "done", "withdrawn"])
@@ -378,7 +382,7 @@
             ]
 
     run_script(world, 60.0, script)
-    assert world.broken == []
+    assert world.violations == []
     assert set(seen["malformed"] + seen["incomplete"]) == {(400, None)}
     for what in ("another", "too large", "unknown team"):
         assert set(seen[what]) == {(200, stage)}
@@ -420,10 +424,15 @@
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
     watch = CancellationWatch("boot-a", [peer], 2)
     message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
-    with pytest.raises(ValueError):
+
+    def hear_malformed() -> None:
         malformed = peers.decode(peers.encode(message) | change, CancellationMessage)
         watch.hear(6.0, ControllerName("a"), peer, malformed, cache)
-    assert cache.jobs[JobId(JOB)].open and cache.cancellations(0) == []
+
+    with pytest.raises(msgspec.ValidationError):
+        hear_malformed()
+    assert cache.jobs[JobId(JOB)].open
+    assert cache.cancellations(0) == []
     assert watch.known_at(7.0) < 0
 
 
@@ -434,13 +443,14 @@
     message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
     listed = peers.decode(peers.encode(message) | {"cancelled": [[7, JOB]]}, CancellationMessage)
     CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, cache)
-    assert not cache.jobs[JobId(JOB)].open and cache.cancellations(0) == [(7, JOB)]
+    assert not cache.jobs[JobId(JOB)].open
+    assert cache.cancellations(0) == [(7, JOB)]
 
 
 # Changes that are told late
 
 
-def test_an_answer_that_was_overtaken_brings_nothing_back() -> None:
+def test_an_overtaken_watch_response_brings_nothing_back() -> None:
     """More keys were removed since than are remembered; a watch that was asked before tells of
     what was there before that."""
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
@@ -454,7 +464,8 @@
     cache.follow([], 40 * len(keys))
     cache.remove(f"{PROVISIONING_REQUESTS}last", 40 * len(keys) + 1)
     cache.follow(late, len(keys))
-    assert cache.provisioning_requests == {} and cache.versions == {}
+    assert cache.provisioning_requests == {}
+    assert cache.versions == {}
     assert cache.revision == 40 * len(keys)
 
 
@@ -476,14 +487,15 @@
     assert len(cache._key_versions.removals) <= MIN_REMEMBERED_REMOVALS + 1
 
 
-# Drawn days
+# Random scenarios
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_no_answer_goes_back_on_drawn_days(seed: int) -> None:
+def test_no_answer_goes_back_in_random_scenarios(seed: int) -> None:
     world = play_answers(seed)
-    assert world.broken == []
-    assert world.history.answers > 1000 and len(world.accepted) > 30
+    assert world.violations == []
+    assert world.history.answers > 1000
+    assert len(world.accepted) > 30
 
 
 # The checker of the answers can fail
@@ -494,7 +506,7 @@
     history = AnswerHistory()
     for verb, status, stage in answers:
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
-    return history.broken
+    return history.violations
 
 
 @pytest.mark.parametrize(
@@ -513,14 +525,14 @@
         ([("poll", 200, "done"), ("poll", 404, "")], "forgotten"),
     ],
 )
-def test_each_kind_of_answer_that_goes_back_is_noticed(
+def test_each_kind_of_answer_that_goes_back_is_detected(
     answers: list[tuple[str, int, str]], rule: str
 ) -> None:
-    (broken,) = told(*answers)
-    assert broken.startswith(rule)
+    (violations,) = told(*answers)
+    assert violations.startswith(rule)
 
 
-def test_answers_that_do_not_go_back_are_not_noticed() -> None:
+def test_answers_that_do_not_go_back_pass() -> None:
     history = AnswerHistory()
     early = history.ask(JOB, "poll")  # put before the job was known, answered at the end
     before = history.ask(JOB, "poll")
@@ -538,7 +550,8 @@
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
     history.answered(early, 404, {})
     history.answered(before, 200, {"stage": "running"})
-    assert history.broken == [] and history.answers == 9
+    assert history.violations == []
+    assert history.answers == 9
 
 
 def test_two_final_states_contradict_each_other_in_any_order() -> None:
@@ -546,5 +559,5 @@
     first, second = history.ask(JOB, "abort"), history.ask(JOB, "poll")
     history.answered(second, 200, {"stage": "done"})
     history.answered(first, 200, {"stage": "withdrawn"})
-    (broken,) = history.broken
-    assert broken.startswith("went_back")
+    (violations,) = history.violations
+    assert violations.startswith("went_back")
--- a/tests/golden.py
+++ b/tests/support/golden.py
@@ -81,7 +81,7 @@
     TaskIndex,
     TaskRef,
 )
-from standins import Link, Wire, World, now, run_day, settings
+from standins import Link, Wire, World, now, run_in_virtual_time, settings
 
 Writer = Callable[[Any], Any]
 
@@ -114,8 +114,8 @@
 # Stored records
 
 
-def mirror_of(records: list[list[Any]]) -> WatchCache:
-    """A mirror that has read these records: key, value and version of each."""
+def watch_cache_of(records: list[list[Any]]) -> WatchCache:
+    """A watch cache that has read these records: key, value and version of each."""
     cache = WatchCache()
     for key, value, version in records:
         cache.put(key, value, version)
@@ -143,6 +143,11 @@
         return msgspec.to_builtins(plan.convert(cache.partition_plan))
     if key == LEADER:
         return msgspec.to_builtins(cache.leader)
+    return _table_record(cache, key, name)
+
+
+def _table_record(cache: WatchCache, key: str, name: str) -> Any:
+    """A record that stands as a whole in one table of the watch cache."""
     tables: list[tuple[str, Any]] = [
         (MACHINES, cache.groups),
         (SHARDS, cache.shards),
@@ -158,7 +163,7 @@
 
 def rewrite(records: list[list[Any]]) -> Any:
     """Records read and written again, and what was read of machines, which no record names."""
-    cache = mirror_of(records)
+    cache = watch_cache_of(records)
     again = [[key, text(_rewritten(cache, key))] for key, _, _ in records]
     return {"again": again, "machines": neutral(cache.machines)}
 
@@ -168,18 +173,18 @@
 
 
 def _draft_of(given: Any) -> tuple[JobWrites, WatchCache, JobId]:
-    cache = mirror_of(given["records"])
+    cache = watch_cache_of(given["records"])
     return JobWrites(cache, ["a", "b"], given["most"]), cache, JobId(given["job"])
 
 
-def write_places(given: Any) -> Any:
-    """The keys of a long gang's place."""
+def write_placements(given: Any) -> Any:
+    """The keys of a long gang's placement."""
     writes, cache, job = _draft_of(given)
     return _changes(writes.changes(10.0, job, cache.jobs[job].copy(), WritePriority.NORMAL))
 
 
-def write_grants(given: Any) -> Any:
-    """The keys of a job of which a part is granted some tasks."""
+def write_assignments(given: Any) -> Any:
+    """The keys of a job of which a shard is assigned some tasks."""
     writes, cache, job = _draft_of(given)
     draft = cache.jobs[job].copy()
     draft.assignments.setdefault(given["part"], set()).update(given["tasks"])
@@ -199,14 +204,14 @@
 
 
 def write_widened(given: Any) -> Any:
-    """A cancelled job whose grants do not fit into a value."""
+    """A cancelled job whose assignments do not fit into a value."""
     _, cache, job = _draft_of(given)
     return text(cache.jobs[job].dump(given["most"]))
 
 
 def write_machines(given: Any) -> Any:
-    """A group of which a machine is doomed, and one of which machines go to another share."""
-    cache = mirror_of(given["records"])
+    """A group with a terminating machine, and one of which machines move to another partition."""
+    cache = watch_cache_of(given["records"])
     machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0)  # type: ignore[arg-type]
     machine_lifecycle.begin()
     if "doom" in given:
@@ -228,7 +233,7 @@
         self.asked: list[list[Any]] = []
 
     async def request(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, _within: float
     ) -> tuple[int, bytes]:
         """Give the next answer."""
         self.asked.append([method, target, None if body is None else body.decode()])
@@ -248,7 +253,7 @@
         """Keep a message."""
         self.posted.append([kind, cbor2.dumps(message).hex()])
 
-    async def ask(self, message: dict[str, Any], within: float) -> Any:
+    async def ask(self, message: dict[str, Any], _within: float) -> Any:
         """Keep a question, and give the answer."""
         self.asked.append(cbor2.dumps(message).hex())
         return self.answer
@@ -264,7 +269,7 @@
     async def main() -> None:
         out.append(await scene())
 
-    run_day(main)
+    run_in_virtual_time(main)
     return out[0]
 
 
@@ -273,10 +278,10 @@
 ) -> tuple[Controller, Service, Peer]:
     service, link = Service(answers), Peer(answer)
 
-    def connect(host: str, port: int) -> Any:
+    def connect(_host: str, _port: int) -> Any:
         return service
 
-    def linked(host: str, port: int) -> Any:
+    def linked(_host: str, _port: int) -> Any:
         return link
 
     with patch.object(time, "time_ns", lambda: 1):
@@ -360,21 +365,28 @@
     return _in_time(scene)
 
 
+def _request_of(kind: str, body: Any) -> Request | None:
+    """The HTTP request of a step; None where it has none."""
+    if kind == "report":
+        return Request("POST", "/checkin", text(body).encode(), False)
+    if kind == "request":
+        method, target, sent = body
+        return Request(method, target, sent.encode(), False)
+    if kind == "too large":
+        return Request("POST", "/checkin", b"", True)
+    return None
+
+
 def work(given: Any) -> Any:
-    """An owner of a part: its answers to workers, the status that it sends, and operators'."""
+    """An owner of a shard: its answers to workers, the status that it sends, and operators'."""
 
     async def scene() -> Any:
         controller, service, link = _controller(given["records"], given.get("answers", []))
         out: list[Any] = []
         for kind, body in given["steps"]:
-            if kind == "report":
-                request = Request("POST", "/checkin", text(body).encode(), False)
+            if (request := _request_of(kind, body)) is not None:
                 answer = await controller.handle(request)
                 out.append([answer.status, answer.body.decode(), answer.retry_after])
-            elif kind == "request":
-                method, target, sent = body
-                answer = await controller.handle(Request(method, target, sent.encode(), False))
-                out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "asked":
                 said = await controller.on_request(through_frame(body))
                 out.append(cbor2.dumps(said).hex())
@@ -384,9 +396,6 @@
                     controller.shard_loop.send_status(now(), scheduler)
             elif kind == "wait":
                 await anyio.sleep(body)
-            elif kind == "too large":
-                answer = await controller.handle(Request("POST", "/checkin", b"", True))
-                out.append([answer.status, answer.body.decode(), answer.retry_after])
             elif kind == "records are old":
                 controller.records.current_at = -1e9
             elif kind == "falls behind":
@@ -505,7 +514,7 @@
 
 
 def report(given: Any) -> Any:
-    """What is read of a worker's report."""
+    """What is read of a worker's heartbeat."""
     return neutral(parse_heartbeat(given.encode()))
 
 
@@ -519,7 +528,7 @@
 
 
 def redirection(given: Any) -> Any:
-    """The answer to a worker that names the owner of its part."""
+    """The answer to a worker that names the owner of its shard."""
     return encode_redirect(given).decode()
 
 
@@ -529,7 +538,7 @@
 
 
 def plan_script(given: Any) -> Any:
-    """A plan of shares as it is stored."""
+    """A plan of partitions as it is stored."""
     return text(msgspec.to_builtins(plan.parse("plan.star", given)))
 
 
@@ -552,7 +561,7 @@
     """What the command line sends to a controller."""
     sent: list[str] = []
 
-    async def kept(at: str, message: Any) -> Any:
+    async def kept(_: str, message: Any) -> Any:
         sent.append(cbor2.dumps(message).hex())
         return given["said"]
 
@@ -585,8 +594,8 @@
 
 WRITERS: dict[str, Writer] = {
     "records": rewrite,
-    "places": write_places,
-    "grants": write_grants,
+    "places": write_placements,
+    "grants": write_assignments,
     "cut": write_cut,
     "leftovers": write_leftovers,
     "widened": write_widened,
@@ -612,7 +621,7 @@
 }
 
 
-# A day of which all that is sent is kept
+# A scenario of which all that is sent is kept
 
 IDS = re.compile(r"^(run-|vm-|[rox]-|n\d|dw/|[a-z](/|$)|[a-z]\d+$)")
 
@@ -631,7 +640,7 @@
 
 
 class Kept:
-    """What is sent on a day, by its kind: a sum of all, and the first ones with new fields."""
+    """What is sent in a scenario, by its kind: a sum of all, and the first ones with new fields."""
 
     def __init__(self) -> None:
         self._sums: dict[str, Any] = {}
@@ -685,8 +694,8 @@
     return json.loads(raw) if raw else None
 
 
-def _kept_day(world: World, kept: Kept, script: Any, length: float) -> None:
-    """Play a day and keep what controllers send and answer."""
+def _recorded_scenario(world: World, kept: Kept, script: Any, length: float) -> None:
+    """Play a scenario and keep what controllers send and answer."""
     call, post, ask, handle = Wire.request, Link.post, Link.ask, Controller.handle
 
     async def keep_call(
@@ -734,8 +743,8 @@
         patch.object(Controller, handle.__name__, keep_handle),
         patch.object(time, "time_ns", lambda: 1),
     ):
-        run_day(main)
-    assert world.broken == []
+        run_in_virtual_time(main)
+    assert world.violations == []
 
 
 async def _operator(world: World, kept: Kept, kind: str, message: dict[str, Any]) -> Any:
@@ -751,9 +760,9 @@
     world.group.start_soon(world.user, job, body, cancel_after)
 
 
-def day() -> dict[str, Any]:
-    """What is sent on a day without shares: arrays, gangs, services, cancellations, refusals, a
-    restart, and a state service that one controller does not reach."""
+def scenario() -> dict[str, Any]:
+    """What is sent in a scenario without partitions: arrays, gangs, services, cancellations,
+    refusals, a restart, and a state service that one controller does not reach."""
     kept = Kept()
     world = World(5)
     world.boot_s = (0.5, 2.0)
@@ -821,12 +830,12 @@
         await anyio.sleep(1.0)
         world.start_controller("n2")
 
-    _kept_day(world, kept, script, 32.0)
+    _recorded_scenario(world, kept, script, 32.0)
     return kept.view()
 
 
-def day_of_shares() -> dict[str, Any]:
-    """What is sent on a day on which machines change from one share to another."""
+def partition_scenario() -> dict[str, Any]:
+    """What is sent in a scenario in which machines move between partitions."""
     kept = Kept()
     world = World(11)
     world.partition_plan = plan.parse("plan.star", PLAN)
@@ -859,8 +868,11 @@
         await _operator(world, kept, "show", {**shares, "verb": "show"})
         await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": None})
 
-    _kept_day(world, kept, script, 34.0)
+    _recorded_scenario(world, kept, script, 34.0)
     return kept.view()
 
 
-DAYS: dict[str, Callable[[], dict[str, Any]]] = {"without shares": day, "shares": day_of_shares}
+SCENARIOS: dict[str, Callable[[], dict[str, Any]]] = {
+    "without shares": scenario,
+    "shares": partition_scenario,
+}
--- /dev/null
+++ b/tests/support/mutations.py
@@ -0,0 +1,45 @@
+"""Mutations of the guards of the sources: what the checks must detect."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from dapplewick.controller.record_follower import RecordFollower
+from dapplewick.core.leader.quotas import TeamQuotas
+from dapplewick.core.shard.constraints import PlacementConstraints
+from dapplewick.core.shard.heartbeats import HeartbeatReconciler
+from dapplewick.core.shard.stops import Stops
+from dapplewick.types import Seconds
+
+Patch = Callable[[pytest.MonkeyPatch], None]
+
+
+def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
+    settle = HeartbeatReconciler.release_unconfirmed
+
+    def hasty(self: HeartbeatReconciler, now: float) -> None:
+        self.unreconciled.clear()
+        settle(self, now)
+
+    patch.setattr(HeartbeatReconciler, "release_unconfirmed", hasty)
+
+
+def no_team_limit(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(TeamQuotas, "within_limit", lambda _, spec: spec.task_count)
+
+
+def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(Stops, "stops", lambda *_: [])
+
+
+def no_check_that_the_watch_cache_is_current(patch: pytest.MonkeyPatch) -> None:
+    async def unchecked(self: RecordFollower) -> Seconds:
+        return self.now()
+
+    patch.setattr(RecordFollower, "current", unchecked)
+
+
+def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(PlacementConstraints, "allow", lambda *_: True)
--- a/tests/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -1,10 +1,11 @@
-"""Whether two versions of the sources behave alike, event by event, on the same simulated days.
-
-`python tests/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` plays the days of
-`tests/behaviour_days.py` on the revision BASE and on the present working tree, and compares all
-that controllers send to services, workers, users, operators and one another. Each version is
-played with its own tests and stand-ins, each day in a process of its own, and the two sides with
-different hash seeds. It ends with 0 where all are equal and with 1 at the first difference.
+"""Compares the behaviour of two versions of the sources, event by event, in simulated scenarios.
+
+`python tests/tools/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` plays the scenarios
+(called days on the command line) of `tests/tools/behaviour_scenarios.py` on the revision BASE and
+on the present working tree, and compares all that controllers send to services, workers, users,
+operators and one another. Each version is played with its own tests and stand-ins, each scenario in
+a process of its own, and the two sides with different hash seeds. It exits with 0 where all are
+equal and with 1 at the first difference.
 """
 
 from __future__ import annotations
@@ -24,7 +25,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
+# Where this tool is in a checkout: now, and in revisions that had it beside the tests.
+PLACES = ("tests/tools/compare_behaviour.py", "tests/compare_behaviour.py")
 HASH_SEEDS = {"base": "1", "present": "2"}
 BEFORE = 4  # events that are shown before a difference
 SHOWN = 2000  # characters of an event that are shown
@@ -46,8 +49,8 @@
     digest: str
 
 
-class Failed(Exception):
-    """A day or a version that cannot be played."""
+class ComparisonError(Exception):
+    """A scenario or a version that cannot be played."""
 
 
 def first_difference(base: Path, present: Path) -> Difference | None:
@@ -91,26 +94,26 @@
     return text if len(text) <= SHOWN else f"{text[:SHOWN]}... ({len(text)} characters)"
 
 
-# One day, in a process of its own
+# One scenario, in a process of its own
 
 
 def play(day: str, out: Path) -> None:
-    """Play a day and write its trace."""
+    """Play a scenario and write its trace."""
     import dapplewick
-    from behaviour_days import DAYS
     from standins import recorder
+    from tools.behaviour_scenarios import SCENARIOS
 
     if Path(dapplewick.__file__).resolve().parent != ROOT / "src" / "dapplewick":
         raise SystemExit(f"{dapplewick.__file__} is not of the version that is to be played")
     logging.disable(logging.CRITICAL)
-    # Incarnations of controllers are named by the time and a drawn number.
+    # Incarnations of controllers are named by the time and a random number.
     time.time_ns = lambda: 10**18
     with out.open("w") as file:
         recorder.start(file)
         try:
-            DAYS[day]()
+            SCENARIOS[day]()
         except* AssertionError:
-            # A check of the day itself: an event like others, the tests tell what it means.
+            # A check of the scenario itself: an event like others, the tests tell what it means.
             recorder.record("check_failed")
         finally:
             recorder.stop()
@@ -129,23 +132,33 @@
     }
 
 
+def tool_of(root: Path) -> Path | None:
+    """A checkout's own copy of this tool; None where it has none."""
+    return next((root / place for place in PLACES if (root / place).exists()), None)
+
+
 def run_tool(root: Path, side: str, cache: Path, *arguments: str) -> str:
     """Run a version's own copy of this tool."""
+    tool = tool_of(root)
+    if tool is None:
+        raise ComparisonError(f"{side}: there is no {' and no '.join(PLACES)}")
     done = subprocess.run(
-        [sys.executable, str(root / "tests" / "compare_behaviour.py"), *arguments],
+        [sys.executable, str(tool), *arguments],
         cwd=root,
         env=environment(root, side, cache),
         capture_output=True,
         text=True,
     )
     if done.returncode:
-        raise Failed(f"{side}: {' '.join(arguments)} ended with {done.returncode}\n{done.stderr}")
+        raise ComparisonError(
+            f"{side}: {' '.join(arguments)} ended with {done.returncode}\n{done.stderr}"
+        )
     return done.stdout
 
 
 def check_out(revision: str, target: Path) -> None:
-    """A revision in a folder of its own. It is a clone, which shares the history: days with the
-    version in production read that from there."""
+    """Check a revision out in a folder of its own. It is a clone, which shares the history:
+    scenarios with the version in production read that from there."""
     steps = [
         ["clone", "-q", "--shared", "--no-checkout", str(ROOT), str(target)],
         ["-C", str(target), "checkout", "-q", "--detach", revision],
@@ -153,9 +166,9 @@
     for step in steps:
         done = subprocess.run(["git", *step], capture_output=True, text=True)
         if done.returncode:
-            raise Failed(f"git {' '.join(step)}: {done.stderr.strip()}")
-    if not (target / "tests" / "compare_behaviour.py").exists():
-        raise Failed(f"{revision} has no tests/compare_behaviour.py and cannot be played")
+            raise ComparisonError(f"git {' '.join(step)}: {done.stderr.strip()}")
+    if tool_of(target) is None:
+        raise ComparisonError(f"{revision} has no compare_behaviour.py and cannot be played")
 
 
 def resolve(revision: str) -> str:
@@ -166,12 +179,12 @@
         text=True,
     )
     if done.returncode:
-        raise Failed(f"{revision} is no commit")
+        raise ComparisonError(f"{revision} is no commit")
     return done.stdout.strip()
 
 
 def compare(revision: str, chosen: Sequence[str], jobs: int) -> int:
-    """Play days on a revision and on the working tree; gives the exit status."""
+    """Play scenarios on a revision and on the working tree; gives the exit status."""
     begun = time.monotonic()
     commit = resolve(revision)
     with tempfile.TemporaryDirectory(prefix="behaviour-") as name:
@@ -185,9 +198,9 @@
         days = list(chosen) or listed["present"]
         for side, names in listed.items():
             if lacking := set(days) - set(names):
-                raise Failed(f"{side} has no day {', '.join(sorted(lacking))}")
+                raise ComparisonError(f"{side} has no day {', '.join(sorted(lacking))}")
         if not chosen and (gone := set(listed["base"]) - set(days)):
-            raise Failed(f"present has no day {', '.join(sorted(gone))}")
+            raise ComparisonError(f"present has no day {', '.join(sorted(gone))}")
 
         def trace(side: str, day: str) -> Path:
             out = folder / f"{side}-{day}.jsonl"
@@ -205,7 +218,7 @@
                         return 1
                     measured = measure(base.result())
                     if not measured.events:
-                        raise Failed(f"{day}: nothing was recorded")
+                        raise ComparisonError(f"{day}: nothing was recorded")
                     events += measured.events
                     failed = '"event":"check_failed"' in base.result().read_text()
                     print(
@@ -236,9 +249,9 @@
         for folder in ("tests", "src"):
             sys.path.insert(0, str(ROOT / folder))
     if given.list:
-        from behaviour_days import DAYS
+        from tools.behaviour_scenarios import SCENARIOS
 
-        print("\n".join(DAYS))
+        print("\n".join(SCENARIOS))
         return 0
     if given.play:
         if given.out is None:
@@ -249,7 +262,7 @@
         parser.error("name a revision to compare with")
     try:
         return compare(given.base, given.days, max(1, given.jobs))
-    except Failed as err:
+    except ComparisonError as err:
         print(err, file=sys.stderr)
         return 1
 
--- a/tests/test_growth.py
+++ b/tests/unit/test_work_scaling.py
@@ -1,12 +1,10 @@
-"""Work is counted, not timed: what a report, a status and a pass cost as a deployment grows.
+"""Work is counted, not timed: what a heartbeat, a status and a pass cost as a deployment grows.
 
 A count is the number of function calls that Python makes, which repeats exactly.
 """
 
 from __future__ import annotations
 
-import sys
-from collections.abc import Callable
 from typing import Any
 
 import cbor2
@@ -26,44 +24,10 @@
 from dapplewick.storage.transactions import split_into_transactions
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Revision, TypeName
-from test_four_points import IN_ZONE, KIND, ZONE, Bench, spec
+from support.shard_bench import IN_ZONE, KIND, ZONE, Bench, busy_shard, calls, leader_of, spec
 
 
-def calls(work: Callable[[], Any]) -> int:
-    """How many function calls some work makes."""
-    count = 0
-
-    def step(frame: Any, event: str, argument: Any) -> None:
-        nonlocal count
-        count += event in ("call", "c_call")
-
-    sys.setprofile(step)
-    try:
-        work()
-    finally:
-        sys.setprofile(None)
-    return count
-
-
-def busy_part(machines: int) -> Bench:
-    """A part whose machines are all full, with queues and gangs that hold slots."""
-    bench = Bench(machines)
-    for name in bench.names:
-        bench.report(name, 0.0)
-    for n in range(machines // 10):
-        bench.grant(f"run-{n}", spec(50, 1.0, 30.0), 0.0)
-    for _ in range(2):
-        for name in bench.names:
-            bench.report(name, 1.0)
-        bench.scheduler.tick(1.0)
-    for n in range(machines // 20):
-        placements = bench.names[n * 10 : n * 10 + 5]
-        bench.reservation(f"run-g{n}", spec(5, 4.0, 30.0, is_gang=True), placements, 1.5)
-    bench.scheduler.tick(2.5)
-    return bench
-
-
-def report_cost(bench: Bench) -> int:
+def heartbeat_cost(bench: Bench) -> int:
     # A slot with a queue, at both sizes: stealing looks at the jobs that wait.
     name, task = next(
         (m.id, slot.current)
@@ -71,20 +35,20 @@
         for slot in m.slots
         if slot.queue and slot.current in bench.on[m.id]
     )
-    return calls(lambda: bench.report(name, 3.0, {task}))
+    return calls(lambda: bench.heartbeat(name, 3.0, {task}))
 
 
-def test_a_report_costs_what_its_machine_holds_not_what_the_part_does() -> None:
-    small, large = (report_cost(busy_part(n)) for n in (40, 400))
+def test_a_heartbeat_costs_what_its_machine_runs_not_what_the_shard_does() -> None:
+    small, large = (heartbeat_cost(busy_shard(n)) for n in (40, 400))
     assert large < 1.5 * small + 50
 
 
 def test_a_status_tells_only_what_changed_since_the_confirmed_one() -> None:
     def size(machines: int) -> tuple[int, int]:
-        bench = busy_part(machines)
+        bench = busy_shard(machines)
         first = bench.scheduler.status(3.0)
         name = bench.names[-1]
-        bench.report(name, 3.5, {next(iter(bench.on[name]))})
+        bench.heartbeat(name, 3.5, {next(iter(bench.on[name]))})
         second = bench.scheduler.status(4.0, first.number)
         assert set(second.machines) == {name}
         return len(cbor2.dumps(peers.encode(first))), len(cbor2.dumps(peers.encode(second)))
@@ -96,13 +60,13 @@
 
 def test_a_lost_status_is_made_up_for_by_the_next() -> None:
     """Only a confirmed status is a base, so what a lost one told is told again."""
-    bench = busy_part(20)
+    bench = busy_shard(20)
     leader = leader_of(bench, 1.0)
     confirmed = leader.shard_status(3.0, bench.scheduler.status(3.0))
     one, two = bench.names[-1], bench.names[-2]
-    bench.report(one, 3.5, {next(iter(bench.on[one]))})
+    bench.heartbeat(one, 3.5, {next(iter(bench.on[one]))})
     bench.scheduler.status(3.6, confirmed)  # never arrives
-    bench.report(two, 3.7, {next(iter(bench.on[two]))})
+    bench.heartbeat(two, 3.7, {next(iter(bench.on[two]))})
     leader.shard_status(3.8, bench.scheduler.status(3.8, confirmed))
     shard = next(iter(leader.shards.values()))
 
@@ -110,23 +74,18 @@
         return {m: (body.free, len(body.ends)) for m, body in machines.items()}
 
     assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8).machines)
-    # A leader that has nothing can't use a part of the picture, and says that it has none.
+    # A leader that has nothing can't use an incremental status, and says so.
     fresh = leader_of(bench, 4.0)
     assert fresh.shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
     assert fresh.shard_status(4.1, bench.scheduler.status(4.1)) > 0
     assert rooms(next(iter(fresh.shards.values())).machines) == rooms(shard.machines)
 
 
-def leader_of(bench: Bench, now: float) -> LeaderPlanner:
-    bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
-    return LeaderPlanner(bench.cache, standins.settings("n0"), Estimates(), FencingToken(9), now)
-
-
 def test_a_pass_costs_little_more_for_each_gang_that_waits() -> None:
     """Gangs that are alike are looked at once: machines times gangs was the cost before."""
 
     def cost(machines: int, gangs: int) -> int:
-        bench = busy_part(machines)
+        bench = busy_shard(machines)
         leader = leader_of(bench, 3.0)
         leader.shard_status(3.0, bench.scheduler.status(3.0))
         for n in range(gangs):
@@ -150,13 +109,16 @@
     cache.put("dw/m/r-1", group | {"machines": {"vm-1": "u", "vm-2": "b101"}}, 3)
     assert cache.changed_machines == ["vm-1"]
     assert cache.machines[MachineId("vm-2")].at == 101.0
-    assert cache.machines[MachineId("vm-1")].up and not cache.machines[MachineId("vm-2")].up
+    assert cache.machines[MachineId("vm-1")].up
+    assert not cache.machines[MachineId("vm-2")].up
     cache.changed_machines.clear()
     cache.put("dw/m/r-1", group | {"machines": {"vm-2": "d"}}, 4)
     assert cache.changed_machines == ["vm-1", "vm-2"]
-    assert "vm-1" not in cache.machines and cache.machines[MachineId("vm-2")].terminating
+    assert "vm-1" not in cache.machines
+    assert cache.machines[MachineId("vm-2")].terminating
     cache.remove("dw/m/r-1", 5)
-    assert not cache.machines and not cache.group_of
+    assert not cache.machines
+    assert not cache.group_of
 
 
 def test_transactions_stay_within_what_the_state_service_takes() -> None:
@@ -178,17 +140,17 @@
     assert len(msgspec.json.encode(record.dump())) < 16 * 1024
 
 
-def test_a_held_gang_that_waits_on_has_singles_of_lower_priority_stopped() -> None:
+def test_a_reserved_gang_that_waits_on_preempts_array_tasks_of_lower_priority() -> None:
     """Its slots were chosen to be idle soon, by estimates that were too low: it waited for
     minutes while it could have had them at once."""
     bench = Bench(2)
     for name in bench.names:
-        bench.report(name, 0.0)
-    bench.grant("run-s", spec(8, 1.0, 3.0), 0.0)
+        bench.heartbeat(name, 0.0)
+    bench.assign("run-s", spec(8, 1.0, 3.0), 0.0)
     bench.scheduler.tick(0.0)
     for _ in range(2):
         for name in bench.names:
-            bench.report(name, 1.0)
+            bench.heartbeat(name, 1.0)
     gang = replace(spec(2, 4.0, 30.0, is_gang=True), priority=2)
     bench.put("dw/j/run-g", JobRecord(gang, 1.0).dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
@@ -204,15 +166,17 @@
         return bench.cache.jobs[JobId("run-g")].gang
 
     first = placed(2.0)
-    assert first is not None and not first.preempt
+    assert first is not None
+    assert not first.preempt
     waits = [placed(now) for now in (3.0, 4.0, 6.0, 8.0)]
     assert [w is not None and w.preempt for w in waits] == [False, False, False, True]
-    assert waits[-1] is not None and waits[-1].attempt == first.attempt
-    stops = [o for name in bench.names for o in bench.report(name, 9.0) if o.op == "stop"]
+    assert waits[-1] is not None
+    assert waits[-1].attempt == first.attempt
+    stops = [o for name in bench.names for o in bench.heartbeat(name, 9.0) if o.op == "stop"]
     assert len(stops) == 8
 
 
-def test_rented_machines_are_written_before_their_booking_ends() -> None:
+def test_rented_machines_are_written_before_their_provisioning_request_ends() -> None:
     """A pass that the write budget cut off in between lost sight of them."""
     bench = Bench(0)
     provisioning_request = {"type": "k", "zone": "a", "spot": False, "count": 2, "at": 0.0}
@@ -226,11 +190,11 @@
 
 
 def test_work_without_aims_lets_gangs_with_some_go_first_but_not_for_ever() -> None:
-    """Long singles of which users expect nothing took each room before it was large enough
-    for a gang: gangs waited 233 s at the median, those singles 78 s."""
+    """Long array tasks of which users expect nothing took each room before it was large enough
+    for a gang: gangs waited 233 s at the median, those array tasks 78 s."""
     bench = Bench(2)
     for name in bench.names:
-        bench.report(name, 0.0)
+        bench.heartbeat(name, 0.0)
     told = standins.settings("n0")
     told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
     bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
@@ -248,7 +212,7 @@
 
 
 def test_gangs_wait_for_plain_machines_that_are_coming() -> None:
-    """At the start of a day gangs of high priority took the machines with accelerators, which
+    """While a deployment starts, gangs of high priority took the machines with accelerators, which
     were up a few seconds sooner, and kept most accelerators idle for minutes."""
     kinds = [KIND, MachineType(name="g", cpus=4.0, gpus=2.0, ram_gb=64.0, zones=["a"])]
     bench = Bench(0)
@@ -277,7 +241,7 @@
 
 
 def test_coming_back_costs_the_same_for_each_record_and_machine_at_any_size() -> None:
-    """Reading all records back, rebuilding a part, and the first report of each machine."""
+    """Reading all records back, rebuilding a shard, and the first heartbeat of each machine."""
 
     def cost(size: int) -> list[float]:
         items: dict[str, tuple[Any, int]] = {TYPES: (encode_machine_types([KIND]), 1)}
@@ -306,7 +270,8 @@
                 shard_schedulers[0].handle_heartbeat(1.0, said, True)
 
         heard = calls(hear)
-        assert not shard_schedulers[0].unreconciled and len(shard_schedulers[0].queues.unqueued) > 0
+        assert not shard_schedulers[0].unreconciled
+        assert len(shard_schedulers[0].queues.unqueued) > 0
         return [count / size for count in (read, rebuilt, heard)]
 
     for small, large in zip(cost(100), cost(800), strict=True):
