--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -26,7 +26,7 @@
 from dapplewick.transport.http_client import HttpError
 from dapplewick.types import MachineId, Seconds
 
-log = logging.getLogger("dapplewick.controller.cloud_calls")
+log = logging.getLogger(__name__)
 
 STEP_S = 0.1  # how often is looked for something to call the cloud for
 NO_LEADER_STEP_S = 0.3  # and where this controller does not lead
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -55,7 +55,7 @@
 if TYPE_CHECKING:
     from dapplewick.partitions.service import PartitionService
 
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 MIN_WRITE_BURST = 6.0  # users come at once, so each controller may accept some at once
 PEER_BACKLOG = 64
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -31,8 +31,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import FencingToken, Seconds
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 NOT_READY_S = 0.1
 CAMPAIGN_INTERVAL_S = 0.3  # a controller that does not lead looks this often whether it should
--- a/src/dapplewick/controller/leader_writer.py
+++ b/src/dapplewick/controller/leader_writer.py
@@ -16,8 +16,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import FencingToken, Seconds
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 PROGRESS_RESERVE = 0.3  # of a second's writes are left by progress for what users wait for
 
--- a/src/dapplewick/controller/owned_shards.py
+++ b/src/dapplewick/controller/owned_shards.py
@@ -14,8 +14,7 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import FencingToken, Seconds, ShardName
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 
 class OwnedShards:
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -24,8 +24,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 WATCH_MS = 4000
 STANDBY_WATCH_GAP_S = 0.4  # a controller that neither leads nor owns a shard follows in these steps
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -17,8 +17,7 @@
 from dapplewick.transport.peer import PeerLink
 from dapplewick.types import ControllerName, Seconds, ShardName
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 FOLLOWED_S = 6.0  # an open watch answers sooner than that, unless there is an outage
 MIN_TICK_S = 0.2  # shards tick, and tell what changed, this often
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -18,6 +18,8 @@
 if TYPE_CHECKING:
     from dapplewick.partitions.service import PartitionService
 
+log = logging.getLogger(__name__)
+
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 SCRIPT_VARIABLE = "DAPPLEWICK_SCRIPT"
 
@@ -56,7 +58,7 @@
         if soft != resource.RLIM_INFINITY and soft < wanted:
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     except (OSError, ValueError) as err:
-        logging.getLogger("dapplewick").info("event=file_limit_unchanged reason=%r", err)
+        log.info("event=file_limit_unchanged reason=%r", err)
 
 
 async def _run(settings: Settings, tuning: Tuning, partitions: PartitionService | None) -> None:
@@ -130,7 +132,7 @@
     configure_memory()
     complaint = configure_logging()
     if complaint:
-        logging.getLogger("dapplewick").error("event=log_level_invalid error=%r", complaint)
+        log.error("event=log_level_invalid error=%r", complaint)
     raise_file_limit(settings.deployment.machine_limits.fd_limit)
     try:
         anyio.run(_run, settings, tuning, partitions, backend_options={"use_uvloop": True})
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -29,7 +29,7 @@
 from dapplewick.transport.http import Request, Response
 from dapplewick.types import JobId, Seconds
 
-log = logging.getLogger("dapplewick.controller.user_api")
+log = logging.getLogger(__name__)
 
 PATH = "/v2/runs"
 MAX_CANCEL_TRIES = 4
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -25,8 +25,7 @@
 from dapplewick.transport.http import Request, Response
 from dapplewick.types import Seconds, ShardName
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 MAX_LAUNCH_AGE_S = 9.0  # with records older than this, nothing is launched
 CANCELLATION_MARGIN_S = 3.0  # what a cancellation takes on its way besides a worker's lease
--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -30,8 +30,7 @@
 from dapplewick.storage.state_client import StateClient
 from dapplewick.types import FencingToken
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 
 class WriteRates(NamedTuple):
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -22,8 +22,7 @@
 from dapplewick.storage.state_client import StateClient
 from dapplewick.types import Seconds
 
-# Readers of the log know the events of all of a controller's loops by this name.
-log = logging.getLogger("dapplewick.controller.controller")
+log = logging.getLogger(__name__)
 
 TTL_S = 5.0
 RENEW_INTERVAL_S = 1.3
--- a/src/dapplewick/core/__init__.py
+++ b/src/dapplewick/core/__init__.py
@@ -0,0 +1,1 @@
+"""The scheduling itself, as state machines without I/O."""
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -21,7 +21,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import MachineId, Seconds, zone_of
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 SCALING_S = 1.0  # scaling out and in is decided this often
 FRESH_STATUS_S = 6.0  # no decision rests on a shard's status that is older
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -21,7 +21,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import JobId, Seconds
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 PROGRESS_S = 1.0  # completed tasks of an unfinished job are stored at most this often
 CHUNKS_AT_ONCE = 2.0  # a job of which more chunks changed stores its progress less often
--- a/src/dapplewick/core/leader/load_log.py
+++ b/src/dapplewick/core/leader/load_log.py
@@ -11,7 +11,7 @@
 from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.types import Seconds
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 LOAD_LOG_S = 10.0
 
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -20,7 +20,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import MachineId, Seconds
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 MOST_MACHINES = 150  # in a group, where a value may hold as many
 GROUP_BYTES = 200  # of a record, beside its machines
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -21,7 +21,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import MachineId, Seconds
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 UP_S = 1.0  # machines of a group that came up are written this often
 LEASE_MARGIN_S = 1.0  # a silent machine is terminated so long after its lease has run out
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -42,7 +42,7 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import ControllerName, FencingToken, MachineId, Seconds, ShardName
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 
 class PartitionRebalancer(Protocol):
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -14,7 +14,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import JobId, Seconds, ShardName
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 
 class Reconciliation:
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -21,7 +21,7 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import JobId, Seconds, ShardName, Zone
 
-log = logging.getLogger("dapplewick.leader")
+log = logging.getLogger(__name__)
 
 # Idle slots may be reserved for this fraction of a gang's run time, or of its wait so far.
 RESERVATION_FRACTION = 0.25
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -14,7 +14,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, MachineId, Resources, Seconds, ShardName
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 _NO_RESERVATIONS: Mapping[JobId, GangReservation] = MappingProxyType({})
 
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -25,7 +25,7 @@
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
 from dapplewick.types import MachineId, Seconds, TaskIndex, TaskRef
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 # Compared for each task of each heartbeat: an enum's members are slow to look up.
 _ON_MACHINE: Final = TaskState.ON_MACHINE
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -23,7 +23,7 @@
     TaskRef,
 )
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 
 class Launches:
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -10,7 +10,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, ShardName, TaskRef
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 MAX_HEARTBEAT_AGE_S = 6.0  # a machine silent for longer takes no new work
 LOST_STARTS = 3  # heartbeats in a row that miss what was sent, until no more is sent
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -19,7 +19,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 EVICTION_LEAD_S = (
     6.0  # a replica is stopped so long before its machine is taken, wherever it can go
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -41,7 +41,7 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import FencingToken, JobId, MachineId, Seconds, ShardName, zone_of
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 STALL_S = 2.0  # a process that ticks later than this may have heartbeats it has not read
 SLOW_TICK_S = 1.0  # what looks at all machines, reservations and waiting tasks is done this often
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -10,7 +10,7 @@
 from dapplewick.core.shard.state import SLOW_SAMPLES, Machine
 from dapplewick.types import JobId, Seconds
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 SLOW_LOGARITHM = 0.6  # above the other machines' mean logarithm of run time over expected
 LEAST_MACHINES = 3  # to compare with
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -16,7 +16,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TaskRef
 
-log = logging.getLogger("dapplewick.part")
+log = logging.getLogger(__name__)
 
 FORGET_S = 5.0  # a stored result is forgotten with the next commands, or after this time
 MAX_STORED_RESULTS = 16  # or when there are so many
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -15,7 +15,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import Seconds, ShardName, TransferId, partition_of
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 KEEP_S = 60.0  # ended transfers are shown for so long
 
--- a/src/dapplewick/partitions/draining.py
+++ b/src/dapplewick/partitions/draining.py
@@ -21,7 +21,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, TransferId
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 BUSY_S = 20.0  # a busy machine keeps others from being drained for so long
 AVOID_S = 120.0  # a machine that was not empty in time is not chosen again for so long
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -22,7 +22,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, MachineId, Seconds, ShardName, TransferId, partition_of
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 MAX_HANDED_OVER = 20  # machines in one transaction
 
--- a/src/dapplewick/partitions/plan_in_force.py
+++ b/src/dapplewick/partitions/plan_in_force.py
@@ -10,7 +10,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 LOG_PAUSE_S = 60.0  # between two complaints of the same kind
 
--- a/src/dapplewick/partitions/target_solving.py
+++ b/src/dapplewick/partitions/target_solving.py
@@ -16,7 +16,7 @@
 from dapplewick.partitions.targets import TargetsInForce, holdings, supply
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 Solver = Callable[[Problem], Awaitable[Targets | None]]
 
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -16,7 +16,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import partition_of, zone_of
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 V = TypeVar("V")
 
--- a/src/dapplewick/partitions/transfer_drafts.py
+++ b/src/dapplewick/partitions/transfer_drafts.py
@@ -18,7 +18,7 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import TransferId
 
-log = logging.getLogger("dapplewick.partitions")
+log = logging.getLogger(__name__)
 
 # The least number of operations that a transaction of the state service may be limited to.
 MAX_GROUPED_DRAFTS = 4
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -30,7 +30,7 @@
 from dapplewick.storage.rate_limiter import RateLimiter
 from dapplewick.transport.http_client import HttpClient, HttpError, RequestNotSentError
 
-log = logging.getLogger("dapplewick.state")
+log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 1.5
 LISTING_TIMEOUT_S = 5.0  # for each page
--- a/src/dapplewick/storage/transactions.py
+++ b/src/dapplewick/storage/transactions.py
@@ -9,7 +9,7 @@
 
 from dapplewick.config import StateLimits
 
-log = logging.getLogger("dapplewick.state")
+log = logging.getLogger(__name__)
 
 # Of values in a transaction, which may hold 64 KiB with all around them.
 TRANSACTION_BYTES = 48 * 1024
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -48,7 +48,7 @@
     ShardName,
 )
 
-log = logging.getLogger("dapplewick.records")
+log = logging.getLogger(__name__)
 
 
 class _KeyHandlers(NamedTuple):
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -20,7 +20,7 @@
 from dapplewick.errors import DapplewickError
 from dapplewick.transport.listen import IdleCallback
 
-log = logging.getLogger("dapplewick.http")
+log = logging.getLogger(__name__)
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024  # request line and headers; the parser itself bounds neither
--- a/src/dapplewick/transport/listen.py
+++ b/src/dapplewick/transport/listen.py
@@ -11,7 +11,7 @@
 
 from dapplewick.transport.stream import accept
 
-log = logging.getLogger("dapplewick.listen")
+log = logging.getLogger(__name__)
 
 PAUSE_S = 0.05  # after an accept that failed
 LOG_INTERVAL_S = 10.0  # such failures are logged at most this often
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -13,7 +13,7 @@
 from dapplewick.errors import DapplewickError
 from dapplewick.types import Seconds
 
-log = logging.getLogger("dapplewick.peer")
+log = logging.getLogger(__name__)
 
 MAX_FRAME = 32 * 1024 * 1024  # a status of a shard with 4,000 machines of 100 tasks each
 CONNECT_S = 1.0
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -1,6 +1,6 @@
 """Compound failures: each is brought about, and the removal of its guard is detected.
 
-`docs/meetings.md` has a row for each, with what guards against it.
+`docs/compound-failures.md` has a row for each, with what guards against it.
 """
 
 from __future__ import annotations
--- a/tests/tools/measure_partitions.py
+++ b/tests/tools/measure_partitions.py
@@ -1,7 +1,7 @@
 """How long moves of machines between partitions take, and what the work there waits (simulated).
 
 Not a test: `PYTHONPATH=src:tests target/ci/bin/python tests/tools/measure_partitions.py` plays each
-move with the stand-ins in virtual time and prints a table for `docs/shares.md`.
+move with the stand-ins in virtual time and prints a table for `docs/partitions.md`.
 """
 
 from __future__ import annotations
