--- a/src/dapplewick/cli/main.py
+++ b/src/dapplewick/cli/main.py
@@ -117,11 +117,11 @@
 @click.option("--json", "as_json", is_flag=True, help="JSON instead of text.")
 def status(at: str, as_json: bool) -> None:
     """Ask a running controller how it is."""
-    said = _await(lambda: client.status(at))
+    answer = _await(lambda: client.status(at))
     if as_json:
-        _json(said)
+        _json(answer)
     else:
-        for line in status_lines(said):
+        for line in status_lines(answer):
             click.echo(line)
 
 
--- a/src/dapplewick/cli/partitions.py
+++ b/src/dapplewick/cli/partitions.py
@@ -49,19 +49,19 @@
         return await client.partitions(at, **messages.encode(command))
 
     try:
-        said = anyio.run(ask)
+        answer = anyio.run(ask)
     except client.ClientError as err:
         raise CommandError(str(err)) from None
-    status = int(said.get("status", 500))
+    status = int(answer.get("status", 500))
     if status == 200:
-        return said
-    error = str(said.get("error", f"status {status}"))
+        return answer
+    error = str(answer.get("error", f"status {status}"))
     raise InvalidInputError(error) if 400 <= status < 500 else CommandError(error)
 
 
-def _print(said: dict[str, Any], as_json: bool, lines: list[str]) -> None:
+def _print(answer: dict[str, Any], as_json: bool, lines: list[str]) -> None:
     if as_json:
-        lines = [msgspec.json.format(msgspec.json.encode(said)).decode()]
+        lines = [msgspec.json.format(msgspec.json.encode(answer)).decode()]
     for line in lines:
         click.echo(line)
 
@@ -71,17 +71,17 @@
 @json_option
 def show(at: str, as_json: bool) -> None:
     """Show the shares, their machines, and what is moving and why it waits."""
-    said = _call(at, ShowCommand())
-    _print(said, as_json, partition_lines(said))
+    answer = _call(at, ShowCommand())
+    _print(answer, as_json, partition_lines(answer))
 
 
 def _name(partition: str) -> str:
     return partition or "(no share)"
 
 
-def partition_lines(said: dict[str, Any]) -> list[str]:
+def partition_lines(answer: dict[str, Any]) -> list[str]:
     """What a controller tells of partitions, as text."""
-    report = msgspec.convert(said, type=PartitionsReport)
+    report = msgspec.convert(answer, type=PartitionsReport)
     lines = []
     if not report.targets_known:
         lines.append("the plan has not been worked out yet; nothing moves for it")
@@ -126,8 +126,8 @@
 def plan(at: str, as_json: bool, reset: bool, check: bool, file: str | None) -> None:
     """Show the plan in force, or put FILE, a Starlark script, in force."""
     if file is None and not reset:
-        said = _call(at, ShowCommand())["plan"]
-        _print(said, True, [])
+        answer = _call(at, ShowCommand())["plan"]
+        _print(answer, True, [])
         return
     if file is not None and reset:
         raise InvalidInputError("--reset: give no file with it")
@@ -140,8 +140,8 @@
     if check:
         _print({"status": 200}, as_json, ["the plan can be read"])
         return
-    said = _call(at, PlanCommand(plan=given))
-    _print(said, as_json, ["the plan is in force"])
+    answer = _call(at, PlanCommand(plan=given))
+    _print(answer, as_json, ["the plan is in force"])
 
 
 @click.command()
@@ -164,7 +164,7 @@
     count: int,
 ) -> None:
     """Move COUNT machines from one share of a zone to another, as their work ends."""
-    said = _call(
+    answer = _call(
         at,
         MoveCommand(
             id=command or f"o-{secrets.token_hex(6)}",
@@ -175,7 +175,7 @@
             target="" if target == OWN else target,
         ),
     )
-    _print(said, as_json, [f"transfer {said['id']}  {said['state']}"])
+    _print(answer, as_json, [f"transfer {answer['id']}  {answer['state']}"])
 
 
 @click.command()
@@ -184,8 +184,8 @@
 @click.argument("transfer")
 def cancel(at: str, as_json: bool, transfer: str) -> None:
     """End a transfer; what has moved stays where it is."""
-    said = _call(at, CancelCommand(id=transfer))
-    _print(said, as_json, [f"transfer {said['id']}  {said['state']}"])
+    answer = _call(at, CancelCommand(id=transfer))
+    _print(answer, as_json, [f"transfer {answer['id']}  {answer['state']}"])
 
 
 COMMANDS = (show, plan, move, cancel)
--- a/src/dapplewick/cli/status_text.py
+++ b/src/dapplewick/cli/status_text.py
@@ -80,9 +80,9 @@
     latencies_ms: dict[str, Latency]
 
 
-def status_lines(said: dict[str, Any]) -> list[str]:
+def status_lines(answer: dict[str, Any]) -> list[str]:
     """A status as text."""
-    status = cast(ControllerStatus, said)
+    status = cast(ControllerStatus, answer)
     return [
         *_controller_lines(status),
         *_version_lines(status),
--- a/src/dapplewick/client.py
+++ b/src/dapplewick/client.py
@@ -36,12 +36,12 @@
     except HttpError as err:
         raise ClientError(f"{at}: {err}") from None
     try:
-        said = msgspec.json.decode(answer, type=dict[str, Any])
+        reply = msgspec.json.decode(answer, type=dict[str, Any])
     except msgspec.DecodeError:
         raise ClientError(f"{at}: status {status}, and no JSON") from None
     if status not in (200, 201):
-        raise ClientError(f"{at}: status {status}: {said.get('error', 'refused')}")
-    return said
+        raise ClientError(f"{at}: status {status}: {reply.get('error', 'refused')}")
+    return reply
 
 
 async def submit(at: str, job: bytes) -> dict[str, Any]:
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -120,7 +120,7 @@
     time_bound_ms: float = 0.0
     machine_limits: MachineLimits = msgspec.field(default_factory=MachineLimits)
 
-    def aimed(self) -> frozenset[str]:
+    def classes_with_objectives(self) -> frozenset[str]:
         """The classes of which users say when they should start or be done."""
         return frozenset(o.class_ for o in self.objectives if o.class_)
 
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -76,7 +76,7 @@
         connect: Callable[[str, int], HttpClient] = HttpClient,
         link: Callable[[str, int], PeerLink] = PeerLink,
         clock: Callable[[], Seconds] = time.monotonic,
-        wall: Callable[[], Seconds] = time.time,
+        wall_time: Callable[[], Seconds] = time.time,
         seed: int | None = None,
         tuning: Tuning | None = None,
         partitions: PartitionService | None = None,
@@ -84,7 +84,7 @@
         self.settings = settings
         self.tuning = tuning or Tuning()
         self.now = clock
-        self.wall = wall
+        self.wall_time = wall_time
         self._random = random.Random(seed)
         self.identity = Identity(
             ControllerName(settings.host_name),
@@ -191,7 +191,7 @@
             self.peers,
             self.partitions,
             self.limits,
-            self.wall,
+            self.wall_time,
         )
         self.status = ControllerStatus(
             identity=self.identity,
@@ -246,7 +246,7 @@
             state=self.state,
             links=self.links,
             now=self.now,
-            wall=self.wall,
+            wall_time=self.wall_time,
             identity=self.identity,
             leadership=self.leadership,
             records=self.records,
@@ -264,7 +264,7 @@
             self.confirmations,
             self.links,
             now=self.now,
-            wall=self.wall,
+            wall_time=self.wall_time,
         )
         writer = LeaderWriter(self.election, self.leadership, self.state.writes, self.limits)
         self._leader_loop = LeaderLoop(
@@ -279,7 +279,7 @@
             writer=writer,
             new_planner=self._new_planner,
             now=self.now,
-            wall=self.wall,
+            wall_time=self.wall_time,
             rng=self._random,
         )
         self.cloud_calls = CloudCalls(
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -57,7 +57,7 @@
     writer: LeaderWriter
     new_planner: Callable[[FencingToken, Seconds], LeaderPlanner]
     now: Callable[[], Seconds]
-    wall: Callable[[], Seconds]
+    wall_time: Callable[[], Seconds]
     rng: random.Random
     _pass_took_s: Seconds = field(default=0.0, init=False)
 
@@ -116,7 +116,7 @@
         self._attach_partitions(planner)
         await self._assign_shards(planner, epoch, now)
         self._take_own_statuses(planner, now)
-        changes = planner.plan(now, self.wall())
+        changes = planner.plan(now, self.wall_time())
         self._pass_took_s = self.now() - now
         await self.writer.write(epoch, now, changes)
 
--- a/src/dapplewick/controller/owned_shards.py
+++ b/src/dapplewick/controller/owned_shards.py
@@ -66,7 +66,7 @@
             self._estimates,
             now,
             tuning=self._tuning,
-            aimed=self._deployment.aimed(),
+            classes_with_objectives=self._deployment.classes_with_objectives(),
             lease_s=self._deployment.workers.lease_s,
             report_s=self._deployment.workers.report_s,
         )
--- a/src/dapplewick/controller/partition_host.py
+++ b/src/dapplewick/controller/partition_host.py
@@ -28,7 +28,7 @@
     state: StateClient
     links: Mapping[ControllerName, PeerLink]
     now: Callable[[], Seconds]
-    wall: Callable[[], Seconds]
+    wall_time: Callable[[], Seconds]
     identity: Identity
     leadership: Leadership
     records: RecordFollower
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -81,9 +81,9 @@
         self.exchange.confirm_status(status, number)
 
     def _hear_confirmation(self, message: dict[str, Any]) -> None:
-        said = peers.decode(message, StatusConfirmation)
+        reply = peers.decode(message, StatusConfirmation)
         self.confirmations.confirm(
-            said.shard, Confirmation(said.token, said.incarnation, said.number)
+            reply.shard, Confirmation(reply.token, reply.incarnation, reply.number)
         )
 
     async def _answer_forwarded(self, message: dict[str, Any]) -> dict[str, Any]:
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -42,7 +42,7 @@
         links: Mapping[ControllerName, PeerLink],
         *,
         now: Callable[[], Seconds],
-        wall: Callable[[], Seconds],
+        wall_time: Callable[[], Seconds],
     ) -> None:
         self._identity = identity
         self._records = records
@@ -51,7 +51,7 @@
         self._confirmations = confirmations
         self._links = links
         self._now = now
-        self._wall = wall
+        self._wall_time = wall_time
         self._status_sent_at: dict[ShardName, Seconds] = {}
 
     async def run(self) -> None:
@@ -68,7 +68,7 @@
             gap_s = max(MIN_TICK_S, min(MAX_TICK_S, TICK_REST_FACTOR * (self._now() - now)))
 
     def _tick(self, now: Seconds, name: ShardName, scheduler: ShardScheduler, gap_s: float) -> None:
-        scheduler.tick(now, self._wall(), now - self._records.current_at < FOLLOWED_S)
+        scheduler.tick(now, self._wall_time(), now - self._records.current_at < FOLLOWED_S)
         due_s = gap_s if scheduler.dirty else STATUS_IDLE_S
         if now - self._status_sent_at.get(name, NEVER_S) >= due_s * STATUS_SLACK:
             self._status_sent_at[name] = now
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -58,7 +58,7 @@
         peers: PeerExchange,
         partitions: PartitionSwitch,
         limits: RecordLimits,
-        wall: Callable[[], Seconds],
+        wall_time: Callable[[], Seconds],
     ) -> None:
         self._deployment = deployment
         self._teams = {team.name: team for team in deployment.teams}
@@ -68,7 +68,7 @@
         self._peers = peers
         self._partitions = partitions
         self._limits = limits
-        self._wall = wall
+        self._wall_time = wall_time
 
     async def handle(self, request: Request) -> Response | None:
         """Answer a request under our path; None if it is another's.
@@ -177,7 +177,7 @@
         if spec.types is not None:
             known = sorted({t for t in spec.types if t in cache.types})
             spec = msgspec.structs.replace(spec, types=known)
-        job = JobRecord(spec, self._wall())
+        job = JobRecord(spec, self._wall_time())
         shards, room = self._partitions.shard_names(), self._limits.now().value_bytes
         if cache.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
             job.chunk_size = chunk_tasks(spec.task_count, shards, room)
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -178,19 +178,19 @@
             The peer's answer; None if no peer reaches the state service or answers in time.
         """
         now = self._now()
-        able = [
+        eligible = [
             controller
             for controller, contact in self.contacts.items()
             if contact.reaches_state_service
             and now - contact.at_s < FORWARD_TO_WITHIN_S
             and controller in self._links
         ]
-        if not able:
+        if not eligible:
             return None
         forwarded = ForwardedRequest(
             method=request.method, target=request.target, body=request.body
         )
-        link = self._links[self._random.choice(able)]
+        link = self._links[self._random.choice(eligible)]
         reply = await link.ask(peers.encode(forwarded), FORWARDED_TIMEOUT_S)
         if reply is None or reply.get("status") in (None, 503):
             return None
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -40,21 +40,21 @@
         self._wanted_fraction = 0.0  # of all accelerators that are up
         self.priority = -1
 
-    def update(self, now: Seconds, wall: Seconds) -> None:
+    def update(self, now: Seconds, wall_time: Seconds) -> None:
         """Sum up the demand of all open jobs; a demand that has passed fades.
 
         Args:
             now: The steady clock.
-            wall: The wall clock, which is compared with times of submission.
+            wall_time: The wall clock, which is compared with times of submission.
         """
-        wanted = self._count_wanted(wall)
+        wanted = self._count_wanted(wall_time)
         fade = math.exp(-max(0.0, now - self._updated_at) / FADE_S)
         self._updated_at = now
         self._wanted = max(wanted, self._wanted * fade)
         have = self._count_up()
         self._wanted_fraction = min(1.0, self._wanted / have) if have else 0.0
 
-    def _count_wanted(self, wall: Seconds) -> float:
+    def _count_wanted(self, wall_time: Seconds) -> float:
         """The accelerators that unfinished work wants; notes its priority and what goes with it."""
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
@@ -66,7 +66,7 @@
                 if (
                     self._aimed_classes
                     and spec.job_class not in self._aimed_classes
-                    and wall - job.submitted_at < UNAIMED_S
+                    and wall_time - job.submitted_at < UNAIMED_S
                 ):
                     continue
                 self.priority = max(self.priority, spec.priority)
--- a/src/dapplewick/core/leader/array_order.py
+++ b/src/dapplewick/core/leader/array_order.py
@@ -50,7 +50,7 @@
         self._aimed_classes = aimed_classes
         self._class_weights = tuning.class_weights
 
-    def pending(self, wall: Seconds) -> list[PendingArray]:
+    def pending(self, wall_time: Seconds) -> list[PendingArray]:
         """All open arrays and services, in the order in which they are served."""
         jobs = [
             (job_id, job)
@@ -68,14 +68,14 @@
                 -array.job.spec.priority,
                 array.job_id not in within,
                 -self._class_weights.get(array.job.spec.job_class, 1.0),
-                self._due(array.job, wall),
+                self._due(array.job, wall_time),
                 array.job.submitted_at,
                 array.job_id,
             )
         )
         return pending
 
-    def behind_gangs(self, wall: Seconds, pending: list[PendingArray]) -> list[PendingArray]:
+    def behind_gangs(self, wall_time: Seconds, pending: list[PendingArray]) -> list[PendingArray]:
         """Without the work that has no objectives, while gangs wait that have some.
 
         Its tasks would take each slot before enough are idle for a gang.
@@ -94,16 +94,16 @@
             for array in pending
             if array.job.spec.job_class in self._aimed_classes
             or array.job.spec.is_service
-            or wall - array.job.submitted_at > UNAIMED_WAIT_S
+            or wall_time - array.job.submitted_at > UNAIMED_WAIT_S
         ]
 
-    def _due(self, job: JobRecord, wall: Seconds) -> DueTime:
+    def _due(self, job: JobRecord, wall_time: Seconds) -> DueTime:
         """The first of a job's objectives that it can still reach.
 
         Late work goes behind work that is still in time, or under load the most overdue would make
         everything late.
         """
-        earliest = wall + self._estimates.run_time(job.spec)
+        earliest = wall_time + self._estimates.run_time(job.spec)
         missed = 0
         for within_s in sorted(self._objective_times(job)):
             if job.submitted_at + within_s >= earliest:
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -85,7 +85,7 @@
         self._drafts = drafts
 
     def capacity_requests(
-        self, wall: Seconds, pending: Iterable[PendingArray]
+        self, wall_time: Seconds, pending: Iterable[PendingArray]
     ) -> list[CapacityRequest]:
         """All requests of this moment, those for accelerators first."""
         requests = self._gang_requests()
@@ -99,7 +99,7 @@
             need = _MachineNeed(tuple(spec.types or ()), spec.spot, spec.zone, spec.gpus > 0)
             arrays.setdefault(need, []).append(array)
         for alike in arrays.values():
-            requests += self._array_requests(wall, alike)
+            requests += self._array_requests(wall_time, alike)
         if self._gangs.spec is not None and self._gangs.slots >= LEAST_GANG_SLOTS:
             # Idle slots for gangs still to come: provisioning when they are here is too late.
             requests.append(CapacityRequest(self._gangs.spec, math.ceil(self._gangs.slots), False))
@@ -176,9 +176,11 @@
             return None
         return {zone: max(0, spec.zone_cap - job.assigned_in_zone(zone)) for zone in self._zones}
 
-    def _array_requests(self, wall: Seconds, alike: list[PendingArray]) -> list[CapacityRequest]:
+    def _array_requests(
+        self, wall_time: Seconds, alike: list[PendingArray]
+    ) -> list[CapacityRequest]:
         """Enough slots for all that waits to start within the horizon."""
-        work = self._array_work(wall, alike)
+        work = self._array_work(wall_time, alike)
         horizon_s = self._tuning.horizon_s
         if alike[0].job.spec.gpus > 0:
             horizon_s = self._tuning.horizon_accelerator_s
@@ -191,7 +193,7 @@
             count = max(count, min(work.waiting, starved))
         return [CapacityRequest(work.largest, count, False)] if count > 0 else []
 
-    def _array_work(self, wall: Seconds, alike: list[PendingArray]) -> _ArrayWork:
+    def _array_work(self, wall_time: Seconds, alike: list[PendingArray]) -> _ArrayWork:
         work = _ArrayWork(alike[0].job.spec)
         for job_id, job, unassigned in alike:
             placed = self._shards.placed(job_id)
@@ -201,7 +203,7 @@
             work.running += placed
             work.waiting += waiting
             work.seconds += seconds
-            if not placed and wall - job.submitted_at > STARVED_S:
+            if not placed and wall_time - job.submitted_at > STARVED_S:
                 work.starved_seconds += seconds
             if waiting and job.spec.cpus > work.largest.cpus:
                 work.largest = job.spec
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -63,23 +63,23 @@
     def changes(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         shard_capacities: list[ShardCapacity],
         pending: list[PendingArray],
     ) -> list[ConditionalWrite]:
         """The writes of provisioning requests; what ends machines is drafted with these."""
-        changes = self._take_answers(now, wall)
+        changes = self._take_answers(now, wall_time)
         if now - self._scaled_at >= SCALING_S and self._is_ready(now):
             self._scaled_at = now
-            requests = self._capacity_requests.capacity_requests(wall, pending)
+            requests = self._capacity_requests.capacity_requests(wall_time, pending)
             # Before scaling out takes slots for what waits.
             spare_slots = self._scale_in.spare_slots(shard_capacities)
-            wanted = self._provisioner.scale_out(now, wall, requests, shard_capacities)
+            wanted = self._provisioner.scale_out(now, wall_time, requests, shard_capacities)
             changes += [self._request(request) for request in wanted.requests]
             self._scale_in.terminate_idle(wanted.unmet, spare_slots)
         return changes
 
-    def _take_answers(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
+    def _take_answers(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
         """Draft the machines that the cloud gave, and the end of their requests."""
         changes = []
         for name, machines in list(self.provisioned.items()):
@@ -89,7 +89,7 @@
                 continue
             if machines is None or len(machines) < request.count:
                 self._provisioner.no_capacity(now, request)
-            self._machine_lifecycle.provisioned(name, request, machines or [], wall)
+            self._machine_lifecycle.provisioned(name, request, machines or [], wall_time)
             key = PROVISIONING_REQUESTS + name
             version = self._cache.version(key)
             changes.append(ConditionalWrite(key, None, version, WritePriority.URGENT))
--- a/src/dapplewick/core/leader/load_log.py
+++ b/src/dapplewick/core/leader/load_log.py
@@ -27,7 +27,7 @@
     def note(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         shard_capacities: Iterable[ShardCapacity],
         pending: Iterable[PendingArray],
     ) -> None:
@@ -43,7 +43,7 @@
             "event=load_reported free=%s provisioning=%d unassigned=%s gangs_waiting=%d "
             "gangs_placed=%d",
             _free_by_type(shard_capacities),
-            len(self._provisioner.coming(wall)),
+            len(self._provisioner.coming(wall_time)),
             unassigned,
             sum(job.gang is None for job in gangs),
             sum(job.gang is not None for job in gangs),
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -204,7 +204,7 @@
         self,
         machines: list[MachineId],
         kind: GroupKind,
-        wall: Seconds,
+        wall_time: Seconds,
         name: str,
         priority: WritePriority,
     ) -> None:
@@ -213,7 +213,7 @@
         Args:
             machines: The machines; they boot.
             kind: The kind of all of them.
-            wall: When they were provisioned, by the wall clock.
+            wall_time: When they were provisioned, by the wall clock.
             name: The name of a new group; others are derived of it if that is taken, or if the
                 machines need several.
             priority: The rank of the writes.
@@ -222,9 +222,9 @@
         if len(machines) > most:
             for n, first in enumerate(range(0, len(machines), most)):
                 some = machines[first : first + most]
-                self.add(some, kind, wall, f"{name}.{n}" if n else name, priority)
+                self.add(some, kind, wall_time, f"{name}.{n}" if n else name, priority)
             return
-        states: dict[str, str] = dict.fromkeys(machines, f"{BOOTING}{wall:.0f}")
+        states: dict[str, str] = dict.fromkeys(machines, f"{BOOTING}{wall_time:.0f}")
         known = self._group_with_space(kind, most - len(machines))
         if known is not None:
             self._edit(known, priority).machines.update(states)
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -133,7 +133,7 @@
         name: str,
         provisioning_request: ProvisioningRequest,
         machines: list[MachineId],
-        wall: Seconds,
+        wall_time: Seconds,
     ) -> None:
         """Draft the machines that the cloud gave for a provisioning request of this name."""
         new = [m for m in machines if m not in self._cache.machines and m not in self.deleted]
@@ -141,14 +141,14 @@
             kind = GroupKind(
                 provisioning_request.type, provisioning_request.zone, provisioning_request.spot
             )
-            self._groups.add(new, kind, wall, name, WritePriority.URGENT)
+            self._groups.add(new, kind, wall_time, name, WritePriority.URGENT)
 
-    def _adopt(self, machine_id: MachineId, item: ListedMachine, wall: Seconds) -> None:
+    def _adopt(self, machine_id: MachineId, item: ListedMachine, wall_time: Seconds) -> None:
         """Draft a machine that is recorded nowhere: it is used or deleted like the others."""
         if machine_id in self._cache.machines or machine_id in self.deleted:
             return
         kind = GroupKind(item.type, item.zone, item.spot)
-        self._groups.add([machine_id], kind, wall, f"x-{machine_id}", WritePriority.LOW)
+        self._groups.add([machine_id], kind, wall_time, f"x-{machine_id}", WritePriority.LOW)
         log.info("event=machine_adopted machine=%s", machine_id)
 
     # The pass
@@ -156,7 +156,7 @@
     def review(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         statuses: Mapping[MachineId, MachineStatus],
         silences: Mapping[MachineId, Silence],
         zones: list[str],
@@ -165,7 +165,7 @@
 
         Args:
             now: The steady clock.
-            wall: The wall clock.
+            wall_time: The wall clock.
             statuses: What the shards say of each machine.
             silences: The machines that their shards have not heard for a while.
             zones: The zones of this deployment; machines elsewhere are not adopted.
@@ -184,7 +184,7 @@
             elif status is not None and status.reconciled and not record.up:
                 came_up.setdefault(self._cache.group_of[machine_id], []).append(machine_id)
         self._mark_up(now, came_up)
-        self._adopt_unknown(now, wall, zones)
+        self._adopt_unknown(now, wall_time, zones)
 
     def _mark_up(self, now: Seconds, came_up: dict[str, list[MachineId]]) -> None:
         """Draft that machines came up: those of a group together, as hundreds do at the start."""
@@ -193,12 +193,12 @@
                 for machine_id in machines:
                     self._groups.set_state(machine_id, UP, WritePriority.NORMAL)
 
-    def _adopt_unknown(self, now: Seconds, wall: Seconds, zones: list[str]) -> None:
+    def _adopt_unknown(self, now: Seconds, wall_time: Seconds, zones: list[str]) -> None:
         patience_s = UNKNOWN_LAGS * self._list_lag_s
         for machine_id, since in self._unknown_since.items():
             item = self.listed[machine_id]
             if now - since > patience_s and item.zone in zones:
-                self._adopt(machine_id, item, wall)
+                self._adopt(machine_id, item, wall_time)
 
     def _reason_to_go(
         self,
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -48,7 +48,7 @@
 class PartitionRebalancer(Protocol):
     """What the leader needs of the partitions of zones, where there are any."""
 
-    def note_waiting(self, wall: Seconds, jobs: Iterable[JobRecord]) -> None:
+    def note_waiting(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Note which jobs wait: they may wait for machines that are kept for other teams."""
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
@@ -57,7 +57,7 @@
     def changes(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         shards: list[ObservedShard],
         placed: Set[MachineId],
         machine_lifecycle: MachineLifecycle,
@@ -97,7 +97,7 @@
         self._ids = TermIds(epoch)
         self._drafts = drafts = JobDrafts(cache)
         self._observed = observed = ObservedShards(cache, estimates)
-        self._demand = AcceleratorDemand(cache, deployment.aimed())
+        self._demand = AcceleratorDemand(cache, deployment.classes_with_objectives())
         self._gangs = GangDemand(cache, tuning.spare_slots)
         self._provisioner = provisioner = Provisioner(
             cache,
@@ -124,7 +124,12 @@
             drafts, self._quotas, self._demand, provisioner, estimates, tuning, zones, self._ids
         )
         self._array_order = ArrayOrder(
-            drafts, self._quotas, estimates, deployment.objectives, deployment.aimed(), tuning
+            drafts,
+            self._quotas,
+            estimates,
+            deployment.objectives,
+            deployment.classes_with_objectives(),
+            tuning,
         )
         self._array_assignment = ArrayAssignment(drafts, self._quotas, observed, self._gangs)
         self._scaling = ClusterScaling(
@@ -195,12 +200,12 @@
 
     # The pass
 
-    def plan(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
+    def plan(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
         """Decide what to write now.
 
         Args:
             now: The steady clock.
-            wall: The wall clock, which is compared with times of submission.
+            wall_time: The wall clock, which is compared with times of submission.
 
         Returns:
             The writes, those that matter most first.
@@ -208,21 +213,21 @@
         self._drafts.clear()
         self.machine_lifecycle.begin()
         self._reconciliation.reconcile(now)
-        self._review_machines(now, wall)
-        self._demand.update(now, wall)
+        self._review_machines(now, wall_time)
+        self._demand.update(now, wall_time)
         self._gangs.update(now)
         self._quotas.recount()
         if self.partitions is not None:
-            self.partitions.note_waiting(wall, (job for _, job in self._drafts.live_jobs()))
+            self.partitions.note_waiting(wall_time, (job for _, job in self._drafts.live_jobs()))
         shard_capacities = self._capacity_view.of_pass(now, self._served_teams)
-        self._waiting_gangs.place(wall, shard_capacities)
-        pending = self._array_order.pending(wall)
+        self._waiting_gangs.place(wall_time, shard_capacities)
+        pending = self._array_order.pending(wall_time)
         self._array_assignment.assign(
-            shard_capacities, self._array_order.behind_gangs(wall, pending)
+            shard_capacities, self._array_order.behind_gangs(wall_time, pending)
         )
         types = self._machine_types.changes()
-        requests = self._scaling.changes(now, wall, shard_capacities, pending)
-        moves = self._partition_changes(now, wall)
+        requests = self._scaling.changes(now, wall_time, shard_capacities, pending)
+        moves = self._partition_changes(now, wall_time)
         # Machines before the end of the provisioning request that they came of: what the budget
         # cuts off is the end of this list, and a machine without record or request is found only
         # later.
@@ -235,10 +240,10 @@
             *self._job_changes(now),
         ]
         changes.sort(key=lambda change: change.priority)
-        self._load_log.note(now, wall, shard_capacities, pending)
+        self._load_log.note(now, wall_time, shard_capacities, pending)
         return changes
 
-    def _review_machines(self, now: Seconds, wall: Seconds) -> None:
+    def _review_machines(self, now: Seconds, wall_time: Seconds) -> None:
         """Look for machines that came up, turned out unknown, or have to go."""
         statuses: dict[MachineId, MachineStatus] = {}
         silences: dict[MachineId, Silence] = {}
@@ -251,12 +256,12 @@
                 if not self._observed.has_moved(machine_id, shard):
                     silence = Silence(silent.silent_s, silent.urgent, others_heard)
                     silences[machine_id] = silence
-        self.machine_lifecycle.review(now, wall, statuses, silences, self._zones)
+        self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
 
     def _served_teams(self, shard: ShardName) -> frozenset[str] | None:
         return self.partitions.served_teams(shard) if self.partitions is not None else None
 
-    def _partition_changes(self, now: Seconds, wall: Seconds) -> list[ConditionalWrite]:
+    def _partition_changes(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
         """Move machines between partitions.
 
         After all else of this pass, so that no group is written for a move and for another reason
@@ -270,7 +275,7 @@
                 if job.gang is not None:
                     placed.update(MachineId(machine) for _, machine in job.gang.placements)
         return self.partitions.changes(
-            now, wall, self._observed.owned(), placed, self.machine_lifecycle
+            now, wall_time, self._observed.owned(), placed, self.machine_lifecycle
         )
 
     def _raise_format(self) -> list[ConditionalWrite]:
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -69,7 +69,7 @@
         """How long a machine of this type may take to come up before it is given up."""
         return self._market.boot_limit_s(machine_type)
 
-    def coming(self, wall: Seconds) -> list[MachineCapacity]:
+    def coming(self, wall_time: Seconds) -> list[MachineCapacity]:
         """Machines that are provisioned or asked for and not yet up, as empty ones.
 
         One that is long overdue may never come: nothing is left waiting for it.
@@ -79,7 +79,7 @@
             machine_type = self._cache.types.get(record.type)
             if machine_type is None or record.up or record.terminating:
                 continue
-            if wall - record.at < OVERDUE_TIMES * machine_type.boot_s:
+            if wall_time - record.at < OVERDUE_TIMES * machine_type.boot_s:
                 capacities.append(_empty(machine_id, machine_type, record.zone, record.spot))
         for name, request in self._cache.provisioning_requests.items():
             machine_type = self._cache.types.get(request.type)
@@ -93,7 +93,7 @@
     def scale_out(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         capacity_requests: list[CapacityRequest],
         shard_capacities: list[ShardCapacity],
     ) -> ScaleOut:
@@ -106,7 +106,7 @@
         zones = _capacities_by_zone(shard_capacities)
         for zone in self._zones:
             zones.setdefault(Zone(zone), ShardCapacity(ShardName(zone), []))
-        for capacity in self.coming(wall):
+        for capacity in self.coming(wall_time):
             if capacity.zone in zones:
                 zones[capacity.zone].add(capacity)
         scaling = _ScalingPass(
--- a/src/dapplewick/core/leader/shard_reservation.py
+++ b/src/dapplewick/core/leader/shard_reservation.py
@@ -35,14 +35,14 @@
         """The shards in which the next gang may be placed."""
         return [capacity for capacity in shard_capacities if capacity.shard != self._shard]
 
-    def placed(self, wall: Seconds, shards: set[ShardName]) -> None:
+    def placed(self, wall_time: Seconds, shards: set[ShardName]) -> None:
         """Note that a gang was placed in these shards: the reservation there helps."""
         if self._last_shard in shards:
-            self._since = wall
+            self._since = wall_time
 
     def ask(
         self,
-        wall: Seconds,
+        wall_time: Seconds,
         spec: JobSpec,
         waited_s: Seconds,
         shard_capacities: list[ShardCapacity],
@@ -52,17 +52,17 @@
 
         It is the one in which most slots become idle within `limit_s`.
         """
-        if self._shard is not None or wall < self._paused_until:
+        if self._shard is not None or wall_time < self._paused_until:
             return
         if not OVERDUE_S <= waited_s < HOPELESS_S:
             return
-        able = [capacity for capacity in shard_capacities if capacity.could_hold_all(spec)]
-        if not able:
+        eligible = [capacity for capacity in shard_capacities if capacity.could_hold_all(spec)]
+        if not eligible:
             return
-        shard = max(able, key=lambda capacity: capacity.slots_within(spec, limit_s)).shard
+        shard = max(eligible, key=lambda capacity: capacity.slots_within(spec, limit_s)).shard
         if shard != self._last_shard:
-            self._since = wall
-        if wall - self._since >= MOST_S:
-            self._paused_until = wall + PAUSE_S
+            self._since = wall_time
+        if wall_time - self._since >= MOST_S:
+            self._paused_until = wall_time + PAUSE_S
             return
         self._shard = shard
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -24,12 +24,12 @@
     capacities: Iterable[MachineCapacity], spec: JobSpec, count: int
 ) -> list[MachineCapacity] | None:
     """Machines for `count` tasks in idle slots, or None; takes nothing yet."""
-    able = sorted(
+    eligible = sorted(
         (c for c in capacities if c.allows(spec) and c.slot_count(spec) > 0),
         key=lambda c: spare_key(c, spec),
     )
     chosen: list[MachineCapacity] = []
-    for capacity in able:
+    for capacity in eligible:
         chosen.extend([capacity] * min(count - len(chosen), capacity.slot_count(spec)))
         if len(chosen) == count:
             return chosen
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -58,18 +58,18 @@
         self._ids = ids
         self._reservation = ShardReservation()
 
-    def place(self, wall: Seconds, shard_capacities: list[ShardCapacity]) -> None:
+    def place(self, wall_time: Seconds, shard_capacities: list[ShardCapacity]) -> None:
         """Draft the placements of this pass."""
         self._reservation.begin()
-        left = self._place_each(self._waiting(), wall, shard_capacities)
+        left = self._place_each(self._waiting(), wall_time, shard_capacities)
         above = [gang for gang in left if gang.job.spec.priority > self._demand.priority]
         if above and self._demand.wanted():
-            above = self._not_awaited(wall, above)
+            above = self._not_awaited(wall_time, above)
         if above and self._demand.wanted():
             # Nothing without accelerators is to be had soon, and this work goes before theirs.
             for shard in shard_capacities:
                 shard.set_demand(None)
-            self._place_each(above, wall, shard_capacities)
+            self._place_each(above, wall_time, shard_capacities)
             for shard in shard_capacities:
                 shard.set_demand(self._demand)
 
@@ -91,7 +91,7 @@
         return waiting
 
     def _place_each(
-        self, waiting: list[WaitingGang], wall: Seconds, shard_capacities: list[ShardCapacity]
+        self, waiting: list[WaitingGang], wall_time: Seconds, shard_capacities: list[ShardCapacity]
     ) -> list[WaitingGang]:
         """Place gangs in this order; gives those for which there were no slots."""
         left = []
@@ -99,15 +99,15 @@
             spec = gang.job.spec
             if self._quotas.within_limit(spec) < spec.task_count:
                 continue
-            waited_s = wall - gang.job.submitted_at
+            waited_s = wall_time - gang.job.submitted_at
             limit_s = self._reservation_limit_s(spec, waited_s)
             open_shards = self._reservation.open_shards(shard_capacities)
             slots = place_gang(spec, open_shards, limit_s, self._patience_s)
             if slots is None:
                 left.append(gang)
-                self._reservation.ask(wall, spec, waited_s, shard_capacities, limit_s)
+                self._reservation.ask(wall_time, spec, waited_s, shard_capacities, limit_s)
             else:
-                self._take(gang, slots, wall, shard_capacities)
+                self._take(gang, slots, wall_time, shard_capacities)
         return left
 
     def _reservation_limit_s(self, spec: JobSpec, waited_s: Seconds) -> Seconds:
@@ -119,14 +119,14 @@
         self,
         gang: WaitingGang,
         slots: ChosenSlots,
-        wall: Seconds,
+        wall_time: Seconds,
         shard_capacities: list[ShardCapacity],
     ) -> None:
         """Take a gang's slots and draft its placement."""
         by_name = {shard.shard: shard for shard in shard_capacities}
         for capacity in slots.capacities:
             by_name[capacity.shard].take([capacity], gang.job.resources)
-        self._reservation.placed(wall, {capacity.shard for capacity in slots.capacities})
+        self._reservation.placed(wall_time, {capacity.shard for capacity in slots.capacities})
         self._quotas.spend(gang.job.spec, gang.job.spec.task_count)
         attempt = self._ids.next_attempt()
         placements = [(str(c.shard), str(c.id)) for c in slots.capacities]
@@ -141,14 +141,14 @@
             slots.preempt,
         )
 
-    def _not_awaited(self, wall: Seconds, gangs: list[WaitingGang]) -> list[WaitingGang]:
+    def _not_awaited(self, wall_time: Seconds, gangs: list[WaitingGang]) -> list[WaitingGang]:
         """Gangs for which no machines without accelerators are about to come up.
 
         At the start of a day all come up together, and those that were there first kept gangs for
         minutes.
         """
         coming = {Zone(zone): ShardCapacity(ShardName(zone), []) for zone in self._zones}
-        for capacity in self._provisioner.coming(wall):
+        for capacity in self._provisioner.coming(wall_time):
             if capacity.total.gpus == 0 and capacity.zone in coming:
                 coming[capacity.zone].add(capacity)
         return [gang for gang in gangs if not _take_coming(gang.job.spec, list(coming.values()))]
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -1,7 +1,7 @@
 """Which array tasks pass a gang's reservation: the test of the design's fourth point.
 
-"A freed slot headed by a held gang starts the next single estimated to run at most the gang's
-remaining wait plus a threshold T." The paper sets T to 0.
+A slot that is reserved for a gang runs an array task first if that is estimated to end within the
+gang's remaining wait plus a threshold T. The paper sets T to 0 (`docs/design.md`).
 """
 
 from __future__ import annotations
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -28,14 +28,14 @@
         self._gangs = gangs
         self._has_few_slots = False  # whether few idle slots of the gangs' size are left
 
-    def update(self, now: Seconds, wall: Seconds) -> None:
+    def update(self, now: Seconds, wall_time: Seconds) -> None:
         """Count anew what is wanted and what is left.
 
         Args:
             now: The time by this process's clock.
-            wall: The time by the clock under which jobs are submitted.
+            wall_time: The time by the clock under which jobs are submitted.
         """
-        self._accelerators.update(now, wall)
+        self._accelerators.update(now, wall_time)
         self._gangs.update(now)
         self._has_few_slots = self._few_slots_left()
 
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -1,7 +1,7 @@
 """How array tasks join slots and queues: the first point of the design.
 
-"A single joins an idle, empty slot, else a held slot whose test it passes, else the shortest
-queue."
+An array task takes an idle slot with an empty queue; else a reserved slot, if it passes the
+backfilling test; else it waits in the shortest queue (`docs/design.md`).
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
         waiting = list(unqueued)
         unqueued.clear()
         stuck: set[PlacementKey] = set()
-        able: dict[PlacementKey, list[Machine]] = {}
+        eligible: dict[PlacementKey, list[Machine]] = {}
         for task in waiting:
             array_task = self._tasks.get(task)
             if (
@@ -75,9 +75,9 @@
             if spec is None or spec.placement_key in stuck:
                 unqueued.append(task)
                 continue
-            machines = able.get(spec.placement_key)
+            machines = eligible.get(spec.placement_key)
             if machines is None:
-                machines = able[spec.placement_key] = self._able_machines(spec, usable)
+                machines = eligible[spec.placement_key] = self._able_machines(spec, usable)
             if not self._join(now, task, array_task, spec, machines):
                 stuck.add(spec.placement_key)
                 unqueued.append(task)
@@ -90,7 +90,12 @@
         ]
 
     def _join(
-        self, now: Seconds, task: TaskRef, array_task: ArrayTask, spec: JobSpec, able: list[Machine]
+        self,
+        now: Seconds,
+        task: TaskRef,
+        array_task: ArrayTask,
+        spec: JobSpec,
+        eligible: list[Machine],
     ) -> bool:
         """A task joins an idle slot, else a reserved one that it passes, else the shortest queue.
 
@@ -99,24 +104,24 @@
         """
         if spec.is_service:
             # A replica waits in no queue: the tasks of a slot may take long.
-            machine = self._replicas.best_machine(now, spec, task.job, able)
+            machine = self._replicas.best_machine(now, spec, task.job, eligible)
             if machine is not None:
                 self._tasks.assign_new_slot(now, task, machine)
             return machine is not None
-        if len(able) > SAMPLE:
-            able = self._sample(spec, able)
-        machine = self._machine_with_room(now, spec, able)
+        if len(eligible) > SAMPLE:
+            eligible = self._sample(spec, eligible)
+        machine = self._machine_with_room(now, spec, eligible)
         if machine is not None:
             self._tasks.assign_new_slot(now, task, machine)
             return True
-        slot = self._slot_with_shortest_queue(spec, able)
+        slot = self._slot_with_shortest_queue(spec, eligible)
         if slot is None:
             return False
         self._queues.join(slot, task)
         array_task.slot = slot
         return True
 
-    def _sample(self, spec: JobSpec, able: list[Machine]) -> list[Machine]:
+    def _sample(self, spec: JobSpec, eligible: list[Machine]) -> list[Machine]:
         """Some machines to look at: of those with the image, and of all."""
         machine_ids = self._images.where(spec.image)
         chosen: list[Machine] = []
@@ -131,18 +136,18 @@
                     and spec.resources.fits_in(machine.capacity)
                 ):
                     chosen.append(machine)
-        rest = self._random.sample(able, SAMPLE - len(chosen))
+        rest = self._random.sample(eligible, SAMPLE - len(chosen))
         return chosen + [m for m in rest if m not in chosen]
 
     def _machine_with_room(
-        self, now: Seconds, spec: JobSpec, able: list[Machine]
+        self, now: Seconds, spec: JobSpec, eligible: list[Machine]
     ) -> Machine | None:
         """The best machine with room beside its reservations, else one whose test is passed."""
         resources = spec.resources
         best: Machine | None = None
         best_key = (0.0, 0.0, 0.0)
         fits: list[Machine] = []
-        for machine in able:
+        for machine in eligible:
             free = self._free_capacity.usable_by(spec, machine)
             if not resources.fits_in(free):
                 continue
@@ -158,10 +163,10 @@
             return best
         return next((m for m in fits if self._backfill.passes(now, spec, m)), None)
 
-    def _slot_with_shortest_queue(self, spec: JobSpec, able: list[Machine]) -> Slot | None:
+    def _slot_with_shortest_queue(self, spec: JobSpec, eligible: list[Machine]) -> Slot | None:
         queues = [
             (len(slot.queue), is_cold, slot)
-            for machine in able
+            for machine in eligible
             for is_cold in [spec.image not in machine.images]
             for slot in machine.slots
             if len(slot.queue) < MAX_QUEUE and not slot.endless
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -53,7 +53,7 @@
         self._heartbeat_interval_s = heartbeat_interval_s
 
     def best_machine(
-        self, now: Seconds, spec: JobSpec, job_id: JobId, able: Iterable[Machine]
+        self, now: Seconds, spec: JobSpec, job_id: JobId, eligible: Iterable[Machine]
     ) -> Machine | None:
         """The machine on which a replica will run soonest.
 
@@ -64,13 +64,13 @@
             now: The time.
             spec: What the service asks for.
             job_id: The service.
-            able: The machines to choose from.
+            eligible: The machines to choose from.
 
         Returns:
             The machine; None if there is room on none.
         """
         best: tuple[Seconds, Machine] | None = None
-        for machine in able:
+        for machine in eligible:
             room = machine.free()
             reserved = self._reservations.reserved_resources(machine.id)
             if reserved is not NO_RESOURCES:
@@ -120,8 +120,8 @@
         is_drained = machine.drain or self._cache.transfers.drains(machine.id) is not None
         if machine.spot_notice_s is None and not machine.slow and not is_drained:
             return False
-        able = (m for m in self._others(machine) if self._constraints.allow(spec, m))
-        place = self.best_machine(now, spec, job_id, able)
+        eligible = (m for m in self._others(machine) if self._constraints.allow(spec, m))
+        place = self.best_machine(now, spec, job_id, eligible)
         if place is None or not spec.resources.fits_in(place.free()):
             return False
         # Without its image there it is away for longer: only for a notice, or in the end.
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -73,7 +73,7 @@
         *,
         tuning: Tuning | None = None,
         seed: int = 0,
-        aimed: frozenset[str] = frozenset(),
+        classes_with_objectives: frozenset[str] = frozenset(),
         lease_s: Seconds = 15.0,
         report_s: Seconds = 2.5,
     ) -> None:
@@ -98,7 +98,7 @@
         self.reservations = gangs.by_job
         # What judges: which machines and tasks are fit for one another.
         constraints = PlacementConstraints(zone_of(shard))
-        accelerators = AcceleratorDemand(cache, aimed)
+        accelerators = AcceleratorDemand(cache, classes_with_objectives)
         gang_demand = GangDemand(cache, tuning.spare_slots)
         self._health = health = MachineHealth(shard, cache, changes, lease_s, now)
         self._speed = speed = SpeedComparison()
@@ -322,12 +322,12 @@
 
     # Time
 
-    def tick(self, now: Seconds, wall: Seconds = 0.0, followed: bool = True) -> None:
+    def tick(self, now: Seconds, wall_time: Seconds = 0.0, followed: bool = True) -> None:
         """Time has passed.
 
         Args:
             now: The time by this process's clock.
-            wall: The time by the clock under which jobs are submitted.
+            wall_time: The time by the clock under which jobs are submitted.
             followed: Whether the records are being followed, so that the leader may be.
         """
         if now - self._ticked_at > STALL_S:
@@ -338,12 +338,12 @@
         self._tasks.resume_paused(now)
         if now - self._slow_ticked_at >= SLOW_TICK_S:
             self._slow_ticked_at = now
-            self._slow_tick(now, wall, followed)
+            self._slow_tick(now, wall_time, followed)
         self._joining.join_all(now)
 
-    def _slow_tick(self, now: Seconds, wall: Seconds, followed: bool) -> None:
+    def _slow_tick(self, now: Seconds, wall_time: Seconds, followed: bool) -> None:
         self._speed.update(self.machines.values())
-        self._free_capacity.update(now, wall)
+        self._free_capacity.update(now, wall_time)
         for machine in self.machines.values():
             if not self._health.note_usable(now, machine) and machine.slots:
                 self._tasks.requeue_slots(machine)
--- a/src/dapplewick/core/shard/work_stealing.py
+++ b/src/dapplewick/core/shard/work_stealing.py
@@ -1,7 +1,7 @@
 """Work stealing: free capacity takes array tasks from the shard's longest queues.
 
-"An unheld slot with a dry queue takes the last single from its part's longest queue" (the first
-point of the design).
+A slot without a reservation whose queue is empty takes the last array task of the shard's longest
+queue: the first point of the design (`docs/design.md`).
 """
 
 from __future__ import annotations
--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -21,16 +21,16 @@
 from dapplewick.types import Seconds, ShardName, TransferId, partition_of, shard_name, zone_of
 
 
-def holds_off_plan(plan: PartitionPlan, record: TransferRecord, wall: Seconds) -> bool:
+def holds_off_plan(plan: PartitionPlan, record: TransferRecord, wall_time: Seconds) -> bool:
     """Whether an operator's transfer that has ended still keeps the plan from its machines.
 
     Args:
         plan: the plan in force, which says for how long.
         record: the transfer.
-        wall: Unix time, in seconds.
+        wall_time: Unix time, in seconds.
     """
     ended = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
-    return ended and bool(plan.partitions) and wall < record.at + plan.hold_commands_s
+    return ended and bool(plan.partitions) and wall_time < record.at + plan.hold_commands_s
 
 
 class Imbalance:
@@ -73,7 +73,7 @@
         self._drafts = drafts
 
     def request_transfers(
-        self, wall: Seconds, plan: PartitionPlan, targets: TargetsInForce
+        self, wall_time: Seconds, plan: PartitionPlan, targets: TargetsInForce
     ) -> None:
         """Draft transfers towards the targets.
 
@@ -82,18 +82,23 @@
         held = {
             (zone_of(record.source), record.type)
             for record in self._drafts.records().values()
-            if record.origin != PLAN and (record.open or holds_off_plan(plan, record, wall))
+            if record.origin != PLAN and (record.open or holds_off_plan(plan, record, wall_time))
         }
         kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.kinds()}
         for zone, type_ in sorted(kinds - held):
             if zone in self._zones:
-                self._balance(wall, plan, targets, zone, type_)
+                self._balance(wall_time, plan, targets, zone, type_)
 
     def _balance(
-        self, wall: Seconds, plan: PartitionPlan, targets: TargetsInForce, zone: str, type_: str
+        self,
+        wall_time: Seconds,
+        plan: PartitionPlan,
+        targets: TargetsInForce,
+        zone: str,
+        type_: str,
     ) -> None:
         """Draft the transfers of one type of machine in one zone."""
-        until = wall + plan.move_within_s
+        until = wall_time + plan.move_within_s
         imbalance = self._imbalance(plan, targets, zone, type_)
         own = shard_name(zone)
         for target, missing in imbalance.short.items():
@@ -101,12 +106,12 @@
             for source in list(imbalance.spare):
                 count = imbalance.take_spare(source, missing)
                 missing -= count
-                self._request(wall, until, source, target, type_, count)
+                self._request(wall_time, until, source, target, type_, count)
             count = imbalance.take_unassigned(missing)
-            self._request(wall, until, own, target, type_, count)
+            self._request(wall_time, until, own, target, type_, count)
         for source, count in imbalance.spare.items():
             count -= self._cancel_counter_moves(source, type_, count, outgoing=False)
-            self._request(wall, until, source, own, type_, count)
+            self._request(wall_time, until, source, own, type_, count)
 
     def _imbalance(
         self, plan: PartitionPlan, targets: TargetsInForce, zone: str, type_: str
@@ -163,7 +168,7 @@
         return ended
 
     def _request(
-        self, wall: Seconds, until: Seconds, source: str, target: str, type_: str, count: int
+        self, wall_time: Seconds, until: Seconds, source: str, target: str, type_: str, count: int
     ) -> None:
         """Draft a transfer for the plan; none of no machines."""
         if count <= 0:
@@ -173,5 +178,5 @@
         count = min(count, COUNT_MOST)
         self._drafts.request(
             transfer,
-            TransferRecord(generation, source, target, type_, count, REQUESTED, wall, until),
+            TransferRecord(generation, source, target, type_, count, REQUESTED, wall_time, until),
         )
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -30,14 +30,14 @@
         self._ended_at: dict[TransferId, Seconds] = {}
 
     def transfer_removals(
-        self, now: Seconds, wall: Seconds, plan: PartitionPlan
+        self, now: Seconds, wall_time: Seconds, plan: PartitionPlan
     ) -> list[ConditionalWrite]:
         """The removal of transfers that ended a while ago and keep the plan from nothing."""
         removals = []
         for transfer, record in self._cache.transfers.records.items():
             if record.open or self._drafts.is_drafted(transfer):
                 continue
-            if holds_off_plan(plan, record, wall):
+            if holds_off_plan(plan, record, wall_time):
                 continue
             if now - self._ended_at.setdefault(transfer, now) > KEEP_S:
                 removals.append(self._removal(TRANSFERS + transfer))
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -31,7 +31,7 @@
     cache: WatchCache,
     plan: PartitionPlan,
     deployment: Deployment,
-    wall: Seconds,
+    wall_time: Seconds,
 ) -> TransferCommand:
     """Check a move of machines from one partition of a zone to another.
 
@@ -43,7 +43,7 @@
         cache: the records.
         plan: the plan in force.
         deployment: the zones that there are.
-        wall: Unix time, in seconds.
+        wall_time: Unix time, in seconds.
 
     Raises:
         TransferRefusedError: a field is wrong; of several the first in the order of the checks.
@@ -65,8 +65,8 @@
         type_,
         _count(message),
         REQUESTED,
-        wall,
-        wall + plan.move_within_s,
+        wall_time,
+        wall_time + plan.move_within_s,
         origin=OPERATOR,
     )
     if transfer not in cache.transfers.records:
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -69,7 +69,7 @@
     teams: Iterable[Team],
     jobs: Iterable[JobRecord],
     estimates: Estimates,
-    wall: Seconds,
+    wall_time: Seconds,
 ) -> dict[str, PartitionDemand]:
     """The demand of each partition, from all open jobs, the oldest first.
 
@@ -78,13 +78,13 @@
         teams: their guarantees and limits.
         jobs: all of them; those that have ended do not count.
         estimates: of run times.
-        wall: Unix time, in seconds.
+        wall_time: Unix time, in seconds.
     """
     sums = {team.name: _TeamDemand(team) for team in teams}
     for job in sorted((j for j in jobs if j.open), key=lambda j: j.submitted_at):
         team = sums.get(job.spec.team)
         if team is not None:
-            team.add(job, due_soon=_is_due_soon(job, estimates, wall))
+            team.add(job, due_soon=_is_due_soon(job, estimates, wall_time))
     demands = {}
     for name, partition in plan.partitions.items():
         pressing = other = NO_RESOURCES
@@ -96,9 +96,9 @@
     return demands
 
 
-def _is_due_soon(job: JobRecord, estimates: Estimates, wall: Seconds) -> bool:
+def _is_due_soon(job: JobRecord, estimates: Estimates, wall_time: Seconds) -> bool:
     if job.spec.deadline_s is None or job.spec.is_service:
         return job.spec.is_service
-    return job.submitted_at + job.spec.deadline_s < wall + SOON_FACTOR * estimates.run_time(
+    return job.submitted_at + job.spec.deadline_s < wall_time + SOON_FACTOR * estimates.run_time(
         job.spec
     )
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -30,10 +30,10 @@
     """Reads the records and the shards' statuses; changes nothing."""
 
     def __init__(
-        self, now: Seconds, wall: Seconds, cache: WatchCache, shards: Iterable[ObservedShard]
+        self, now: Seconds, wall_time: Seconds, cache: WatchCache, shards: Iterable[ObservedShard]
     ) -> None:
         self._now = now
-        self._wall = wall
+        self._wall_time = wall_time
         self._cache = cache
         self._shards = {shard.shard: shard for shard in shards}
 
@@ -95,7 +95,7 @@
             moved=record.moved,
             state=record.state,
             origin=record.origin,
-            left_s=round(max(0.0, record.until - self._wall), 1) if record.open else 0.0,
+            left_s=round(max(0.0, record.until - self._wall_time), 1) if record.open else 0.0,
             waits_for=waits_for,
         )
 
--- a/src/dapplewick/partitions/draining.py
+++ b/src/dapplewick/partitions/draining.py
@@ -60,7 +60,7 @@
             self._drafts.update(transfer, draining=stays)
 
     def end_overdue(
-        self, now: Seconds, wall: Seconds, transfer: TransferId, plan: PartitionPlan
+        self, now: Seconds, wall_time: Seconds, transfer: TransferId, plan: PartitionPlan
     ) -> bool:
         """End a transfer whose time is over, and say whether it was.
 
@@ -68,7 +68,7 @@
         plan finds by itself what it misses.
         """
         record = self._drafts.open_records()[transfer]
-        if wall < record.until:
+        if wall_time < record.until:
             return False
         log.info(
             "event=transfer_overdue transfer=%s moved=%d count=%d draining=%s",
@@ -81,11 +81,11 @@
             self._avoid_until[MachineId(machine)] = now + AVOID_S
         self._drafts.update(transfer, state=OVERDUE, draining=[])
         if record.origin == OPERATOR:
-            self._request_rest(wall, transfer, record, plan)
+            self._request_rest(wall_time, transfer, record, plan)
         return True
 
     def _request_rest(
-        self, wall: Seconds, transfer: TransferId, record: TransferRecord, plan: PartitionPlan
+        self, wall_time: Seconds, transfer: TransferId, record: TransferRecord, plan: PartitionPlan
     ) -> None:
         """Request what is missing of an operator's transfer that was overdue."""
         rest = msgspec.structs.replace(
@@ -94,8 +94,8 @@
             moved=0,
             draining=[],
             state=REQUESTED,
-            at=wall,
-            until=wall + plan.move_within_s,
+            at=wall_time,
+            until=wall_time + plan.move_within_s,
             origin=AGAIN,
         )
         successor = TransferId(f"{transfer}-again")
--- a/src/dapplewick/partitions/host.py
+++ b/src/dapplewick/partitions/host.py
@@ -62,7 +62,7 @@
     def now(self) -> Seconds:
         """Time of the monotonic clock, in seconds."""
 
-    def wall(self) -> Seconds:
+    def wall_time(self) -> Seconds:
         """Unix time, in seconds."""
 
     def limits_now(self) -> StateLimits:
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -73,7 +73,9 @@
 
     def _show(self, term: LeaderTerm, rebalancer: PartitionRebalancer) -> PartitionsDescription:
         host = self._host
-        describer = PartitionDescriber(host.now(), host.wall(), host.cache, term.shards.values())
+        describer = PartitionDescriber(
+            host.now(), host.wall_time(), host.cache, term.shards.values()
+        )
         return describer.describe(
             host.own_name, self._plan_in_force.plan, rebalancer.targets, self._times.view()
         )
@@ -133,7 +135,11 @@
         if host.cache.format < PARTITIONS_FORMAT:
             return unavailable("some controllers do not understand shares yet")
         command = move_command(
-            message, host.cache, self._plan_in_force.plan, host.settings.deployment, host.wall()
+            message,
+            host.cache,
+            self._plan_in_force.plan,
+            host.settings.deployment,
+            host.wall_time(),
         )
         if command.transfer not in host.cache.transfers.records:
             return await self._carry_out(rebalancer, command)
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -56,7 +56,7 @@
         self._handover = MachineHandover(cache, self._drafts, stopwatch)
         self._cleanup = RecordCleanup(cache, index, self._drafts)
 
-    def note_waiting(self, wall: Seconds, jobs: Iterable[JobRecord]) -> None:
+    def note_waiting(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Let teams with a job of which nothing has started for long use others' idle machines.
 
         No work waits beside room that fits it.
@@ -68,7 +68,7 @@
             and not job.done
             and job.gang is None
             and not any(job.assignments.values())
-            and wall - job.submitted_at > LEND_S
+            and wall_time - job.submitted_at > LEND_S
         )
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
@@ -98,7 +98,7 @@
     def changes(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         shards: list[ObservedShard],
         placed: Set[MachineId],
         machine_lifecycle: MachineLifecycle,
@@ -107,7 +107,7 @@
 
         Args:
             now: time of the leader's monotonic clock, in seconds.
-            wall: Unix time, in seconds, which the records' times are in.
+            wall_time: Unix time, in seconds, which the records' times are in.
             shards: what the shards' owners told.
             placed: machines with slots that are held for gangs, or with their tasks.
             machine_lifecycle: the leader's drafts of machine groups, to which handovers are added.
@@ -123,12 +123,12 @@
         selection = MachineSelection(now, self._cache, self._index, shards, placed)
         self._take_commands()
         if self.targets.known:
-            self._balancer.request_transfers(wall, self.plan, self.targets)
-        handovers = self._advance_transfers(now, wall, selection, shards, machine_lifecycle)
+            self._balancer.request_transfers(wall_time, self.plan, self.targets)
+        handovers = self._advance_transfers(now, wall_time, selection, shards, machine_lifecycle)
         return [
             *handovers,
             *self._drafts.writes(),
-            *self._cleanup.transfer_removals(now, wall, self.plan),
+            *self._cleanup.transfer_removals(now, wall_time, self.plan),
             *self._shard_removals(),
         ]
 
@@ -148,7 +148,7 @@
     def _advance_transfers(
         self,
         now: Seconds,
-        wall: Seconds,
+        wall_time: Seconds,
         selection: MachineSelection,
         shards: list[ObservedShard],
         machine_lifecycle: MachineLifecycle,
@@ -160,7 +160,7 @@
             if transfer not in self._drafts.open_records():
                 continue  # a later one has taken over all that it drained
             self._draining.prune(transfer)
-            if self._draining.end_overdue(now, wall, transfer, self.plan):
+            if self._draining.end_overdue(now, wall_time, transfer, self.plan):
                 continue
             writes = self._handover.hand_over(now, transfer, selection, shards, machine_lifecycle)
             if writes:
--- a/src/dapplewick/partitions/target_solving.py
+++ b/src/dapplewick/partitions/target_solving.py
@@ -72,8 +72,8 @@
         """What is to be solved now."""
         host, plan = self._host, self._plan_in_force.plan
         self._index.refresh()
-        wall = host.wall()
+        wall_time = host.wall_time()
         jobs = [job for _, job in host.cache.each_live()]
-        demand = measure(plan, host.settings.deployment.teams, jobs, host.estimates, wall)
-        minute = int(wall // 60) % DAY_MINUTES
+        demand = measure(plan, host.settings.deployment.teams, jobs, host.estimates, wall_time)
+        minute = int(wall_time // 60) % DAY_MINUTES
         return Problem(plan, minute, supply(host.cache, self._index), demand, holdings(self._index))
--- a/src/dapplewick/tuning.py
+++ b/src/dapplewick/tuning.py
@@ -10,7 +10,7 @@
 
     threshold_s: float = 0.0  # T of the backfill test
     patience_s: float = 4.0  # a gang's wait before work of lower priority is stopped for it
-    horizon_s: float = 25.0  # waiting singles should all have started within this time
+    horizon_s: float = 25.0  # waiting array tasks should all have started within this time
     horizon_accelerator_s: float = 60.0  # and those with accelerators
     spare_slots: float = 1.0  # idle slots kept for gangs to come, times what was measured
     idle_s: float = 40.0  # an idle machine of middling price is kept this long
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -184,7 +184,9 @@
         seed = self.random.getrandbits(32)
         made: Any = old.Controller if old is not None else Controller
         parse = old.config if old is not None else config
-        more: Any = {} if old is not None else {"partitions": self._partitions(name), "wall": now}
+        more: Any = (
+            {} if old is not None else {"partitions": self._partitions(name), "wall_time": now}
+        )
         controller: Any = made(
             settings(name, self.count, self.zones, parse),
             connect=connect,
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -286,7 +286,7 @@
 
     with patch.object(time, "time_ns", lambda: 1):
         controller = Controller(
-            settings("n0"), connect=connect, link=linked, clock=now, wall=now, seed=1
+            settings("n0"), connect=connect, link=linked, clock=now, wall_time=now, seed=1
         )
     controller.identity.incarnation = "n0-1"
     controller.records.ready = True
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -148,17 +148,17 @@
     rooms, reservation = two_shards(8), ShardReservation()
     big = spec(6, 15.0, 60.0, is_gang=True)
 
-    def open_after(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
+    def open_after(wall_time: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
         """How many shards are open to the gangs after one that found no room, in a new pass."""
         reservation.begin()
         assert reservation.open_shards(rooms) == rooms  # to the gangs before it, all
-        reservation.ask(wall, big, waited, of, 20.0)
-        reservation.ask(wall, big, OVERDUE_S, of[::-1], 20.0)  # one shard at a time
+        reservation.ask(wall_time, big, waited, of, 20.0)
+        reservation.ask(wall_time, big, OVERDUE_S, of[::-1], 20.0)  # one shard at a time
         return len(reservation.open_shards(rooms))
 
-    def alone(wall: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
+    def alone(wall_time: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
         reservation.begin()
-        reservation.ask(wall, big, waited, of, 20.0)
+        reservation.ask(wall_time, big, waited, of, 20.0)
         return len(reservation.open_shards(rooms))
 
     assert alone(0.0, OVERDUE_S - 1.0) == 2
