--- a/tests/unit/test_watch_cache.py
+++ b/tests/unit/test_watch_cache.py
@@ -225,3 +225,17 @@
     derandomize=True,
     suppress_health_check=[HealthCheck.too_slow],
 )
+
+
+def test_an_older_removal_does_not_bring_a_removed_key_back() -> None:
+    """A controller's own removal is known done before the watch tells of an earlier one."""
+    cache, key = WatchCache(), PROVISIONING_REQUEST_KEYS[0]
+    value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
+    cache.remove(key, 4)
+    put, removal, later_put = (
+        Event(1, put=key, value=value),
+        Event(2, delete=key),
+        Event(3, put=key, value=value),
+    )
+    cache.follow([put, removal, later_put], 3)
+    assert key not in cache.versions
