--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -6,7 +6,16 @@
 from dapplewick.core.shard.images import Images
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
-from dapplewick.core.shard.state import ArrayTask, Machine, Slot, TaskState
+from dapplewick.core.shard.state import (
+    ASSIGNED,
+    RELEASED,
+    UNCONFIRMED,
+    WAITING,
+    ArrayTask,
+    Machine,
+    Slot,
+    TaskState,
+)
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.watch_cache import WatchCache
@@ -79,7 +88,7 @@
             self._requeue_assigned_anew(now, job_id, job, array_tasks)
         new_indices = sorted(assigned - array_tasks.keys())
         for index in new_indices:
-            state = TaskState.UNCONFIRMED if failover else TaskState.WAITING
+            state = UNCONFIRMED if failover else WAITING
             array_tasks[index] = ArrayTask(state, now)
             if not failover:
                 self._queues.unqueued.append(TaskRef(job_id, TaskIndex(index)))
@@ -98,7 +107,7 @@
         # which this task is taken back.
         for index, array_task in array_tasks.items():
             if (
-                array_task.state == TaskState.RELEASED
+                array_task.state == RELEASED
                 and job.task_version(index) != array_task.released_version
             ):
                 self.requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
@@ -113,7 +122,7 @@
         """Take a task out of its slot or queue: it is done, given back, or not wanted."""
         if array_task.slot is not None:
             slot = array_task.slot
-            if slot.current == task and array_task.state == TaskState.ASSIGNED:
+            if slot.current == task and array_task.state == ASSIGNED:
                 slot.current = None
                 self._machines.note_slot_change(slot)
             elif task in slot.queue:
@@ -126,9 +135,9 @@
             job = self._cache.jobs.get(job_id)
             is_service = job is not None and job.spec.is_service
             for index, array_task in array_tasks.items():
-                if array_task.state not in (TaskState.WAITING, TaskState.ASSIGNED):
+                if array_task.state not in (WAITING, ASSIGNED):
                     continue
-                is_hasty = is_service and array_task.state == TaskState.WAITING
+                is_hasty = is_service and array_task.state == WAITING
                 patience_s = REPLICA_WAIT_S if is_hasty else LONG_WAIT_S
                 if now - max(array_task.since, array_task.not_before) > patience_s:
                     self._release(job, TaskRef(job_id, TaskIndex(index)), array_task)
@@ -136,13 +145,13 @@
     def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
         self.leave_place(task, array_task)
         array_task.released_version = job.task_version(task.number) if job is not None else 0
-        self.set_state(task, array_task, TaskState.RELEASED)
+        self.set_state(task, array_task, RELEASED)
 
     # Waiting
 
     def requeue(self, now: Seconds, task: TaskRef, array_task: ArrayTask, failed: bool) -> None:
         """Let a task wait anew that was on a machine; after a failure it is paused first."""
-        self.set_state(task, array_task, TaskState.WAITING)
+        self.set_state(task, array_task, WAITING)
         array_task.machine = None
         array_task.since = now
         array_task.slot = None
@@ -177,17 +186,17 @@
         self._has_unconfirmed = False
         for job_id, array_tasks in self.by_job.items():
             for index, array_task in array_tasks.items():
-                if array_task.state == TaskState.UNCONFIRMED:
+                if array_task.state == UNCONFIRMED:
                     task = TaskRef(job_id, TaskIndex(index))
-                    self.set_state(task, array_task, TaskState.WAITING)
+                    self.set_state(task, array_task, WAITING)
                     array_task.since = now
                     self._queues.unqueued.append(task)
 
     def unqueue(self, task: TaskRef) -> None:
         """Let a task look for another queue, if it was not started."""
         array_task = self.get(task)
-        if array_task is not None and array_task.state in (TaskState.WAITING, TaskState.ASSIGNED):
-            self.set_state(task, array_task, TaskState.WAITING)
+        if array_task is not None and array_task.state in (WAITING, ASSIGNED):
+            self.set_state(task, array_task, WAITING)
             array_task.slot = None
             array_task.machine = None
             self._queues.unqueued.append(task)
@@ -201,7 +210,7 @@
         spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
         slot.current = task
         slot.resources = spec.resources if spec is not None else NO_RESOURCES
-        self.set_state(task, array_task, TaskState.ASSIGNED)
+        self.set_state(task, array_task, ASSIGNED)
         array_task.machine = slot.machine
         array_task.slot = slot
         if spec is not None and machine is not None:
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -12,14 +12,18 @@
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import (
+    ASSIGNED,
     EXITED,
     FETCHING,
+    FINISHED,
     GATHERING,
+    ON_MACHINE,
+    RELEASED,
     RUNNING,
+    WAITING,
     GangReservation,
     Machine,
     TaskAttempt,
-    TaskState,
 )
 from dapplewick.core.shard.task_exits import TaskExits
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
@@ -28,7 +32,6 @@
 log = logging.getLogger(__name__)
 
 # Compared for each task of each heartbeat: an enum's members are slow to look up.
-_ON_MACHINE: Final = TaskState.ON_MACHINE
 WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)  # stages that tell of an image
 
 
@@ -141,15 +144,15 @@
         task = item.task
         array_task = self._tasks.get(task)
         if array_task is not None:
-            if array_task.state == _ON_MACHINE:
+            if array_task.state == ON_MACHINE:
                 if array_task.machine != machine.id:
                     log.error("event=task_on_two_machines task=%s/%d", task.job, task.number)
                 return
-            if array_task.state in (TaskState.WAITING, TaskState.ASSIGNED, TaskState.RELEASED):
+            if array_task.state in (WAITING, ASSIGNED, RELEASED):
                 log.error("event=task_unexpected task=%s/%d", task.job, task.number)
-            if array_task.state != TaskState.FINISHED:
+            if array_task.state != FINISHED:
                 self._tasks.leave_place(task, array_task)
-                self._tasks.set_state(task, array_task, TaskState.ON_MACHINE)
+                self._tasks.set_state(task, array_task, ON_MACHINE)
                 array_task.machine = machine.id
             return
         reservation = self._reservations.by_job.get(task.job)
@@ -175,7 +178,7 @@
         self._changes.dirty = True
         array_task = self._tasks.get(task)
         if array_task is not None and array_task.machine == machine.id:
-            if array_task.state in (TaskState.ON_MACHINE, TaskState.FINISHED):
+            if array_task.state in (ON_MACHINE, FINISHED):
                 # A result that vanished before it was stored has to be made again.
                 self._tasks.requeue(now, task, array_task, failed=False)
             return
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -17,7 +17,7 @@
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
 from dapplewick.core.shard.replicas import ReplicaPlacement
-from dapplewick.core.shard.state import ArrayTask, Machine, Slot, TaskState
+from dapplewick.core.shard.state import WAITING, ArrayTask, Machine, Slot
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.types import Seconds, TaskRef
 
@@ -64,11 +64,7 @@
         eligible: dict[PlacementKey, list[Machine]] = {}
         for task in waiting:
             array_task = self._tasks.get(task)
-            if (
-                array_task is None
-                or array_task.state != TaskState.WAITING
-                or array_task.slot is not None
-            ):
+            if array_task is None or array_task.state != WAITING or array_task.slot is not None:
                 continue
             spec = self._tasks.spec(task)
             # Where one task finds no queue, the next that is alike finds none either.
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -10,7 +10,14 @@
 from dapplewick.core.shard.images import Images
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
-from dapplewick.core.shard.state import FETCHING, Machine, Slot, TaskAttempt, TaskState
+from dapplewick.core.shard.state import (
+    ASSIGNED,
+    FETCHING,
+    ON_MACHINE,
+    Machine,
+    Slot,
+    TaskAttempt,
+)
 from dapplewick.core.shard.work_stealing import LEAST_FREE_CPUS, WorkStealing
 from dapplewick.protocol.workers import Command
 from dapplewick.types import (
@@ -100,9 +107,9 @@
         if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
             return  # what is stopped for it is not gone yet
         array_task = self._tasks.get(task)
-        if array_task is not None and array_task.state == TaskState.ASSIGNED:
+        if array_task is not None and array_task.state == ASSIGNED:
             commands.append(self._start(now, machine, task, self._new_attempt()))
-            self._tasks.set_state(task, array_task, TaskState.ON_MACHINE)
+            self._tasks.set_state(task, array_task, ON_MACHINE)
             array_task.slot = None
         else:
             slot.current = None
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -49,6 +49,16 @@
     FINISHED = 5  # its result is on the machine, until the leader has stored it
 
 
+# The states under names of their own: read through their class, each costs several times as much
+# on Python 3.11, and they are compared for each task of each heartbeat and tick.
+WAITING: Final = TaskState.WAITING
+ASSIGNED: Final = TaskState.ASSIGNED
+ON_MACHINE: Final = TaskState.ON_MACHINE
+UNCONFIRMED: Final = TaskState.UNCONFIRMED
+RELEASED: Final = TaskState.RELEASED
+FINISHED: Final = TaskState.FINISHED
+
+
 class ArrayTask:
     """A task of an array that is assigned to this shard."""
 
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -16,18 +16,21 @@
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import (
+    ASSIGNED,
     EXITED,
+    FINISHED,
     GANG_BAD,
     GANG_BUSY,
     GANG_CLEAR,
     GANG_DONE,
     GANG_HELD,
     GANG_ON,
+    ON_MACHINE,
+    RELEASED,
     RUNNING,
     GangReservation,
     GangState,
     Machine,
-    TaskState,
 )
 from dapplewick.protocol.peers import (
     GangStatus,
@@ -214,19 +217,18 @@
 
     def _job(self, job_id: JobId) -> JobStatus:
         placed = running = 0
-        done: list[int] = []
         released: list[int] = []
-        on_machine = TaskState.ON_MACHINE  # looked up once: it is what most tasks are
+        done: list[int] = []
         for index, array_task in self._tasks.by_job[job_id].items():
             state = array_task.state
-            if state == on_machine:
+            if state == ON_MACHINE:
                 placed += 1
                 running += 1
-            elif state == TaskState.ASSIGNED:
+            elif state == ASSIGNED:
                 placed += 1
-            elif state == TaskState.FINISHED:
+            elif state == FINISHED:
                 done.append(index)
-            elif state == TaskState.RELEASED:
+            elif state == RELEASED:
                 released.append(index)
         return JobStatus(
             placed=placed,
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -12,9 +12,9 @@
     EXITED,
     FLUSHING,
     RUNNING,
+    UNCONFIRMED,
     Machine,
     TaskAttempt,
-    TaskState,
 )
 from dapplewick.protocol.workers import Command
 from dapplewick.storage.job_records import JobRecord
@@ -82,7 +82,7 @@
             array_task = self._tasks.get(task)
             # What was assigned before this ownership may be this one, until all are heard.
             is_wanted = array_task is not None and (
-                array_task.machine == machine.id or array_task.state == TaskState.UNCONFIRMED
+                array_task.machine == machine.id or array_task.state == UNCONFIRMED
             )
         if not is_wanted or task in preempted:
             return True
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -10,7 +10,13 @@
 from dapplewick.core.shard.changes import ChangeLog
 from dapplewick.core.shard.gang_reservations import GangReservations
 from dapplewick.core.shard.slow_machines import SpeedComparison
-from dapplewick.core.shard.state import ArrayTask, Machine, TaskAttempt, TaskState
+from dapplewick.core.shard.state import (
+    FINISHED,
+    ON_MACHINE,
+    ArrayTask,
+    Machine,
+    TaskAttempt,
+)
 from dapplewick.protocol.workers import Command, TaskStatus
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.watch_cache import WatchCache
@@ -82,10 +88,10 @@
             return True
         array_task = self._tasks.get(task)
         if array_task is not None:
-            if array_task.state != TaskState.FINISHED:
+            if array_task.state != FINISHED:
                 self._learn(now, machine, task, task_attempt, array_task)
                 self._tasks.leave_slot(machine, task)
-                self._tasks.set_state(task, array_task, TaskState.FINISHED)
+                self._tasks.set_state(task, array_task, FINISHED)
                 array_task.machine = machine.id
             return True
         reservation = self._reservations.by_job.get(task.job)
@@ -130,7 +136,7 @@
         if (
             array_task is not None
             and array_task.machine == machine.id
-            and array_task.state == TaskState.ON_MACHINE
+            and array_task.state == ON_MACHINE
         ):
             running_at = task_attempt.running_at
             if is_replica and running_at is not None and now - running_at > STEADY_S:
