--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -42,11 +42,13 @@
     """Let the collector of cycles search less often.
 
     What is loaded by now stays, and what a controller keeps are long-lived records without cycles:
-    they need not be searched after every 700 new objects.
+    they need not be searched after every 700 new objects. `run.py` loads them with the collector
+    switched off.
     """
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
+    gc.enable()
 
 
 def raise_file_limit(wanted: int) -> None:
