--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -15,7 +15,7 @@
 from dapplewick.coordination.peer_exchange import PeerExchange
 from dapplewick.protocol.errors import MalformedMessageError
 from dapplewick.protocol.job_spec import JobSpec
-from dapplewick.protocol.users import encode_job_state, parse_submission
+from dapplewick.protocol.users import JobStage, encode_job_state, parse_submission
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.errors import (
     OutcomeUnknownError,
@@ -224,13 +224,13 @@
         return Response(200, encode_job_state(job_id, stage, job.done_count, running))
 
     @staticmethod
-    def _stage(job: JobRecord, running: int) -> str:
+    def _stage(job: JobRecord, running: int) -> JobStage:
         """The word for a job's state."""
         if job.stage == DONE:
-            return "done"
+            return JobStage.DONE
         if job.stage == CANCELLED:
-            return "withdrawn"
-        return "running" if running else "queued"
+            return JobStage.CANCELLED
+        return JobStage.RUNNING if running else JobStage.QUEUED
 
     def _short(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
         """How a job stands, without counts, right after a write of it."""
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -13,6 +13,7 @@
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.observed_shard import ObservedShards
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
+from dapplewick.protocol.peers import GANG_HELD
 from dapplewick.storage.job_records import GangPlacement, JobRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.tuning import Tuning
@@ -138,7 +139,7 @@
             if (
                 status is not None
                 and status.attempt == gang.attempt
-                and status.state == "held"
+                and status.state == GANG_HELD
                 and status.remaining_wait_s > LONG_RESERVATION_S
             ):
                 return True
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -9,6 +9,7 @@
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.machine_capacity import GANG_PRIORITY
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
+from dapplewick.protocol.peers import GANG_BAD, GANG_CLEAR, GANG_DONE, GANG_HELD
 from dapplewick.storage.job_records import DONE, GangPlacement, JobRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.storage.write_priority import WritePriority
@@ -94,7 +95,7 @@
             states = _gang_states(job_id, job, gang, owned)
             if self._end_attempt(job_id, job, gang, states):
                 continue
-            if "held" in states and not gang.preempt and job.spec.priority > lowest_priority:
+            if GANG_HELD in states and not gang.preempt and job.spec.priority > lowest_priority:
                 reserved_since[job_id] = self._reserved_since.get(job_id, now)
                 if now - reserved_since[job_id] > self._patience_s:
                     self._preempt(job_id, gang)
@@ -114,13 +115,13 @@
         self, job_id: JobId, job: JobRecord, gang: GangPlacement, states: list[str]
     ) -> bool:
         """Draft what ends an attempt or clears it away; whether there is anything of this kind."""
-        if job.open and "done" in states:
+        if job.open and GANG_DONE in states:
             draft = self._drafts.edit(job_id, WritePriority.URGENT)
             draft.stage, draft.done, draft.gang, draft.assignments = DONE, set(), None, {}
             log.info("event=job_done job=%s", job_id)
-        elif (gang.over or not job.open) and all(state == "clear" for state in states):
+        elif (gang.over or not job.open) and all(state == GANG_CLEAR for state in states):
             self._drafts.edit(job_id, WritePriority.NORMAL).gang = None
-        elif job.open and not gang.over and "bad" in states:
+        elif job.open and not gang.over and GANG_BAD in states:
             log.info("event=gang_ended job=%s attempt=%d", job_id, gang.attempt)
             ended = msgspec.structs.replace(gang, over=True)
             self._drafts.edit(job_id, WritePriority.NORMAL).gang = ended
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -58,7 +58,7 @@
         now: The time.
         tuning: Values that a deployment may change.
         seed: What is drawn depends on this and the token.
-        aimed: The classes of jobs of which users say what they expect.
+        classes_with_objectives: The classes of jobs of which users say what they expect.
         lease_s: How long a machine goes on without an answer.
         report_s: How often a machine sends heartbeats.
     """
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -4,9 +4,10 @@
 
 import enum
 from collections import deque
-from typing import Final, Literal
+from typing import Final
 
 from dapplewick.protocol.job_spec import JobSpec
+from dapplewick.protocol.workers import TaskStage
 from dapplewick.types import (
     NO_RESOURCES,
     Attempt,
@@ -20,22 +21,13 @@
 IMAGES_MOST = 64  # images remembered of a machine, the newest ones
 SLOW_SAMPLES = 12  # run times that are compared before a machine is called slow
 
-# The stages of a task attempt, as heartbeats name them (the table of task states in PROTOCOL).
-# They are plain constants, not an enum: stages are compared for each task of each heartbeat.
-FETCHING: Final = "fetching"  # it waits for its image
-GATHERING: Final = "gathering"  # a gang's task waits for the others of its attempt
-RUNNING: Final = "running"
-FLUSHING: Final = "flushing"  # it was told to stop and saves its state
-EXITED: Final = "exited"
-
-# How a gang's attempt stands in a shard, as the leader is told.
-GangState = Literal["held", "on", "bad", "done", "busy", "clear"]
-GANG_HELD: Final = "held"  # slots are reserved, and not all starts were sent
-GANG_ON: Final = "on"  # all starts were sent
-GANG_BAD: Final = "bad"  # this attempt can't succeed
-GANG_DONE: Final = "done"  # a task of it has the result
-GANG_BUSY: Final = "busy"  # no longer wanted, but some task is or may be on its machine
-GANG_CLEAR: Final = "clear"  # no longer wanted, and on no machine
+# The stages of a task attempt, as plain strings: they are compared for each task of each heartbeat,
+# and a member of an enum costs more.
+FETCHING: Final = TaskStage.FETCHING.value
+GATHERING: Final = TaskStage.GATHERING.value
+RUNNING: Final = TaskStage.RUNNING.value
+FLUSHING: Final = TaskStage.FLUSHING.value
+EXITED: Final = TaskStage.EXITED.value
 
 
 class TaskState(enum.IntEnum):
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -11,13 +11,14 @@
 from dapplewick.core.shard.gang_reservations import GangReservations
 from dapplewick.core.shard.slow_machines import SpeedComparison
 from dapplewick.core.shard.state import (
+    EXITED,
     FINISHED,
     ON_MACHINE,
     ArrayTask,
     Machine,
     TaskAttempt,
 )
-from dapplewick.protocol.workers import Command, TaskStatus
+from dapplewick.protocol.workers import Command, ExitCause, TaskStatus
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TaskRef
@@ -29,10 +30,12 @@
 STEADY_S = 30.0  # a replica that ran for as long did not fail at once
 LEAST_RUN_S = 0.5  # of a run time that is learned from
 
-# Causes of exits, as heartbeats name them (the table of `why` in PROTOCOL).
-DONE: Final = "done"
-MACHINE_FAILURES: Final = ("error", "no_such")  # these count against the machine
-NO_FAILURES: Final = ("halted", "full", "peers")  # not the task's fault: it is not paused
+MACHINE_FAILURES: Final = (ExitCause.ERROR, ExitCause.NO_SUCH)  # these count against the machine
+NO_FAILURES: Final = (
+    ExitCause.HALTED,
+    ExitCause.FULL,
+    ExitCause.PEERS,
+)  # not the task's fault: it is not paused
 
 
 class TaskExits:
@@ -64,7 +67,7 @@
         """
         job = self._cache.jobs.get(item.task.job)
         is_replica = job is not None and job.open and job.spec.is_service
-        if item.cause == DONE and not is_replica:
+        if item.cause == ExitCause.DONE and not is_replica:
             is_kept = self._keep_result(now, machine, item, task_attempt, job)
         else:
             self._note_failure(now, machine, item, task_attempt, is_replica)
@@ -127,7 +130,7 @@
             and reservation.attempt == item.attempt
             and not reservation.failure
         ):
-            reservation.failure = item.cause or "exited"
+            reservation.failure = item.cause or EXITED
             log.info("event=gang_failed job=%s reason=%s", task.job, reservation.failure)
         if item.cause in MACHINE_FAILURES:
             machine.failures[task.job] = now
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, TypeVar
+from typing import Any, Final, Literal, TypeVar
 
 import msgspec
 from msgspec import UNSET, UnsetType
@@ -70,6 +70,16 @@
     version: int  # of the job's record that the owner knew
 
 
+# How a gang's attempt stands in a shard, as its owner tells the leader.
+GangState = Literal["held", "on", "bad", "done", "busy", "clear"]
+GANG_HELD: Final = "held"  # slots are reserved, and not all starts were sent
+GANG_ON: Final = "on"  # all starts were sent
+GANG_BAD: Final = "bad"  # this attempt can't succeed
+GANG_DONE: Final = "done"  # a task of it has the result
+GANG_BUSY: Final = "busy"  # no longer wanted, but some task is or may be on its machine
+GANG_CLEAR: Final = "clear"  # no longer wanted, and on no machine
+
+
 class GangStatus(msgspec.Struct, array_like=True, frozen=True):
     """How an attempt of a gang stands in one shard."""
 
