--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -1,13 +1,16 @@
-"""The leader's calls of the cloud: rentals, deletions, the catalogue and the list of machines."""
+"""The leader's calls of the cloud: provisioning, deletions, the catalogue and machine lists."""
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Callable
 from typing import Protocol
 
 import anyio
 from anyio.abc import TaskGroup
 
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.coordination.presence import Presence
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.protocol.cloud import (
     ListedMachine,
@@ -27,13 +30,14 @@
 
 STEP_S = 0.1  # how often is looked for something to call the cloud for
 NO_LEADER_STEP_S = 0.3  # and where this controller does not lead
-CATALOG_S = 45.0
-LIST_S = 10.0
-CALL_S = 6.0
+CATALOG_INTERVAL_S = 45.0
+LIST_INTERVAL_S = 10.0
+CALL_TIMEOUT_S = 6.0
 FAILURE_PAUSE_S = 1.0
+NEVER_S = -1e9  # before any time of the steady clock
 MAX_DELETIONS = 100  # machines in one call
-PAGE = 500  # machines in one page of the list
-MAX_LISTED = 20_000
+PAGE_SIZE = 500  # machines in one page of the list
+MAX_LISTED = 20_000  # machines; with more of them the rest is left for the next list
 
 
 class CloudConnection(Protocol):
@@ -41,89 +45,89 @@
 
     async def request(
         self, method: str, target: str, body: bytes | None, within: float
-    ) -> tuple[int, bytes]: ...
+    ) -> tuple[int, bytes]:
+        """Make a request.
 
+        Returns:
+            The status and the body of the answer.
 
-class CloudCallHost(Protocol):
-    """What the calls need of their controller."""
-
-    @property
-    def leader(self) -> LeaderPlanner | None: ...
-
-    @property
-    def cache(self) -> WatchCache: ...
-
-    @property
-    def cloud(self) -> CloudConnection: ...
-
-    @property
-    def cloud_budget(self) -> RateLimiter: ...
-
-    def now(self) -> Seconds: ...
-
-    def lease_valid(self) -> bool: ...
-
-    def wake_leader(self, at_once: bool = False) -> None: ...
+        Raises:
+            HttpError: no answer came within so many seconds.
+        """
+        ...
 
 
 class CloudCalls:
-    """Carries out what the leader's records say is to be rented or deleted."""
-
-    def __init__(self, controller: CloudCallHost) -> None:
-        self._controller = controller
+    """Carries out what the leader's records say is to be provisioned or deleted."""
+
+    def __init__(
+        self,
+        cloud: CloudConnection,
+        budget: RateLimiter,
+        cache: WatchCache,
+        leadership: Leadership,
+        presence: Presence,
+        now: Callable[[], Seconds],
+    ) -> None:
+        self._cloud = cloud
+        self._budget = budget
+        self._cache = cache
+        self._leadership = leadership
+        self._presence = presence
+        self._now = now
         self._provisioning: set[str] = set()
         self._deleting: set[MachineId] = set()
 
     async def run(self) -> None:
-        """Call the cloud for as long as this controller leads, for ever."""
-        catalog_at = list_at = -1e9
+        """Call the cloud whenever this controller leads, for ever."""
+        catalog_at = list_at = NEVER_S
         async with anyio.create_task_group() as group:
             while True:
                 await anyio.sleep(STEP_S)
-                leader = self._controller.leader
-                if leader is None or not self._controller.lease_valid():
-                    catalog_at = list_at = -1e9
+                leader = self._leadership.planner
+                if leader is None or not self._presence.lease_valid():
+                    catalog_at = list_at = NEVER_S
                     await anyio.sleep(NO_LEADER_STEP_S)
                     continue
-                now = self._controller.now()
+                now = self._now()
                 self._start_provisioning(group, leader)
                 self._start_deletion(group, leader)
-                if now - catalog_at > CATALOG_S and self._controller.cloud_budget.take():
+                if now - catalog_at > CATALOG_INTERVAL_S and self._budget.take():
                     catalog_at = now
                     if not await self._catalog(leader):
-                        catalog_at = now - CATALOG_S + FAILURE_PAUSE_S
-                if now - list_at > LIST_S and self._controller.cloud_budget.take():
+                        catalog_at = now - CATALOG_INTERVAL_S + FAILURE_PAUSE_S
+                if now - list_at > LIST_INTERVAL_S and self._budget.take():
                     list_at = now
                     await self._list(leader)
 
     def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
-        for name in self._controller.cache.provisioning_requests:
+        for name in self._cache.provisioning_requests:
             new = name not in self._provisioning and name not in leader.provisioned
-            if new and self._controller.cloud_budget.take():
+            if new and self._budget.take():
                 self._provisioning.add(name)
                 group.start_soon(self._provision, leader, name)
 
     def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         terminating = [
             machine
-            for machine, record in self._controller.cache.machines.items()
+            for machine, record in self._cache.machines.items()
             if record.terminating
             and machine not in leader.machine_lifecycle.deleted
             and machine not in self._deleting
         ][:MAX_DELETIONS]
-        if terminating and self._controller.cloud_budget.take():
+        if terminating and self._budget.take():
             self._deleting.update(terminating)
             group.start_soon(self._delete, leader, terminating)
 
     async def _call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         try:
-            return await self._controller.cloud.request(method, target, body, CALL_S)
+            return await self._cloud.request(method, target, body, CALL_TIMEOUT_S)
         except HttpError as err:
             return 0, str(err).encode()
 
     async def _provision(self, leader: LeaderPlanner, name: str) -> None:
         try:
-            provisioning_request = self._controller.cache.provisioning_requests[name]
+            provisioning_request = self._cache.provisioning_requests[name]
             body = encode_provisioning_request(
                 name,
                 provisioning_request.type,
@@ -139,7 +143,7 @@
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_PAUSE_S)
-            self._controller.wake_leader()
+            self._leadership.wake()
         except Exception:
             log.exception("event=provisioning_crashed request=%s", name)
         finally:
@@ -151,7 +155,7 @@
             if status == 200:
                 leader.machines_deleted(machines)
                 # What was on them can start elsewhere once the records say that they are gone.
-                self._controller.wake_leader(at_once=True)
+                self._leadership.wake(at_once=True)
             else:
                 log.info("event=deletion_failed count=%d status=%d", len(machines), status)
                 await anyio.sleep(FAILURE_PAUSE_S)
@@ -165,7 +169,7 @@
         try:
             if status == 200:
                 leader.catalog(parse_catalog(answer))
-                self._controller.wake_leader()
+                self._leadership.wake()
                 return True
         except Exception as err:
             log.error("event=catalog_malformed error=%s", err)
@@ -176,7 +180,7 @@
         since = ""
         try:
             while True:
-                target = f"/hosts?limit={PAGE}" + (f"&since={since}" if since else "")
+                target = f"/hosts?limit={PAGE_SIZE}" + (f"&since={since}" if since else "")
                 status, answer = await self._call("GET", target, None)
                 if status != 200:
                     return
@@ -185,6 +189,6 @@
                 if not page.more or not page.machines or len(machines) > MAX_LISTED:
                     break
                 since = page.machines[-1].machine
-            leader.machines_listed(self._controller.now(), MachineList(machines))
+            leader.machines_listed(self._now(), MachineList(machines))
         except Exception as err:
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/job_states.py
+++ b/src/dapplewick/controller/job_states.py
@@ -35,13 +35,27 @@
 
     cache: WatchCache
 
-    def now(self) -> Seconds: ...
+    def now(self) -> Seconds:
+        """The steady clock."""
+        ...
 
-    async def current(self) -> Seconds: ...
+    async def current(self) -> Seconds:
+        """Return once the copy is known to be as new as when this was called.
+
+        Returns:
+            When the changes were asked for, by the steady clock.
+
+        Raises:
+            RequestRefusedError: they could not be read.
+        """
+        ...
 
 
 class JobStates:
-    """Reads jobs for answers to users. Raises Refused where it can't be sure."""
+    """Reads jobs for answers to users.
+
+    Every read raises RequestRefusedError where it can't be sure of its answer.
+    """
 
     def __init__(self, records: Records) -> None:
         self._records = records
--- a/src/dapplewick/controller/latencies.py
+++ b/src/dapplewick/controller/latencies.py
@@ -2,13 +2,22 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypedDict
 
 from hdrh.histogram import HdrHistogram
 
 LOWEST_MS, HIGHEST_MS, DIGITS = 1, 3_600_000, 2
 
 
+class LatencySummary(TypedDict):
+    """A histogram's count, and its percentiles and maximum in milliseconds."""
+
+    count: int
+    p50: int
+    p95: int
+    max: int
+
+
 class Latencies:
     """A histogram in milliseconds for each thing that is measured."""
 
@@ -16,12 +25,14 @@
         self._histograms: dict[str, HdrHistogram] = {}
 
     def record(self, name: str, seconds: float) -> None:
+        """Count one duration, in seconds; what is out of range counts as the nearest bound."""
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = self._histograms[name] = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
         histogram.record_value(min(HIGHEST_MS, max(LOWEST_MS, round(seconds * 1000))))
 
-    def view(self) -> dict[str, dict[str, Any]]:
+    def view(self) -> dict[str, LatencySummary]:
+        """Summarise every histogram."""
         return {
             name: {
                 "count": histogram.get_total_count(),
--- /dev/null
+++ b/src/dapplewick/controller/leader_loop.py
@@ -0,0 +1,146 @@
+"""Planning passes while this process leads, and campaigns while it does not."""
+
+from __future__ import annotations
+
+import logging
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import anyio
+
+from dapplewick.controller.leader_writer import LeaderWriter
+from dapplewick.controller.owned_shards import OwnedShards
+from dapplewick.controller.partition_switch import PartitionSwitch
+from dapplewick.controller.record_follower import RecordFollower
+from dapplewick.coordination.election import Election
+from dapplewick.coordination.identity import Identity
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.coordination.shard_assignment import ShardAssigner
+from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmations
+from dapplewick.core.leader.planner import LeaderPlanner
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.errors import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    TransactionConflictError,
+)
+from dapplewick.storage.keys import SHARDS
+from dapplewick.types import FencingToken, Seconds
+
+# Readers of the log know the events of all of a controller's loops by this name.
+log = logging.getLogger("dapplewick.controller.controller")
+
+NOT_READY_S = 0.1
+CAMPAIGN_INTERVAL_S = 0.3  # a controller that does not lead looks this often whether it should
+MAX_PASS_INTERVAL_S = 0.5  # a pass begins this long after the last one, also when nothing changed
+MIN_REST_S = 0.25
+MAX_REST_S = 0.8
+# After a pass the leader leaves the processor alone for this times as long, within the limits.
+REST_FACTOR = 20.0
+
+
+@dataclass(eq=False, kw_only=True)
+class LeaderLoop:
+    """Campaigns, plans and writes; one pass after the other."""
+
+    identity: Identity
+    records: RecordFollower
+    election: Election
+    leadership: Leadership
+    assigner: ShardAssigner
+    owned_shards: OwnedShards
+    confirmations: StatusConfirmations
+    partitions: PartitionSwitch
+    writer: LeaderWriter
+    new_planner: Callable[[FencingToken, Seconds], LeaderPlanner]
+    now: Callable[[], Seconds]
+    wall: Callable[[], Seconds]
+    rng: random.Random
+    _pass_took_s: Seconds = field(default=0.0, init=False)
+
+    async def run(self) -> None:
+        """Lead or campaign for ever. A pass that breaks is logged and followed by the next."""
+        while True:
+            try:
+                if not self.records.ready:
+                    await anyio.sleep(NOT_READY_S)
+                    continue
+                await self._lead_or_campaign()
+            except (
+                RequestRefusedError,
+                OutcomeUnknownError,
+                TransactionConflictError,
+                LeaseExpiredError,
+            ) as err:
+                log.debug("event=planning_pass_failed error=%r", err)
+                await anyio.sleep(0.1 + self.rng.random() * 0.1)
+            except Exception:
+                log.exception("event=planning_pass_crashed")
+                await anyio.sleep(0.5)
+            if self.leadership.planner is None:
+                await anyio.sleep(CAMPAIGN_INTERVAL_S)
+            else:
+                await self._rest()
+
+    async def _lead_or_campaign(self) -> None:
+        if not self.election.is_leader():
+            if self.leadership.planner is not None:
+                self.election.resign()
+            await self.election.campaign(owns_shards=bool(self.owned_shards.schedulers))
+        if self.election.is_leader():
+            await self._lead()
+
+    async def _rest(self) -> None:
+        """Wait for something to plan; leave the processor to others unless work waits for it."""
+        with anyio.move_on_after(MAX_PASS_INTERVAL_S):
+            self.leadership.pass_wake.clear()
+            await self.leadership.pass_wake.wait()
+        rest_s = max(MIN_REST_S, min(MAX_REST_S, REST_FACTOR * self._pass_took_s))
+        with anyio.move_on_after(rest_s):
+            await self.leadership.urgent_wake.wait()
+        self.leadership.urgent_wake.clear()
+
+    async def _lead(self) -> None:
+        """Make one planning pass, and write what it decides."""
+        epoch = await self.election.settle_epoch()
+        self.election.note_planned(epoch)
+        now = self.now()
+        planner = self.leadership.planner
+        if planner is None:
+            planner = self.new_planner(epoch, now)
+            self.election.begin_term(planner, epoch)
+        planner.epoch = epoch
+        self._attach_partitions(planner)
+        await self._assign_shards(planner, epoch, now)
+        self._take_own_statuses(planner, now)
+        changes = planner.plan(now, self.wall())
+        self._pass_took_s = self.now() - now
+        await self.writer.write(epoch, now, changes)
+
+    def _attach_partitions(self, planner: LeaderPlanner) -> None:
+        service = self.partitions.in_charge()
+        if service is not None:
+            service.lead(planner)
+        planner.partitions = service.keeper if service is not None else None
+        self.assigner.wanted = service.wanted_shards() if service is not None else []
+
+    async def _assign_shards(
+        self, planner: LeaderPlanner, epoch: FencingToken, now: Seconds
+    ) -> None:
+        """Write the new owners of shards, each by itself."""
+        for name, shard in self.assigner.changes(now, planner.unreachable_shards()).items():
+            key = SHARDS + name
+            value = {"owner": shard.owner, "boot": shard.incarnation}
+            version = self.records.cache.version(key)
+            await self.election.write(epoch, [ConditionalWrite(key, value, version, 0)])
+
+    def _take_own_statuses(self, planner: LeaderPlanner, now: Seconds) -> None:
+        """Give the planner the statuses of this process's own shards."""
+        for name, scheduler in self.owned_shards.schedulers.items():
+            base = self.confirmations.base(name, scheduler.token)
+            number = planner.shard_status(now, scheduler.status(now, base))
+            self.confirmations.confirm(
+                name, Confirmation(scheduler.token, self.identity.incarnation, number)
+            )
--- /dev/null
+++ b/src/dapplewick/controller/leader_writer.py
@@ -0,0 +1,91 @@
+"""Writes of a planning pass, within the leader's budget and the state service's limits."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Sequence
+
+from dapplewick.controller.record_limits import RecordLimits
+from dapplewick.coordination.election import Election
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.core.leader.job_writes import PRIORITY_PROGRESS
+from dapplewick.storage.conditional_write import ConditionalWrite
+from dapplewick.storage.encoding import encoded_size
+from dapplewick.storage.errors import ValueTooLargeError
+from dapplewick.storage.rate_limiter import RateLimiter
+from dapplewick.storage.transactions import first_whole_groups, split_into_transactions
+from dapplewick.types import FencingToken, Seconds
+
+# Readers of the log know the events of all of a controller's loops by this name.
+log = logging.getLogger("dapplewick.controller.controller")
+
+PROGRESS_RESERVE = 0.3  # of a second's writes are left by progress for what users wait for
+
+
+class LeaderWriter:
+    """Writes what a planning pass has decided, and tells the planner what is stored."""
+
+    def __init__(
+        self,
+        election: Election,
+        leadership: Leadership,
+        write_budget: RateLimiter,
+        limits: RecordLimits,
+    ) -> None:
+        self._election = election
+        self._leadership = leadership
+        self._write_budget = write_budget
+        self._limits = limits
+
+    async def write(
+        self, epoch: FencingToken, now: Seconds, changes: list[ConditionalWrite]
+    ) -> None:
+        """Write as many of a pass's changes as the budget allows.
+
+        Raises:
+            TransactionConflictError: the epoch or a record has changed.
+            OutcomeUnknownError: a write may have been done, or may come late.
+            RequestRefusedError: a write was not done.
+        """
+        for batch in split_into_transactions(
+            self._within_budget(changes),
+            lambda change: encoded_size(change.value),
+            self._limits.now(),
+        ):
+            await self._write_batch(epoch, now, batch)
+
+    def _within_budget(self, changes: list[ConditionalWrite]) -> list[ConditionalWrite]:
+        """Leave out what the budget does not allow.
+
+        It is found again by the next pass, or overtaken by more.
+        """
+        level = self._write_budget.level()
+        # What users wait for, and what ends tasks, goes before what is only kept for a restart.
+        urgent_count = sum(change.priority < PRIORITY_PROGRESS for change in changes)
+        progress_room = int(level - PROGRESS_RESERVE * self._write_budget.rate)
+        room = min(int(level), max(urgent_count, progress_room))
+        if room >= len(changes):
+            return changes
+        log.debug("event=writes_deferred count=%d", len(changes) - room)
+        return first_whole_groups(changes, room)
+
+    async def _write_batch(
+        self, epoch: FencingToken, now: Seconds, batch: Sequence[ConditionalWrite]
+    ) -> None:
+        """Write a batch as one transaction.
+
+        Where it is refused for its size, each change is written by itself, so that one that is
+        too large keeps no other back.
+        """
+        try:
+            await self._election.write(epoch, batch)
+        except ValueTooLargeError:
+            has_group = any(change.transaction_group for change in batch)
+            if len(batch) == 1 or has_group:
+                log.error("event=value_rejected key=%s", batch[0].key)
+                return
+            for change in batch:
+                await self._write_batch(epoch, now, [change])
+            return
+        if self._leadership.planner is not None:
+            self._leadership.planner.written(now, batch)
--- /dev/null
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -0,0 +1,104 @@
+"""Messages of peers and operators: what each kind is given to."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from dapplewick.controller.partition_switch import PartitionSwitch
+from dapplewick.controller.status import ControllerStatus
+from dapplewick.controller.user_api import NO_PATH, UserApi
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.coordination.peer_exchange import PeerExchange
+from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmations
+from dapplewick.protocol import peers
+from dapplewick.protocol.peers import (
+    ForwardedRequest,
+    ForwardedResponse,
+    ShardStatus,
+    StatusConfirmation,
+)
+from dapplewick.transport.http import Request
+from dapplewick.types import Seconds
+
+
+@dataclass(eq=False, kw_only=True)
+class PeerEndpoint:
+    """Hears frames, and answers those that have an answer."""
+
+    leadership: Leadership
+    exchange: PeerExchange
+    confirmations: StatusConfirmations
+    partitions: PartitionSwitch
+    status: ControllerStatus
+    user_api: UserApi
+    now: Callable[[], Seconds]
+
+    async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
+        """Handle any message on a peer connection.
+
+        Returns:
+            The answer that goes back on the connection, if there is one.
+
+        Raises:
+            ValueError: the message is malformed.
+        """
+        kind = message.get("kind")
+        if kind == peers.KIND_PARTITION_COMMAND:
+            return await self._answer_partition_command(message)
+        if kind == peers.KIND_FORWARDED_REQUEST:
+            return await self._answer_forwarded(message)
+        return self.on_message(message)
+
+    def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
+        """Handle a message that is answered at once or not at all.
+
+        Returns:
+            The answer that goes back on the connection, if there is one.
+
+        Raises:
+            ValueError: the message is malformed.
+        """
+        kind = message.get("kind")
+        if kind == peers.KIND_CONTROLLER_STATUS:
+            return self.status.describe()
+        if kind == peers.KIND_SHARD_STATUS:
+            self._hear_shard_status(message)
+        elif kind == peers.KIND_STATUS_CONFIRMATION:
+            self._hear_confirmation(message)
+        elif kind == peers.KIND_GOSSIP:
+            self.exchange.hear_gossip(message)
+        return None
+
+    def _hear_shard_status(self, message: dict[str, Any]) -> None:
+        planner = self.leadership.planner
+        if planner is None:
+            return
+        status = peers.decode(message, ShardStatus)
+        number = planner.shard_status(self.now(), status)
+        self.leadership.pass_wake.set()
+        self.exchange.confirm_status(status, number)
+
+    def _hear_confirmation(self, message: dict[str, Any]) -> None:
+        said = peers.decode(message, StatusConfirmation)
+        self.confirmations.confirm(
+            said.shard, Confirmation(said.token, said.incarnation, said.number)
+        )
+
+    async def _answer_forwarded(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Answer a user's request that a peer can't decide."""
+        forwarded = peers.decode(message, ForwardedRequest)
+        request = Request(forwarded.method, forwarded.target, forwarded.body, False)
+        answer = await self.user_api.answer(request) or NO_PATH
+        response = ForwardedResponse(
+            status=answer.status, body=answer.body, retry_after=answer.retry_after
+        )
+        return peers.encode(response)
+
+    async def _answer_partition_command(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Answer an operator's command on partitions."""
+        service = self.partitions.service
+        if service is None:
+            return {"status": 404, "error": "shares are not switched on here"}
+        return await service.answer(message)
--- /dev/null
+++ b/src/dapplewick/controller/shard_loop.py
@@ -0,0 +1,90 @@
+"""Ticks of the owned shards, and their statuses to the leader."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+
+import anyio
+
+from dapplewick.controller.record_follower import NEVER_S, RecordFollower
+from dapplewick.coordination.identity import Identity
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.coordination.status_confirmations import StatusConfirmations
+from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.protocol import peers
+from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.transport.peer import PeerLink
+from dapplewick.types import ControllerName, Seconds, ShardName
+
+# Readers of the log know the events of all of a controller's loops by this name.
+log = logging.getLogger("dapplewick.controller.controller")
+
+FOLLOWED_S = 6.0  # an open watch answers sooner than that, unless there is an outage
+MIN_TICK_S = 0.2  # shards tick, and tell what changed, this often
+# Or less often where that costs much; heartbeats steal what joined no queue yet.
+MAX_TICK_S = 0.5
+TICK_REST_FACTOR = 40.0  # after a tick this times its length passes
+IDLE_S = 0.5  # and without a shard
+STATUS_IDLE_S = 1.5
+STATUS_SLACK = 0.9  # of the time between statuses: the ticks are not exactly as far apart
+
+
+class ShardLoop:
+    """Lets the schedulers tick, and sends their statuses to the leader."""
+
+    def __init__(
+        self,
+        identity: Identity,
+        records: RecordFollower,
+        schedulers: Mapping[ShardName, ShardScheduler],
+        leadership: Leadership,
+        confirmations: StatusConfirmations,
+        links: Mapping[ControllerName, PeerLink],
+        *,
+        now: Callable[[], Seconds],
+        wall: Callable[[], Seconds],
+    ) -> None:
+        self._identity = identity
+        self._records = records
+        self._schedulers = schedulers
+        self._leadership = leadership
+        self._confirmations = confirmations
+        self._links = links
+        self._now = now
+        self._wall = wall
+        self._status_sent_at: dict[ShardName, Seconds] = {}
+
+    async def run(self) -> None:
+        """Tick for ever. A scheduler that breaks is logged, and keeps no other back."""
+        gap_s = MIN_TICK_S
+        while True:
+            await anyio.sleep(gap_s if self._schedulers else IDLE_S)
+            now = self._now()
+            for name, scheduler in list(self._schedulers.items()):
+                try:
+                    self._tick(now, name, scheduler, gap_s)
+                except Exception:
+                    log.exception("event=shard_tick_failed shard=%s", name)
+            gap_s = max(MIN_TICK_S, min(MAX_TICK_S, TICK_REST_FACTOR * (self._now() - now)))
+
+    def _tick(self, now: Seconds, name: ShardName, scheduler: ShardScheduler, gap_s: float) -> None:
+        scheduler.tick(now, self._wall(), now - self._records.current_at < FOLLOWED_S)
+        due_s = gap_s if scheduler.dirty else STATUS_IDLE_S
+        if now - self._status_sent_at.get(name, NEVER_S) >= due_s * STATUS_SLACK:
+            self._status_sent_at[name] = now
+            self.send_status(now, scheduler)
+
+    def send_status(self, now: Seconds, scheduler: ShardScheduler) -> None:
+        """Send a shard's status to the leader, wherever it is."""
+        if self._leadership.planner is not None:
+            # The leader's pass takes the status of its own shards itself.
+            self._leadership.pass_wake.set()
+            return
+        record = self._records.cache.leader
+        link = self._links.get(ControllerName(record.controller)) if record is not None else None
+        if link is not None:
+            base = self._confirmations.base(scheduler.shard, scheduler.token)
+            status = scheduler.status(now, base)
+            status.controller, status.version = self._identity.name, FORMAT_NOW
+            link.post(f"{status.kind}:{scheduler.shard}", peers.encode(status))
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -37,8 +37,11 @@
 
 
 def configure_memory() -> None:
-    """What is loaded by now stays, and what a controller keeps are long-lived records without
-    cycles: they need not be searched after every 700 new objects."""
+    """Let the collector of cycles search less often.
+
+    What is loaded by now stays, and what a controller keeps are long-lived records without cycles:
+    they need not be searched after every 700 new objects.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -61,8 +64,13 @@
 
 
 def _load_partitions(path: str, settings: Settings) -> PartitionService:
-    """What keeps the shares of zones, by the plan in this file. Loaded only here: controllers
-    without shares do without it."""
+    """Make the service that keeps the partitions of zones, by the plan in this file.
+
+    It is loaded only here: controllers without partitions do without it.
+
+    Raises:
+        PlanError: the plan is bad, or names what the deployment does not have.
+    """
     from dapplewick.partitions.plan import PlanError, load, unknown_names
     from dapplewick.partitions.service import PartitionService
 
@@ -75,7 +83,11 @@
 
 
 def run_controller(config: str, script: str | None, partition_plan_path: str | None = None) -> int:
-    """Run until killed; bad settings, a bad script or a bad plan end the start with one line."""
+    """Run until killed; bad settings, a bad script or a bad plan end the start with one line.
+
+    Returns:
+        The exit code: 2 for bad settings, scripts and plans, 1 where it can't listen.
+    """
     tuning = Tuning()
     partitions = None
     try:
@@ -114,8 +126,13 @@
 
 
 def start(arguments: list[str]) -> int:
-    """The platform's way to start: `--config FILE` last, before it perhaps `--shares PLAN`, and a
-    script only from the environment."""
+    """Start as the platform does: `--config FILE` last, before it perhaps `--shares PLAN`.
+
+    A script comes only from the environment (docs/DEPLOY-dapplewick.md).
+
+    Returns:
+        The exit code: 2 for bad arguments or settings, 1 where it can't listen.
+    """
     partition_plan_path = None
     if len(arguments) == 4 and arguments[0] == "--shares":
         partition_plan_path, arguments = arguments[1], arguments[2:]
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -1,75 +1,109 @@
-"""What a controller tells of itself; it only reads."""
+"""What a controller tells operators of itself; it only reads."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any
 
 from dapplewick import __version__
+from dapplewick.controller.latencies import Latencies
+from dapplewick.controller.record_follower import RecordFollower
+from dapplewick.coordination.identity import Identity
+from dapplewick.coordination.peer_exchange import PeerExchange
+from dapplewick.coordination.presence import Presence
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.storage.keys import LEADER, SHARDS
-from dapplewick.types import Seconds
+from dapplewick.storage.rate_limiter import RateLimiter
+from dapplewick.storage.state_client import StateClient
+from dapplewick.types import Seconds, ShardName
 
-if TYPE_CHECKING:
-    from dapplewick.controller.controller import Controller
 
+@dataclass(eq=False, kw_only=True)
+class ControllerStatus:
+    """A status as plain values, for the command line and later consoles.
 
-def controller_status(controller: Controller) -> dict[str, Any]:
-    """A status as plain values, for the command line and later consoles."""
-    now = controller.now()
-    cache = controller.cache
-    jobs: dict[str, int] = {}
-    for job in cache.jobs.values():
-        jobs[job.stage] = jobs.get(job.stage, 0) + 1
-    return {
-        "node": controller.own_name,
-        "version": __version__,
-        "ready": controller.ready,
-        "lease_left_s": round(max(0.0, controller.presence.lease_until - now), 1),
-        "records_age_s": round(now - controller.current_at, 1),
-        "leader": cache.leader.controller if cache.leader is not None else None,
-        "epoch": cache.version(LEADER),
-        "format": cache.format,
-        "versions": {name: record.version for name, record in cache.controllers.items()},
-        "parts": {
-            zone: {"owner": shard.owner, "token": cache.version(SHARDS + zone)}
-            for zone, shard in cache.shards.items()
-        },
-        "jobs": jobs,
-        "services": {
+    The names in it are kept: consoles of earlier versions read them.
+    """
+
+    identity: Identity
+    records: RecordFollower
+    presence: Presence
+    peers: PeerExchange
+    state: StateClient
+    cloud_budget: RateLimiter
+    schedulers: Mapping[ShardName, ShardScheduler]
+    latencies: Latencies
+    now: Callable[[], Seconds]
+
+    def describe(self) -> dict[str, Any]:
+        """Describe this controller, and the records as far as it has read them."""
+        now = self.now()
+        cache = self.records.cache
+        return {
+            "node": self.identity.name,
+            "version": __version__,
+            "ready": self.records.ready,
+            "lease_left_s": round(max(0.0, self.presence.lease_until - now), 1),
+            "records_age_s": round(now - self.records.current_at, 1),
+            "leader": cache.leader.controller if cache.leader is not None else None,
+            "epoch": cache.version(LEADER),
+            "format": cache.format,
+            "versions": {name: record.version for name, record in cache.controllers.items()},
+            "parts": {
+                name: {"owner": shard.owner, "token": cache.version(SHARDS + name)}
+                for name, shard in cache.shards.items()
+            },
+            "jobs": self._count_jobs(),
+            "services": self._describe_services(),
+            "machines": self._describe_machines(),
+            "bookings": len(cache.provisioning_requests),
+            "budgets": {
+                "state_calls": round(self.state.calls.level(), 1),
+                "state_writes": round(self.state.writes.level(), 1),
+                "cloud_calls": round(self.cloud_budget.level(), 1),
+            },
+            "owned": {
+                name: _describe_shard(now, scheduler) for name, scheduler in self.schedulers.items()
+            },
+            "latencies_ms": self.latencies.view(),
+        }
+
+    def _count_jobs(self) -> dict[str, int]:
+        """The number of jobs in each stage."""
+        counts: dict[str, int] = {}
+        for job in self.records.cache.jobs.values():
+            counts[job.stage] = counts.get(job.stage, 0) + 1
+        return counts
+
+    def _describe_services(self) -> dict[str, Any]:
+        return {
             job_id: {
                 "replicas": job.spec.task_count,
                 "granted": sum(len(tasks) for tasks in job.assignments.values()),
-                "running": controller.running_tasks(job_id),
+                "running": self.peers.running_tasks(job_id),
             }
-            for job_id, job in cache.each_live()
+            for job_id, job in self.records.cache.each_live()
             if job.spec.is_service and job.open
-        },
-        "machines": {
+        }
+
+    def _describe_machines(self) -> dict[str, Any]:
+        return {
             name: {
-                "type": m.type,
-                "zone": m.zone,
-                "spot": m.spot,
-                "up": m.up,
-                "doomed": m.terminating,
+                "type": machine.type,
+                "zone": machine.zone,
+                "spot": machine.spot,
+                "up": machine.up,
+                "doomed": machine.terminating,
             }
-            for name, m in cache.machines.items()
-        },
-        "bookings": len(cache.provisioning_requests),
-        "budgets": {
-            "state_calls": round(controller.state.calls.level(), 1),
-            "state_writes": round(controller.state.writes.level(), 1),
-            "cloud_calls": round(controller.cloud_budget.level(), 1),
-        },
-        "owned": {
-            zone: _shard(now, scheduler) for zone, scheduler in controller.shard_schedulers.items()
-        },
-        "latencies_ms": controller.latencies.view(),
-    }
+            for name, machine in self.records.cache.machines.items()
+        }
 
 
-def _shard(now: Seconds, scheduler: ShardScheduler) -> dict[str, Any]:
+def _describe_shard(now: Seconds, scheduler: ShardScheduler) -> dict[str, Any]:
+    """Describe an owned shard by its status."""
     status = scheduler.status(now)
-    scheduler.dirty = True
+    scheduler.dirty = True  # this status went to nobody, so what it tells is still to be sent
     unqueued = len(scheduler.queues.unqueued)
     return {
         "token": scheduler.token,
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -4,12 +4,15 @@
 
 import logging
 from collections.abc import Awaitable, Callable
-from typing import Protocol
 
 import msgspec
 
-from dapplewick.config import Deployment, StateLimits
-from dapplewick.controller.job_states import JobStates, Records, UnreadableJobError
+from dapplewick.config import Deployment
+from dapplewick.controller.job_states import JobStates, UnreadableJobError
+from dapplewick.controller.partition_switch import PartitionSwitch
+from dapplewick.controller.record_follower import RecordFollower
+from dapplewick.controller.record_limits import RecordLimits
+from dapplewick.coordination.peer_exchange import PeerExchange
 from dapplewick.protocol.errors import MalformedMessageError
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.users import encode_job_state, parse_submission
@@ -29,61 +32,57 @@
 log = logging.getLogger("dapplewick.controller.user_api")
 
 PATH = "/v2/runs"
-TRIES = 4
-RETRY = 1
+MAX_CANCEL_TRIES = 4
+RETRY_AFTER_S = 1
 
 NOT_YET = Answer(503, b'{"error":"services begin after the upgrade of all controllers"}', 5)
-UNAVAILABLE = Answer(503, b'{"error":"not available now"}', RETRY)
+UNAVAILABLE = Answer(503, b'{"error":"not available now"}', RETRY_AFTER_S)
 NOT_FOUND = Answer(404, b'{"error":"no such job"}')
 NO_PATH = Answer(404, b'{"error":"no such path"}')
 NO_METHOD = Answer(405, b'{"error":"method not allowed"}')
 
 
-class UserApiHost(Records, Protocol):
-    """What the interface needs of its controller."""
-
-    state: StateClient
-    ready: bool
-
-    def wall(self) -> Seconds: ...
-
-    def limits_now(self) -> StateLimits: ...
-
-    def shard_names(self) -> list[str]: ...
-
-    def stored(self, key: str, value: object, version: int) -> None: ...
-
-    def running_tasks(self, job: JobId) -> int: ...
-
-    async def ask_peer(self, request: Request) -> Answer | None: ...
-
-
 def error(status: int, reason: str) -> Answer:
+    """An answer that tells a user what is wrong."""
     return Answer(status, msgspec.json.encode({"error": reason}))
 
 
-class Api:
+class UserApi:
     """Answers users. Nothing is promised before it is stored."""
 
-    def __init__(self, controller: UserApiHost, deployment: Deployment) -> None:
-        self.controller = controller
-        self.states = JobStates(controller)
-        self.deployment = deployment
-        self.teams = {t.name: t for t in deployment.teams}
+    def __init__(
+        self,
+        deployment: Deployment,
+        records: RecordFollower,
+        state: StateClient,
+        peers: PeerExchange,
+        partitions: PartitionSwitch,
+        limits: RecordLimits,
+        wall: Callable[[], Seconds],
+    ) -> None:
+        self._deployment = deployment
+        self._teams = {team.name: team for team in deployment.teams}
+        self._records = records
+        self._states = JobStates(records)
+        self._state = state
+        self._peers = peers
+        self._partitions = partitions
+        self._limits = limits
+        self._wall = wall
 
     async def handle(self, request: Request) -> Answer | None:
         """Answer a request under our path; None if it is another's.
 
-        What can't be decided here because the state service does not answer this node alone
+        What can't be decided here because the state service does not answer this process alone
         is put once to a peer that reaches it: every request here may be repeated.
         """
         answer = await self.answer(request)
         if answer is UNAVAILABLE:
-            return await self.controller.ask_peer(request) or answer
+            return await self._peers.forward(request) or answer
         return answer
 
     async def answer(self, request: Request) -> Answer | None:
-        """The same, by this node alone."""
+        """Answer a request under our path by this controller alone; None if it is another's."""
         path = request.target.partition("?")[0]
         if path == PATH:
             if request.method != "POST":
@@ -103,7 +102,7 @@
         return await self._guard(lambda: self.abort(JobId(job)))
 
     async def _guard(self, call: Callable[[], Awaitable[Answer]]) -> Answer:
-        if not self.controller.ready:
+        if not self._records.ready:
             return UNAVAILABLE
         try:
             return await call()
@@ -113,19 +112,19 @@
 
     def _why_never(self, spec: JobSpec) -> str | None:
         """Why a job can never run, if so."""
-        team = self.teams.get(spec.team)
+        team = self._teams.get(spec.team)
         if team is None:
             return "unknown team"
-        if spec.zone is not None and spec.zone not in self.deployment.zones:
+        if spec.zone is not None and spec.zone not in self._deployment.zones:
             return "unknown zone"
-        names = spec.types if spec.types is not None else list(self.controller.cache.types)
-        types = [t for name in names if (t := self.controller.cache.types.get(name)) is not None]
+        names = spec.types if spec.types is not None else list(self._records.cache.types)
+        types = [t for name in names if (t := self._records.cache.types.get(name)) is not None]
         fitting = [t for t in types if spec.resources.fits_in(t.resources)]
         if not fitting:
             return "a task fits no allowed machine type"
         # A type that names no zones is offered in all of them.
-        zones = {z for t in fitting for z in t.zones or self.deployment.zones}
-        zones &= set(self.deployment.zones if spec.zone is None else [spec.zone])
+        zones = {z for t in fitting for z in t.zones or self._deployment.zones}
+        zones &= set(self._deployment.zones if spec.zone is None else [spec.zone])
         if not zones:
             return "no allowed machine type is offered in its zone"
         # All tasks of a gang, and all replicas of a service, are to run at the same time.
@@ -142,18 +141,23 @@
         return None
 
     async def submit(self, request: Request) -> Answer:
+        """Accept a job, or say why not; a job that is known already is told of as it stands.
+
+        Raises:
+            RequestRefusedError: the records can't be read or written now.
+        """
         if request.too_large:
             return error(400, "body over 64 KiB")
         try:
             job_id, spec = parse_submission(request.body)
         except MalformedMessageError as err:
             return error(400, str(err))
-        cache = self.controller.cache
+        cache = self._records.cache
         if job_id in cache.jobs:
             return await self._state_or(job_id, UNAVAILABLE)
         if spec.is_service and cache.format < FORMAT_NOW:
             # The record decides, so all controllers answer alike; not what this one last read.
-            await self.controller.current()
+            await self._records.current()
             if cache.format < FORMAT_NOW:
                 return NOT_YET
         if not cache.types:
@@ -163,41 +167,46 @@
             return await self._refuse(job_id, error(422, reason))
         job = self._new_record(spec)
         value = job.dump()
-        if encoded_size(value) > self.controller.limits_now().value_bytes:
+        if encoded_size(value) > self._limits.now().value_bytes:
             return await self._refuse(job_id, error(400, "the texts are too long together"))
         return await self._accept(job_id, spec.task_count, value)
 
     def _new_record(self, spec: JobSpec) -> JobRecord:
         """The first record of a job that is about to be accepted."""
-        cache = self.controller.cache
+        cache = self._records.cache
         if spec.types is not None:
             known = sorted({t for t in spec.types if t in cache.types})
             spec = msgspec.structs.replace(spec, types=known)
-        job = JobRecord(spec, self.controller.wall())
-        shards, room = self.controller.shard_names(), self.controller.limits_now().value_bytes
+        job = JobRecord(spec, self._wall())
+        shards, room = self._partitions.shard_names(), self._limits.now().value_bytes
         if cache.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
             job.chunk_size = chunk_tasks(spec.task_count, shards, room)
         return job
 
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Answer:
-        """Store a new job. What it answers is what is known of the job when the write has ended,
-        not what was to be written."""
+        """Store a new job.
+
+        What it answers is what is known of the job when the write has ended, not what was to be
+        written.
+        """
         key = JOBS + job_id
         try:
-            version = await self.controller.state.transaction({key: 0}, {key: value})
+            version = await self._state.transaction({key: 0}, {key: value})
         except (TransactionConflictError, OutcomeUnknownError):
             # The job is known, or the answer was lost: of the transaction that accepted it, or
             # of one that was refused since the job is known, and may be over, elsewhere. If no
             # job is found the write may still come late; the user's retry finds it then.
             return await self._state_or(job_id, UNAVAILABLE)
-        self.controller.stored(key, value, version)
+        self._records.stored(key, value, version)
         log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
-        return self._short(201, job_id, self.states.latest(job_id))
+        return self._short(201, job_id, self._states.latest(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Answer) -> Answer:
-        """Refuse a submission for good, unless its job was accepted before: then the catalogue or
-        the limits have changed since. While the records can't be read the refusal rests on
-        these alone, as it always does for a job that nobody accepted."""
+        """Refuse a submission for good, unless its job was accepted before.
+
+        Then the catalogue or the limits have changed since. While the records can't be read the
+        refusal rests on these alone, as it always does for a job that nobody accepted.
+        """
         try:
             return await self._state_or(job_id, refusal)
         except UnreadableJobError:
@@ -207,10 +216,10 @@
 
     async def _state_or(self, job_id: JobId, otherwise: Answer) -> Answer:
         """How a job stands, or another answer if there is no such job."""
-        job = await self.states.read(job_id)
+        job = await self._states.read(job_id)
         if job is None:
             return otherwise
-        running = self.controller.running_tasks(job_id) if job.open else 0
+        running = self._peers.running_tasks(job_id) if job.open else 0
         stage = self._stage(job, running)
         return Answer(200, encode_job_state(job_id, stage, job.done_count, running))
 
@@ -230,12 +239,22 @@
         return Answer(status, encode_job_state(job_id, self._stage(job, 0)))
 
     async def poll(self, job_id: JobId) -> Answer:
+        """Tell how a job stands.
+
+        Raises:
+            RequestRefusedError: the records can't be read now.
+        """
         return await self._state_or(job_id, NOT_FOUND)
 
     async def abort(self, job_id: JobId) -> Answer:
+        """Cancel a job; one that is over stays as it is.
+
+        Raises:
+            RequestRefusedError: the records can't be read or written now.
+        """
         key = JOBS + job_id
-        for _ in range(TRIES):
-            job = await self.states.read_anew(job_id, for_change=True)
+        for _ in range(MAX_CANCEL_TRIES):
+            job = await self._states.read_anew(job_id, for_change=True)
             if job is None:
                 return NOT_FOUND
             if not job.open:
@@ -245,15 +264,13 @@
             cancelled.assignments = job.assignments
             cancelled.gang = job.gang
             cancelled.chunk_size = job.chunk_size
-            value = cancelled.dump(self.controller.limits_now().value_bytes)
+            value = cancelled.dump(self._limits.now().value_bytes)
             try:
-                version = await self.controller.state.transaction(
-                    {key: job.main_version}, {key: value}
-                )
+                version = await self._state.transaction({key: job.main_version}, {key: value})
             except (TransactionConflictError, OutcomeUnknownError):
                 # Read again in the next round; a late write fails or does the same.
                 continue
-            self.controller.stored(key, value, version)
+            self._records.stored(key, value, version)
             log.info("event=job_cancelled job=%s", job_id)
-            return self._short(200, job_id, self.states.latest(job_id))
+            return self._short(200, job_id, self._states.latest(job_id))
         return UNAVAILABLE
--- /dev/null
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -0,0 +1,113 @@
+"""Heartbeats of workers: who may answer them, and where others are sent."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from dapplewick.config import WorkerTimes
+from dapplewick.controller.record_follower import RecordFollower
+from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.identity import Identity
+from dapplewick.coordination.leadership import Leadership
+from dapplewick.coordination.peer_exchange import HeardOwner, PeerExchange
+from dapplewick.coordination.presence import Presence
+from dapplewick.core.shard.scheduler import ShardScheduler
+from dapplewick.protocol.errors import MalformedMessageError
+from dapplewick.protocol.workers import (
+    Heartbeat,
+    encode_heartbeat_response,
+    encode_redirect,
+    parse_heartbeat,
+)
+from dapplewick.storage.keys import SHARDS
+from dapplewick.transport.http import Answer, Request
+from dapplewick.types import Seconds, ShardName
+
+# Readers of the log know the events of all of a controller's loops by this name.
+log = logging.getLogger("dapplewick.controller.controller")
+
+MAX_LAUNCH_AGE_S = 9.0  # with records older than this, nothing is launched
+CANCELLATION_MARGIN_S = 3.0  # what a cancellation takes on its way besides a worker's lease
+
+TOO_LARGE = Answer(400, b'{"error":"body over 64 KiB"}')
+MALFORMED = Answer(400, b'{"error":"malformed report"}')
+CUT_OFF = Answer(503, b'{"error":"cut off"}', 1)
+NO_OWNER = Answer(503, b'{"error":"no owner"}', 1)
+
+
+@dataclass(eq=False, kw_only=True)
+class WorkerEndpoint:
+    """Answers heartbeats as the owner of a shard, or says who owns it."""
+
+    identity: Identity
+    records: RecordFollower
+    schedulers: Mapping[ShardName, ShardScheduler]
+    presence: Presence
+    leadership: Leadership
+    peers: PeerExchange
+    cancellations: CancellationWatch
+    worker_times: WorkerTimes
+    now: Callable[[], Seconds]
+
+    def answer(self, request: Request) -> Answer:
+        """Answer a heartbeat: 200 by its owner, 421 to another, 503 if none may answer here."""
+        if request.too_large:
+            return TOO_LARGE
+        try:
+            heartbeat = parse_heartbeat(request.body)
+        except MalformedMessageError as err:
+            log.error("event=heartbeat_malformed error=%s", err)
+            return MALFORMED
+        now = self.now()
+        name = self.records.cache.shard_of(heartbeat.machine, heartbeat.zone)
+        scheduler = self.schedulers.get(name)
+        heard = self.peers.heard_owner(name)
+        if (
+            scheduler is not None
+            and scheduler.token >= heard.token
+            and scheduler.token_for(heartbeat.machine) >= heartbeat.token
+        ):
+            return self._answer_as_owner(now, scheduler, heartbeat)
+        return self._refer_to_owner(name, heard)
+
+    def _answer_as_owner(
+        self, now: Seconds, scheduler: ShardScheduler, heartbeat: Heartbeat
+    ) -> Answer:
+        # A cancellation that we can't see ends its tasks through the workers' leases: we
+        # keep them up only as long as that is still in time. A lease counts from when the
+        # heartbeat was sent, so neither a heartbeat held back nor a process that stands still
+        # here adds to it; a hanging machine goes on only within it.
+        told_at = self.cancellations.known_at(now)
+        times = self.worker_times
+        max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
+        if now - max(self.records.current_at, told_at) >= max_age_s:
+            scheduler.refuse(now)
+            return CUT_OFF
+        # A start needs no lease: should there be a newer owner, what this machine is told
+        # under our token is on it when it first reports under the newer one, and until
+        # then that owner takes it for unreconciled. What the records assign to us is taken
+        # back only when we say that it is not here. So in an outage starts go on, as
+        # long as no cancellation can have been missed.
+        is_followed = (
+            self.presence.lease_valid() and now - self.records.current_at < MAX_LAUNCH_AGE_S
+        )
+        may_launch = is_followed or now - told_at < MAX_LAUNCH_AGE_S
+        commands = scheduler.handle_heartbeat(now, heartbeat, may_launch)
+        if scheduler.dirty:
+            self.leadership.pass_wake.set()
+        token = scheduler.token_for(heartbeat.machine)
+        return Answer(200, encode_heartbeat_response(token, commands))
+
+    def _refer_to_owner(self, name: ShardName, heard: HeardOwner) -> Answer:
+        """Name the newest owner that is known, if it is another controller that is there."""
+        cache = self.records.cache
+        shard = cache.shards.get(name)
+        owner = shard.owner if shard is not None else ""
+        if heard.token > cache.version(SHARDS + name):
+            owner = heard.controller
+        is_another = owner != "" and owner != self.identity.name
+        if is_another and self.records.ready and owner in cache.controllers:
+            return Answer(421, encode_redirect(owner))
+        return NO_OWNER
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Awaitable, Callable, Mapping
+from typing import TYPE_CHECKING, Any, Protocol
 
 import anyio
 import anyio.to_thread
@@ -32,8 +32,12 @@
 from dapplewick.types import ControllerName, Seconds, ShardName, shard_name
 
 if TYPE_CHECKING:
-    from dapplewick.controller.controller import Controller
+    from dapplewick.config import Settings, StateLimits
+    from dapplewick.core.estimates import Estimates
     from dapplewick.core.leader.planner import LeaderPlanner
+    from dapplewick.storage.state_client import StateClient
+    from dapplewick.storage.watch_cache import WatchCache
+    from dapplewick.transport.peer import PeerLink
 
 log = logging.getLogger("dapplewick.partitions")
 
@@ -52,6 +56,65 @@
     return await anyio.to_thread.run_sync(solve, problem)
 
 
+class PartitionHost(Protocol):
+    """What the service needs of the controller that it belongs to."""
+
+    @property
+    def settings(self) -> Settings:
+        """The controller's settings."""
+        ...
+
+    @property
+    def own_name(self) -> ControllerName:
+        """The controller's name."""
+        ...
+
+    @property
+    def cache(self) -> WatchCache:
+        """The copy of the records."""
+        ...
+
+    @property
+    def state(self) -> StateClient:
+        """The client of the state service."""
+        ...
+
+    @property
+    def estimates(self) -> Estimates:
+        """The estimates of run times."""
+        ...
+
+    @property
+    def leader(self) -> LeaderPlanner | None:
+        """The planner of the present term, if the controller leads."""
+        ...
+
+    @property
+    def links(self) -> Mapping[ControllerName, PeerLink]:
+        """The links to the other controllers."""
+        ...
+
+    def now(self) -> Seconds:
+        """The steady clock."""
+        ...
+
+    def wall(self) -> Seconds:
+        """The time of day, in seconds since 1970 UTC."""
+        ...
+
+    def wake_leader(self, at_once: bool = False) -> None:
+        """Ask for a planning pass; at once if work waits for it."""
+        ...
+
+    def limits_now(self) -> StateLimits:
+        """How large values and transactions may be."""
+        ...
+
+    def stored(self, key: str, value: object, version: int) -> None:
+        """Take over a write that is known to be done."""
+        ...
+
+
 class PartitionService:
     """One controller's part in the shares of zones. Without a plan it only dissolves them."""
 
@@ -65,7 +128,7 @@
         self._times = MoveTimes()
         self.keeper: PartitionRebalancer | None = None
 
-    def attach(self, controller: Controller) -> None:
+    def attach(self, controller: PartitionHost) -> None:
         """Belong to a controller."""
         self._controller = controller
         self._index = MachineIndex(controller.cache)
