--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -37,8 +37,11 @@
 
 
 def configure_memory() -> None:
-    """What is loaded by now stays, and what a controller keeps are long-lived records without
-    cycles: they need not be searched after every 700 new objects."""
+    """Let the collector of cycles search less often.
+
+    What is loaded by now stays, and what a controller keeps are long-lived records without cycles:
+    they need not be searched after every 700 new objects.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -60,46 +63,70 @@
     await Controller(settings, tuning=tuning, partitions=partitions).run()
 
 
-def _load_partitions(path: str, settings: Settings) -> PartitionService:
-    """What keeps the shares of zones, by the plan in this file. Loaded only here: controllers
-    without shares do without it."""
-    from dapplewick.partitions.plan import PlanError, load, unknown_names
+class StartRefusedError(Exception):
+    """The process can't start with what it was given; the text says why in one line."""
+
+
+def _load_settings(path: str) -> Settings:
+    """Read the settings; a StartRefusedError says what is wrong with them."""
+    try:
+        return load(path)
+    except SettingsError as err:
+        raise StartRefusedError(f"settings: {err}") from None
+
+
+def _load_tuning(path: str | None) -> Tuning:
+    """Run the operators' script, if there is one; a StartRefusedError says what is wrong."""
+    if not path:
+        return Tuning()
+    # Loaded only here: most controllers run without a script.
+    from dapplewick.script import ScriptError
+    from dapplewick.script import load as load_script
+
+    try:
+        return load_script(path)
+    except ScriptError as err:
+        raise StartRefusedError(f"script: {err}") from None
+
+
+def _load_partitions(path: str | None, settings: Settings) -> PartitionService | None:
+    """Make the service that keeps the partitions of zones by the plan in a file, if there is one.
+
+    Raises:
+        StartRefusedError: the plan is bad, or names what the deployment does not have.
+    """
+    if not path:
+        return None
+    # Loaded only here: controllers without partitions do without it and its solver.
+    from dapplewick.partitions.plan import PlanError, unknown_names
+    from dapplewick.partitions.plan import load as load_plan
     from dapplewick.partitions.service import PartitionService
 
-    plan = load(path)
     deployment = settings.deployment
-    complaint = unknown_names(plan, (t.name for t in deployment.teams), deployment.zones, None)
+    try:
+        plan = load_plan(path)
+    except PlanError as err:
+        raise StartRefusedError(f"shares: {err}") from None
+    teams = (team.name for team in deployment.teams)
+    complaint = unknown_names(plan, teams, deployment.zones, None)
     if complaint:
-        raise PlanError(f"{path}: {complaint}")
+        raise StartRefusedError(f"shares: {path}: {complaint}")
     return PartitionService(plan)
 
 
 def run_controller(config: str, script: str | None, partition_plan_path: str | None = None) -> int:
-    """Run until killed; bad settings, a bad script or a bad plan end the start with one line."""
-    tuning = Tuning()
-    partitions = None
+    """Run until killed; bad settings, a bad script or a bad plan end the start with one line.
+
+    Returns:
+        The exit code: 2 for bad settings, scripts and plans, 1 where it can't listen.
+    """
     try:
-        settings = load(config)
-    except SettingsError as err:
-        print(f"dapplewick: settings: {err}", file=sys.stderr)
+        settings = _load_settings(config)
+        tuning = _load_tuning(script)
+        partitions = _load_partitions(partition_plan_path, settings)
+    except StartRefusedError as err:
+        print(f"dapplewick: {err}", file=sys.stderr)
         return 2
-    if script:
-        from dapplewick.script import ScriptError
-        from dapplewick.script import load as load_script
-
-        try:
-            tuning = load_script(script)
-        except ScriptError as err:
-            print(f"dapplewick: script: {err}", file=sys.stderr)
-            return 2
-    if partition_plan_path:
-        from dapplewick.partitions.plan import PlanError
-
-        try:
-            partitions = _load_partitions(partition_plan_path, settings)
-        except PlanError as err:
-            print(f"dapplewick: shares: {err}", file=sys.stderr)
-            return 2
     configure_memory()
     complaint = configure_logging()
     if complaint:
@@ -114,8 +141,13 @@
 
 
 def start(arguments: list[str]) -> int:
-    """The platform's way to start: `--config FILE` last, before it perhaps `--shares PLAN`, and a
-    script only from the environment."""
+    """Start as the platform does: `--config FILE` last, before it perhaps `--shares PLAN`.
+
+    A script comes only from the environment (docs/DEPLOY-dapplewick.md).
+
+    Returns:
+        The exit code: 2 for bad arguments or settings, 1 where it can't listen.
+    """
     partition_plan_path = None
     if len(arguments) == 4 and arguments[0] == "--shares":
         partition_plan_path, arguments = arguments[1], arguments[2:]
