--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -82,7 +82,7 @@
         times = self.worker_times
         max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
         if now - max(self.records.current_at, told_at) >= max_age_s:
-            scheduler.refuse(now)
+            scheduler.record_heartbeats_refused(now)
             return CUT_OFF
         # A start needs no lease: should there be a newer owner, what this machine is told
         # under our token is on it at its first heartbeat under the newer one, and until
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -111,7 +111,7 @@
         """Count the running tasks of this controller's shards."""
         running: dict[JobId, int] = {}
         for scheduler in self._schedulers.values():
-            for job, count in scheduler.running():
+            for job, count in scheduler.running_counts():
                 running[job] = running.get(job, 0) + count
         self.running[self._identity.name] = running
         return running
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -215,7 +215,7 @@
         array_task.slot = slot
         if spec is not None and machine is not None:
             slot.image = spec.image
-            slot.endless = spec.is_service
+            slot.holds_replica = spec.is_service
             self._images.add(machine, spec.image)
         self._machines.note_slot_change(slot)
 
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -31,7 +31,7 @@
         self._reservations = reservations
         self._threshold_s = threshold_s
 
-    def passes(self, now: Seconds, spec: JobSpec, machine: Machine) -> bool:
+    def may_backfill(self, now: Seconds, spec: JobSpec, machine: Machine) -> bool:
         """Whether a task may start before every gang that has slots reserved on this machine."""
         if spec.is_service:
             return False  # it does not end before any gang's start
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -59,7 +59,7 @@
             if not job.resources.fits_in(room):
                 continue
             fits_beside = reserved is NO_RESOURCES or job.resources.fits_in(room.minus(reserved))
-            if fits_beside or self._backfill.passes(now, spec, machine):
+            if fits_beside or self._backfill.may_backfill(now, spec, machine):
                 (warm if spec.image in machine.images else cold)[job_id] = None
         return warm | cold
 
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -63,7 +63,7 @@
         self._exits = exits
         self._changes = changes
 
-    def release_unconfirmed(self, now: Seconds) -> None:
+    def requeue_if_all_reconciled(self, now: Seconds) -> None:
         """Let those be started that no machine has listed, once all machines are heard."""
         if not self.unreconciled:
             self._tasks.requeue_unconfirmed(now)
@@ -77,7 +77,7 @@
             self._changes.machine(machine.id)
             self.unreconciled.discard(machine.id)
 
-    def take_tasks(
+    def reconcile_tasks(
         self,
         now: Seconds,
         machine: Machine,
@@ -112,7 +112,7 @@
             if is_current and item.stage == EXITED:
                 commands += self._exits.exited(now, machine, item, task_attempt)
             elif is_current:
-                self.note_present(machine, item)
+                self.record_present(machine, item)
         if is_current:
             self._find_lost_starts(machine, is_new_incarnation)
         return commands
@@ -139,7 +139,7 @@
             task_attempt.running_at = now
         return task_attempt
 
-    def note_present(self, machine: Machine, item: TaskStatus) -> None:
+    def record_present(self, machine: Machine, item: TaskStatus) -> None:
         """Note that a task that has not exited is on a machine."""
         task = item.task
         array_task = self._tasks.get(task)
--- a/src/dapplewick/core/shard/images.py
+++ b/src/dapplewick/core/shard/images.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from dapplewick.core.shard.state import IMAGES_MOST, Machine
+from dapplewick.core.shard.state import MAX_IMAGES, Machine
 from dapplewick.types import MachineId
 
 
@@ -19,13 +19,13 @@
         self._machines_with: dict[str, dict[MachineId, None]] = {}
 
     def add(self, machine: Machine, image: str) -> None:
-        """Note an image of a machine; beyond `IMAGES_MOST` the one noted first is forgotten."""
+        """Note an image of a machine; beyond `MAX_IMAGES` the one noted first is forgotten."""
         images = machine.images
         if image in images:
             return
         images[image] = None
         self._machines_with.setdefault(image, {})[machine.id] = None
-        while len(images) > IMAGES_MOST:
+        while len(images) > MAX_IMAGES:
             self._remove(machine, next(iter(images)))
 
     def _remove(self, machine: Machine, image: str) -> None:
@@ -40,6 +40,6 @@
         for image in list(machine.images):
             self._remove(machine, image)
 
-    def where(self, image: str) -> Collection[MachineId]:
+    def machines_with(self, image: str) -> Collection[MachineId]:
         """The machines that have an image, in the order in which that was noted."""
         return self._machines_with.get(image, {}).keys()
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -119,7 +119,7 @@
 
     def _sample(self, spec: JobSpec, eligible: list[Machine]) -> list[Machine]:
         """Some machines to look at: of those with the image, and of all."""
-        machine_ids = self._images.where(spec.image)
+        machine_ids = self._images.machines_with(spec.image)
         chosen: list[Machine] = []
         if machine_ids:
             count = min(len(machine_ids), SAMPLE // 2)
@@ -157,7 +157,7 @@
                 best, best_key = machine, key
         if best is not None:
             return best
-        return next((m for m in fits if self._backfill.passes(now, spec, m)), None)
+        return next((m for m in fits if self._backfill.may_backfill(now, spec, m)), None)
 
     def _slot_with_shortest_queue(self, spec: JobSpec, eligible: list[Machine]) -> Slot | None:
         queues = [
@@ -165,7 +165,7 @@
             for machine in eligible
             for is_cold in [spec.image not in machine.images]
             for slot in machine.slots
-            if len(slot.queue) < MAX_QUEUE and not slot.endless
+            if len(slot.queue) < MAX_QUEUE and not slot.holds_replica
         ]
         if not queues:
             return None
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -104,7 +104,7 @@
     def _launch_slot(
         self, now: Seconds, machine: Machine, slot: Slot, task: TaskRef, commands: list[Command]
     ) -> None:
-        if slot.endless and not NO_RESOURCES.fits_in(machine.free()):
+        if slot.holds_replica and not NO_RESOURCES.fits_in(machine.free()):
             return  # what is stopped for it is not gone yet
         array_task = self._tasks.get(task)
         if array_task is not None and array_task.state == ASSIGNED:
--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -85,7 +85,7 @@
         waiting = [
             spec
             for slot in machine.slots
-            if slot.endless
+            if slot.holds_replica
             and slot.current is not None
             and slot.current not in machine.task_attempts
             for spec in [self._tasks.spec(slot.current)]
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -159,7 +159,7 @@
                 self._machines.get_or_add(machine_id, now)
         for job_id in list(self.cache.live_jobs):
             self.job_changed(now, job_id, failover=True)
-        self._reconciler.release_unconfirmed(now)
+        self._reconciler.requeue_if_all_reconciled(now)
 
     @property
     def dirty(self) -> bool:
@@ -213,13 +213,13 @@
         machine = self.machines.pop(machine_id, None)
         had_replicas = False
         if machine is not None:
-            had_replicas = machine.has_replicas() or any(s.endless for s in machine.slots)
+            had_replicas = machine.has_replicas() or any(s.holds_replica for s in machine.slots)
             self.images.clear(machine)
             self._tasks.requeue_slots(machine)
             for task in list(machine.task_attempts):
                 self._reconciler.note_gone(now, machine, task, "machine gone")
         self._gangs.machine_gone(machine_id)
-        self._reconciler.release_unconfirmed(now)
+        self._reconciler.requeue_if_all_reconciled(now)
         self._changes.dirty = True
         if had_replicas:
             self._joining.join_all(now)  # not only with the next tick: users wait for them
@@ -240,7 +240,7 @@
 
     # Heartbeats
 
-    def refuse(self, now: Seconds) -> None:
+    def record_heartbeats_refused(self, now: Seconds) -> None:
         """Heartbeats are refused now: that machines are not heard says nothing of them."""
         self._health.listening_since = now
 
@@ -269,13 +269,13 @@
         if is_current:
             self._reconciler.note_confirmed(now, machine)
         had_tasks = bool(machine.task_attempts)
-        commands = self._reconciler.take_tasks(
+        commands = self._reconciler.reconcile_tasks(
             now, machine, heartbeat, is_current, is_new_incarnation
         )
         if is_current:
-            self._reconciler.release_unconfirmed(now)
+            self._reconciler.requeue_if_all_reconciled(now)
         self._gangs.check_on(machine.id)
-        commands += self._stops.stops(now, machine)
+        commands += self._stops.stop_commands(now, machine)
         commands += self._starts(now, machine, may_launch and is_current)
         if machine.stored:
             commands = self._forgets(now, machine, bool(commands)) + commands
@@ -360,6 +360,6 @@
         """What the leader needs to know of this shard, if it has the status numbered `base`."""
         return self._reporter.status(now, base)
 
-    def running(self) -> Iterator[tuple[JobId, int]]:
+    def running_counts(self) -> Iterator[tuple[JobId, int]]:
         """The jobs with running tasks on machines here, and how many, for display."""
         return self._reporter.running_counts()
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -19,7 +19,7 @@
     TaskRef,
 )
 
-IMAGES_MOST = 64  # images remembered of a machine, the newest ones
+MAX_IMAGES = 64  # images remembered of a machine, the newest ones
 SLOW_SAMPLES = 12  # run times that are compared before a machine is called slow
 
 # The stages of a task attempt, as plain strings: they are compared for each task of each heartbeat,
@@ -78,14 +78,14 @@
 class Slot:
     """A piece of a machine, carved to the size of its task, with a queue of array tasks."""
 
-    __slots__ = ("current", "endless", "image", "machine", "queue", "resources")
+    __slots__ = ("current", "holds_replica", "image", "machine", "queue", "resources")
 
     def __init__(self, machine: MachineId) -> None:
         self.machine = machine
         self.current: TaskRef | None = None
         self.resources = NO_RESOURCES  # what the current task takes
         self.image = ""  # and the image that it needs
-        self.endless = False  # a replica's: no queue waits behind it
+        self.holds_replica = False  # a replica's: no queue waits behind it
         self.queue: deque[TaskRef] = deque()
 
 
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -41,7 +41,7 @@
         self._replicas = replicas
         self._preemption = preemption
 
-    def stops(self, now: Seconds, machine: Machine) -> list[Command]:
+    def stop_commands(self, now: Seconds, machine: Machine) -> list[Command]:
         """Stop what is to stop on a machine.
 
         A task that can save its state is told once; any other with each heartbeat until it is gone.
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -200,7 +200,7 @@
 
 def stale_heartbeats_settle(patch: pytest.MonkeyPatch) -> None:
     """Whatever a heartbeat shows counts, whichever token it carries."""
-    take = HeartbeatReconciler.take_tasks
+    take = HeartbeatReconciler.reconcile_tasks
 
     def trusting(
         self: HeartbeatReconciler,
@@ -212,10 +212,10 @@
     ) -> Any:
         self.unreconciled.discard(machine.id)
         commands = take(self, at, machine, heartbeat, True, new)
-        self.release_unconfirmed(at)
+        self.requeue_if_all_reconciled(at)
         return commands
 
-    patch.setattr(HeartbeatReconciler, "take_tasks", trusting)
+    patch.setattr(HeartbeatReconciler, "reconcile_tasks", trusting)
 
 
 def test_stale_heartbeats_that_settle_are_detected(
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -45,7 +45,7 @@
 
 
 def stale_heartbeats_place_tasks(patch: pytest.MonkeyPatch) -> None:
-    take = HeartbeatReconciler.take_tasks
+    take = HeartbeatReconciler.reconcile_tasks
 
     def trusting(
         self: HeartbeatReconciler, at: float, machine: Any, heartbeat: Any, settles: bool, new: bool
@@ -53,14 +53,14 @@
         commands = take(self, at, machine, heartbeat, settles, new)
         for item in heartbeat.tasks:
             if item.stage != "exited":
-                self.note_present(machine, item)
+                self.record_present(machine, item)
         return commands
 
-    patch.setattr(HeartbeatReconciler, "take_tasks", trusting)
+    patch.setattr(HeartbeatReconciler, "reconcile_tasks", trusting)
 
 
 def refused_machines_are_silent(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardScheduler, "refuse", lambda *_: None)
+    patch.setattr(ShardScheduler, "record_heartbeats_refused", lambda *_: None)
 
 
 def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -235,14 +235,14 @@
     assert len(starts(bench.heartbeat(machine, 2.5))) == 1
     scheduler = bench.scheduler
     # One CPU is an array task's; the others' tasks wait behind it alone.
-    assert all(not s.queue for s in scheduler.machines[machine].slots if s.endless)
+    assert all(not s.queue for s in scheduler.machines[machine].slots if s.holds_replica)
     # A gang held here waits for slots that are never free again.
     bench.reservation("run-3", spec(1, 2.0, 10.0, is_gang=True), [machine], 3.0)
     reservation = scheduler.reservations[JobId("run-3")]
     assert scheduler.backfill.remaining_wait(4.0, reservation) > 1e6
     # And a replica never passes it, however short its estimate of 0 looks.
-    assert not scheduler.backfill.passes(4.0, service(1), scheduler.machines[machine])
-    assert scheduler.backfill.passes(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
+    assert not scheduler.backfill.may_backfill(4.0, service(1), scheduler.machines[machine])
+    assert scheduler.backfill.may_backfill(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
     scheduler.estimates.learn("x", 0.0, 50.0)
     assert scheduler.estimates.dump() == {}
 
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -18,13 +18,13 @@
 
 
 def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
-    settle = HeartbeatReconciler.release_unconfirmed
+    settle = HeartbeatReconciler.requeue_if_all_reconciled
 
     def hasty(self: HeartbeatReconciler, now: float) -> None:
         self.unreconciled.clear()
         settle(self, now)
 
-    patch.setattr(HeartbeatReconciler, "release_unconfirmed", hasty)
+    patch.setattr(HeartbeatReconciler, "requeue_if_all_reconciled", hasty)
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
@@ -32,7 +32,7 @@
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Stops, "stops", lambda *_: [])
+    patch.setattr(Stops, "stop_commands", lambda *_: [])
 
 
 def no_check_that_the_watch_cache_is_current(patch: pytest.MonkeyPatch) -> None:
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -17,7 +17,7 @@
 from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.core.leader.slot_selection import fit_all
 from dapplewick.core.shard.scheduler import ShardScheduler
-from dapplewick.core.shard.state import IMAGES_MOST
+from dapplewick.core.shard.state import MAX_IMAGES
 from dapplewick.protocol.cloud import MachineType, encode_machine_types
 from dapplewick.protocol.peers import GangStatus
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
@@ -439,12 +439,13 @@
     assert len(used) < 10
     # What is known of a machine's images is bounded, and gone with its incarnation.
     first = used[0]
-    for n in range(IMAGES_MOST + 5):
+    for n in range(MAX_IMAGES + 5):
         bench.scheduler.images.add(first, f"more-{n}")
-    assert len(first.images) == IMAGES_MOST
+    assert len(first.images) == MAX_IMAGES
     bench.scheduler.images.clear(first)
     assert all(
-        first.id not in bench.scheduler.images.where(i) for i in ("more-60", "img-0", "img-1")
+        first.id not in bench.scheduler.images.machines_with(i)
+        for i in ("more-60", "img-0", "img-1")
     )
 
 
