--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dapplewick.core.shard.changes import ChangeLog
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
 from dapplewick.core.shard.state import (
@@ -21,10 +21,10 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Seconds, TaskIndex, TaskRef
 
-LONG_WAIT_S = 15.0  # an array task that waited this long goes back to the leader
-REPLICA_WAIT_S = 4.0  # and a replica sooner
-RETRY_S = 2.0  # first pause after a failure, doubled with each further one
-LONGEST_PAUSE_S = 60.0
+MAX_TASK_WAIT_S = 15.0  # an array task that waited this long goes back to the leader
+MAX_REPLICA_WAIT_S = 4.0  # and a replica sooner
+INITIAL_RETRY_DELAY_S = 2.0  # first pause after a failure, doubled with each further one
+MAX_RETRY_DELAY_S = 60.0
 
 
 class ArrayTasks:
@@ -38,7 +38,7 @@
         cache: WatchCache,
         machines: MachineTable,
         queues: Queues,
-        images: Images,
+        images: ImageIndex,
         changes: ChangeLog,
     ) -> None:
         self.by_job: dict[JobId, dict[int, ArrayTask]] = {}
@@ -47,7 +47,7 @@
         self._queues = queues
         self._images = images
         self._changes = changes
-        self._paused: list[TaskRef] = []  # after a failure
+        self._delayed: list[TaskRef] = []  # after a failure
         self._has_unconfirmed = False  # whether any may be on a machine that is not heard yet
 
     def get(self, task: TaskRef) -> ArrayTask | None:
@@ -62,7 +62,7 @@
 
     # Assignments, and their ends
 
-    def follow_record(
+    def apply_record(
         self, now: Seconds, job_id: JobId, job: JobRecord | None, assigned: set[int], failover: bool
     ) -> bool:
         """Take over what a job's record assigns to this shard.
@@ -82,10 +82,10 @@
             return False
         array_tasks = self.by_job.setdefault(job_id, {})
         for index in [i for i in array_tasks if i not in assigned]:
-            self.leave_place(TaskRef(job_id, TaskIndex(index)), array_tasks.pop(index))
+            self.detach(TaskRef(job_id, TaskIndex(index)), array_tasks.pop(index))
         self._has_unconfirmed = self._has_unconfirmed or (failover and bool(assigned))
         if job is not None:
-            self._requeue_assigned_anew(now, job_id, job, array_tasks)
+            self._requeue_reassigned(now, job_id, job, array_tasks)
         new_indices = sorted(assigned - array_tasks.keys())
         for index in new_indices:
             state = UNCONFIRMED if failover else WAITING
@@ -94,10 +94,10 @@
                 self._queues.unqueued.append(TaskRef(job_id, TaskIndex(index)))
         if not array_tasks:
             del self.by_job[job_id]
-        self._changes.job(job_id)
+        self._changes.record_job(job_id)
         return not failover and bool(new_indices) and job is not None and job.spec.is_service
 
-    def _requeue_assigned_anew(
+    def _requeue_reassigned(
         self, now: Seconds, job_id: JobId, job: JobRecord, array_tasks: dict[int, ArrayTask]
     ) -> None:
         # What was given back under an older version of the record and is assigned in this one
@@ -115,21 +115,21 @@
     def set_state(self, task: TaskRef, array_task: ArrayTask, state: TaskState) -> None:
         """Note a task's new state, for the leader too."""
         array_task.state = state
-        self._changes.job(task.job)
+        self._changes.record_job(task.job)
         self._changes.dirty = True
 
-    def leave_place(self, task: TaskRef, array_task: ArrayTask) -> None:
+    def detach(self, task: TaskRef, array_task: ArrayTask) -> None:
         """Take a task out of its slot or queue: it is done, given back, or not wanted."""
         if array_task.slot is not None:
             slot = array_task.slot
             if slot.current == task and array_task.state == ASSIGNED:
                 slot.current = None
-                self._machines.note_slot_change(slot)
+                self._machines.record_slot_change(slot)
             elif task in slot.queue:
-                self._queues.leave(slot, task)
+                self._queues.remove(slot, task)
             array_task.slot = None
 
-    def release_long_waits(self, now: Seconds) -> None:
+    def release_overdue(self, now: Seconds) -> None:
         """Give back to the leader, which may know better, what finds no room here."""
         for job_id, array_tasks in self.by_job.items():
             job = self._cache.jobs.get(job_id)
@@ -137,13 +137,13 @@
             for index, array_task in array_tasks.items():
                 if array_task.state not in (WAITING, ASSIGNED):
                     continue
-                is_hasty = is_service and array_task.state == WAITING
-                patience_s = REPLICA_WAIT_S if is_hasty else LONG_WAIT_S
-                if now - max(array_task.since, array_task.not_before) > patience_s:
+                is_unassigned_replica = is_service and array_task.state == WAITING
+                max_wait_s = MAX_REPLICA_WAIT_S if is_unassigned_replica else MAX_TASK_WAIT_S
+                if now - max(array_task.waiting_since, array_task.not_before) > max_wait_s:
                     self._release(job, TaskRef(job_id, TaskIndex(index)), array_task)
 
     def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
-        self.leave_place(task, array_task)
+        self.detach(task, array_task)
         array_task.released_version = job.task_version(task.number) if job is not None else 0
         self.set_state(task, array_task, RELEASED)
 
@@ -153,7 +153,7 @@
         """Let a task wait anew that was on a machine; after a failure it is paused first."""
         self.set_state(task, array_task, WAITING)
         array_task.machine = None
-        array_task.since = now
+        array_task.waiting_since = now
         array_task.slot = None
         if not failed:
             self._queues.unqueued.append(task)
@@ -162,17 +162,19 @@
         # A replica is wanted back at once; only one that fails again and again is paused.
         spec = self.spec(task)
         power = array_task.failures - (2 if spec is not None and spec.is_service else 1)
-        pause_s = min(LONGEST_PAUSE_S, RETRY_S * 2.0**power) if power >= 0 else 0.0
-        array_task.not_before = now + pause_s
-        self._paused.append(task)
+        retry_delay_s = (
+            min(MAX_RETRY_DELAY_S, INITIAL_RETRY_DELAY_S * 2.0**power) if power >= 0 else 0.0
+        )
+        array_task.not_before = now + retry_delay_s
+        self._delayed.append(task)
 
-    def resume_paused(self, now: Seconds) -> None:
+    def requeue_delayed(self, now: Seconds) -> None:
         """Let the tasks join queues again whose pause after a failure is over."""
-        if not self._paused:
+        if not self._delayed:
             return
-        ready = [t for t in self._paused if self._not_before(t) <= now]
+        ready = [t for t in self._delayed if self._not_before(t) <= now]
         if ready:
-            self._paused = [t for t in self._paused if self._not_before(t) > now]
+            self._delayed = [t for t in self._delayed if self._not_before(t) > now]
             self._queues.unqueued.extend(ready)
 
     def _not_before(self, task: TaskRef) -> Seconds:
@@ -189,10 +191,10 @@
                 if array_task.state == UNCONFIRMED:
                     task = TaskRef(job_id, TaskIndex(index))
                     self.set_state(task, array_task, WAITING)
-                    array_task.since = now
+                    array_task.waiting_since = now
                     self._queues.unqueued.append(task)
 
-    def unqueue(self, task: TaskRef) -> None:
+    def move_to_unqueued(self, task: TaskRef) -> None:
         """Let a task look for another queue, if it was not started."""
         array_task = self.get(task)
         if array_task is not None and array_task.state in (WAITING, ASSIGNED):
@@ -217,7 +219,7 @@
             slot.image = spec.image
             slot.holds_replica = spec.is_service
             self._images.add(machine, spec.image)
-        self._machines.note_slot_change(slot)
+        self._machines.record_slot_change(slot)
 
     def assign_new_slot(self, now: Seconds, task: TaskRef, machine: Machine) -> None:
         """Carve a slot out of a machine's free capacity for a task that joins there."""
@@ -229,20 +231,20 @@
     def requeue_slots(self, machine: Machine) -> None:
         """Let what was only meant for a machine join anew: it takes no new work."""
         for slot in machine.slots:
-            for task in self._queues.empty(slot):
-                self.unqueue(task)
+            for task in self._queues.pop_all(slot):
+                self.move_to_unqueued(task)
             if slot.current is not None and slot.current not in machine.task_attempts:
-                self.unqueue(slot.current)
+                self.move_to_unqueued(slot.current)
         machine.slots = [s for s in machine.slots if s.current in machine.task_attempts]
-        self._machines.note_change(machine)
+        self._machines.record_change(machine)
 
     def remove_attempt(self, machine: Machine, task: TaskRef) -> None:
         """Forget an attempt that is no longer on its machine."""
         if machine.task_attempts.pop(task, None) is not None:
-            self._machines.note_change(machine)
-        self.leave_slot(machine, task)
+            self._machines.record_change(machine)
+        self.release_slot(machine, task)
 
-    def leave_slot(self, machine: Machine, task: TaskRef) -> None:
+    def release_slot(self, machine: Machine, task: TaskRef) -> None:
         """Free the slot of a task that is over, or not on its machine any more."""
         slot = machine.slot_of(task)
         if slot is None:
@@ -252,4 +254,4 @@
         array_task = self.get(task)
         if array_task is None or array_task.slot is not slot:
             slot.current = None
-            self._machines.note_change(machine)
+            self._machines.record_change(machine)
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -13,7 +13,7 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
-OVERRUN = 0.2  # a task that ran on beyond its estimate is expected to go on for this share
+OVERRUN_FRACTION = 0.2  # a task that ran on beyond its estimate is expected to go on for this share
 
 
 class Backfill:
@@ -53,47 +53,47 @@
 
         It is counted once for each time at which it is asked for.
         """
-        if reservation.wait_at != now:
+        if reservation.wait_computed_at != now:
             latest_s = 0.0
             for machine_id in reservation.indices_on:
                 machine = self._machines.by_id.get(machine_id)
                 if machine is not None:
-                    latest_s = max(latest_s, self._idle_in(now, machine))
-            reservation.wait_at, reservation.wait_s = now, latest_s
-        return reservation.wait_s
+                    latest_s = max(latest_s, self._time_until_fits(now, machine))
+            reservation.wait_computed_at, reservation.remaining_wait_s = now, latest_s
+        return reservation.remaining_wait_s
 
-    def _idle_in(self, now: Seconds, machine: Machine) -> Seconds:
+    def _time_until_fits(self, now: Seconds, machine: Machine) -> Seconds:
         """Estimated time until all that is reserved on a machine is idle."""
         reserved = self._reservations.reserved_resources(machine.id)
         room = machine.free()
         if reserved.fits_in(room):
             return 0.0
         ends = sorted(
-            (self._left(now, task_attempt), task_attempt.resources)
+            (self._estimated_remaining(now, task_attempt), task_attempt.resources)
             for task_attempt in machine.task_attempts.values()
             if task_attempt.stage != EXITED
         )
-        for left_s, resources in ends:
+        for remaining_s, resources in ends:
             room = room.plus(resources)
             if reserved.fits_in(room):
-                return left_s
+                return remaining_s
         return ends[-1][0] if ends else 0.0
 
-    def _left(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
+    def _estimated_remaining(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
         """How much longer a task is estimated to run."""
-        if task_attempt.spec is None or task_attempt.stopped:
+        if task_attempt.spec is None or task_attempt.stop_sent:
             return 0.0
         estimate_s = self._estimates.run_time(task_attempt.spec)
         if task_attempt.running_at is None or estimate_s >= NEVER:
             return estimate_s
         return max(0.0, estimate_s - (now - task_attempt.running_at))
 
-    def expected_left(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
+    def expected_remaining(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
         """How much longer a task is expected to run, where slots are chosen.
 
         What runs for longer than estimated goes on for a while more often than it ends now.
         """
-        left_s = self._left(now, task_attempt)
-        if task_attempt.running_at is None or task_attempt.stopped:
-            return left_s
-        return max(left_s, OVERRUN * (now - task_attempt.running_at))
+        remaining_s = self._estimated_remaining(now, task_attempt)
+        if task_attempt.running_at is None or task_attempt.stop_sent:
+            return remaining_s
+        return max(remaining_s, OVERRUN_FRACTION * (now - task_attempt.running_at))
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -58,8 +58,10 @@
                 room = rooms[kind] = self._free_capacity.usable_by(spec, machine)
             if not job.resources.fits_in(room):
                 continue
-            fits_beside = reserved is NO_RESOURCES or job.resources.fits_in(room.minus(reserved))
-            if fits_beside or self._backfill.may_backfill(now, spec, machine):
+            fits_beside_reserved = reserved is NO_RESOURCES or job.resources.fits_in(
+                room.minus(reserved)
+            )
+            if fits_beside_reserved or self._backfill.may_backfill(now, spec, machine):
                 (warm if spec.image in machine.images else cold)[job_id] = None
         return warm | cold
 
--- a/src/dapplewick/core/shard/changes.py
+++ b/src/dapplewick/core/shard/changes.py
@@ -14,21 +14,21 @@
     """
 
     def __init__(self) -> None:
-        self.number = 1
+        self.status_number = 1
         self.dirty = True  # whether anything happened that the leader should hear of soon
         self.machines: dict[MachineId, int] = {}
         self.jobs: dict[JobId, int] = {}
         self.gangs: dict[JobId, int] = {}
         self.gang_statuses: dict[JobId, GangStatus] = {}  # as they were told last
 
-    def machine(self, machine_id: MachineId) -> None:
+    def record_machine(self, machine_id: MachineId) -> None:
         """Note a change of a machine, of its record or of what is on it."""
-        self.machines[machine_id] = self.number
+        self.machines[machine_id] = self.status_number
 
-    def job(self, job_id: JobId) -> None:
+    def record_job(self, job_id: JobId) -> None:
         """Note a change of a job's array tasks."""
-        self.jobs[job_id] = self.number
+        self.jobs[job_id] = self.status_number
 
-    def gang(self, job_id: JobId) -> None:
+    def record_gang(self, job_id: JobId) -> None:
         """Note a change of a gang's status."""
-        self.gangs[job_id] = self.number
+        self.gangs[job_id] = self.status_number
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -37,18 +37,20 @@
         """
         self._accelerators.update(now, wall_time)
         self._gangs.update(now)
-        self._has_few_slots = self._few_slots_left()
+        self._has_few_slots = self._few_idle_slots_left()
 
-    def _few_slots_left(self) -> bool:
+    def _few_idle_slots_left(self) -> bool:
         """Whether no more idle slots are left here than are kept for gangs."""
         machines = self._machines.by_id.values()
         resources = self._gangs.resources
-        elsewhere = any(m.was_usable and not resources.fits_in(m.capacity) for m in machines)
-        kept = self._gangs.kept_slots(elsewhere)
-        if kept < 0.5:
+        has_other_machines = any(
+            m.was_usable and not resources.fits_in(m.capacity) for m in machines
+        )
+        reserved_slots = self._gangs.kept_slots(has_other_machines)
+        if reserved_slots < 0.5:
             return False
         idle = sum(resources.count_in(m.free()) for m in machines)
-        return idle <= math.ceil(kept / max(1, len(self._cache.shards)))
+        return idle <= math.ceil(reserved_slots / max(1, len(self._cache.shards)))
 
     def usable_by(self, spec: JobSpec, machine: Machine) -> Resources:
         """The free capacity of a machine that tasks of this job may use."""
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -47,7 +47,7 @@
 
     # Coming and going
 
-    def follow_record(
+    def apply_record(
         self, now: Seconds, job_id: JobId, job: JobRecord | None, failover: bool
     ) -> None:
         """Take over what a job's record says of a gang's slots in this shard."""
@@ -69,7 +69,7 @@
                 # Whether the old owner has sent the starts is unknown. An attempt is never
                 # started twice, so what is not found on its machine ends this attempt.
                 reservation.inherited = reservation.ready = True
-                reservation.launched = set(placements)
+                reservation.launched_indices = set(placements)
             self._replace(job_id, reservation)
         reservation.preempt = gang.preempt
         if not failover:
@@ -81,33 +81,33 @@
         self.by_job[job_id] = reservation
         if any(m not in self._cache.machines for m in reservation.indices_on):
             # Gone before this reservation was known here: no change of its record will tell.
-            reservation.failure = "machine gone"
+            reservation.failure_reason = "machine gone"
         for machine_id in reservation.indices_on:
             self._by_machine.setdefault(machine_id, {})[job_id] = reservation
-            self._changes.machine(machine_id)
+            self._changes.record_machine(machine_id)
 
     def _remove(self, job_id: JobId, reservation: GangReservation) -> None:
         del self.by_job[job_id]
         for machine_id in reservation.indices_on:
-            there = self._by_machine.get(machine_id)
-            if there is not None:
-                there.pop(job_id, None)
-                if not there:
+            reservations = self._by_machine.get(machine_id)
+            if reservations is not None:
+                reservations.pop(job_id, None)
+                if not reservations:
                     del self._by_machine[machine_id]
-            self._changes.machine(machine_id)
+            self._changes.record_machine(machine_id)
 
     def machine_gone(self, machine_id: MachineId) -> None:
         """End the attempts of all gangs that have slots on a machine."""
         for job_id, reservation in self.on_machine(machine_id).items():
-            if not reservation.failure:
-                reservation.failure = "machine gone"
+            if not reservation.failure_reason:
+                reservation.failure_reason = "machine gone"
                 log.info("event=gang_failed job=%s reason=machine_gone", job_id)
 
     def is_done(self, job_id: JobId, reservation: GangReservation) -> bool:
         """Whether a task of this attempt has the result."""
         return self._done_attempts.get(job_id) == reservation.attempt
 
-    def note_done(self, job_id: JobId, reservation: GangReservation) -> None:
+    def record_done(self, job_id: JobId, reservation: GangReservation) -> None:
         """Note that a task of this attempt has the result."""
         self._done_attempts[job_id] = reservation.attempt
 
@@ -125,9 +125,9 @@
         return [
             ReservedSlot(job_id, reservation, index)
             for job_id, reservation in reservations.items()
-            if not reservation.failure and self.is_wanted(job_id)
+            if not reservation.failure_reason and self.is_wanted(job_id)
             for index in reservation.indices_on[machine_id]
-            if index not in reservation.launched
+            if index not in reservation.launched_indices
         ]
 
     def reserved_resources(self, machine_id: MachineId) -> Resources:
@@ -165,18 +165,18 @@
 
     def _check(self, job_id: JobId, reservation: GangReservation) -> None:
         """A gang whose reserved slots are all idle starts on all of them together."""
-        if reservation.ready or reservation.failure or not self.is_wanted(job_id):
+        if reservation.ready or reservation.failure_reason or not self.is_wanted(job_id):
             return
         if any(self._is_leaving_shard(m) for m in reservation.indices_on):
-            reservation.failure = "machine leaves"
+            reservation.failure_reason = "machine leaves"
             self._changes.dirty = True
             return
-        each = self._cache.jobs[job_id].resources
+        task_resources = self._cache.jobs[job_id].resources
         for machine_id, indices in reservation.indices_on.items():
             machine = self._machines.by_id.get(machine_id)
             if machine is None:
                 return
-            if not each.times(len(indices)).fits_in(self._room_for(reservation, machine)):
+            if not task_resources.times(len(indices)).fits_in(self._room_for(reservation, machine)):
                 return
         reservation.ready = True
         self._changes.dirty = True
@@ -188,9 +188,11 @@
         for other_id, other in self._by_machine[machine.id].items():
             if other is reservation:
                 is_older = False
-            elif (is_older or other.ready) and not other.failure and self.is_wanted(other_id):
+            elif (
+                (is_older or other.ready) and not other.failure_reason and self.is_wanted(other_id)
+            ):
                 resources = self._cache.jobs[other_id].resources
-                count = sum(i not in other.launched for i in other.indices_on[machine.id])
+                count = sum(i not in other.launched_indices for i in other.indices_on[machine.id])
                 room = room.minus(resources.times(count))
         return room
 
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -8,7 +8,7 @@
 from dapplewick.core.shard.array_tasks import ArrayTasks
 from dapplewick.core.shard.changes import ChangeLog
 from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import (
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 # Compared for each task of each heartbeat: an enum's members are slow to look up.
-WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)  # stages that tell of an image
+STAGES_WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)  # stages that tell of an image
 
 
 class HeartbeatReconciler:
@@ -49,7 +49,7 @@
         machines: MachineTable,
         tasks: ArrayTasks,
         reservations: GangReservations,
-        images: Images,
+        images: ImageIndex,
         health: MachineHealth,
         exits: TaskExits,
         changes: ChangeLog,
@@ -68,13 +68,13 @@
         if not self.unreconciled:
             self._tasks.requeue_unconfirmed(now)
 
-    def note_confirmed(self, now: Seconds, machine: Machine) -> None:
+    def record_confirmed(self, now: Seconds, machine: Machine) -> None:
         """Note that a heartbeat carries this shard's fencing token: its list is complete."""
         machine.last_confirmed_at = now
         if not machine.reconciled:
             machine.reconciled = True
             self._changes.dirty = True
-            self._changes.machine(machine.id)
+            self._changes.record_machine(machine.id)
             self.unreconciled.discard(machine.id)
 
     def reconcile_tasks(
@@ -106,11 +106,11 @@
             listed = {item.task for item in heartbeat.tasks}
             self._health.count_lost_starts(now, machine, listed)
             for task in [t for t in machine.task_attempts if t not in listed]:
-                self.note_gone(now, machine, task, "not on its machine")
+                self.record_gone(now, machine, task, "not on its machine")
         for item in heartbeat.tasks:
             task_attempt = self._update_attempt(now, machine, item)
             if is_current and item.stage == EXITED:
-                commands += self._exits.exited(now, machine, item, task_attempt)
+                commands += self._exits.handle_exit(now, machine, item, task_attempt)
             elif is_current:
                 self.record_present(machine, item)
         if is_current:
@@ -122,18 +122,24 @@
         task_attempt = machine.task_attempts.get(task)
         if task_attempt is None or task_attempt.attempt != item.attempt:
             spec = self._tasks.spec(task)
-            task_attempt = TaskAttempt(item.attempt, item.stage, now, start_unseen=False, spec=spec)
+            task_attempt = TaskAttempt(
+                item.attempt, item.stage, now, start_unconfirmed=False, spec=spec
+            )
             machine.task_attempts[task] = task_attempt
-            self._machines.note_change(machine)
-        elif task_attempt.stage != item.stage or task_attempt.start_unseen:
-            self._machines.note_change(machine)
+            self._machines.record_change(machine)
+        elif task_attempt.stage != item.stage or task_attempt.start_unconfirmed:
+            self._machines.record_change(machine)
         if task_attempt.spec is None:
-            task_attempt.describe(self._tasks.spec(task))
-            machine.used = None
-        task_attempt.start_unseen = False
+            task_attempt.set_spec(self._tasks.spec(task))
+            machine.cached_usage = None
+        task_attempt.start_unconfirmed = False
         task_attempt.stage = item.stage
         spec = task_attempt.spec
-        if spec is not None and spec.image not in machine.images and item.stage in WITH_IMAGE:
+        if (
+            spec is not None
+            and spec.image not in machine.images
+            and item.stage in STAGES_WITH_IMAGE
+        ):
             self._images.add(machine, spec.image)
         if task_attempt.running_at is None and item.stage == RUNNING:
             task_attempt.running_at = now
@@ -151,7 +157,7 @@
             if array_task.state in (WAITING, ASSIGNED, RELEASED):
                 log.error("event=task_unexpected task=%s/%d", task.job, task.number)
             if array_task.state != FINISHED:
-                self._tasks.leave_place(task, array_task)
+                self._tasks.detach(task, array_task)
                 self._tasks.set_state(task, array_task, ON_MACHINE)
                 array_task.machine = machine.id
             return
@@ -161,10 +167,10 @@
             and reservation.attempt == item.attempt
             and reservation.placements.get(task.number) == machine.id
         ):
-            reservation.launched.add(task.number)
-            reservation.seen.add(task.number)
+            reservation.launched_indices.add(task.number)
+            reservation.listed_indices.add(task.number)
 
-    def note_gone(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
+    def record_gone(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
         """Note that a task is known not to be on its machine any more.
 
         Args:
@@ -187,32 +193,32 @@
             reservation is not None
             and task_attempt is not None
             and reservation.attempt == task_attempt.attempt
-            and not task_attempt.start_unseen
-            and not reservation.failure
+            and not task_attempt.start_unconfirmed
+            and not reservation.failure_reason
             and not self._reservations.is_done(task.job, reservation)
         ):
-            reservation.failure = reason
+            reservation.failure_reason = reason
 
     def _find_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
         """Find the gangs whose tasks were started on this machine and are not listed."""
         for job_id, reservation in self._reservations.on_machine(machine.id).items():
-            if reservation.failure or self._reservations.is_done(job_id, reservation):
+            if reservation.failure_reason or self._reservations.is_done(job_id, reservation):
                 continue
             for index in reservation.indices_on[machine.id]:
                 if (
-                    index in reservation.launched
+                    index in reservation.launched_indices
                     and TaskRef(job_id, TaskIndex(index)) not in machine.task_attempts
                 ):
-                    self._note_lost_start(reservation, index, is_new_incarnation)
-                    self._machines.note_change(machine)
+                    self._record_lost_start(reservation, index, is_new_incarnation)
+                    self._machines.record_change(machine)
 
     @staticmethod
-    def _note_lost_start(
+    def _record_lost_start(
         reservation: GangReservation, index: int, is_new_incarnation: bool
     ) -> None:
         # A start that was never seen was dropped with its answer, unless a new incarnation of
         # the machine has begun: then it may have run, and attempts are not repeated.
-        if index in reservation.seen or reservation.inherited or is_new_incarnation:
-            reservation.failure = "start lost"
+        if index in reservation.listed_indices or reservation.inherited or is_new_incarnation:
+            reservation.failure_reason = "start lost"
         else:
-            reservation.launched.discard(index)
+            reservation.launched_indices.discard(index)
--- a/src/dapplewick/core/shard/images.py
+++ b/src/dapplewick/core/shard/images.py
@@ -8,7 +8,7 @@
 from dapplewick.types import MachineId
 
 
-class Images:
+class ImageIndex:
     """Which machines have which image, or fetch it, or are about to.
 
     A job's tasks join together, before the first of them is listed in a heartbeat: what is only
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -13,7 +13,7 @@
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.free_capacity import FreeCapacity
 from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
 from dapplewick.core.shard.replicas import ReplicaPlacement
@@ -21,8 +21,8 @@
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.types import Seconds, TaskRef
 
-SAMPLE = 12  # machines looked at when an array task joins
-MAX_QUEUE = 8  # array tasks waiting behind one slot
+MAX_SAMPLED_MACHINES = 12  # machines looked at when an array task joins
+MAX_QUEUE_LENGTH = 8  # array tasks waiting behind one slot
 
 
 class Joining:
@@ -33,7 +33,7 @@
         machines: MachineTable,
         tasks: ArrayTasks,
         queues: Queues,
-        images: Images,
+        images: ImageIndex,
         constraints: PlacementConstraints,
         free_capacity: FreeCapacity,
         reservations: GangReservations,
@@ -60,7 +60,7 @@
         usable = [m for m in self._machines.by_id.values() if m.was_usable]
         waiting = list(unqueued)
         unqueued.clear()
-        stuck: set[PlacementKey] = set()
+        unplaceable: set[PlacementKey] = set()
         eligible: dict[PlacementKey, list[Machine]] = {}
         for task in waiting:
             array_task = self._tasks.get(task)
@@ -68,17 +68,17 @@
                 continue
             spec = self._tasks.spec(task)
             # Where one task finds no queue, the next that is alike finds none either.
-            if spec is None or spec.placement_key in stuck:
+            if spec is None or spec.placement_key in unplaceable:
                 unqueued.append(task)
                 continue
             machines = eligible.get(spec.placement_key)
             if machines is None:
-                machines = eligible[spec.placement_key] = self._able_machines(spec, usable)
+                machines = eligible[spec.placement_key] = self._eligible_machines(spec, usable)
             if not self._join(now, task, array_task, spec, machines):
-                stuck.add(spec.placement_key)
+                unplaceable.add(spec.placement_key)
                 unqueued.append(task)
 
-    def _able_machines(self, spec: JobSpec, usable: list[Machine]) -> list[Machine]:
+    def _eligible_machines(self, spec: JobSpec, usable: list[Machine]) -> list[Machine]:
         """The machines on which a task of this job would fit if nothing else were there."""
         resources = spec.resources
         return [
@@ -104,7 +104,7 @@
             if machine is not None:
                 self._tasks.assign_new_slot(now, task, machine)
             return machine is not None
-        if len(eligible) > SAMPLE:
+        if len(eligible) > MAX_SAMPLED_MACHINES:
             eligible = self._sample(spec, eligible)
         machine = self._machine_with_room(now, spec, eligible)
         if machine is not None:
@@ -113,7 +113,7 @@
         slot = self._slot_with_shortest_queue(spec, eligible)
         if slot is None:
             return False
-        self._queues.join(slot, task)
+        self._queues.enqueue(slot, task)
         array_task.slot = slot
         return True
 
@@ -122,7 +122,7 @@
         machine_ids = self._images.machines_with(spec.image)
         chosen: list[Machine] = []
         if machine_ids:
-            count = min(len(machine_ids), SAMPLE // 2)
+            count = min(len(machine_ids), MAX_SAMPLED_MACHINES // 2)
             for machine_id in self._random.sample(list(machine_ids), count):
                 machine = self._machines.by_id.get(machine_id)
                 if (
@@ -132,8 +132,8 @@
                     and spec.resources.fits_in(machine.capacity)
                 ):
                     chosen.append(machine)
-        rest = self._random.sample(eligible, SAMPLE - len(chosen))
-        return chosen + [m for m in rest if m not in chosen]
+        others = self._random.sample(eligible, MAX_SAMPLED_MACHINES - len(chosen))
+        return chosen + [m for m in others if m not in chosen]
 
     def _machine_with_room(
         self, now: Seconds, spec: JobSpec, eligible: list[Machine]
@@ -151,7 +151,7 @@
             if not resources.fits_in(free.minus(self._reservations.reserved_resources(machine.id))):
                 continue
             spare_gpus = machine.capacity.gpus if spec.gpus == 0 else 0.0
-            cold = 0.0 if spec.image in machine.images else 1.0 + machine.fetches()
+            cold = 0.0 if spec.image in machine.images else 1.0 + machine.pending_image_fetches()
             key = (spare_gpus, cold, free.cpus)
             if best is None or key < best_key:
                 best, best_key = machine, key
@@ -165,7 +165,7 @@
             for machine in eligible
             for is_cold in [spec.image not in machine.images]
             for slot in machine.slots
-            if len(slot.queue) < MAX_QUEUE and not slot.holds_replica
+            if len(slot.queue) < MAX_QUEUE_LENGTH and not slot.holds_replica
         ]
         if not queues:
             return None
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -7,7 +7,7 @@
 from dapplewick.core.shard.array_tasks import ArrayTasks
 from dapplewick.core.shard.candidates import Candidates
 from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
 from dapplewick.core.shard.state import (
@@ -18,7 +18,7 @@
     Slot,
     TaskAttempt,
 )
-from dapplewick.core.shard.work_stealing import LEAST_FREE_CPUS, WorkStealing
+from dapplewick.core.shard.work_stealing import MIN_FREE_CPUS, WorkStealing
 from dapplewick.protocol.workers import Command
 from dapplewick.types import (
     IDS_PER_TOKEN,
@@ -42,7 +42,7 @@
         machines: MachineTable,
         tasks: ArrayTasks,
         queues: Queues,
-        images: Images,
+        images: ImageIndex,
         reservations: GangReservations,
         candidates: Candidates,
         stealing: WorkStealing,
@@ -60,7 +60,7 @@
     def launch(self, now: Seconds, machine: Machine) -> list[Command]:
         """Start all that may start on a machine now: gangs first, then array tasks."""
         commands = self.launch_gangs(now, machine)
-        if machine.free().cpus > LEAST_FREE_CPUS:
+        if machine.free().cpus > MIN_FREE_CPUS:
             self._fill_from_queues(now, machine)
             self._stealing.steal(now, machine)
         self._launch_assigned(now, machine, commands)
@@ -71,7 +71,7 @@
         commands = []
         for job_id, reservation, index in self._reservations.slots_on(machine.id):
             if reservation.ready:
-                reservation.launched.add(index)
+                reservation.launched_indices.add(index)
                 task = TaskRef(job_id, TaskIndex(index))
                 commands.append(self._start(now, machine, task, Attempt(reservation.attempt)))
         return commands
@@ -84,22 +84,22 @@
                 fitting = self._candidates.fitting_jobs(now, machine, jobs)
                 task = self._candidates.next_task(now, machine, slot.queue, fitting)
                 if task is not None:
-                    self._queues.leave(slot, task)
+                    self._queues.remove(slot, task)
                     self._tasks.assign(task, slot)
 
     def _launch_assigned(self, now: Seconds, machine: Machine, commands: list[Command]) -> None:
         """Start what slots were assigned, and give up the slots that are left empty."""
-        kept: list[Slot] = []
+        occupied_slots: list[Slot] = []
         for slot in machine.slots:
             task = slot.current
             if task is not None and task not in machine.task_attempts:
                 self._launch_slot(now, machine, slot, task, commands)
             if slot.current is not None:
-                kept.append(slot)
+                occupied_slots.append(slot)
             else:
-                for queued in self._queues.empty(slot):
-                    self._tasks.unqueue(queued)
-        machine.slots = kept
+                for queued in self._queues.pop_all(slot):
+                    self._tasks.move_to_unqueued(queued)
+        machine.slots = occupied_slots
 
     def _launch_slot(
         self, now: Seconds, machine: Machine, slot: Slot, task: TaskRef, commands: list[Command]
@@ -113,7 +113,7 @@
             array_task.slot = None
         else:
             slot.current = None
-            self._machines.note_change(machine)
+            self._machines.record_change(machine)
 
     def _new_attempt(self) -> Attempt:
         self._attempt_count += 1
@@ -122,12 +122,12 @@
     def _start(self, now: Seconds, machine: Machine, task: TaskRef, attempt: Attempt) -> Command:
         spec = self._tasks.spec(task)
         machine.task_attempts[task] = TaskAttempt(
-            attempt, FETCHING, now, start_unseen=True, spec=spec
+            attempt, FETCHING, now, start_unconfirmed=True, spec=spec
         )
         if spec is not None:
             self._images.add(machine, spec.image)
         machine.idle_since = now
-        self._machines.note_change(machine)
+        self._machines.record_change(machine)
         log.debug(
             "event=task_launched task=%s/%d attempt=%d machine=%s",
             task.job,
--- a/src/dapplewick/core/shard/machines.py
+++ b/src/dapplewick/core/shard/machines.py
@@ -29,14 +29,14 @@
                     machine.capacity = machine_type.resources
         return machine
 
-    def note_change(self, machine: Machine) -> None:
+    def record_change(self, machine: Machine) -> None:
         """Note that what is on this machine, or meant for it, has changed."""
-        machine.used = None
-        self._changes.machine(machine.id)
+        machine.cached_usage = None
+        self._changes.record_machine(machine.id)
         self._changes.dirty = True
 
-    def note_slot_change(self, slot: Slot) -> None:
+    def record_slot_change(self, slot: Slot) -> None:
         """Note a change of a slot, unless its machine is gone."""
         machine = self.by_id.get(slot.machine)
         if machine is not None:
-            self.note_change(machine)
+            self.record_change(machine)
--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -18,25 +18,25 @@
         and not spec.is_service
         and spec.priority < priority
         and task_attempt.stage != EXITED
-        and not task_attempt.stopped
+        and not task_attempt.stop_sent
     )
 
 
 def is_stopping(task: TaskRef, task_attempt: TaskAttempt, preempted: set[TaskRef]) -> bool:
     """Whether a task's room is about to be free: it was told to stop, or will be."""
-    return task in preempted or (task_attempt.stopped and task_attempt.stage != EXITED)
+    return task in preempted or (task_attempt.stop_sent and task_attempt.stage != EXITED)
 
 
 def preempt_until_fits(
-    machine: Machine, need: Resources, priority: int, preempted: set[TaskRef]
+    machine: Machine, required: Resources, priority: int, preempted: set[TaskRef]
 ) -> None:
-    """Add tasks to `preempted` until `need` fits beside what is left.
+    """Add tasks to `preempted` until `required` fits beside what is left.
 
     Those of the lowest priority go first, and among them those that began last lose least.
 
     Args:
         machine: The machine.
-        need: What is to be free there.
+        required: The resources that must be free on the machine.
         priority: Of the work that needs it: only tasks below are preempted.
         preempted: The tasks that are to be stopped on this machine so far; it is added to.
     """
@@ -45,14 +45,14 @@
         if is_stopping(task, task_attempt, preempted):
             room = room.plus(task_attempt.resources)
     victims = sorted(
-        (task_attempt.spec.priority, -task_attempt.since, task)
+        (task_attempt.spec.priority, -task_attempt.created_at, task)
         for task, task_attempt in machine.task_attempts.items()
         if task_attempt.spec is not None
         and task not in preempted
         and may_be_preempted(task_attempt, priority)
     )
     for _, _, task in victims:
-        if need.fits_in(room):
+        if required.fits_in(room):
             break
         room = room.plus(machine.task_attempts[task].resources)
         preempted.add(task)
--- a/src/dapplewick/core/shard/queues.py
+++ b/src/dapplewick/core/shard/queues.py
@@ -16,7 +16,7 @@
         self.unqueued: deque[TaskRef] = deque()
         self._counts: dict[JobId, dict[Slot, int]] = {}  # how many tasks of a job wait where
 
-    def _note_left(self, slot: Slot, task: TaskRef) -> None:
+    def _decrement_count(self, slot: Slot, task: TaskRef) -> None:
         slots = self._counts[task.job]
         slots[slot] -= 1
         if not slots[slot]:
@@ -24,27 +24,27 @@
             if not slots:
                 del self._counts[task.job]
 
-    def join(self, slot: Slot, task: TaskRef) -> None:
+    def enqueue(self, slot: Slot, task: TaskRef) -> None:
         """Put an array task at the end of a slot's queue."""
         slot.queue.append(task)
         slots = self._counts.setdefault(task.job, {})
         slots[slot] = slots.get(slot, 0) + 1
 
-    def leave(self, slot: Slot, task: TaskRef) -> None:
+    def remove(self, slot: Slot, task: TaskRef) -> None:
         """Take an array task out of a slot's queue.
 
         Raises:
             ValueError: The task does not wait there.
         """
         slot.queue.remove(task)
-        self._note_left(slot, task)
+        self._decrement_count(slot, task)
 
-    def empty(self, slot: Slot) -> list[TaskRef]:
+    def pop_all(self, slot: Slot) -> list[TaskRef]:
         """Take all array tasks out of a slot's queue, the first one first."""
         tasks = list(slot.queue)
         slot.queue.clear()
         for task in tasks:
-            self._note_left(slot, task)
+            self._decrement_count(slot, task)
         return tasks
 
     def waiting_jobs(self) -> dict[JobId, None]:
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -24,15 +24,15 @@
 EVICTION_LEAD_S = (
     6.0  # a replica is stopped so long before its machine is taken, wherever it can go
 )
-STOP_COST_S = 4.0  # until what is stopped for a replica is gone, and what it loses
+PREEMPTION_COST_S = 4.0  # until what is stopped for a replica is gone, and what it loses
 # What a better place is worth, in seconds until the replica runs: away from the others of its
 # service, from machines that may be taken, and from accelerators.
 SAME_SERVICE_COST_S, SPOT_COST_S, ACCELERATOR_COST_S = 30.0, 20.0, 5.0
-CPU_COST_S = 0.01  # and for each free CPU: small rooms are filled first
-DRAIN_S = 75.0  # after this time with nothing but replicas a dear machine is emptied
-DRAIN_PRICE = 2.0  # dear: more than this times the cheapest that they fit
-LEAST_FETCH_RATE = 0.01  # GB/s of images
-UNKNOWN_FETCH_RATE = 0.1  # of a machine of an unknown type
+FREE_CPU_COST_S = 0.01  # and for each free CPU: small rooms are filled first
+DRAIN_DELAY_S = 75.0  # after this time with nothing but replicas a dear machine is emptied
+DRAIN_PRICE_RATIO = 2.0  # dear: more than this times the cheapest that they fit
+MIN_FETCH_RATE_GB_PER_S = 0.01  # GB/s of images
+DEFAULT_FETCH_RATE_GB_PER_S = 0.1  # of a machine of an unknown type
 
 
 class ReplicaPlacement:
@@ -82,7 +82,9 @@
                 continue
             # What is stopped goes with one heartbeat, and the start comes with the next: that is
             # sooner than an image.
-            cost_s = self._cost(now, spec, job_id, machine) + STOP_COST_S * must_preempt
+            cost_s = (
+                self._placement_cost(now, spec, job_id, machine) + PREEMPTION_COST_S * must_preempt
+            )
             if best is None or cost_s < best[0]:
                 best = (cost_s, machine)
         return best[1] if best is not None else None
@@ -94,20 +96,26 @@
                 room = room.plus(task_attempt.resources)
         return room
 
-    def _cost(self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine) -> Seconds:
+    def _placement_cost(
+        self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine
+    ) -> Seconds:
         """How long until it would run here, and what else speaks against it, in seconds."""
-        same = sum(task.job == job_id for task in machine.task_attempts)
-        same += sum(s.current is not None and s.current.job == job_id for s in machine.slots)
-        cost_s = SAME_SERVICE_COST_S * same + SPOT_COST_S * machine.spot
+        same_service = sum(task.job == job_id for task in machine.task_attempts)
+        same_service += sum(
+            s.current is not None and s.current.job == job_id for s in machine.slots
+        )
+        cost_s = SAME_SERVICE_COST_S * same_service + SPOT_COST_S * machine.spot
         cost_s += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
         if spec.image not in machine.images:
             machine_type = self._cache.types.get(machine.type)
-            rate = machine_type.fetch_rate if machine_type is not None else UNKNOWN_FETCH_RATE
-            cost_s += spec.image_gb / max(LEAST_FETCH_RATE, rate)
-            cost_s += machine.fetches()
+            rate = (
+                machine_type.fetch_rate if machine_type is not None else DEFAULT_FETCH_RATE_GB_PER_S
+            )
+            cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
+            cost_s += machine.pending_image_fetches()
         # What was heard long ago is heard again soon; the start goes out in the answer.
         cost_s += max(0.0, self._heartbeat_interval_s - (now - machine.last_heartbeat_at))
-        return cost_s + CPU_COST_S * machine.free().cpus
+        return cost_s + FREE_CPU_COST_S * machine.free().cpus
 
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
         """Whether a replica is to leave its machine now.
@@ -117,21 +125,23 @@
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
-        is_drained = machine.drain or self._cache.transfers.drains(machine.id) is not None
+        is_drained = machine.draining or self._cache.transfers.drains(machine.id) is not None
         if machine.spot_notice_s is None and not machine.slow and not is_drained:
             return False
-        eligible = (m for m in self._others(machine) if self._constraints.allow(spec, m))
-        place = self.best_machine(now, spec, job_id, eligible)
-        if place is None or not spec.resources.fits_in(place.free()):
+        eligible = (
+            m for m in self._other_usable_machines(machine) if self._constraints.allow(spec, m)
+        )
+        target = self.best_machine(now, spec, job_id, eligible)
+        if target is None or not spec.resources.fits_in(target.free()):
             return False
         # Without its image there it is away for longer: only for a notice, or in the end.
-        waited = is_drained and now - machine.idle_since > 2.0 * DRAIN_S
-        return spec.image in place.images or machine.spot_notice_s is not None or waited
+        is_overdue = is_drained and now - machine.idle_since > 2.0 * DRAIN_DELAY_S
+        return spec.image in target.images or machine.spot_notice_s is not None or is_overdue
 
-    def _others(self, machine: Machine) -> list[Machine]:
+    def _other_usable_machines(self, machine: Machine) -> list[Machine]:
         return [m for m in self._machines.by_id.values() if m is not machine and m.was_usable]
 
-    def drain_dear(self, now: Seconds, work_waits: bool) -> Iterator[Machine]:
+    def drain_expensive(self, now: Seconds, has_unqueued_tasks: bool) -> Iterator[Machine]:
         """Mark dear machines on which nothing but replicas has been for long.
 
         What is there must have room on others: they move, and the machine is returned to the
@@ -139,7 +149,7 @@
 
         Args:
             now: The time.
-            work_waits: Whether any array task has found no queue.
+            has_unqueued_tasks: Whether any array task has found no queue.
 
         Yields:
             The machines that are newly marked.
@@ -150,33 +160,35 @@
                 for task_attempt in machine.task_attempts.values()
                 if task_attempt.stage != EXITED
             ]
-            if machine.drain:
-                machine.drain = bool(task_attempts) or not work_waits
+            if machine.draining:
+                machine.draining = bool(task_attempts) or not has_unqueued_tasks
             elif self._can_be_emptied(now, machine, task_attempts):
                 log.info(
                     "event=machine_drained machine=%s replicas=%d", machine.id, len(task_attempts)
                 )
-                machine.drain = True
+                machine.draining = True
                 yield machine
 
     def _can_be_emptied(
         self, now: Seconds, machine: Machine, task_attempts: list[TaskAttempt]
     ) -> bool:
-        if not task_attempts or now - machine.idle_since < DRAIN_S or not machine.was_usable:
+        if not task_attempts or now - machine.idle_since < DRAIN_DELAY_S or not machine.was_usable:
             return False
         specs = [a.spec for a in task_attempts if a.spec is not None and a.spec.is_service]
         if len(specs) < len(task_attempts) or len(machine.slots) > len(task_attempts):
             return False
-        return self._is_dear(machine, specs) and self._have_room(self._others(machine), specs)
+        return self._is_expensive(machine, specs) and self._have_room(
+            self._other_usable_machines(machine), specs
+        )
 
-    def _is_dear(self, machine: Machine, specs: list[JobSpec]) -> bool:
+    def _is_expensive(self, machine: Machine, specs: list[JobSpec]) -> bool:
         """Whether a machine costs much more than the cheapest on which all of this fits."""
         types = self._cache.types
         machine_type = types.get(machine.type)
         prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         if machine_type is None or not prices:
             return False
-        return machine_type.price > DRAIN_PRICE * min(prices)
+        return machine_type.price > DRAIN_PRICE_RATIO * min(prices)
 
     def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -21,7 +21,7 @@
 from dapplewick.core.shard.free_capacity import FreeCapacity
 from dapplewick.core.shard.gang_reservations import GangReservations
 from dapplewick.core.shard.heartbeats import HeartbeatReconciler
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.joining import Joining
 from dapplewick.core.shard.launches import Launches
 from dapplewick.core.shard.machine_health import MachineHealth
@@ -43,8 +43,10 @@
 
 log = logging.getLogger(__name__)
 
-STALL_S = 2.0  # a process that ticks later than this may have heartbeats it has not read
-SLOW_TICK_S = 1.0  # what looks at all machines, reservations and waiting tasks is done this often
+STALL_THRESHOLD_S = 2.0  # a process that ticks later than this may have heartbeats it has not read
+FULL_SCAN_INTERVAL_S = (
+    1.0  # what looks at all machines, reservations and waiting tasks is done this often
+)
 
 
 class ShardScheduler:
@@ -83,14 +85,14 @@
         self.cache = cache
         self.estimates = estimates
         self._ticked_at = now
-        self._slow_ticked_at = NEVER_S
+        self._full_scan_at = NEVER_S
         # Long, as it does but one thing: it gives each piece the others that it needs, in the
         # order in which they depend on one another. First, what the pieces share.
         self._changes = changes = ChangeLog()
         self._machines = machines = MachineTable(cache, changes)
         self.machines = machines.by_id
         self.queues = queues = Queues()
-        self.images = images = Images()
+        self.images = images = ImageIndex()
         self.unreconciled: set[MachineId] = set()
         self._tasks = tasks = ArrayTasks(cache, machines, queues, images, changes)
         self.array_tasks = tasks.by_job
@@ -143,9 +145,9 @@
             self.unreconciled,
         )
         accelerators.update(now, now)
-        self._take_over(now)
+        self._rebuild_state(now)
 
-    def _take_over(self, now: Seconds) -> None:
+    def _rebuild_state(self, now: Seconds) -> None:
         """Rebuild what the old owner knew from the records; heartbeats tell the rest.
 
         "A controller taking over rebuilds queues and holds from reports and records before
@@ -186,8 +188,8 @@
         """
         job = self.cache.jobs.get(job_id)
         assigned = job.assigned(self.shard) - job.done if job is not None and job.open else set()
-        replicas_wait = self._tasks.follow_record(now, job_id, job, assigned, failover)
-        self._gangs.follow_record(now, job_id, job, failover)
+        replicas_wait = self._tasks.apply_record(now, job_id, job, assigned, failover)
+        self._gangs.apply_record(now, job_id, job, failover)
         self._changes.dirty = True
         if replicas_wait:
             self._joining.join_all(now)  # not only with the next tick: users wait for them
@@ -195,15 +197,15 @@
     def machine_changed(self, now: Seconds, machine_id: MachineId) -> None:
         """A machine's record has changed; without one it is gone, with all that was on it."""
         record = self.cache.machines.get(machine_id)
-        self._changes.machine(machine_id)
+        self._changes.record_machine(machine_id)
         if record is None:
             self._remove_machine(now, machine_id)
             return
         machine = self.machines.get(machine_id)
         if machine is not None and record.shard != self.shard:
-            self._hand_over(machine)
+            self._drop_transferred_machine(machine)
         elif machine is not None:
-            self._health.note_usable(now, machine)
+            self._health.update_usable(now, machine)
         elif record.shard == self.shard and record.up and record.floor:
             # Handed over to us: if it is never heard, it is to be seen as silent.
             self._machines.get_or_add(machine_id, now)
@@ -217,14 +219,14 @@
             self.images.clear(machine)
             self._tasks.requeue_slots(machine)
             for task in list(machine.task_attempts):
-                self._reconciler.note_gone(now, machine, task, "machine gone")
+                self._reconciler.record_gone(now, machine, task, "machine gone")
         self._gangs.machine_gone(machine_id)
         self._reconciler.requeue_if_all_reconciled(now)
         self._changes.dirty = True
         if had_replicas:
             self._joining.join_all(now)  # not only with the next tick: users wait for them
 
-    def _hand_over(self, machine: Machine) -> None:
+    def _drop_transferred_machine(self, machine: Machine) -> None:
         """Forget a machine that belongs to another shard now.
 
         It was told to be empty before, so nothing of ours can be on it, and nothing is started
@@ -242,7 +244,7 @@
 
     def record_heartbeats_refused(self, now: Seconds) -> None:
         """Heartbeats are refused now: that machines are not heard says nothing of them."""
-        self._health.listening_since = now
+        self._health.accepting_heartbeats_since = now
 
     def handle_heartbeat(
         self, now: Seconds, heartbeat: Heartbeat, may_launch: bool
@@ -257,17 +259,17 @@
         Returns:
             The commands for its machine.
         """
-        machine = self._sender(now, heartbeat)
+        machine = self._heartbeat_machine(now, heartbeat)
         if machine is None:
             return []
-        is_new_incarnation = self._health.take_heartbeat(now, machine, heartbeat)
+        is_new_incarnation = self._health.apply_heartbeat(now, machine, heartbeat)
         if is_new_incarnation:
             self.images.clear(machine)
         # A heartbeat from before our token was seen may miss starts of the old owner that are
         # still under way; only one that carries our token settles what is not there.
         is_current = heartbeat.token == self.token_for(machine.id)
         if is_current:
-            self._reconciler.note_confirmed(now, machine)
+            self._reconciler.record_confirmed(now, machine)
         had_tasks = bool(machine.task_attempts)
         commands = self._reconciler.reconcile_tasks(
             now, machine, heartbeat, is_current, is_new_incarnation
@@ -276,13 +278,13 @@
             self._reconciler.requeue_if_all_reconciled(now)
         self._gangs.check_on(machine.id)
         commands += self._stops.stop_commands(now, machine)
-        commands += self._starts(now, machine, may_launch and is_current)
-        if machine.stored:
-            commands = self._forgets(now, machine, bool(commands)) + commands
-        self._note_busy(now, machine, had_tasks)
+        commands += self._start_commands(now, machine, may_launch and is_current)
+        if machine.stored_results:
+            commands = self._forget_commands(now, machine, bool(commands)) + commands
+        self._update_idle_since(now, machine, had_tasks)
         return commands
 
-    def _sender(self, now: Seconds, heartbeat: Heartbeat) -> Machine | None:
+    def _heartbeat_machine(self, now: Seconds, heartbeat: Heartbeat) -> Machine | None:
         """The machine of a heartbeat that is to be handled."""
         record = self.cache.machines.get(heartbeat.machine)
         if record is None or record.shard != self.shard:
@@ -294,20 +296,20 @@
             return None
         return machine
 
-    def _starts(self, now: Seconds, machine: Machine, may_launch: bool) -> list[Command]:
-        is_usable = self._health.note_usable(now, machine)
+    def _start_commands(self, now: Seconds, machine: Machine, may_launch: bool) -> list[Command]:
+        is_usable = self._health.update_usable(now, machine)
         if is_usable and may_launch:
             return self._launches.launch(now, machine)
-        if may_launch and self._health.is_only_drained(now, machine):
+        if may_launch and self._health.is_healthy_but_drained(now, machine):
             # A gang that is about to start gets its slots before the machine goes.
             return self._launches.launch_gangs(now, machine)
         return []
 
-    def _forgets(self, now: Seconds, machine: Machine, has_commands: bool) -> list[Command]:
+    def _forget_commands(self, now: Seconds, machine: Machine, has_commands: bool) -> list[Command]:
         is_drained = self.cache.transfers.drains(machine.id) is not None
         return self._exits.forget_stored(now, machine, is_drained or has_commands)
 
-    def _note_busy(self, now: Seconds, machine: Machine, had_tasks: bool) -> None:
+    def _update_idle_since(self, now: Seconds, machine: Machine, had_tasks: bool) -> None:
         """Note since when a machine is idle."""
         # Replicas alone keep a machine, but its time without other work counts.
         is_busy = any(
@@ -330,29 +332,29 @@
             wall_time: The time by the clock under which jobs are submitted.
             followed: Whether the records are being followed, so that the leader may be.
         """
-        if now - self._ticked_at > STALL_S:
+        if now - self._ticked_at > STALL_THRESHOLD_S:
             # This process stood still, and the heartbeats that came meanwhile are not read yet.
             # Without this, all machines with replicas were deleted as silent when it went on.
-            self._health.listening_since = now
+            self._health.accepting_heartbeats_since = now
         self._ticked_at = now
-        self._tasks.resume_paused(now)
-        if now - self._slow_ticked_at >= SLOW_TICK_S:
-            self._slow_ticked_at = now
-            self._slow_tick(now, wall_time, followed)
+        self._tasks.requeue_delayed(now)
+        if now - self._full_scan_at >= FULL_SCAN_INTERVAL_S:
+            self._full_scan_at = now
+            self._full_scan(now, wall_time, followed)
         self._joining.join_all(now)
 
-    def _slow_tick(self, now: Seconds, wall_time: Seconds, followed: bool) -> None:
+    def _full_scan(self, now: Seconds, wall_time: Seconds, followed: bool) -> None:
         self._speed.update(self.machines.values())
         self._free_capacity.update(now, wall_time)
         for machine in self.machines.values():
-            if not self._health.note_usable(now, machine) and machine.slots:
+            if not self._health.update_usable(now, machine) and machine.slots:
                 self._tasks.requeue_slots(machine)
         self._gangs.check_all()
-        for machine in self._replicas.drain_dear(now, bool(self.queues.unqueued)):
-            self._health.note_usable(now, machine)
+        for machine in self._replicas.drain_expensive(now, bool(self.queues.unqueued)):
+            self._health.update_usable(now, machine)
         if followed:
             # In an outage nobody could give it to another shard, and here it may still start.
-            self._tasks.release_long_waits(now)
+            self._tasks.release_overdue(now)
 
     # What others are told
 
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -20,7 +20,7 @@
 )
 
 MAX_IMAGES = 64  # images remembered of a machine, the newest ones
-SLOW_SAMPLES = 12  # run times that are compared before a machine is called slow
+SLOWDOWN_SAMPLES = 12  # run times that are compared before a machine is called slow
 
 # The stages of a task attempt, as plain strings: they are compared for each task of each heartbeat,
 # and a member of an enum costs more.
@@ -60,16 +60,16 @@
         "machine",
         "not_before",
         "released_version",
-        "since",
         "slot",
         "state",
+        "waiting_since",
     )
 
     def __init__(self, state: TaskState, now: Seconds) -> None:
         self.state = state
         self.machine: MachineId | None = None
         self.slot: Slot | None = None  # whose current task it is, or where it waits
-        self.since = now  # when it began to wait
+        self.waiting_since = now  # when it began to wait
         self.failures = 0  # in a row
         self.not_before = 0.0  # the end of its pause after a failure
         self.released_version = 0  # of its record or chunk, under which it was given back
@@ -94,13 +94,13 @@
 
     __slots__ = (
         "attempt",
+        "created_at",
         "resources",
         "running_at",
-        "since",
         "spec",
         "stage",
-        "start_unseen",
-        "stopped",
+        "start_unconfirmed",
+        "stop_sent",
     )
 
     def __init__(
@@ -109,18 +109,18 @@
         stage: str,
         now: Seconds,
         *,
-        start_unseen: bool,
+        start_unconfirmed: bool,
         spec: JobSpec | None,
     ) -> None:
         self.attempt = attempt
         self.stage = stage
-        self.since = now
-        self.start_unseen = start_unseen  # told to start, but not yet seen in a heartbeat
+        self.created_at = now
+        self.start_unconfirmed = start_unconfirmed  # told to start, but not yet seen in a heartbeat
         self.running_at: Seconds | None = None
-        self.stopped = False
-        self.describe(spec)
+        self.stop_sent = False
+        self.set_spec(spec)
 
-    def describe(self, spec: JobSpec | None) -> None:
+    def set_spec(self, spec: JobSpec | None) -> None:
         """Note what its job asks for; None while the job's record is not here yet."""
         self.spec = spec
         self.resources = spec.resources if spec is not None else NO_RESOURCES
@@ -131,8 +131,9 @@
 
     __slots__ = (
         "address",
+        "cached_usage",
         "capacity",
-        "drain",
+        "draining",
         "failures",
         "id",
         "idle_since",
@@ -140,20 +141,19 @@
         "incarnation_ended_at",
         "last_confirmed_at",
         "last_heartbeat_at",
-        "lateness",
         "lost_starts",
         "lost_starts_at",
         "newest_heartbeat",
         "reconciled",
         "slots",
         "slow",
+        "slowdown_samples",
         "spot",
         "spot_notice_s",
-        "stored",
+        "stored_results",
         "task_attempts",
         "type",
         "unreachable",
-        "used",
         "was_usable",
     )
 
@@ -174,23 +174,25 @@
         self.spot_notice_s: Seconds | None = None
         self.task_attempts: dict[TaskRef, TaskAttempt] = {}
         self.slots: list[Slot] = []
-        self.stored: dict[TaskRef, Seconds] = {}  # results that may be forgotten, since when
+        self.stored_results: dict[
+            TaskRef, Seconds
+        ] = {}  # results that may be forgotten, since when
         self.images: dict[str, None] = {}
         self.idle_since = now
         self.failures: dict[JobId, Seconds] = {}
-        self.lateness: deque[float] = deque(maxlen=SLOW_SAMPLES)
-        self.drain = False  # only replicas are left here, and there is room for them elsewhere
+        self.slowdown_samples: deque[float] = deque(maxlen=SLOWDOWN_SAMPLES)
+        self.draining = False  # only replicas are left here, and there is room for them elsewhere
         self.slow = False  # tasks take much longer here than elsewhere
-        self.used: Resources | None = None  # what its tasks take; None: to be counted anew
+        self.cached_usage: Resources | None = None  # what its tasks take; None: to be counted anew
         self.was_usable = False
 
-    def taken(self) -> Resources:
+    def usage(self) -> Resources:
         """What its tasks take, and those that are about to start."""
-        if self.used is None:
-            self.used = self._count_taken()
-        return self.used
+        if self.cached_usage is None:
+            self.cached_usage = self._compute_usage()
+        return self.cached_usage
 
-    def _count_taken(self) -> Resources:
+    def _compute_usage(self) -> Resources:
         cpus = gpus = ram_gb = 0.0
         for task_attempt in self.task_attempts.values():
             if task_attempt.stage != EXITED:
@@ -207,7 +209,7 @@
 
     def free(self) -> Resources:
         """The free capacity."""
-        return self.capacity.minus(self.taken())
+        return self.capacity.minus(self.usage())
 
     def has_replicas(self) -> bool:
         """Whether replicas of services, which are wanted elsewhere, are here."""
@@ -218,7 +220,7 @@
             for task_attempt in self.task_attempts.values()
         )
 
-    def fetches(self) -> int:
+    def pending_image_fetches(self) -> int:
         """How many images are being fetched, or will be: they may share the rate of one."""
         images = {
             task_attempt.spec.image
@@ -241,17 +243,17 @@
 
     __slots__ = (
         "attempt",
-        "failure",
+        "created_at",
+        "failure_reason",
         "indices_on",
         "inherited",
-        "launched",
+        "launched_indices",
+        "listed_indices",
         "placements",
         "preempt",
         "ready",
-        "seen",
-        "since",
-        "wait_at",
-        "wait_s",
+        "remaining_wait_s",
+        "wait_computed_at",
     )
 
     def __init__(self, attempt: int, placements: dict[int, MachineId], now: Seconds) -> None:
@@ -262,10 +264,10 @@
             self.indices_on.setdefault(machine_id, []).append(index)
         self.inherited = False  # taken over with the shard from an earlier owner
         self.ready = False  # all its slots are idle: the starts go out
-        self.launched: set[int] = set()  # indices of tasks whose start was sent
-        self.seen: set[int] = set()  # and of those that a heartbeat has listed
-        self.failure = ""  # why this attempt can't succeed; empty while it may
+        self.launched_indices: set[int] = set()  # indices of tasks whose start was sent
+        self.listed_indices: set[int] = set()  # and of those that a heartbeat has listed
+        self.failure_reason = ""  # why this attempt can't succeed; empty while it may
         self.preempt = False  # whether work of lower priority is stopped for it
-        self.since = now
-        self.wait_at = -1.0  # when the remaining wait was last counted
-        self.wait_s = 0.0  # and what it was
+        self.created_at = now
+        self.wait_computed_at = -1.0  # when the remaining wait was last counted
+        self.remaining_wait_s = 0.0  # and what it was
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -43,19 +43,23 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Seconds, ShardName
 
-QUIET_S = 4.0  # a machine that was silent for longer is named in each status
-WAIT_S = 1.0  # the remaining wait of a gang with a reservation is counted anew after this time
-IDLE_S = 1.0  # a machine that was idle for longer is named in each status
+CONTACT_TIMEOUT_S = 4.0  # a machine that was silent for longer is named in each status
+WAIT_REFRESH_INTERVAL_S = (
+    1.0  # the remaining wait of a gang with a reservation is counted anew after this time
+)
+MIN_IDLE_S = 1.0  # a machine that was idle for longer is named in each status
 
 K = TypeVar("K", MachineId, JobId)
 
 
-class _Unused(NamedTuple):
+class _UnusedMachines(NamedTuple):
     """Machines that are not heard, or have nothing to do."""
 
-    silent: dict[MachineId, SilentMachine]
+    without_contact: dict[MachineId, SilentMachine]
     idle: dict[MachineId, Seconds]
-    heard_ago_s: Seconds  # since the last heartbeat of any machine; -1 if there is no machine
+    last_contact_ago_s: (
+        Seconds  # since the last heartbeat of any machine; -1 if there is no machine
+    )
 
 
 class StatusReporter:
@@ -91,17 +95,20 @@
         """All that changed after the status with number `base`; everything if that is 0."""
         changes = self._changes
         changes.dirty = False
-        self._note_gang_changes(now)
-        machines = {m: self._machine_if_known(now, m) for m in _since(changes.machines, base)}
+        self._record_gang_changes(now)
+        machines = {
+            m: self._machine_if_known(now, m) for m in _changed_since(changes.machines, base)
+        }
         jobs = {
-            j: self._job(j) if j in self._tasks.by_job else None for j in _since(changes.jobs, base)
+            j: self._job(j) if j in self._tasks.by_job else None
+            for j in _changed_since(changes.jobs, base)
         }
-        gangs = {j: changes.gang_statuses.get(j) for j in _since(changes.gangs, base)}
-        _forget(changes.machines, self._machines.by_id, base)
-        _forget(changes.jobs, self._tasks.by_job, base)
-        _forget(changes.gangs, self._reservations.by_job, base)
-        number = changes.number
-        changes.number += 1
+        gangs = {j: changes.gang_statuses.get(j) for j in _changed_since(changes.gangs, base)}
+        _prune(changes.machines, self._machines.by_id, base)
+        _prune(changes.jobs, self._tasks.by_job, base)
+        _prune(changes.gangs, self._reservations.by_job, base)
+        number = changes.status_number
+        changes.status_number += 1
         unused = self._unused(now)
         return ShardStatus(
             shard=self._shard,
@@ -113,9 +120,9 @@
             machines=machines,
             jobs=jobs,
             gangs=gangs,
-            silent=unused.silent,
+            silent=unused.without_contact,
             idle=unused.idle,
-            heard_ago_s=unused.heard_ago_s,
+            heard_ago_s=unused.last_contact_ago_s,
             drained_jobs=self._drained_jobs(),
             unreconciled=len(self._unreconciled),
             estimates=self._estimates.dump(),
@@ -133,7 +140,7 @@
     def _machine(self, now: Seconds, machine: Machine) -> MachineStatus:
         ends = [
             (
-                round(now + self._backfill.expected_left(now, task_attempt), 1),
+                round(now + self._backfill.expected_remaining(now, task_attempt), 1),
                 *task_attempt.resources,
                 GANG_PRIORITY
                 if task_attempt.spec.is_gang or task_attempt.spec.is_service
@@ -154,16 +161,16 @@
             leaving=machine.spot_notice_s is not None
             or machine.slow
             or machine.unreachable
-            or machine.drain,
+            or machine.draining,
             faulty=self._health.is_faulty(machine),
         )
 
-    def _unused(self, now: Seconds) -> _Unused:
+    def _unused(self, now: Seconds) -> _UnusedMachines:
         """One pass over all machines: which are silent, and which are idle."""
-        silent: dict[MachineId, SilentMachine] = {}
+        without_contact: dict[MachineId, SilentMachine] = {}
         idle: dict[MachineId, Seconds] = {}
-        heard_ago_s = -1.0
-        listening_since = self._health.listening_since
+        last_contact_ago_s = -1.0
+        accepting_heartbeats_since = self._health.accepting_heartbeats_since
         for machine in self._machines.by_id.values():
             record = self._cache.machines.get(machine.id)
             if record is None:
@@ -171,18 +178,18 @@
             # What never learns our token hears nothing of what we say, however often its
             # heartbeats come. While heartbeats are not heard here, as in a long outage, no machine
             # is silent for that: all of them were deleted when the state service was back.
-            silent_s = now - max(machine.last_confirmed_at, listening_since)
-            if silent_s > QUIET_S:
+            no_contact_s = now - max(machine.last_confirmed_at, accepting_heartbeats_since)
+            if no_contact_s > CONTACT_TIMEOUT_S:
                 # Replicas can start elsewhere only once it is gone: it is waited for less.
                 is_urgent = self._may_have_cancelled(machine) or machine.has_replicas()
-                silent[machine.id] = SilentMachine(round(silent_s, 1), is_urgent)
+                without_contact[machine.id] = SilentMachine(round(no_contact_s, 1), is_urgent)
             is_up = record.up and not record.terminating
-            if is_up and (heard_ago_s < 0.0 or silent_s < heard_ago_s):
-                heard_ago_s = silent_s
+            if is_up and (last_contact_ago_s < 0.0 or no_contact_s < last_contact_ago_s):
+                last_contact_ago_s = no_contact_s
             is_empty = not machine.task_attempts and not machine.slots
-            if is_empty and now - machine.idle_since > IDLE_S:
+            if is_empty and now - machine.idle_since > MIN_IDLE_S:
                 idle[machine.id] = round(now - machine.idle_since, 1)
-        return _Unused(silent, idle, round(heard_ago_s, 1))
+        return _UnusedMachines(without_contact, idle, round(last_contact_ago_s, 1))
 
     def _may_have_cancelled(self, machine: Machine) -> bool:
         """Whether a task of a cancelled job is, or may be, on this machine."""
@@ -261,19 +268,19 @@
 
     # Gangs
 
-    def _note_gang_changes(self, now: Seconds) -> None:
+    def _record_gang_changes(self, now: Seconds) -> None:
         """Gangs change with much that happens elsewhere; there are few, so all are compared."""
         changes, reservations = self._changes, self._reservations.by_job
         for job_id in [j for j in changes.gang_statuses if j not in reservations]:
             del changes.gang_statuses[job_id]
-            changes.gang(job_id)
+            changes.record_gang(job_id)
         for job_id, reservation in reservations.items():
             state = self._gang_state(job_id, reservation)
-            wait_s = self._wait(now, reservation, state)
-            status = GangStatus(reservation.attempt, state, wait_s)
+            remaining_wait_s = self._wait(now, reservation, state)
+            status = GangStatus(reservation.attempt, state, remaining_wait_s)
             if changes.gang_statuses.get(job_id) != status:
                 changes.gang_statuses[job_id] = status
-                changes.gang(job_id)
+                changes.record_gang(job_id)
 
     def _gang_state(self, job_id: JobId, reservation: GangReservation) -> GangState:
         """How a gang's attempt stands here."""
@@ -284,10 +291,10 @@
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
         if not self._reservations.is_wanted(job_id):
-            return GANG_BUSY if self._may_be_there(job_id, reservation) else GANG_CLEAR
-        if reservation.failure or any(self._is_failing(m) for m in reservation.indices_on):
+            return GANG_BUSY if self._may_be_on_machine(job_id, reservation) else GANG_CLEAR
+        if reservation.failure_reason or any(self._is_failing(m) for m in reservation.indices_on):
             return GANG_BAD
-        if reservation.launched >= reservation.placements.keys():
+        if reservation.launched_indices >= reservation.placements.keys():
             return GANG_ON
         if any(
             (m := self._machines.by_id.get(i)) is not None and m.slow
@@ -301,7 +308,7 @@
         machine = self._machines.by_id.get(machine_id)
         return machine is not None and (machine.spot_notice_s is not None or machine.unreachable)
 
-    def _may_be_there(self, job_id: JobId, reservation: GangReservation) -> bool:
+    def _may_be_on_machine(self, job_id: JobId, reservation: GangReservation) -> bool:
         for machine_id in reservation.indices_on:
             if machine_id not in self._cache.machines:
                 continue
@@ -315,17 +322,17 @@
     def _wait(self, now: Seconds, reservation: GangReservation, state: GangState) -> Seconds:
         if state != GANG_HELD or reservation.ready:
             return 0.0
-        wait_s = reservation.wait_s
-        if now - reservation.wait_at > WAIT_S:
-            wait_s = self._backfill.remaining_wait(now, reservation)
-        return round(wait_s)
+        remaining_wait_s = reservation.remaining_wait_s
+        if now - reservation.wait_computed_at > WAIT_REFRESH_INTERVAL_S:
+            remaining_wait_s = self._backfill.remaining_wait(now, reservation)
+        return round(remaining_wait_s)
 
 
-def _since(numbers: dict[K, int], base: int) -> list[K]:
+def _changed_since(numbers: dict[K, int], base: int) -> list[K]:
     return [key for key, number in numbers.items() if number > base]
 
 
-def _forget(numbers: dict[K, int], present: Container[K], base: int) -> None:
+def _prune(numbers: dict[K, int], present: Container[K], base: int) -> None:
     """What is gone, and known by the leader to be, needs no mention any more."""
     for key in [k for k, number in numbers.items() if number <= base and k not in present]:
         del numbers[key]
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -21,7 +21,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TaskRef
 
-GRACE_S = 5.0  # over a task's own saving time, when it is stopped in order
+STOP_GRACE_S = 5.0  # over a task's own saving time, when it is stopped in order
 
 
 class Stops:
@@ -49,7 +49,7 @@
         commands = []
         preempted = self._preemption.preempted_on(machine)
         for task, task_attempt in machine.task_attempts.items():
-            if task_attempt.stage == EXITED or task_attempt.start_unseen:
+            if task_attempt.stage == EXITED or task_attempt.start_unconfirmed:
                 continue
             job = self._cache.jobs.get(task.job)
             if job is None or not job.open:
@@ -57,11 +57,11 @@
                 continue
             if not self._must_stop(now, machine, task, task_attempt, job, preempted):
                 continue
-            is_orderly = _is_orderly(task_attempt, job)
-            if task_attempt.stage == FLUSHING or (task_attempt.stopped and is_orderly):
+            can_checkpoint = _can_checkpoint(task_attempt, job)
+            if task_attempt.stage == FLUSHING or (task_attempt.stop_sent and can_checkpoint):
                 continue
-            task_attempt.stopped = True
-            grace_s = job.spec.save_s + GRACE_S if is_orderly else 0.0
+            task_attempt.stop_sent = True
+            grace_s = job.spec.save_s + STOP_GRACE_S if can_checkpoint else 0.0
             commands.append(Command("stop", task, task_attempt.attempt, grace_s))
         return commands
 
@@ -89,7 +89,7 @@
         if spec.is_service:
             return self._replicas.must_leave(now, machine, task.job, spec)
         # What saves its state does so before its spot machine is taken.
-        is_evicted = machine.spot_notice_s is not None and _is_orderly(task_attempt, job)
+        is_evicted = machine.spot_notice_s is not None and _can_checkpoint(task_attempt, job)
         return is_evicted and not spec.is_gang
 
     def _is_gang_wanted(self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord) -> bool:
@@ -101,6 +101,6 @@
         )
 
 
-def _is_orderly(task_attempt: TaskAttempt, job: JobRecord) -> bool:
+def _can_checkpoint(task_attempt: TaskAttempt, job: JobRecord) -> bool:
     """Whether a task can save its state before it stops."""
     return job.spec.checkpoint_interval_s > 0 and task_attempt.stage == RUNNING
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -25,13 +25,16 @@
 
 log = logging.getLogger(__name__)
 
-FORGET_S = 5.0  # a stored result is forgotten with the next commands, or after this time
+MAX_FORGET_DELAY_S = 5.0  # a stored result is forgotten with the next commands, or after this time
 MAX_STORED_RESULTS = 16  # or when there are so many
-STEADY_S = 30.0  # a replica that ran for as long did not fail at once
-LEAST_RUN_S = 0.5  # of a run time that is learned from
-
-MACHINE_FAILURES: Final = (ExitCause.ERROR, ExitCause.NO_SUCH)  # these count against the machine
-NO_FAILURES: Final = (
+MIN_STABLE_RUN_S = 30.0  # a replica that ran for as long did not fail at once
+MIN_RUN_S = 0.5  # of a run time that is learned from
+
+MACHINE_FAILURE_CAUSES: Final = (
+    ExitCause.ERROR,
+    ExitCause.NO_SUCH,
+)  # these count against the machine
+NON_FAILURE_CAUSES: Final = (
     ExitCause.HALTED,
     ExitCause.FULL,
     ExitCause.PEERS,
@@ -57,7 +60,7 @@
         self._speed = speed
         self._changes = changes
 
-    def exited(
+    def handle_exit(
         self, now: Seconds, machine: Machine, item: TaskStatus, task_attempt: TaskAttempt
     ) -> list[Command]:
         """Keep an exited task's result until it is stored, forget everything else.
@@ -70,7 +73,7 @@
         if item.cause == ExitCause.DONE and not is_replica:
             is_kept = self._keep_result(now, machine, item, task_attempt, job)
         else:
-            self._note_failure(now, machine, item, task_attempt, is_replica)
+            self._record_failure(now, machine, item, task_attempt, is_replica)
             is_kept = False
         return [] if is_kept else [Command("forget", item.task, item.attempt)]
 
@@ -86,28 +89,28 @@
         task = item.task
         machine.failures.clear()
         if job is None or not job.open or task.number in job.done:
-            self._tasks.leave_slot(machine, task)
-            machine.stored.setdefault(task, now)
+            self._tasks.release_slot(machine, task)
+            machine.stored_results.setdefault(task, now)
             return True
         array_task = self._tasks.get(task)
         if array_task is not None:
             if array_task.state != FINISHED:
-                self._learn(now, machine, task, task_attempt, array_task)
-                self._tasks.leave_slot(machine, task)
+                self._learn_run_time(now, machine, task, task_attempt, array_task)
+                self._tasks.release_slot(machine, task)
                 self._tasks.set_state(task, array_task, FINISHED)
                 array_task.machine = machine.id
             return True
         reservation = self._reservations.by_job.get(task.job)
         if reservation is not None and reservation.attempt == item.attempt:
             if not self._reservations.is_done(task.job, reservation):
-                self._reservations.note_done(task.job, reservation)
-                self._learn(now, machine, task, task_attempt, None)
+                self._reservations.record_done(task.job, reservation)
+                self._learn_run_time(now, machine, task, task_attempt, None)
                 self._changes.dirty = True
             return True
         self._tasks.remove_attempt(machine, task)
         return False
 
-    def _note_failure(
+    def _record_failure(
         self,
         now: Seconds,
         machine: Machine,
@@ -128,11 +131,11 @@
         if (
             reservation is not None
             and reservation.attempt == item.attempt
-            and not reservation.failure
+            and not reservation.failure_reason
         ):
-            reservation.failure = item.cause or EXITED
-            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.failure)
-        if item.cause in MACHINE_FAILURES:
+            reservation.failure_reason = item.cause or EXITED
+            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.failure_reason)
+        if item.cause in MACHINE_FAILURE_CAUSES:
             machine.failures[task.job] = now
         self._tasks.remove_attempt(machine, task)
         array_task = self._tasks.get(task)
@@ -142,12 +145,12 @@
             and array_task.state == ON_MACHINE
         ):
             running_at = task_attempt.running_at
-            if is_replica and running_at is not None and now - running_at > STEADY_S:
+            if is_replica and running_at is not None and now - running_at > MIN_STABLE_RUN_S:
                 array_task.failures = 0
-            self._tasks.requeue(now, task, array_task, failed=item.cause not in NO_FAILURES)
+            self._tasks.requeue(now, task, array_task, failed=item.cause not in NON_FAILURE_CAUSES)
         self._changes.dirty = True
 
-    def _learn(
+    def _learn_run_time(
         self,
         now: Seconds,
         machine: Machine,
@@ -164,13 +167,13 @@
             or (array_task is not None and array_task.failures)
         ):
             return
-        ran_s = max(LEAST_RUN_S, now - task_attempt.running_at)
-        self._estimates.learn(spec.job_class, spec.estimated_run_s, ran_s)
+        run_s = max(MIN_RUN_S, now - task_attempt.running_at)
+        self._estimates.learn(spec.job_class, spec.estimated_run_s, run_s)
         if array_task is None or spec.estimated_run_s <= 0.0:
             return
-        self._speed.note(machine, task.job, ran_s, spec.estimated_run_s)
+        self._speed.record_run_time(machine, task.job, run_s, spec.estimated_run_s)
 
-    def forget_stored(self, now: Seconds, machine: Machine, at_once: bool) -> list[Command]:
+    def forget_stored(self, now: Seconds, machine: Machine, forget_now: bool) -> list[Command]:
         """Forget results that are stored.
 
         Each change of its tasks makes a worker send a heartbeat, so what need not be forgotten at
@@ -179,16 +182,18 @@
         Args:
             now: The time.
             machine: The machine that has the results.
-            at_once: Whether there are such commands, or the machine is to be empty soon.
+            forget_now: Whether there are such commands, or the machine is to be empty soon.
         """
-        stored = machine.stored
+        stored = machine.stored_results
         for task in [t for t in stored if t not in machine.task_attempts]:
             del stored[task]
         oldest_at = min(stored.values(), default=now)
-        if not (at_once or len(stored) >= MAX_STORED_RESULTS or now - oldest_at > FORGET_S):
+        if not (
+            forget_now or len(stored) >= MAX_STORED_RESULTS or now - oldest_at > MAX_FORGET_DELAY_S
+        ):
             return []
         commands = [Command("forget", t, machine.task_attempts[t].attempt) for t in stored]
         for task in stored:
             self._tasks.remove_attempt(machine, task)
-        machine.stored = {}
+        machine.stored_results = {}
         return commands
--- a/src/dapplewick/core/shard/work_stealing.py
+++ b/src/dapplewick/core/shard/work_stealing.py
@@ -14,7 +14,7 @@
 from dapplewick.core.shard.state import Machine, Slot
 from dapplewick.types import JobId, Seconds, TaskRef
 
-LEAST_FREE_CPUS = 1e-6  # with less free nothing fits on a machine
+MIN_FREE_CPUS = 1e-6  # with less free nothing fits on a machine
 
 
 class WorkStealing:
@@ -28,18 +28,20 @@
     def steal(self, now: Seconds, machine: Machine) -> None:
         """Carve slots of a machine for waiting tasks, until none fits there any more."""
         fitting: Iterable[JobId] = self._queues.waiting_jobs()
-        while machine.free().cpus > LEAST_FREE_CPUS:
+        while machine.free().cpus > MIN_FREE_CPUS:
             fits = fitting = self._candidates.fitting_jobs(now, machine, fitting)
             if not fits:
                 return
-            task = self._take_last(now, machine, fits)
+            task = self._dequeue_last(now, machine, fits)
             if task is None:
                 return
             slot = Slot(machine.id)
             machine.slots.append(slot)
             self._tasks.assign(task, slot)
 
-    def _take_last(self, now: Seconds, machine: Machine, fits: Collection[JobId]) -> TaskRef | None:
+    def _dequeue_last(
+        self, now: Seconds, machine: Machine, fits: Collection[JobId]
+    ) -> TaskRef | None:
         """Take the last task that fits out of the longest queue with such a task."""
         for source in self._queues.longest_first(fits):
             queue = self._queues.unqueued if source is None else source.queue
@@ -49,6 +51,6 @@
             if source is None:
                 self._queues.unqueued.remove(task)
             else:
-                self._queues.leave(source, task)
+                self._queues.remove(source, task)
             return task
         return None
