--- a/src/dapplewick/core/shard/__init__.py
+++ b/src/dapplewick/core/shard/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler of one shard: its machines, and the tasks that are assigned to them."""
+"""Scheduler of one shard: its machines and the tasks assigned to it."""
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -1,4 +1,4 @@
-"""The array tasks that are assigned to a shard, from their assignment until they leave it."""
+"""State of the array tasks assigned to a shard, from assignment until removal."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Seconds, TaskIndex, TaskRef
 
-MAX_TASK_WAIT_S = 15.0  # an array task that waited this long goes back to the leader
-MAX_REPLICA_WAIT_S = 4.0  # and a replica sooner
-INITIAL_RETRY_DELAY_S = 2.0  # first pause after a failure, doubled with each further one
+MAX_TASK_WAIT_S = 15.0  # after waiting this long, an array task is released to the leader
+MAX_REPLICA_WAIT_S = 4.0  # the same limit for a replica that has no slot yet
+INITIAL_RETRY_DELAY_S = 2.0  # delay after the first failure, doubled with each further one
 MAX_RETRY_DELAY_S = 60.0
 
 
 class ArrayTasks:
-    """Moves a shard's array tasks between their states, their slots and the queues.
+    """Moves a shard's array tasks between states, slots and queues.
 
-    Replicas of services are array tasks too.
+    Replicas of services are handled as array tasks, too.
     """
 
     def __init__(
@@ -47,35 +47,35 @@
         self._queues = queues
         self._images = images
         self._changes = changes
-        self._delayed: list[TaskRef] = []  # after a failure
-        self._has_unconfirmed = False  # whether any may be on a machine that is not heard yet
+        self._delayed: list[TaskRef] = []  # tasks in their retry delay after a failure
+        self._has_unconfirmed = False  # whether any task is in the state UNCONFIRMED
 
     def get(self, task: TaskRef) -> ArrayTask | None:
-        """What is known of a task; None if it is not assigned here, as with those of gangs."""
+        """The state of an array task; None for tasks of gangs and of other shards."""
         array_tasks = self.by_job.get(task.job)
         return array_tasks.get(task.number) if array_tasks is not None else None
 
     def spec(self, task: TaskRef) -> JobSpec | None:
-        """What a task's job asks for; None while its record is not here."""
+        """The specification of a task's job; None if the job has no record in the cache."""
         job = self._cache.jobs.get(task.job)
         return job.spec if job is not None else None
 
-    # Assignments, and their ends
+    # Assignment and release
 
     def apply_record(
         self, now: Seconds, job_id: JobId, job: JobRecord | None, assigned: set[int], failover: bool
     ) -> bool:
-        """Take over what a job's record assigns to this shard.
+        """Apply the assignments in a job's record to this shard.
 
         Args:
             now: The time.
             job_id: The job.
-            job: Its record; None if it is gone.
-            assigned: The tasks that are assigned to this shard and have no result yet.
-            failover: Whether an earlier owner may have started any of them.
+            job: The job's record; None if it was deleted.
+            assigned: Indices of the tasks assigned to this shard that have no result yet.
+            failover: Whether a previous owner of the shard may have started any of them.
 
         Returns:
-            Whether replicas have come that are to be started.
+            Whether replicas were newly assigned and must be started.
         """
         array_tasks = self.by_job.get(job_id)
         if not assigned and not array_tasks:
@@ -100,11 +100,11 @@
     def _requeue_reassigned(
         self, now: Seconds, job_id: JobId, job: JobRecord, array_tasks: dict[int, ArrayTask]
     ) -> None:
-        # What was given back under an older version of the record and is assigned in this one
-        # was assigned anew, or was not yet heard: the leader only takes back what was said of
-        # the version that it changes. So it may run here again. That is the version of its own
-        # key: another chunk of the same job may be written in the same pass, before the one in
-        # which this task is taken back.
+        # A task that was released under an older record version and is still assigned in this
+        # version was reassigned, or the leader has not received its release: the leader only
+        # accepts a release that names the version it changes. The task may therefore run here
+        # again. The version compared is that of the key that holds the task: another chunk of the
+        # same job may be written in the same pass before the chunk that removes this assignment.
         for index, array_task in array_tasks.items():
             if (
                 array_task.state == RELEASED
@@ -113,13 +113,13 @@
                 self.requeue(now, TaskRef(job_id, TaskIndex(index)), array_task, failed=False)
 
     def set_state(self, task: TaskRef, array_task: ArrayTask, state: TaskState) -> None:
-        """Note a task's new state, for the leader too."""
+        """Set a task's state and mark it as changed for the next status to the leader."""
         array_task.state = state
         self._changes.record_job(task.job)
         self._changes.dirty = True
 
     def detach(self, task: TaskRef, array_task: ArrayTask) -> None:
-        """Take a task out of its slot or queue: it is done, given back, or not wanted."""
+        """Remove a task that is done, released or unassigned from its slot or queue."""
         if array_task.slot is not None:
             slot = array_task.slot
             if slot.current == task and array_task.state == ASSIGNED:
@@ -130,7 +130,7 @@
             array_task.slot = None
 
     def release_overdue(self, now: Seconds) -> None:
-        """Give back to the leader, which may know better, what finds no room here."""
+        """Release tasks that waited too long to the leader, which may assign them elsewhere."""
         for job_id, array_tasks in self.by_job.items():
             job = self._cache.jobs.get(job_id)
             is_service = job is not None and job.spec.is_service
@@ -150,7 +150,7 @@
     # Waiting
 
     def requeue(self, now: Seconds, task: TaskRef, array_task: ArrayTask, failed: bool) -> None:
-        """Let a task wait anew that was on a machine; after a failure it is paused first."""
+        """Set a task to waiting and unqueued; after a failure it is first delayed."""
         self.set_state(task, array_task, WAITING)
         array_task.machine = None
         array_task.waiting_since = now
@@ -159,7 +159,8 @@
             self._queues.unqueued.append(task)
             return
         array_task.failures += 1
-        # A replica is wanted back at once; only one that fails again and again is paused.
+        # Users wait for a replica, so its first retry is immediate; only repeated failures
+        # delay it.
         spec = self.spec(task)
         power = array_task.failures - (2 if spec is not None and spec.is_service else 1)
         retry_delay_s = (
@@ -169,7 +170,7 @@
         self._delayed.append(task)
 
     def requeue_delayed(self, now: Seconds) -> None:
-        """Let the tasks join queues again whose pause after a failure is over."""
+        """Return the tasks whose retry delay has ended to the unqueued tasks."""
         if not self._delayed:
             return
         ready = [t for t in self._delayed if self._not_before(t) <= now]
@@ -182,7 +183,7 @@
         return array_task.not_before if array_task is not None else 0.0
 
     def requeue_unconfirmed(self, now: Seconds) -> None:
-        """Let those wait to be started that no machine has listed, now that all are heard."""
+        """Return unconfirmed tasks to waiting: all machines have reported and none listed them."""
         if not self._has_unconfirmed:
             return
         self._has_unconfirmed = False
@@ -195,7 +196,7 @@
                     self._queues.unqueued.append(task)
 
     def move_to_unqueued(self, task: TaskRef) -> None:
-        """Let a task look for another queue, if it was not started."""
+        """Return a task that was not started to the unqueued tasks."""
         array_task = self.get(task)
         if array_task is not None and array_task.state in (WAITING, ASSIGNED):
             self.set_state(task, array_task, WAITING)
@@ -206,7 +207,7 @@
     # Slots
 
     def assign(self, task: TaskRef, slot: Slot) -> None:
-        """Make a task the current one of a slot: it starts with the machine's next heartbeat."""
+        """Assign a task to a slot; the answer to the machine's next heartbeat starts it."""
         array_task = self.get(task)
         assert array_task is not None
         spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
@@ -222,14 +223,14 @@
         self._machines.record_slot_change(slot)
 
     def assign_new_slot(self, now: Seconds, task: TaskRef, machine: Machine) -> None:
-        """Carve a slot out of a machine's free capacity for a task that joins there."""
+        """Create a slot in a machine's free capacity and assign a task to it."""
         slot = Slot(machine.id)
         machine.slots.append(slot)
         self.assign(task, slot)
         machine.idle_since = now
 
     def requeue_slots(self, machine: Machine) -> None:
-        """Let what was only meant for a machine join anew: it takes no new work."""
+        """Return tasks that are assigned to or queued on an unusable machine to the unqueued."""
         for slot in machine.slots:
             for task in self._queues.pop_all(slot):
                 self.move_to_unqueued(task)
@@ -239,18 +240,18 @@
         self._machines.record_change(machine)
 
     def remove_attempt(self, machine: Machine, task: TaskRef) -> None:
-        """Forget an attempt that is no longer on its machine."""
+        """Remove an attempt that is no longer on its machine, and release its slot."""
         if machine.task_attempts.pop(task, None) is not None:
             self._machines.record_change(machine)
         self.release_slot(machine, task)
 
     def release_slot(self, machine: Machine, task: TaskRef) -> None:
-        """Free the slot of a task that is over, or not on its machine any more."""
+        """Release the slot of a task that has ended or is no longer on its machine."""
         slot = machine.slot_of(task)
         if slot is None:
             return
-        # An old attempt whose `forget` was lost is listed again after its task was assigned
-        # anew to the same machine: that slot stays the task's.
+        # If a `forget` command was lost, the old attempt is still listed after its task was
+        # reassigned to the same machine; the slot must then stay with the task.
         array_task = self.get(task)
         if array_task is None or array_task.slot is not slot:
             slot.current = None
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -1,7 +1,8 @@
-"""Which array tasks pass a gang's reservation: the test of the design's fourth point.
+"""Backfill: which array tasks may start in slots reserved for gangs.
 
-A slot that is reserved for a gang runs an array task first if that is estimated to end within the
-gang's remaining wait plus a threshold T. The paper sets T to 0 (`docs/design.md`).
+A slot that is reserved for a gang may first run an array task whose estimated run time is at most
+the gang's remaining wait plus a threshold T. This is the fourth point of the design; the paper
+sets T to 0 (`docs/design.md`).
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
-OVERRUN_FRACTION = 0.2  # a task that ran on beyond its estimate is expected to go on for this share
+OVERRUN_FRACTION = 0.2  # of its run time so far: minimum expected remaining time of a task
 
 
 class Backfill:
-    """Compares estimated run times with the remaining waits of gangs."""
+    """Compares estimated run times of array tasks with the remaining waits of gangs."""
 
     def __init__(
         self,
@@ -32,14 +33,14 @@
         self._threshold_s = threshold_s
 
     def may_backfill(self, now: Seconds, spec: JobSpec, machine: Machine) -> bool:
-        """Whether a task may start before every gang that has slots reserved on this machine."""
+        """Whether a task may start ahead of all gangs with reserved slots on this machine."""
         if spec.is_service:
-            return False  # it does not end before any gang's start
+            return False  # a replica does not end by itself
         reservations = {
             slot.job_id: slot.reservation for slot in self._reservations.slots_on(machine.id)
         }
-        # Where array tasks are preempted for a gang, its wait ends with the last of them: one
-        # that passed by its estimate was stopped with the next heartbeat, over and over.
+        # A gang that preempts starts once its preempted tasks have stopped. A task backfilled
+        # ahead of it would be preempted with the next heartbeat and started again, repeatedly.
         if any(reservation.ready or reservation.preempt for reservation in reservations.values()):
             return False
         estimate_s = self._estimates.run_time(spec)
@@ -49,9 +50,9 @@
         )
 
     def remaining_wait(self, now: Seconds, reservation: GangReservation) -> Seconds:
-        """Time until the latest estimated end among the gang's reserved slots, at least zero.
+        """Time until the last of the gang's reserved slots is estimated to be idle, at least zero.
 
-        It is counted once for each time at which it is asked for.
+        The result is cached in the reservation until `now` changes.
         """
         if reservation.wait_computed_at != now:
             latest_s = 0.0
@@ -63,7 +64,7 @@
         return reservation.remaining_wait_s
 
     def _time_until_fits(self, now: Seconds, machine: Machine) -> Seconds:
-        """Estimated time until all that is reserved on a machine is idle."""
+        """Estimated time until all reserved slots of a machine fit in its free capacity."""
         reserved = self._reservations.reserved_resources(machine.id)
         room = machine.free()
         if reserved.fits_in(room):
@@ -80,7 +81,7 @@
         return ends[-1][0] if ends else 0.0
 
     def _estimated_remaining(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
-        """How much longer a task is estimated to run."""
+        """The estimated remaining run time of a task, at least zero."""
         if task_attempt.spec is None or task_attempt.stop_sent:
             return 0.0
         estimate_s = self._estimates.run_time(task_attempt.spec)
@@ -89,9 +90,10 @@
         return max(0.0, estimate_s - (now - task_attempt.running_at))
 
     def expected_remaining(self, now: Seconds, task_attempt: TaskAttempt) -> Seconds:
-        """How much longer a task is expected to run, where slots are chosen.
+        """The expected remaining run time of a task, as used to choose slots.
 
-        What runs for longer than estimated goes on for a while more often than it ends now.
+        A task that exceeds its estimate usually continues for a while, so the result is at least
+        `OVERRUN_FRACTION` of its run time so far.
         """
         remaining_s = self._estimated_remaining(now, task_attempt)
         if task_attempt.running_at is None or task_attempt.stop_sent:
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -1,4 +1,4 @@
-"""Which waiting array tasks may start on a machine now."""
+"""Selection of waiting array tasks that may start on a machine now."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Candidates:
-    """Finds the jobs that fit on a machine, and among their waiting tasks the next to start."""
+    """Finds the jobs that fit on a machine and selects the next of their waiting tasks."""
 
     def __init__(
         self,
@@ -38,10 +38,11 @@
     ) -> dict[JobId, None]:
         """The jobs of which an array task may start on this machine now.
 
-        Those come first whose image is there: among queues that are equally long it decides.
+        Jobs whose image is on the machine come first; this order breaks ties between queues of
+        equal length.
         """
         reserved = self._reservations.reserved_resources(machine.id)
-        # What a job may use of the machine depends on this much of it alone.
+        # The capacity that a job may use depends only on these properties of its specification.
         rooms: dict[tuple[bool, int, bool], Resources] = {}
         warm: dict[JobId, None] = {}
         cold: dict[JobId, None] = {}
@@ -51,7 +52,7 @@
                 continue
             spec = job.spec
             if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
-                continue  # away from the others of its service, where there is a choice
+                continue  # spread the replicas of a service over machines
             kind = (spec.gpus > 0, spec.priority, spec.is_service)
             room = rooms.get(kind)
             if room is None:
@@ -74,13 +75,13 @@
     ) -> TaskRef | None:
         """The first task of a queue that may start on this machine now.
 
-        One whose image is there is preferred.
+        Tasks whose image is on the machine have precedence.
 
         Args:
             now: The time.
             machine: The machine.
-            queue: The waiting tasks, in the order in which they are to be looked at.
-            fitting: The jobs that `fitting_jobs` has found for this machine.
+            queue: The waiting tasks, in the order in which they are considered.
+            fitting: The result of `fitting_jobs` for this machine.
         """
         first_cold: TaskRef | None = None
         for task in queue:
--- a/src/dapplewick/core/shard/changes.py
+++ b/src/dapplewick/core/shard/changes.py
@@ -1,4 +1,4 @@
-"""What has changed since the statuses that the leader was sent."""
+"""Log of changes for incremental statuses to the leader."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class ChangeLog:
-    """The number of the status in which each machine, job and gang changed last.
+    """Stores the number of the status in which each machine, job and gang last changed.
 
-    A status tells all that changed after a number that the leader has confirmed, so one that
-    is lost costs nothing: the next starts from the same number.
+    Each status contains all changes after the last status number that the leader has confirmed.
+    If a status is lost, the next one therefore contains its changes, too.
     """
 
     def __init__(self) -> None:
         self.status_number = 1
-        self.dirty = True  # whether anything happened that the leader should hear of soon
+        self.dirty = True  # whether a change should be reported to the leader soon
         self.machines: dict[MachineId, int] = {}
         self.jobs: dict[JobId, int] = {}
         self.gangs: dict[JobId, int] = {}
-        self.gang_statuses: dict[JobId, GangStatus] = {}  # as they were told last
+        self.gang_statuses: dict[JobId, GangStatus] = {}  # as last reported
 
     def record_machine(self, machine_id: MachineId) -> None:
-        """Note a change of a machine, of its record or of what is on it."""
+        """Record a change of a machine's record, tasks or slots."""
         self.machines[machine_id] = self.status_number
 
     def record_job(self, job_id: JobId) -> None:
-        """Note a change of a job's array tasks."""
+        """Record a change of a job's array tasks."""
         self.jobs[job_id] = self.status_number
 
     def record_gang(self, job_id: JobId) -> None:
-        """Note a change of a gang's status."""
+        """Record a change of a gang's status."""
         self.gangs[job_id] = self.status_number
--- a/src/dapplewick/core/shard/constraints.py
+++ b/src/dapplewick/core/shard/constraints.py
@@ -1,4 +1,4 @@
-"""Which machines a job may use."""
+"""Placement constraints of jobs."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class PlacementConstraints:
-    """The constraints that jobs state, applied to the machines of one zone."""
+    """Checks the constraints in job specifications against the machines of one zone."""
 
     def __init__(self, zone: Zone) -> None:
         self._zone = zone
 
     def allow(self, spec: JobSpec, machine: Machine) -> bool:
-        """Whether a job may use a machine of this type and kind, in this zone."""
+        """Whether a job's constraints on type, spot machines and zone allow this machine."""
         return (
             (spec.types is None or machine.type in spec.types)
             and (spec.spot or not machine.spot)
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -1,4 +1,4 @@
-"""The free capacity that a job's tasks may use, beside what is kept for other work."""
+"""Free capacity that a job's tasks may use, without capacity reserved for other work."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FreeCapacity:
-    """Keeps capacity for work with accelerators, and idle slots for gangs to come."""
+    """Reserves capacity for tasks with accelerators and idle slots for future gangs."""
 
     def __init__(
         self,
@@ -26,21 +26,21 @@
         self._machines = machines
         self._accelerators = accelerators
         self._gangs = gangs
-        self._has_few_slots = False  # whether few idle slots of the gangs' size are left
+        self._has_few_slots = False  # whether idle slots of gang size are at or below the reserve
 
     def update(self, now: Seconds, wall_time: Seconds) -> None:
-        """Count anew what is wanted and what is left.
+        """Update the demand for accelerators and gang slots, and the count of idle slots.
 
         Args:
             now: The time by this process's clock.
-            wall_time: The time by the clock under which jobs are submitted.
+            wall_time: The wall-clock time, in which the submission times of jobs are given.
         """
         self._accelerators.update(now, wall_time)
         self._gangs.update(now)
         self._has_few_slots = self._few_idle_slots_left()
 
     def _few_idle_slots_left(self) -> bool:
-        """Whether no more idle slots are left here than are kept for gangs."""
+        """Whether the idle slots do not exceed this shard's part of the slots reserved for gangs."""
         machines = self._machines.by_id.values()
         resources = self._gangs.resources
         has_other_machines = any(
@@ -53,7 +53,7 @@
         return idle <= math.ceil(reserved_slots / max(1, len(self._cache.shards)))
 
     def usable_by(self, spec: JobSpec, machine: Machine) -> Resources:
-        """The free capacity of a machine that tasks of this job may use."""
+        """The free capacity of a machine that tasks of this job may use, after reserves."""
         free = machine.free()
         if spec.gpus > 0 or spec.is_service:
             return free
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -1,4 +1,4 @@
-"""The slots that a shard reserves for gangs: the second and third points of the design."""
+"""Slots that a shard reserves for gangs: the second and third points of the design."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ReservedSlot(NamedTuple):
-    """A reserved slot of a machine, for the gang's task of this index."""
+    """A reserved slot of a machine, for one task of a gang."""
 
     job_id: JobId
     reservation: GangReservation
@@ -28,7 +28,7 @@
 
 
 class GangReservations:
-    """A shard's reservations, by gang and by machine."""
+    """The gang reservations of a shard, indexed by gang and by machine."""
 
     def __init__(
         self,
@@ -38,19 +38,19 @@
         changes: ChangeLog,
     ) -> None:
         self.by_job: dict[JobId, GangReservation] = {}
-        self._done_attempts: dict[JobId, int] = {}  # of gangs with a result here
+        self._done_attempts: dict[JobId, int] = {}  # attempt that produced the result, by gang
         self._by_machine: dict[MachineId, dict[JobId, GangReservation]] = {}
         self._shard = shard
         self._cache = cache
         self._machines = machines
         self._changes = changes
 
-    # Coming and going
+    # Creation and removal
 
     def apply_record(
         self, now: Seconds, job_id: JobId, job: JobRecord | None, failover: bool
     ) -> None:
-        """Take over what a job's record says of a gang's slots in this shard."""
+        """Create, replace or remove a gang's reservation according to its job's record."""
         reservation = self.by_job.get(job_id)
         gang = job.gang if job is not None else None
         if gang is None or self._shard not in gang.shards():
@@ -66,8 +66,8 @@
             }
             reservation = GangReservation(gang.attempt, placements, now)
             if failover:
-                # Whether the old owner has sent the starts is unknown. An attempt is never
-                # started twice, so what is not found on its machine ends this attempt.
+                # The previous owner may have sent the start commands. An attempt must not be
+                # started twice, so a task that is missing on its machine fails this attempt.
                 reservation.inherited = reservation.ready = True
                 reservation.launched_indices = set(placements)
             self._replace(job_id, reservation)
@@ -80,7 +80,8 @@
             self._remove(job_id, self.by_job[job_id])
         self.by_job[job_id] = reservation
         if any(m not in self._cache.machines for m in reservation.indices_on):
-            # Gone before this reservation was known here: no change of its record will tell.
+            # The machine was deleted before this shard received the reservation, so no later
+            # change of the machine's record will fail the attempt.
             reservation.failure_reason = "machine gone"
         for machine_id in reservation.indices_on:
             self._by_machine.setdefault(machine_id, {})[job_id] = reservation
@@ -97,28 +98,28 @@
             self._changes.record_machine(machine_id)
 
     def machine_gone(self, machine_id: MachineId) -> None:
-        """End the attempts of all gangs that have slots on a machine."""
+        """Fail the attempts of all gangs that have slots on a deleted machine."""
         for job_id, reservation in self.on_machine(machine_id).items():
             if not reservation.failure_reason:
                 reservation.failure_reason = "machine gone"
                 log.info("event=gang_failed job=%s reason=machine_gone", job_id)
 
     def is_done(self, job_id: JobId, reservation: GangReservation) -> bool:
-        """Whether a task of this attempt has the result."""
+        """Whether a task of this attempt has produced the result."""
         return self._done_attempts.get(job_id) == reservation.attempt
 
     def record_done(self, job_id: JobId, reservation: GangReservation) -> None:
-        """Note that a task of this attempt has the result."""
+        """Record that a task of this attempt has produced the result."""
         self._done_attempts[job_id] = reservation.attempt
 
-    # What is reserved where
+    # Reserved slots by machine
 
     def on_machine(self, machine_id: MachineId) -> Mapping[JobId, GangReservation]:
-        """The reservations of gangs with slots on a machine, the oldest first."""
+        """The reservations with slots on a machine, oldest first."""
         return self._by_machine.get(machine_id, _NO_RESERVATIONS)
 
     def slots_on(self, machine_id: MachineId) -> list[ReservedSlot]:
-        """The reserved slots of a machine whose start has not gone out."""
+        """The reserved slots of a machine whose start command has not been sent."""
         reservations = self._by_machine.get(machine_id)
         if not reservations:
             return []
@@ -131,7 +132,7 @@
         ]
 
     def reserved_resources(self, machine_id: MachineId) -> Resources:
-        """What the reserved slots of a machine take; the object NO_RESOURCES if there are none."""
+        """Resources of a machine's reserved slots; the object NO_RESOURCES without reservations."""
         if machine_id not in self._by_machine:
             return NO_RESOURCES
         resources = NO_RESOURCES
@@ -140,31 +141,31 @@
         return resources
 
     def may_still_launch(self, machine_id: MachineId) -> bool:
-        """Whether a gang that is not over names this machine: its start may still go out."""
+        """Whether a gang with a slot on this machine, still in its job's record, may start there."""
         return any(
             (job := self._cache.jobs.get(job_id)) is not None and job.gang is not None
             for job_id in self._by_machine.get(machine_id, ())
         )
 
     def is_wanted(self, job_id: JobId) -> bool:
-        """Whether a gang's attempt is to go on: it is not over, and its job is open."""
+        """Whether a gang's attempt should continue: it is not over, and its job is open."""
         job = self._cache.jobs.get(job_id)
         return job is not None and job.open and job.gang is not None and not job.gang.over
 
-    # The start of all tasks together, once all slots are idle
+    # Start of all tasks of a gang together
 
     def check_all(self) -> None:
-        """Find all gangs that may start now, or can't any more."""
+        """Update all gangs that can start now or can no longer start."""
         for job_id, reservation in self.by_job.items():
             self._check(job_id, reservation)
 
     def check_on(self, machine_id: MachineId) -> None:
-        """The same for the gangs with slots on one machine."""
+        """Update the gangs with slots on this machine that can start now or no longer."""
         for job_id, reservation in self.on_machine(machine_id).items():
             self._check(job_id, reservation)
 
     def _check(self, job_id: JobId, reservation: GangReservation) -> None:
-        """A gang whose reserved slots are all idle starts on all of them together."""
+        """Mark a gang as ready if all its slots are idle, or as failed if a machine leaves."""
         if reservation.ready or reservation.failure_reason or not self.is_wanted(job_id):
             return
         if any(self._is_leaving_shard(m) for m in reservation.indices_on):
@@ -182,7 +183,7 @@
         self._changes.dirty = True
 
     def _room_for(self, reservation: GangReservation, machine: Machine) -> Resources:
-        """The room of a machine less that promised to gangs that start, and to older ones."""
+        """Free capacity of a machine minus the slots of older gangs and of gangs about to start."""
         room = machine.free()
         is_older = True
         for other_id, other in self._by_machine[machine.id].items():
