--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -40,7 +40,7 @@
         self._has_few_slots = self._few_idle_slots_left()
 
     def _few_idle_slots_left(self) -> bool:
-        """Whether the idle slots do not exceed this shard's part of the slots reserved for gangs."""
+        """Whether at most this shard's part of the slots reserved for gangs is idle."""
         machines = self._machines.by_id.values()
         resources = self._gangs.resources
         has_other_machines = any(
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -141,7 +141,7 @@
         return resources
 
     def may_still_launch(self, machine_id: MachineId) -> bool:
-        """Whether a gang with a slot on this machine, still in its job's record, may start there."""
+        """Whether the record of a job with slots on this machine still contains its gang."""
         return any(
             (job := self._cache.jobs.get(job_id)) is not None and job.gang is not None
             for job_id in self._by_machine.get(machine_id, ())
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Reconciliation of what a shard expects on a machine with what its heartbeats list."""
+"""Reconciliation of a shard's expected tasks with the tasks listed in heartbeats."""
 
 from __future__ import annotations
 
@@ -31,16 +31,17 @@
 
 log = logging.getLogger(__name__)
 
-# Compared for each task of each heartbeat: an enum's members are slow to look up.
-STAGES_WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)  # stages that tell of an image
+# Stages in which the machine has or fetches the task's image. Plain strings, because they are
+# compared for each task of each heartbeat and enum members are slow to look up.
+STAGES_WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)
 
 
 class HeartbeatReconciler:
-    """Finds what a heartbeat confirms, what has exited, and what is missing.
+    """Finds the tasks that a heartbeat confirms, that have exited and that are missing.
 
-    Tasks that were assigned before this ownership may be on any machine that the old owner could
-    use. Until each of those was heard under this shard's fencing token, or is deleted, they wait:
-    started without that, they ran twice.
+    Tasks that were assigned before this ownership began may be on any machine that the previous
+    owner could use. They are not started until each of these machines has sent a heartbeat with
+    this shard's fencing token or was deleted; without this wait, tasks ran twice.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         exits: TaskExits,
         changes: ChangeLog,
     ) -> None:
-        self.unreconciled = unreconciled  # the machines that are not heard yet
+        self.unreconciled = unreconciled  # machines without such a heartbeat yet
         self._machines = machines
         self._tasks = tasks
         self._reservations = reservations
@@ -64,12 +65,12 @@
         self._changes = changes
 
     def requeue_if_all_reconciled(self, now: Seconds) -> None:
-        """Let those be started that no machine has listed, once all machines are heard."""
+        """Return the unconfirmed tasks to waiting once all machines are reconciled."""
         if not self.unreconciled:
             self._tasks.requeue_unconfirmed(now)
 
     def record_confirmed(self, now: Seconds, machine: Machine) -> None:
-        """Note that a heartbeat carries this shard's fencing token: its list is complete."""
+        """Record a heartbeat with this shard's fencing token, whose task list is complete."""
         machine.last_confirmed_at = now
         if not machine.reconciled:
             machine.reconciled = True
@@ -85,21 +86,21 @@
         is_current: bool,
         is_new_incarnation: bool,
     ) -> list[Command]:
-        """Take over what a heartbeat lists.
+        """Update the state of tasks from the list in a heartbeat.
 
-        One from before this shard's token may be a late copy, and the task may long be elsewhere:
-        it settles nothing, neither that a task is here nor that it is gone. What it shows counts
-        as room taken until a newer one tells.
+        A heartbeat without this shard's token may be a delayed copy, and its tasks may be on
+        another machine by now. It therefore neither confirms that a task is on the machine nor
+        that it is missing; its tasks only count as usage until a newer heartbeat arrives.
 
         Args:
             now: The time.
-            machine: The machine that has sent the heartbeat.
+            machine: The machine that sent the heartbeat.
             heartbeat: The heartbeat.
             is_current: Whether it carries this shard's fencing token.
-            is_new_incarnation: Whether it is the first of an incarnation of its machine.
+            is_new_incarnation: Whether it is the first heartbeat of a machine's incarnation.
 
         Returns:
-            The commands for what has exited.
+            The commands for exited tasks.
         """
         commands: list[Command] = []
         if is_current:
@@ -146,7 +147,7 @@
         return task_attempt
 
     def record_present(self, machine: Machine, item: TaskStatus) -> None:
-        """Note that a task that has not exited is on a machine."""
+        """Record that a task that has not exited is on a machine."""
         task = item.task
         array_task = self._tasks.get(task)
         if array_task is not None:
@@ -171,13 +172,13 @@
             reservation.listed_indices.add(task.number)
 
     def record_gone(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
-        """Note that a task is known not to be on its machine any more.
+        """Record that a task is no longer on its machine.
 
         Args:
             now: The time.
-            machine: The machine where it was.
+            machine: The machine that had the task.
             task: The task.
-            reason: Why its gang's attempt ends, if it is a gang's.
+            reason: The failure reason of the gang's attempt, if the task belongs to a gang.
         """
         task_attempt = machine.task_attempts.get(task)
         self._tasks.remove_attempt(machine, task)
@@ -185,7 +186,7 @@
         array_task = self._tasks.get(task)
         if array_task is not None and array_task.machine == machine.id:
             if array_task.state in (ON_MACHINE, FINISHED):
-                # A result that vanished before it was stored has to be made again.
+                # A result that was lost before it was stored must be computed again.
                 self._tasks.requeue(now, task, array_task, failed=False)
             return
         reservation = self._reservations.by_job.get(task.job)
@@ -200,7 +201,7 @@
             reservation.failure_reason = reason
 
     def _find_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
-        """Find the gangs whose tasks were started on this machine and are not listed."""
+        """Handle start commands to this machine whose gang tasks are not listed."""
         for job_id, reservation in self._reservations.on_machine(machine.id).items():
             if reservation.failure_reason or self._reservations.is_done(job_id, reservation):
                 continue
@@ -216,8 +217,9 @@
     def _record_lost_start(
         reservation: GangReservation, index: int, is_new_incarnation: bool
     ) -> None:
-        # A start that was never seen was dropped with its answer, unless a new incarnation of
-        # the machine has begun: then it may have run, and attempts are not repeated.
+        # If the task was never listed, the answer with its start command was lost and the start
+        # is sent again. After a new incarnation of the machine or a failover, the task may have
+        # run, and an attempt must not be started twice.
         if index in reservation.listed_indices or reservation.inherited or is_new_incarnation:
             reservation.failure_reason = "start lost"
         else:
--- a/src/dapplewick/core/shard/images.py
+++ b/src/dapplewick/core/shard/images.py
@@ -1,4 +1,4 @@
-"""Which machines have which container image."""
+"""Index of container images by machine."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 
 
 class ImageIndex:
-    """Which machines have which image, or fetch it, or are about to.
+    """Index of the machines that have an image, fetch it or have a task assigned that needs it.
 
-    A job's tasks join together, before the first of them is listed in a heartbeat: what is only
-    assigned to a machine counts, or each of them would have the image fetched by another machine.
+    The tasks of a job are assigned together, before a heartbeat lists the first of them. Images of
+    assigned tasks are included because each task would otherwise choose another machine, and all
+    of these would fetch the image.
     """
 
     def __init__(self) -> None:
         self._machines_with: dict[str, dict[MachineId, None]] = {}
 
     def add(self, machine: Machine, image: str) -> None:
-        """Note an image of a machine; beyond `MAX_IMAGES` the one noted first is forgotten."""
+        """Add an image of a machine; beyond `MAX_IMAGES` the oldest entry is removed."""
         images = machine.images
         if image in images:
             return
@@ -36,10 +37,10 @@
             del self._machines_with[image]
 
     def clear(self, machine: Machine) -> None:
-        """Forget all images of a machine: it is gone, or a new incarnation of it has begun."""
+        """Remove all images of a machine that was removed or began a new incarnation."""
         for image in list(machine.images):
             self._remove(machine, image)
 
     def machines_with(self, image: str) -> Collection[MachineId]:
-        """The machines that have an image, in the order in which that was noted."""
+        """The machines that have an image, in the order in which they were added."""
         return self._machines_with.get(image, {}).keys()
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -1,7 +1,7 @@
-"""How array tasks join slots and queues: the first point of the design.
+"""Assignment of array tasks to slots and queues: the first point of the design.
 
-An array task takes an idle slot with an empty queue; else a reserved slot, if it passes the
-backfilling test; else it waits in the shortest queue (`docs/design.md`).
+An array task joins an idle slot with an empty queue. If there is none, it joins a reserved slot if
+the backfill rule allows it, and otherwise the shortest queue (`docs/design.md`).
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.types import Seconds, TaskRef
 
-MAX_SAMPLED_MACHINES = 12  # machines looked at when an array task joins
-MAX_QUEUE_LENGTH = 8  # array tasks waiting behind one slot
+MAX_SAMPLED_MACHINES = 12  # machines compared when an array task joins
+MAX_QUEUE_LENGTH = 8  # array tasks that wait for one slot
 
 
 class Joining:
-    """Lets the array tasks that are in no queue join slots and queues."""
+    """Assigns unqueued array tasks to slots and queues."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._random = generator
 
     def join_all(self, now: Seconds) -> None:
-        """Let each array task join that is in no queue; what finds no place stays unqueued."""
+        """Assign each unqueued array task; tasks without a suitable slot stay unqueued."""
         unqueued = self._queues.unqueued
         if not unqueued:
             return
@@ -67,7 +67,7 @@
             if array_task is None or array_task.state != WAITING or array_task.slot is not None:
                 continue
             spec = self._tasks.spec(task)
-            # Where one task finds no queue, the next that is alike finds none either.
+            # If one task finds no slot or queue, others with the same placement key find none.
             if spec is None or spec.placement_key in unplaceable:
                 unqueued.append(task)
                 continue
@@ -79,7 +79,7 @@
                 unqueued.append(task)
 
     def _eligible_machines(self, spec: JobSpec, usable: list[Machine]) -> list[Machine]:
-        """The machines on which a task of this job would fit if nothing else were there."""
+        """The allowed machines whose total capacity is enough for a task of this job."""
         resources = spec.resources
         return [
             m for m in usable if self._constraints.allow(spec, m) and resources.fits_in(m.capacity)
@@ -93,13 +93,13 @@
         spec: JobSpec,
         eligible: list[Machine],
     ) -> bool:
-        """A task joins an idle slot, else a reserved one that it passes, else the shortest queue.
+        """Assign a task to an idle slot, a reserved slot by backfill, or the shortest queue.
 
         Returns:
-            Whether it has found a place.
+            Whether the task was assigned or queued.
         """
         if spec.is_service:
-            # A replica waits in no queue: the tasks of a slot may take long.
+            # A replica does not wait in a queue because the tasks ahead of it may run long.
             machine = self._replicas.best_machine(now, spec, task.job, eligible)
             if machine is not None:
                 self._tasks.assign_new_slot(now, task, machine)
@@ -118,7 +118,7 @@
         return True
 
     def _sample(self, spec: JobSpec, eligible: list[Machine]) -> list[Machine]:
-        """Some machines to look at: of those with the image, and of all."""
+        """A random sample: up to half from machines with the image, the others from all."""
         machine_ids = self._images.machines_with(spec.image)
         chosen: list[Machine] = []
         if machine_ids:
@@ -138,7 +138,7 @@
     def _machine_with_room(
         self, now: Seconds, spec: JobSpec, eligible: list[Machine]
     ) -> Machine | None:
-        """The best machine with room beside its reservations, else one whose test is passed."""
+        """The best machine with unreserved capacity, else one where the task may backfill."""
         resources = spec.resources
         best: Machine | None = None
         best_key = (0.0, 0.0, 0.0)
@@ -169,5 +169,6 @@
         ]
         if not queues:
             return None
-        # Of the shortest, one where the image is: fetching takes longer than many tasks run.
+        # Among equal lengths, prefer a machine with the image: fetching takes longer than many
+        # tasks run.
         return min(queues, key=lambda queue: queue[:2])[2]
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -1,4 +1,4 @@
-"""The starts that answer a machine's heartbeat."""
+"""Start commands in the answer to a machine's heartbeat."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Launches:
-    """Fills a machine's slots, and starts what is assigned to them."""
+    """Assigns waiting tasks to a machine's slots and starts the assigned tasks."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._attempt_count = 0
 
     def launch(self, now: Seconds, machine: Machine) -> list[Command]:
-        """Start all that may start on a machine now: gangs first, then array tasks."""
+        """Start all tasks that may start on a machine now: gangs first, then array tasks."""
         commands = self.launch_gangs(now, machine)
         if machine.free().cpus > MIN_FREE_CPUS:
             self._fill_from_queues(now, machine)
@@ -67,7 +67,7 @@
         return commands
 
     def launch_gangs(self, now: Seconds, machine: Machine) -> list[Command]:
-        """Start the tasks of gangs all of whose slots are idle."""
+        """Start the tasks of ready gangs, whose slots are all idle."""
         commands = []
         for job_id, reservation, index in self._reservations.slots_on(machine.id):
             if reservation.ready:
@@ -77,7 +77,7 @@
         return commands
 
     def _fill_from_queues(self, now: Seconds, machine: Machine) -> None:
-        """Let each freed slot take the next task of its queue that may start."""
+        """Assign to each idle slot the next task of its queue that may start."""
         for slot in machine.slots:
             if slot.current is None and slot.queue:
                 jobs = dict.fromkeys(t.job for t in slot.queue)
@@ -88,7 +88,7 @@
                     self._tasks.assign(task, slot)
 
     def _launch_assigned(self, now: Seconds, machine: Machine, commands: list[Command]) -> None:
-        """Start what slots were assigned, and give up the slots that are left empty."""
+        """Start the tasks assigned to slots and remove the slots without a task."""
         occupied_slots: list[Slot] = []
         for slot in machine.slots:
             task = slot.current
@@ -105,7 +105,7 @@
         self, now: Seconds, machine: Machine, slot: Slot, task: TaskRef, commands: list[Command]
     ) -> None:
         if slot.holds_replica and not NO_RESOURCES.fits_in(machine.free()):
-            return  # what is stopped for it is not gone yet
+            return  # the tasks preempted for this replica have not stopped yet
         array_task = self._tasks.get(task)
         if array_task is not None and array_task.state == ASSIGNED:
             commands.append(self._start(now, machine, task, self._new_attempt()))
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -1,4 +1,4 @@
-"""Which machines take new work: those that are heard, and on which tasks start and end well."""
+"""Health of machines: whether new work may be sent to them."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEARTBEAT_AGE_S = 6.0  # a machine silent for longer takes no new work
-MAX_LOST_STARTS = 3  # heartbeats in a row that miss what was sent, until no more is sent
-MIN_FAULTY_FAILURES = 4  # failures in a row, of different jobs, that make a machine suspect
-# Of a lease: an incarnation that ends within this time of a heartbeat was not silent.
+MAX_HEARTBEAT_AGE_S = 6.0  # without a heartbeat for longer, a machine gets no new work
+MAX_LOST_STARTS = 3  # consecutive heartbeats without the sent starts, until no more are sent
+MIN_FAULTY_FAILURES = 4  # jobs that failed in a row on a machine, until it counts as faulty
+# Fraction of a lease. If an incarnation ends sooner after its last confirmed heartbeat, it did not
+# end because heartbeats were missing: the machine did not receive the answers.
 UNREACHABLE_LEASE_FRACTION = 0.95
-# Leases within which a second incarnation ends on a machine that hears nothing.
+# Number of leases. If a second incarnation ends within this time of the first, the machine does
+# not receive answers.
 REPEATED_INCARNATION_LEASES = 4.0
 
 
 class MachineHealth:
-    """Judges the machines of a shard by their records, heartbeats and tasks."""
+    """Determines the health of a shard's machines from records, heartbeats and tasks."""
 
     def __init__(
         self,
@@ -36,16 +38,16 @@
         self._cache = cache
         self._changes = changes
         self._lease_s = lease_s
-        # Since when silence counts: heartbeats were refused before, or could not be read, or
-        # this ownership had not begun.
+        # Time without contact is counted from here at the earliest. Before this time heartbeats
+        # were refused or could not be read, or this ownership had not begun.
         self.accepting_heartbeats_since = now
 
     def is_faulty(self, machine: Machine) -> bool:
-        """Whether tasks of several jobs have failed here and none has completed since."""
+        """Whether tasks of several jobs failed on this machine without a success in between."""
         return len(machine.failures) >= MIN_FAULTY_FAILURES
 
     def update_usable(self, now: Seconds, machine: Machine) -> bool:
-        """Whether new work may go to this machine; a change is noted for the leader."""
+        """Update whether new work may be sent to a machine; report a change to the leader."""
         is_drained = self._cache.transfers.drains(machine.id) is not None
         is_usable = not is_drained and self._is_healthy(now, machine)
         if is_usable != machine.was_usable:
@@ -55,12 +57,12 @@
         return is_usable
 
     def is_healthy_but_drained(self, now: Seconds, machine: Machine) -> bool:
-        """Whether nothing but a transfer keeps new work from this machine."""
+        """Whether a transfer is the only reason to send no new work to this machine."""
         is_drained = self._cache.transfers.drains(machine.id) is not None
         return is_drained and self._is_healthy(now, machine)
 
     def _is_healthy(self, now: Seconds, machine: Machine) -> bool:
-        """Whether a machine is ours, up, and takes what it is told."""
+        """Whether a machine belongs to this shard, is up and executes commands."""
         record = self._cache.machines.get(machine.id)
         return (
             record is not None
@@ -78,7 +80,7 @@
         )
 
     def apply_heartbeat(self, now: Seconds, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Take over what a heartbeat says of its machine, beside the tasks.
+        """Update a machine from a heartbeat, except for its tasks.
 
         Returns:
             Whether a new incarnation of the machine has begun.
@@ -100,9 +102,9 @@
     def _record_new_incarnation(self, now: Seconds, machine: Machine) -> None:
         if not machine.reconciled or machine.last_confirmed_at <= self.accepting_heartbeats_since:
             return
-        # A lease that ended while we answered its heartbeats: the answers don't reach it. It
-        # asks all controllers in turn, so its heartbeats here may also be a lease apart; then
-        # the second end soon after the first tells.
+        # If the lease ended although this controller answered the heartbeats, the answers do not
+        # reach the machine. A machine contacts all controllers in turn, so its heartbeats to this
+        # one may also be a lease apart; in that case a second end soon after the first shows it.
         is_repeated = (
             now - machine.incarnation_ended_at < self._lease_s * REPEATED_INCARNATION_LEASES
         )
@@ -113,7 +115,9 @@
         machine.incarnation_ended_at = now
 
     def count_lost_starts(self, now: Seconds, machine: Machine, listed: set[TaskRef]) -> None:
-        """A machine that sends heartbeats but never lists what it is told to start hears nothing.
+        """Count consecutive heartbeats that list none of the tasks whose start was sent.
+
+        A machine that sends heartbeats but never lists these tasks does not receive answers.
 
         Args:
             now: The time.
@@ -131,5 +135,5 @@
             machine.lost_starts += 1
             machine.lost_starts_at = now
         elif now - machine.lost_starts_at > self._lease_s:
-            # Its lease would have ended by now if no answer had reached it.
+            # The machine received an answer: otherwise its lease would have ended by now.
             machine.lost_starts = 0
--- a/src/dapplewick/core/shard/machines.py
+++ b/src/dapplewick/core/shard/machines.py
@@ -1,4 +1,4 @@
-"""The machines of a shard."""
+"""Table of a shard's machines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MachineTable:
-    """The machines of which a shard has heard or has a record, in the order of their coming."""
+    """The machines with a heartbeat or a record in a shard, in the order of their addition."""
 
     def __init__(self, cache: WatchCache, changes: ChangeLog) -> None:
         self.by_id: dict[MachineId, Machine] = {}
@@ -17,7 +17,7 @@
         self._changes = changes
 
     def get_or_add(self, machine_id: MachineId, now: Seconds) -> Machine:
-        """The machine of this name; one not known yet is described by its record, if any."""
+        """The machine with this ID; a new one is initialised from its record, if any."""
         machine = self.by_id.get(machine_id)
         if machine is None:
             machine = self.by_id[machine_id] = Machine(machine_id, now)
@@ -30,13 +30,13 @@
         return machine
 
     def record_change(self, machine: Machine) -> None:
-        """Note that what is on this machine, or meant for it, has changed."""
+        """Record a change of the tasks or slots of a machine."""
         machine.cached_usage = None
         self._changes.record_machine(machine.id)
         self._changes.dirty = True
 
     def record_slot_change(self, slot: Slot) -> None:
-        """Note a change of a slot, unless its machine is gone."""
+        """Record a change of a slot if its machine still exists."""
         machine = self.by_id.get(slot.machine)
         if machine is not None:
             self.record_change(machine)
--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -1,4 +1,4 @@
-"""Which tasks of lower priority are preempted so that others find room on a machine."""
+"""Preemption of tasks of lower priority to free capacity on a machine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def may_be_preempted(task_attempt: TaskAttempt, priority: int) -> bool:
-    """Whether a task may be stopped for work of this priority. Gangs and services are not."""
+    """Whether a task may be stopped for work of this priority; never for gangs and services."""
     spec = task_attempt.spec
     return (
         spec is not None
@@ -23,22 +23,23 @@
 
 
 def is_stopping(task: TaskRef, task_attempt: TaskAttempt, preempted: set[TaskRef]) -> bool:
-    """Whether a task's room is about to be free: it was told to stop, or will be."""
+    """Whether a task's resources will be free soon: a stop was sent or is about to be."""
     return task in preempted or (task_attempt.stop_sent and task_attempt.stage != EXITED)
 
 
 def preempt_until_fits(
     machine: Machine, required: Resources, priority: int, preempted: set[TaskRef]
 ) -> None:
-    """Add tasks to `preempted` until `required` fits beside what is left.
+    """Add tasks to `preempted` until `required` fits in the capacity they leave free.
 
-    Those of the lowest priority go first, and among them those that began last lose least.
+    Tasks of the lowest priority are preempted first, and among equals the newest ones, because
+    they lose the least work.
 
     Args:
         machine: The machine.
-        required: The resources that must be free on the machine.
-        priority: Of the work that needs it: only tasks below are preempted.
-        preempted: The tasks that are to be stopped on this machine so far; it is added to.
+        required: The resources that must become free on the machine.
+        priority: The priority of the waiting work; only tasks of lower priority are preempted.
+        preempted: The tasks already chosen to stop on this machine; extended in place.
     """
     room = machine.free()
     for task, task_attempt in machine.task_attempts.items():
@@ -59,7 +60,7 @@
 
 
 class Preemption:
-    """Preempts for gangs that were granted this right, and for replicas without room."""
+    """Selects preemptions for gangs with permission to preempt and for replicas."""
 
     def __init__(
         self, cache: WatchCache, tasks: ArrayTasks, reservations: GangReservations
@@ -69,7 +70,7 @@
         self._reservations = reservations
 
     def preempted_on(self, machine: Machine) -> set[TaskRef]:
-        """The array tasks of lower priority to stop on a machine."""
+        """The array tasks to preempt on a machine."""
         preempted: set[TaskRef] = set()
         for job_id, reservation, _ in self._reservations.slots_on(machine.id):
             job = self._cache.jobs.get(job_id)
@@ -81,7 +82,7 @@
         return preempted
 
     def _preempt_for_replicas(self, machine: Machine, preempted: set[TaskRef]) -> None:
-        """Work of lower priority to stop for replicas that joined here without room."""
+        """Add the tasks to preempt for replicas assigned here without enough free capacity."""
         waiting = [
             spec
             for slot in machine.slots
@@ -93,6 +94,6 @@
         ]
         if not waiting:
             return
-        # Their slots are counted as taken, so less than nothing is free before the stops.
+        # The replicas' slots count as usage, so free capacity is negative until tasks stop.
         priority = max(spec.priority for spec in waiting)
         preempt_until_fits(machine, NO_RESOURCES, priority, preempted)
--- a/src/dapplewick/core/shard/queues.py
+++ b/src/dapplewick/core/shard/queues.py
@@ -1,4 +1,4 @@
-"""The queues behind a shard's slots, and the array tasks that wait in none of them."""
+"""Queues of a shard's slots, and the array tasks in no queue."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Queues:
-    """The shard's queues that are not empty, beside the array tasks that found none."""
+    """Tracks the shard's non-empty slot queues and its unqueued array tasks."""
 
     def __init__(self) -> None:
         self.unqueued: deque[TaskRef] = deque()
-        self._counts: dict[JobId, dict[Slot, int]] = {}  # how many tasks of a job wait where
+        self._counts: dict[JobId, dict[Slot, int]] = {}  # queued tasks by job and slot
 
     def _decrement_count(self, slot: Slot, task: TaskRef) -> None:
         slots = self._counts[task.job]
@@ -25,22 +25,22 @@
                 del self._counts[task.job]
 
     def enqueue(self, slot: Slot, task: TaskRef) -> None:
-        """Put an array task at the end of a slot's queue."""
+        """Append an array task to a slot's queue."""
         slot.queue.append(task)
         slots = self._counts.setdefault(task.job, {})
         slots[slot] = slots.get(slot, 0) + 1
 
     def remove(self, slot: Slot, task: TaskRef) -> None:
-        """Take an array task out of a slot's queue.
+        """Remove an array task from a slot's queue.
 
         Raises:
-            ValueError: The task does not wait there.
+            ValueError: The task is not in this queue.
         """
         slot.queue.remove(task)
         self._decrement_count(slot, task)
 
     def pop_all(self, slot: Slot) -> list[TaskRef]:
-        """Take all array tasks out of a slot's queue, the first one first."""
+        """Remove and return all array tasks of a slot's queue, in queue order."""
         tasks = list(slot.queue)
         slot.queue.clear()
         for task in tasks:
@@ -48,13 +48,13 @@
         return tasks
 
     def waiting_jobs(self) -> dict[JobId, None]:
-        """The jobs of which array tasks wait, in queues or in none, in a fixed order."""
+        """The jobs with waiting array tasks, queued or unqueued, in a deterministic order."""
         return dict.fromkeys([*self._counts, *(task.job for task in self.unqueued)])
 
     def longest_first(self, jobs: Collection[JobId]) -> list[Slot | None]:
-        """Where array tasks of these jobs wait, the longest queue first.
+        """The slots with queued array tasks of these jobs, longest queue first.
 
-        None stands for those that found no queue.
+        None stands for the unqueued tasks.
         """
         lengths: dict[Slot | None, int] = {}
         for job_id in jobs:
