--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -1,7 +1,7 @@
-"""Where replicas of services go, and when they leave their machine.
+"""Placement of service replicas, and when they move to another machine.
 
-A replica is an array task of its priority that is not expected to end. It waits in no queue, since
-the tasks of a slot may take long.
+A replica is scheduled as an array task with its priority, but is not expected to end. It does not
+wait in a queue because the tasks ahead of it may run long.
 """
 
 from __future__ import annotations
@@ -21,22 +21,24 @@
 
 log = logging.getLogger(__name__)
 
-EVICTION_LEAD_S = (
-    6.0  # a replica is stopped so long before its machine is taken, wherever it can go
-)
-PREEMPTION_COST_S = 4.0  # until what is stopped for a replica is gone, and what it loses
-# What a better place is worth, in seconds until the replica runs: away from the others of its
-# service, from machines that may be taken, and from accelerators.
+# A replica is stopped this long before its spot machine is withdrawn, even if no other machine has
+# capacity for it.
+EVICTION_LEAD_S = 6.0
+PREEMPTION_COST_S = 4.0  # time until preempted tasks have stopped, plus their lost work
+# Placement penalties, in seconds of start-up delay that a better machine is worth: for each other
+# replica of the service on the machine, for a spot machine, and for a machine with accelerators.
 SAME_SERVICE_COST_S, SPOT_COST_S, ACCELERATOR_COST_S = 30.0, 20.0, 5.0
-FREE_CPU_COST_S = 0.01  # and for each free CPU: small rooms are filled first
-DRAIN_DELAY_S = 75.0  # after this time with nothing but replicas a dear machine is emptied
-DRAIN_PRICE_RATIO = 2.0  # dear: more than this times the cheapest that they fit
-MIN_FETCH_RATE_GB_PER_S = 0.01  # GB/s of images
-DEFAULT_FETCH_RATE_GB_PER_S = 0.1  # of a machine of an unknown type
+FREE_CPU_COST_S = (
+    0.01  # for each free CPU, so that machines with little free capacity are filled first
+)
+DRAIN_DELAY_S = 75.0  # an expensive machine with only replicas for this long is drained
+DRAIN_PRICE_RATIO = 2.0  # expensive: above this multiple of the cheapest machine type that fits
+MIN_FETCH_RATE_GB_PER_S = 0.01  # lower bound of the image fetch rate
+DEFAULT_FETCH_RATE_GB_PER_S = 0.1  # image fetch rate of unknown machine types
 
 
 class ReplicaPlacement:
-    """Chooses places for replicas among a shard's machines."""
+    """Chooses machines for replicas and drains expensive machines."""
 
     def __init__(
         self,
@@ -55,19 +57,20 @@
     def best_machine(
         self, now: Seconds, spec: JobSpec, job_id: JobId, eligible: Iterable[Machine]
     ) -> Machine | None:
-        """The machine on which a replica will run soonest.
+        """The machine with the lowest placement cost for a replica.
 
-        It has room, or work of lower priority to preempt. Places away from the others of the
-        service and from machines that may be taken are worth a wait.
+        The machine has free capacity for it or tasks of lower priority to preempt. The cost is the
+        expected start-up delay plus penalties for other replicas of the service on the machine,
+        for spot machines and for accelerators.
 
         Args:
             now: The time.
-            spec: What the service asks for.
-            job_id: The service.
+            spec: The service's specification.
+            job_id: The service's job.
             eligible: The machines to choose from.
 
         Returns:
-            The machine; None if there is room on none.
+            The machine; None if the replica fits on none.
         """
         best: tuple[Seconds, Machine] | None = None
         for machine in eligible:
@@ -80,8 +83,8 @@
                 self._room_with_preemption(machine, room, spec.priority)
             ):
                 continue
-            # What is stopped goes with one heartbeat, and the start comes with the next: that is
-            # sooner than an image.
+            # The answer to one heartbeat stops the preempted tasks and the next one starts the
+            # replica, which is faster than fetching an image.
             cost_s = (
                 self._placement_cost(now, spec, job_id, machine) + PREEMPTION_COST_S * must_preempt
             )
@@ -99,7 +102,7 @@
     def _placement_cost(
         self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine
     ) -> Seconds:
-        """How long until it would run here, and what else speaks against it, in seconds."""
+        """The expected start-up delay on this machine plus placement penalties, in seconds."""
         same_service = sum(task.job == job_id for task in machine.task_attempts)
         same_service += sum(
             s.current is not None and s.current.job == job_id for s in machine.slots
@@ -113,15 +116,17 @@
             )
             cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
             cost_s += machine.pending_image_fetches()
-        # What was heard long ago is heard again soon; the start goes out in the answer.
+        # The start is sent in the answer to the machine's next heartbeat, so the time until then
+        # is part of the delay.
         cost_s += max(0.0, self._heartbeat_interval_s - (now - machine.last_heartbeat_at))
         return cost_s + FREE_CPU_COST_S * machine.free().cpus
 
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
-        """Whether a replica is to leave its machine now.
+        """Whether a replica must leave its machine now.
 
-        It leaves one that goes, or is no good place, as soon as another with its image has room,
-        or at the last moment.
+        It leaves a machine that is slow, draining or about to be withdrawn as soon as another
+        machine with its image has free capacity. Shortly before a spot machine is withdrawn, it
+        leaves in any case.
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
@@ -134,7 +139,8 @@
         target = self.best_machine(now, spec, job_id, eligible)
         if target is None or not spec.resources.fits_in(target.free()):
             return False
-        # Without its image there it is away for longer: only for a notice, or in the end.
+        # Without the image on the target the replica is down for longer, so it moves only because
+        # of a spot notice or when the drain is overdue.
         is_overdue = is_drained and now - machine.idle_since > 2.0 * DRAIN_DELAY_S
         return spec.image in target.images or machine.spot_notice_s is not None or is_overdue
 
@@ -142,17 +148,17 @@
         return [m for m in self._machines.by_id.values() if m is not machine and m.was_usable]
 
     def drain_expensive(self, now: Seconds, has_unqueued_tasks: bool) -> Iterator[Machine]:
-        """Mark dear machines on which nothing but replicas has been for long.
+        """Mark expensive machines that have run only replicas for a long time as draining.
 
-        What is there must have room on others: they move, and the machine is returned to the
-        cloud. Work that could use a machine unmarks it once it is empty.
+        The replicas must fit on other machines. They move there, and the empty machine is returned
+        to the cloud, unless unqueued tasks end the drain once it is empty.
 
         Args:
             now: The time.
-            has_unqueued_tasks: Whether any array task has found no queue.
+            has_unqueued_tasks: Whether any array task is in no slot or queue.
 
         Yields:
-            The machines that are newly marked.
+            The newly marked machines.
         """
         for machine in self._machines.by_id.values():
             task_attempts = [
@@ -182,7 +188,7 @@
         )
 
     def _is_expensive(self, machine: Machine, specs: list[JobSpec]) -> bool:
-        """Whether a machine costs much more than the cheapest on which all of this fits."""
+        """Whether a machine costs much more than the cheapest type that fits each replica."""
         types = self._cache.types
         machine_type = types.get(machine.type)
         prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -1,8 +1,8 @@
-"""One shard: the machines of one zone, their slots and queues, reservations and backfill.
+"""Scheduler of one shard: machines of one zone, their slots, queues, reservations and backfill.
 
-A state machine without I/O: it is given heartbeats and changed records together with the time,
-and answers with commands for the machine that was heard and with a status for the leader. The
-work for a heartbeat depends on the machine that sent it, not on how many there are.
+The scheduler is a state machine without I/O. Its inputs are heartbeats, changed records and the
+time; its outputs are commands for the machine that sent a heartbeat and a status for the leader.
+The cost of handling a heartbeat depends on the sending machine, not on the number of machines.
 """
 
 from __future__ import annotations
@@ -43,26 +43,24 @@
 
 log = logging.getLogger(__name__)
 
-STALL_THRESHOLD_S = 2.0  # a process that ticks later than this may have heartbeats it has not read
-FULL_SCAN_INTERVAL_S = (
-    1.0  # what looks at all machines, reservations and waiting tasks is done this often
-)
+STALL_THRESHOLD_S = 2.0  # after a longer gap between ticks, the process may have unread heartbeats
+FULL_SCAN_INTERVAL_S = 1.0  # between passes over all machines, reservations and waiting tasks
 
 
 class ShardScheduler:
-    """The owner's view of one shard.
+    """Schedules one shard on behalf of its owner.
 
     Args:
-        shard: The shard's name, of which its zone is a part.
+        shard: The shard's name, which includes its zone.
         token: The fencing token of this ownership.
-        cache: The records, as they are followed.
-        estimates: Run times, learned by all shards of this controller.
+        cache: The watched records.
+        estimates: Run-time estimates, shared by all shards of this controller.
         now: The time.
-        tuning: Values that a deployment may change.
-        seed: What is drawn depends on this and the token.
-        classes_with_objectives: The classes of jobs of which users say what they expect.
-        lease_s: How long a machine goes on without an answer.
-        report_s: How often a machine sends heartbeats.
+        tuning: Parameters that a deployment may change.
+        seed: Combined with the token to seed the random generator.
+        classes_with_objectives: The job classes for which users set objectives.
+        lease_s: How long a machine continues without an answer.
+        report_s: The interval between a machine's heartbeats.
     """
 
     def __init__(
@@ -86,8 +84,8 @@
         self.estimates = estimates
         self._ticked_at = now
         self._full_scan_at = NEVER_S
-        # Long, as it does but one thing: it gives each piece the others that it needs, in the
-        # order in which they depend on one another. First, what the pieces share.
+        # This constructor is long because it creates all components in the order of their
+        # dependencies. The components with shared state come first.
         self._changes = changes = ChangeLog()
         self._machines = machines = MachineTable(cache, changes)
         self.machines = machines.by_id
@@ -98,7 +96,7 @@
         self.array_tasks = tasks.by_job
         self._gangs = gangs = GangReservations(shard, cache, machines, changes)
         self.reservations = gangs.by_job
-        # What judges: which machines and tasks are fit for one another.
+        # Components that decide which tasks fit on which machines.
         constraints = PlacementConstraints(zone_of(shard))
         accelerators = AcceleratorDemand(cache, classes_with_objectives)
         gang_demand = GangDemand(cache, tuning.spare_slots)
@@ -108,7 +106,7 @@
         self._free_capacity = capacity = FreeCapacity(cache, machines, accelerators, gang_demand)
         self._replicas = replicas = ReplicaPlacement(cache, machines, constraints, gangs, report_s)
         candidates = Candidates(cache, tasks, constraints, capacity, gangs, backfill)
-        # What acts, as heartbeats and time demand it.
+        # Components that act on heartbeats and ticks.
         self._exits = exits = TaskExits(cache, estimates, tasks, gangs, speed, changes)
         self._reconciler = HeartbeatReconciler(
             self.unreconciled, machines, tasks, gangs, images, health, exits, changes
@@ -148,13 +146,14 @@
         self._rebuild_state(now)
 
     def _rebuild_state(self, now: Seconds) -> None:
-        """Rebuild what the old owner knew from the records; heartbeats tell the rest.
+        """Rebuild the previous owner's state from the records; heartbeats complete it.
 
         "A controller taking over rebuilds queues and holds from reports and records before
         placing" (the design).
         """
-        # Tasks assigned before this ownership may be on any machine the old owner could use:
-        # until each of those was heard under our token, or is deleted, they wait.
+        # Tasks that were assigned before this ownership may be on any machine that the previous
+        # owner could use. They wait until each of these machines has sent a heartbeat with this
+        # shard's token or was deleted.
         for machine_id, record in self.cache.machines.items():
             if record.shard == self.shard and record.up:
                 self.unreconciled.add(machine_id)
@@ -165,7 +164,7 @@
 
     @property
     def dirty(self) -> bool:
-        """Whether anything happened that the leader should hear of soon."""
+        """Whether a change should be reported to the leader soon."""
         return self._changes.dirty
 
     @dirty.setter
@@ -173,18 +172,18 @@
         self._changes.dirty = dirty
 
     def token_for(self, machine_id: MachineId) -> FencingToken:
-        """The token that commands to a machine's worker carry."""
+        """The fencing token in commands to a machine's worker."""
         return self.cache.token_for(machine_id, self.token)
 
     # Records
 
     def job_changed(self, now: Seconds, job_id: JobId, failover: bool = False) -> None:
-        """A job's record has changed.
+        """Apply a change of a job's record.
 
         Args:
             now: The time.
             job_id: The job.
-            failover: Whether an earlier owner may have acted on the record.
+            failover: Whether a previous owner may have acted on the record.
         """
         job = self.cache.jobs.get(job_id)
         assigned = job.assigned(self.shard) - job.done if job is not None and job.open else set()
@@ -192,10 +191,10 @@
         self._gangs.apply_record(now, job_id, job, failover)
         self._changes.dirty = True
         if replicas_wait:
-            self._joining.join_all(now)  # not only with the next tick: users wait for them
+            self._joining.join_all(now)  # before the next tick, because users wait for replicas
 
     def machine_changed(self, now: Seconds, machine_id: MachineId) -> None:
-        """A machine's record has changed; without one it is gone, with all that was on it."""
+        """Apply a change of a machine's record; a deleted record removes the machine."""
         record = self.cache.machines.get(machine_id)
         self._changes.record_machine(machine_id)
         if record is None:
@@ -207,7 +206,8 @@
         elif machine is not None:
             self._health.update_usable(now, machine)
         elif record.shard == self.shard and record.up and record.floor:
-            # Handed over to us: if it is never heard, it is to be seen as silent.
+            # Transferred to this shard. The entry makes sure that the machine is reported as
+            # without contact if it never sends a heartbeat.
             self._machines.get_or_add(machine_id, now)
 
     def _remove_machine(self, now: Seconds, machine_id: MachineId) -> None:
@@ -224,13 +224,13 @@
         self._reconciler.requeue_if_all_reconciled(now)
         self._changes.dirty = True
         if had_replicas:
-            self._joining.join_all(now)  # not only with the next tick: users wait for them
+            self._joining.join_all(now)  # before the next tick, because users wait for replicas
 
     def _drop_transferred_machine(self, machine: Machine) -> None:
-        """Forget a machine that belongs to another shard now.
+        """Remove a machine that was transferred to another shard.
 
-        It was told to be empty before, so nothing of ours can be on it, and nothing is started
-        elsewhere for that.
+        The machine was reported as empty before the transfer, so no task of this shard can be on
+        it, and no attempt is restarted elsewhere because of the removal.
         """
         self.images.clear(machine)
         self._tasks.requeue_slots(machine)
@@ -243,7 +243,7 @@
     # Heartbeats
 
     def record_heartbeats_refused(self, now: Seconds) -> None:
-        """Heartbeats are refused now: that machines are not heard says nothing of them."""
+        """Record that heartbeats are refused, so that machines do not count as unreachable."""
         self._health.accepting_heartbeats_since = now
 
     def handle_heartbeat(
@@ -253,11 +253,11 @@
 
         Args:
             now: The time.
-            heartbeat: The heartbeat; an old copy or one of another shard's machine is ignored.
-            may_launch: Whether the records are known to be current, so that starts may go out.
+            heartbeat: The heartbeat; outdated copies and other shards' machines are ignored.
+            may_launch: Whether the records are current enough to start tasks.
 
         Returns:
-            The commands for its machine.
+            The commands for the sending machine.
         """
         machine = self._heartbeat_machine(now, heartbeat)
         if machine is None:
@@ -265,8 +265,9 @@
         is_new_incarnation = self._health.apply_heartbeat(now, machine, heartbeat)
         if is_new_incarnation:
             self.images.clear(machine)
-        # A heartbeat from before our token was seen may miss starts of the old owner that are
-        # still under way; only one that carries our token settles what is not there.
+        # A heartbeat without this shard's token may not list tasks whose start command from the
+        # previous owner is still in transit. Only a heartbeat with the token proves that a task is
+        # not on the machine.
         is_current = heartbeat.token == self.token_for(machine.id)
         if is_current:
             self._reconciler.record_confirmed(now, machine)
@@ -285,11 +286,12 @@
         return commands
 
     def _heartbeat_machine(self, now: Seconds, heartbeat: Heartbeat) -> Machine | None:
-        """The machine of a heartbeat that is to be handled."""
+        """The machine that sent a heartbeat; None if the heartbeat must be ignored."""
         record = self.cache.machines.get(heartbeat.machine)
         if record is None or record.shard != self.shard:
-            # Another shard's. Or nothing was ever launched on a machine without a record, or it is
-            # gone: a late copy of a heartbeat would otherwise bring it back with its tasks.
+            # The machine belongs to another shard or has no record. Without a record, it either
+            # never got a task or was deleted, and a delayed heartbeat must not add it again with
+            # its tasks.
             return None
         machine = self._machines.get_or_add(heartbeat.machine, now)
         if (heartbeat.incarnation, heartbeat.sequence) <= machine.newest_heartbeat:
@@ -301,7 +303,7 @@
         if is_usable and may_launch:
             return self._launches.launch(now, machine)
         if may_launch and self._health.is_healthy_but_drained(now, machine):
-            # A gang that is about to start gets its slots before the machine goes.
+            # A ready gang starts in its reserved slots before the machine is transferred.
             return self._launches.launch_gangs(now, machine)
         return []
 
@@ -310,14 +312,16 @@
         return self._exits.forget_stored(now, machine, is_drained or has_commands)
 
     def _update_idle_since(self, now: Seconds, machine: Machine, had_tasks: bool) -> None:
-        """Note since when a machine is idle."""
-        # Replicas alone keep a machine, but its time without other work counts.
+        """Reset a machine's idle time while it has work other than replicas."""
+        # Replicas keep a machine in use, but time with only replicas counts as idle time, which
+        # decides when an expensive machine is drained.
         is_busy = any(
             task_attempt.stage != EXITED
             and not (task_attempt.spec is not None and task_attempt.spec.is_service)
             for task_attempt in machine.task_attempts.values()
         )
-        # One that lost its tasks only now, as with its lease in an outage, is not idle yet.
+        # A machine that has just lost all its tasks, for example because its lease ended in an
+        # outage, is not idle yet.
         has_lost_all = had_tasks and not machine.task_attempts
         if is_busy or has_lost_all or self._gangs.slots_on(machine.id):
             machine.idle_since = now
@@ -325,16 +329,16 @@
     # Time
 
     def tick(self, now: Seconds, wall_time: Seconds = 0.0, followed: bool = True) -> None:
-        """Time has passed.
+        """Run the periodic work.
 
         Args:
             now: The time by this process's clock.
-            wall_time: The time by the clock under which jobs are submitted.
-            followed: Whether the records are being followed, so that the leader may be.
+            wall_time: The wall-clock time, in which the submission times of jobs are given.
+            followed: Whether the record watch is current, so that the leader may be working.
         """
         if now - self._ticked_at > STALL_THRESHOLD_S:
-            # This process stood still, and the heartbeats that came meanwhile are not read yet.
-            # Without this, all machines with replicas were deleted as silent when it went on.
+            # The process was stalled, and heartbeats from that time are still unread. Without this
+            # reset, all machines with replicas were deleted as unreachable after a stall.
             self._health.accepting_heartbeats_since = now
         self._ticked_at = now
         self._tasks.requeue_delayed(now)
@@ -353,15 +357,16 @@
         for machine in self._replicas.drain_expensive(now, bool(self.queues.unqueued)):
             self._health.update_usable(now, machine)
         if followed:
-            # In an outage nobody could give it to another shard, and here it may still start.
+            # During an outage no leader could assign a released task to another shard, while it
+            # may still start in this one.
             self._tasks.release_overdue(now)
 
-    # What others are told
+    # Status
 
     def status(self, now: Seconds, base: int = 0) -> ShardStatus:
-        """What the leader needs to know of this shard, if it has the status numbered `base`."""
+        """The status for the leader: all changes after the status with number `base`."""
         return self._reporter.status(now, base)
 
     def running_counts(self) -> Iterator[tuple[JobId, int]]:
-        """The jobs with running tasks on machines here, and how many, for display."""
+        """The number of running tasks on this shard's machines by job, for display."""
         return self._reporter.running_counts()
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -1,4 +1,4 @@
-"""Which machines run their tasks much slower than the others of their shard."""
+"""Detection of machines that run tasks much slower than the others of their shard."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 
 log = logging.getLogger(__name__)
 
-SLOW_LOG_RATIO_MARGIN = 0.6  # above the other machines' mean logarithm of run time over expected
-MIN_COMPARED_MACHINES = 3  # to compare with
-MIN_JOB_TASKS = 2  # of a job, before the others are compared with their mean
-MAX_LOG_RATIO = 1.5  # of one task's logarithm: one outlier says little
-MAX_JOBS = 500
+# All logarithms are natural ones of run time over estimated run time, minus the mean of the job.
+SLOW_LOG_RATIO_MARGIN = 0.6  # a machine is slow if its mean exceeds the median by this much
+MIN_COMPARED_MACHINES = 3  # more machines than this must have enough samples
+MIN_JOB_TASKS = 2  # tasks of a job that must have ended before its later tasks are compared
+MAX_LOG_RATIO = 1.5  # bound of a single sample, to limit the effect of outliers
+MAX_JOBS = 500  # jobs whose mean is stored
 
 
 class SpeedComparison:
-    """Compares tasks with others of the same job, whose owner's estimate is as wrong."""
+    """Compares tasks of the same job, so that errors in its run-time estimate cancel out."""
 
     def __init__(self) -> None:
-        self._means: dict[JobId, tuple[float, int]] = {}  # of the logarithms, and their count
+        self._means: dict[JobId, tuple[float, int]] = {}  # mean logarithm and count by job
 
     def record_run_time(
         self, machine: Machine, job_id: JobId, run_s: Seconds, estimate_s: Seconds
     ) -> None:
-        """Note how long a task of this job ran on a machine; both times are above zero."""
+        """Record the run time of a task on a machine; both times must be above zero."""
         ratio = math.log(run_s / estimate_s)
         mean, count = self._means.get(job_id, (0.0, 0))
         if count >= MIN_JOB_TASKS:
@@ -38,10 +39,11 @@
             del self._means[next(iter(self._means))]
 
     def update(self, machines: Collection[Machine]) -> None:
-        """Mark each machine as slow or not.
+        """Update which machines are marked as slow.
 
-        Tasks that end first are the short ones, so later ones look late on any machine: a machine
-        is slow only beside the others, and not for good.
+        The short tasks of a job end first, so its later tasks look slow on every machine. A
+        machine is therefore compared with the others, and the mark is removed once its mean is
+        no longer above theirs by the margin.
         """
         compared = {
             machine.id: sum(machine.slowdown_samples) / SLOWDOWN_SAMPLES
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -1,4 +1,4 @@
-"""What a shard knows of its array tasks, slots, machines and gang reservations."""
+"""State of a shard: array tasks, slots, task attempts, machines and gang reservations."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     TaskRef,
 )
 
-MAX_IMAGES = 64  # images remembered of a machine, the newest ones
-SLOWDOWN_SAMPLES = 12  # run times that are compared before a machine is called slow
+MAX_IMAGES = 64  # images stored per machine; the oldest entry is removed first
+SLOWDOWN_SAMPLES = 12  # run times needed before a machine is compared with others
 
-# The stages of a task attempt, as plain strings: they are compared for each task of each heartbeat,
-# and a member of an enum costs more.
+# Stages of a task attempt as plain strings. They are compared for each task of each heartbeat, and
+# enum members are slower to access.
 FETCHING: Final = TaskStage.FETCHING.value
 GATHERING: Final = TaskStage.GATHERING.value
 RUNNING: Final = TaskStage.RUNNING.value
@@ -32,18 +32,20 @@
 
 
 class TaskState(enum.IntEnum):
-    """Where an array task stands that is assigned to this shard."""
+    """State of an array task that is assigned to this shard."""
 
-    WAITING = 0  # unqueued, in a slot's queue, or paused after a failure
-    ASSIGNED = 1  # a slot's current task, whose start was not sent yet
+    WAITING = 0  # unqueued, in a slot's queue, or in its retry delay after a failure
+    ASSIGNED = 1  # the current task of a slot; its start has not been sent
     ON_MACHINE = 2
-    UNCONFIRMED = 3  # from before this ownership: it may be on a machine that is not heard yet
-    RELEASED = 4  # given back to the leader
-    FINISHED = 5  # its result is on the machine, until the leader has stored it
+    UNCONFIRMED = (
+        3  # assigned before this ownership; may be on a machine that is not reconciled yet
+    )
+    RELEASED = 4  # released to the leader for reassignment
+    FINISHED = 5  # the machine keeps its result until the leader has stored it
 
 
-# The states under names of their own: read through their class, each costs several times as much
-# on Python 3.11, and they are compared for each task of each heartbeat and tick.
+# Module-level aliases of the states. Access through the enum class costs several times as much on
+# Python 3.11, and the states are compared for each task of each heartbeat and tick.
 WAITING: Final = TaskState.WAITING
 ASSIGNED: Final = TaskState.ASSIGNED
 ON_MACHINE: Final = TaskState.ON_MACHINE
@@ -53,7 +55,7 @@
 
 
 class ArrayTask:
-    """A task of an array that is assigned to this shard."""
+    """An array task that is assigned to this shard."""
 
     __slots__ = (
         "failures",
@@ -68,29 +70,29 @@
     def __init__(self, state: TaskState, now: Seconds) -> None:
         self.state = state
         self.machine: MachineId | None = None
-        self.slot: Slot | None = None  # whose current task it is, or where it waits
-        self.waiting_since = now  # when it began to wait
-        self.failures = 0  # in a row
-        self.not_before = 0.0  # the end of its pause after a failure
-        self.released_version = 0  # of its record or chunk, under which it was given back
+        self.slot: Slot | None = None  # slot it is assigned to or queued for
+        self.waiting_since = now
+        self.failures = 0  # consecutive failures
+        self.not_before = 0.0  # end of the retry delay after a failure
+        self.released_version = 0  # version of its record or chunk when it was released
 
 
 class Slot:
-    """A piece of a machine, carved to the size of its task, with a queue of array tasks."""
+    """Part of a machine's capacity, sized for its current task, with a queue of array tasks."""
 
     __slots__ = ("current", "holds_replica", "image", "machine", "queue", "resources")
 
     def __init__(self, machine: MachineId) -> None:
         self.machine = machine
         self.current: TaskRef | None = None
-        self.resources = NO_RESOURCES  # what the current task takes
-        self.image = ""  # and the image that it needs
-        self.holds_replica = False  # a replica's: no queue waits behind it
+        self.resources = NO_RESOURCES  # of the current task
+        self.image = ""  # of the current task
+        self.holds_replica = False  # a slot with a replica has no queue
         self.queue: deque[TaskRef] = deque()
 
 
 class TaskAttempt:
-    """An attempt of a task that is, or may be, on a machine."""
+    """A task attempt that is or may be on a machine."""
 
     __slots__ = (
         "attempt",
@@ -115,19 +117,19 @@
         self.attempt = attempt
         self.stage = stage
         self.created_at = now
-        self.start_unconfirmed = start_unconfirmed  # told to start, but not yet seen in a heartbeat
+        self.start_unconfirmed = start_unconfirmed  # start sent, not yet listed in a heartbeat
         self.running_at: Seconds | None = None
         self.stop_sent = False
         self.set_spec(spec)
 
     def set_spec(self, spec: JobSpec | None) -> None:
-        """Note what its job asks for; None while the job's record is not here yet."""
+        """Set the job's specification; None if the job has no record in the cache yet."""
         self.spec = spec
         self.resources = spec.resources if spec is not None else NO_RESOURCES
 
 
 class Machine:
-    """A machine as its heartbeats tell it."""
+    """State of a machine, from its record, its heartbeats and the tasks assigned to it."""
 
     __slots__ = (
         "address",
@@ -164,30 +166,29 @@
         self.spot = False
         self.address = ""
         self.reconciled = False  # a heartbeat has carried this shard's fencing token
-        self.newest_heartbeat = (0, 0)  # its incarnation and sequence number
+        self.newest_heartbeat = (0, 0)  # incarnation and sequence number
         self.last_heartbeat_at = now
-        self.last_confirmed_at = now  # the last heartbeat with this shard's fencing token
-        self.lost_starts = 0  # heartbeats in a row without the starts that were sent before
-        self.lost_starts_at = now  # when there was the last of them
-        self.incarnation_ended_at = NEVER_S  # when one ended last, as far as it is known here
+        self.last_confirmed_at = now  # time of the last heartbeat with this shard's fencing token
+        self.lost_starts = 0  # consecutive heartbeats that list none of the sent starts
+        self.lost_starts_at = now  # time of the last of these heartbeats
+        self.incarnation_ended_at = NEVER_S  # last known end of an incarnation
         self.unreachable = False  # its lease ended although its heartbeats were answered
         self.spot_notice_s: Seconds | None = None
         self.task_attempts: dict[TaskRef, TaskAttempt] = {}
         self.slots: list[Slot] = []
-        self.stored_results: dict[
-            TaskRef, Seconds
-        ] = {}  # results that may be forgotten, since when
+        # Tasks whose results the machine may delete, with the time since when.
+        self.stored_results: dict[TaskRef, Seconds] = {}
         self.images: dict[str, None] = {}
         self.idle_since = now
-        self.failures: dict[JobId, Seconds] = {}
+        self.failures: dict[JobId, Seconds] = {}  # last failure by job, since the last success
         self.slowdown_samples: deque[float] = deque(maxlen=SLOWDOWN_SAMPLES)
-        self.draining = False  # only replicas are left here, and there is room for them elsewhere
-        self.slow = False  # tasks take much longer here than elsewhere
-        self.cached_usage: Resources | None = None  # what its tasks take; None: to be counted anew
-        self.was_usable = False
+        self.draining = False  # runs only replicas, which should move to other machines
+        self.slow = False  # its tasks take much longer than on other machines
+        self.cached_usage: Resources | None = None  # None: must be recomputed
+        self.was_usable = False  # result of the last check whether it may get new work
 
     def usage(self) -> Resources:
-        """What its tasks take, and those that are about to start."""
+        """The resources of its running tasks and of tasks that are about to start."""
         if self.cached_usage is None:
             self.cached_usage = self._compute_usage()
         return self.cached_usage
@@ -212,7 +213,7 @@
         return self.capacity.minus(self.usage())
 
     def has_replicas(self) -> bool:
-        """Whether replicas of services, which are wanted elsewhere, are here."""
+        """Whether replicas of services run on this machine."""
         return any(
             task_attempt.spec is not None
             and task_attempt.spec.is_service
@@ -221,7 +222,7 @@
         )
 
     def pending_image_fetches(self) -> int:
-        """How many images are being fetched, or will be: they may share the rate of one."""
+        """The number of images being fetched or about to be, which may share one download rate."""
         images = {
             task_attempt.spec.image
             for task_attempt in self.task_attempts.values()
@@ -231,7 +232,7 @@
         return len(images)
 
     def slot_of(self, task: TaskRef) -> Slot | None:
-        """The slot whose current task this is."""
+        """The slot whose current task is this one."""
         for slot in self.slots:
             if slot.current == task:
                 return slot
@@ -239,7 +240,7 @@
 
 
 class GangReservation:
-    """Slots of this shard reserved for an attempt of a gang."""
+    """Slots of this shard that are reserved for an attempt of a gang."""
 
     __slots__ = (
         "attempt",
@@ -259,15 +260,15 @@
     def __init__(self, attempt: int, placements: dict[int, MachineId], now: Seconds) -> None:
         self.attempt = attempt
         self.placements = placements
-        self.indices_on: dict[MachineId, list[int]] = {}  # of the tasks to be on each machine
+        self.indices_on: dict[MachineId, list[int]] = {}  # task indices by machine
         for index, machine_id in placements.items():
             self.indices_on.setdefault(machine_id, []).append(index)
-        self.inherited = False  # taken over with the shard from an earlier owner
-        self.ready = False  # all its slots are idle: the starts go out
-        self.launched_indices: set[int] = set()  # indices of tasks whose start was sent
-        self.listed_indices: set[int] = set()  # and of those that a heartbeat has listed
-        self.failure_reason = ""  # why this attempt can't succeed; empty while it may
-        self.preempt = False  # whether work of lower priority is stopped for it
+        self.inherited = False  # the shard's previous owner may have started the attempt
+        self.ready = False  # all slots are idle, so all starts may be sent
+        self.launched_indices: set[int] = set()  # tasks whose start was sent
+        self.listed_indices: set[int] = set()  # tasks that a heartbeat has listed
+        self.failure_reason = ""  # why this attempt cannot succeed; empty if it may
+        self.preempt = False  # whether tasks of lower priority are preempted for it
         self.created_at = now
-        self.wait_computed_at = -1.0  # when the remaining wait was last counted
-        self.remaining_wait_s = 0.0  # and what it was
+        self.wait_computed_at = -1.0  # when the remaining wait was last computed
+        self.remaining_wait_s = 0.0  # the remaining wait at that time
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -1,4 +1,4 @@
-"""What a shard tells the leader: what changed since the last status that the leader has."""
+"""Status reports to the leader: the changes since the last status that the leader has."""
 
 from __future__ import annotations
 
@@ -43,27 +43,23 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Seconds, ShardName
 
-CONTACT_TIMEOUT_S = 4.0  # a machine that was silent for longer is named in each status
-WAIT_REFRESH_INTERVAL_S = (
-    1.0  # the remaining wait of a gang with a reservation is counted anew after this time
-)
-MIN_IDLE_S = 1.0  # a machine that was idle for longer is named in each status
+CONTACT_TIMEOUT_S = 4.0  # a machine without contact for longer is listed in each status
+WAIT_REFRESH_INTERVAL_S = 1.0  # maximum age of a reservation's remaining wait in a status
+MIN_IDLE_S = 1.0  # a machine that was idle for longer is listed in each status
 
 K = TypeVar("K", MachineId, JobId)
 
 
 class _UnusedMachines(NamedTuple):
-    """Machines that are not heard, or have nothing to do."""
+    """Machines without contact or without tasks."""
 
     without_contact: dict[MachineId, SilentMachine]
     idle: dict[MachineId, Seconds]
-    last_contact_ago_s: (
-        Seconds  # since the last heartbeat of any machine; -1 if there is no machine
-    )
+    last_contact_ago_s: Seconds  # age of the newest contact with any machine; -1 without machines
 
 
 class StatusReporter:
-    """Tells the leader of a shard's machines, jobs and gangs."""
+    """Reports the state of a shard's machines, jobs and gangs to the leader."""
 
     def __init__(
         self,
@@ -92,7 +88,7 @@
         self._unreconciled = unreconciled
 
     def status(self, now: Seconds, base: int) -> ShardStatus:
-        """All that changed after the status with number `base`; everything if that is 0."""
+        """The changes after the status with number `base`; the complete state if that is 0."""
         changes = self._changes
         changes.dirty = False
         self._record_gang_changes(now)
@@ -166,7 +162,7 @@
         )
 
     def _unused(self, now: Seconds) -> _UnusedMachines:
-        """One pass over all machines: which are silent, and which are idle."""
+        """Find the machines without contact and the idle ones in one pass over all machines."""
         without_contact: dict[MachineId, SilentMachine] = {}
         idle: dict[MachineId, Seconds] = {}
         last_contact_ago_s = -1.0
@@ -175,12 +171,14 @@
             record = self._cache.machines.get(machine.id)
             if record is None:
                 continue
-            # What never learns our token hears nothing of what we say, however often its
-            # heartbeats come. While heartbeats are not heard here, as in a long outage, no machine
-            # is silent for that: all of them were deleted when the state service was back.
+            # A machine that never receives this shard's token receives no commands either, so only
+            # heartbeats with the token count as contact. Time in which this controller did not
+            # accept heartbeats, as in a long outage, does not count: without this rule, all machines
+            # were deleted as soon as the state service was available again.
             no_contact_s = now - max(machine.last_confirmed_at, accepting_heartbeats_since)
             if no_contact_s > CONTACT_TIMEOUT_S:
-                # Replicas can start elsewhere only once it is gone: it is waited for less.
+                # Its replicas can start elsewhere only after it is deleted, so the leader waits
+                # for it for a shorter time.
                 is_urgent = self._may_have_cancelled(machine) or machine.has_replicas()
                 without_contact[machine.id] = SilentMachine(round(no_contact_s, 1), is_urgent)
             is_up = record.up and not record.terminating
@@ -192,7 +190,7 @@
         return _UnusedMachines(without_contact, idle, round(last_contact_ago_s, 1))
 
     def _may_have_cancelled(self, machine: Machine) -> bool:
-        """Whether a task of a cancelled job is, or may be, on this machine."""
+        """Whether a task of a cancelled job is or may be on this machine."""
         for task, task_attempt in machine.task_attempts.items():
             job = self._cache.jobs.get(task.job)
             if task_attempt.stage != EXITED and (job is None or not job.open):
@@ -205,9 +203,10 @@
         )
 
     def _drained_machines(self) -> list[MachineId]:
-        """Machines that a transfer drains, and on which nothing is nor may come.
+        """Machines that a transfer drains and that are empty and will stay so.
 
-        Each was heard under our token, and no new work goes there as long as the transfer stands.
+        Each has sent a heartbeat with this shard's token, and gets no new work while the transfer
+        exists.
         """
         return [
             machine_id
@@ -246,7 +245,7 @@
         )
 
     def _drained_jobs(self) -> list[JobId]:
-        """Jobs that are over, are assigned here, and of which nothing is on a machine."""
+        """Ended jobs that are assigned to this shard and have no task on its machines."""
         over = [
             job_id
             for job_id, job in self._cache.each_live()
@@ -258,7 +257,7 @@
         return [job_id for job_id in over if job_id not in present]
 
     def running_counts(self) -> Iterator[tuple[JobId, int]]:
-        """The jobs with running tasks on machines here, and how many, for display."""
+        """The number of running tasks on this shard's machines by job, for display."""
         counts: dict[JobId, int] = {}
         for machine in self._machines.by_id.values():
             for task, task_attempt in machine.task_attempts.items():
@@ -269,7 +268,11 @@
     # Gangs
 
     def _record_gang_changes(self, now: Seconds) -> None:
-        """Gangs change with much that happens elsewhere; there are few, so all are compared."""
+        """Compare all gangs with their last report.
+
+        The state of a gang depends on many events outside its reservation, and there are few
+        gangs.
+        """
         changes, reservations = self._changes, self._reservations.by_job
         for job_id in [j for j in changes.gang_statuses if j not in reservations]:
             del changes.gang_statuses[job_id]
@@ -283,10 +286,10 @@
                 changes.record_gang(job_id)
 
     def _gang_state(self, job_id: JobId, reservation: GangReservation) -> GangState:
-        """How a gang's attempt stands here."""
+        """The state of a gang's attempt in this shard."""
         job = self._cache.jobs.get(job_id)
-        # Of a cancelled gang nobody wants the result; what counts is that it is gone. Else it
-        # would count against its team's limit for ever.
+        # The result of a cancelled gang is not needed; the leader must learn when its tasks are
+        # gone. Reported as done, the gang would count against its team's limit for ever.
         is_open = job is not None and job.open
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
@@ -300,7 +303,7 @@
             (m := self._machines.by_id.get(i)) is not None and m.slow
             for i in reservation.indices_on
         ):
-            # Nothing more is started there, and it would be kept for this gang for ever.
+            # A slow machine starts no tasks, so its slots would stay reserved for ever.
             return GANG_BAD
         return GANG_HELD
 
@@ -333,6 +336,6 @@
 
 
 def _prune(numbers: dict[K, int], present: Container[K], base: int) -> None:
-    """What is gone, and known by the leader to be, needs no mention any more."""
+    """Remove entries that no longer exist and whose removal the leader has confirmed."""
     for key in [k for k, number in numbers.items() if number <= base and k not in present]:
         del numbers[key]
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -1,4 +1,4 @@
-"""The stops that answer a machine's heartbeat, and why."""
+"""Stop commands in the answer to a machine's heartbeat."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TaskRef
 
-STOP_GRACE_S = 5.0  # over a task's own saving time, when it is stopped in order
+STOP_GRACE_S = 5.0  # added to the time that a task needs to save its state
 
 
 class Stops:
-    """Stops tasks that are not wanted, must leave their machine, or are preempted."""
+    """Stops tasks that are not needed, must leave their machine, or are preempted."""
 
     def __init__(
         self,
@@ -42,9 +42,10 @@
         self._preemption = preemption
 
     def stop_commands(self, now: Seconds, machine: Machine) -> list[Command]:
-        """Stop what is to stop on a machine.
+        """The stop commands for a machine's tasks.
 
-        A task that can save its state is told once; any other with each heartbeat until it is gone.
+        A task that can save its state gets one stop command. Any other task gets one with each
+        heartbeat until it is gone.
         """
         commands = []
         preempted = self._preemption.preempted_on(machine)
@@ -74,13 +75,14 @@
         job: JobRecord,
         preempted: Set[TaskRef],
     ) -> bool:
-        """Whether a task of an open job is to end, or to go on elsewhere."""
+        """Whether a task of an open job must stop, either for good or to run elsewhere."""
         spec = job.spec
         if spec.is_gang:
             is_wanted = self._is_gang_wanted(task, task_attempt, job)
         else:
             array_task = self._tasks.get(task)
-            # What was assigned before this ownership may be this one, until all are heard.
+            # An unconfirmed task was assigned before this ownership, possibly to this machine; it
+            # may run until all machines are reconciled.
             is_wanted = array_task is not None and (
                 array_task.machine == machine.id or array_task.state == UNCONFIRMED
             )
@@ -88,7 +90,7 @@
             return True
         if spec.is_service:
             return self._replicas.must_leave(now, machine, task.job, spec)
-        # What saves its state does so before its spot machine is taken.
+        # A task that can save its state does so before its spot machine is withdrawn.
         is_evicted = machine.spot_notice_s is not None and _can_checkpoint(task_attempt, job)
         return is_evicted and not spec.is_gang
 
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -1,4 +1,4 @@
-"""What follows from a task's exit: its result is kept until it is stored, or it is forgotten."""
+"""Handling of task exits: a result is kept on its machine until the leader has stored it."""
 
 from __future__ import annotations
 
@@ -25,24 +25,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_FORGET_DELAY_S = 5.0  # a stored result is forgotten with the next commands, or after this time
-MAX_STORED_RESULTS = 16  # or when there are so many
-MIN_STABLE_RUN_S = 30.0  # a replica that ran for as long did not fail at once
-MIN_RUN_S = 0.5  # of a run time that is learned from
+MAX_FORGET_DELAY_S = 5.0  # stored results are deleted with the next commands, or after this time
+MAX_STORED_RESULTS = 16  # stored results of a machine that are deleted at once
+MIN_STABLE_RUN_S = 30.0  # a longer run resets the consecutive failures of a replica
+MIN_RUN_S = 0.5  # lower bound of a learned run time
 
-MACHINE_FAILURE_CAUSES: Final = (
-    ExitCause.ERROR,
-    ExitCause.NO_SUCH,
-)  # these count against the machine
-NON_FAILURE_CAUSES: Final = (
-    ExitCause.HALTED,
-    ExitCause.FULL,
-    ExitCause.PEERS,
-)  # not the task's fault: it is not paused
+# Exit causes that count against the machine.
+MACHINE_FAILURE_CAUSES: Final = (ExitCause.ERROR, ExitCause.NO_SUCH)
+# Exit causes that are not the task's fault; the task is requeued without a retry delay.
+NON_FAILURE_CAUSES: Final = (ExitCause.HALTED, ExitCause.FULL, ExitCause.PEERS)
 
 
 class TaskExits:
-    """Takes over the exits that heartbeats list."""
+    """Handles the exited tasks that heartbeats list."""
 
     def __init__(
         self,
@@ -63,10 +58,10 @@
     def handle_exit(
         self, now: Seconds, machine: Machine, item: TaskStatus, task_attempt: TaskAttempt
     ) -> list[Command]:
-        """Keep an exited task's result until it is stored, forget everything else.
+        """Keep the result of a successful task; requeue any other task if it must run again.
 
         Returns:
-            The command to forget it, or none.
+            The command to delete the exited task from its machine, or none.
         """
         job = self._cache.jobs.get(item.task.job)
         is_replica = job is not None and job.open and job.spec.is_service
@@ -85,7 +80,12 @@
         task_attempt: TaskAttempt,
         job: JobRecord | None,
     ) -> bool:
-        """Note a task's result; False if nothing here accounts for it: it is not used."""
+        """Record a task's result.
+
+        Returns:
+            Whether the result is kept; False if no assignment or reservation of this shard
+            belongs to the attempt, so the result is not used.
+        """
         task = item.task
         machine.failures.clear()
         if job is None or not job.open or task.number in job.done:
@@ -158,7 +158,7 @@
         task_attempt: TaskAttempt,
         array_task: ArrayTask | None,
     ) -> None:
-        """Learn from a run time: how long such jobs take, and how fast the machine is."""
+        """Update the run-time estimate of the job class and the speed of the machine."""
         spec = self._tasks.spec(task)
         if (
             spec is None
@@ -174,15 +174,15 @@
         self._speed.record_run_time(machine, task.job, run_s, spec.estimated_run_s)
 
     def forget_stored(self, now: Seconds, machine: Machine, forget_now: bool) -> list[Command]:
-        """Forget results that are stored.
+        """The commands to delete results that the leader has stored.
 
-        Each change of its tasks makes a worker send a heartbeat, so what need not be forgotten at
-        once waits for commands that change something anyway.
+        A worker sends a heartbeat after each change of its tasks. Deletions are therefore delayed
+        until other commands change its tasks anyway.
 
         Args:
             now: The time.
             machine: The machine that has the results.
-            forget_now: Whether there are such commands, or the machine is to be empty soon.
+            forget_now: Whether there are other commands or the machine is being drained.
         """
         stored = machine.stored_results
         for task in [t for t in stored if t not in machine.task_attempts]:
--- a/src/dapplewick/core/shard/work_stealing.py
+++ b/src/dapplewick/core/shard/work_stealing.py
@@ -1,7 +1,7 @@
-"""Work stealing: free capacity takes array tasks from the shard's longest queues.
+"""Work stealing: machines with free capacity take array tasks from the longest queues.
 
-A slot without a reservation whose queue is empty takes the last array task of the shard's longest
-queue: the first point of the design (`docs/design.md`).
+An unreserved slot with an empty queue takes the last array task of the shard's longest queue. This
+is part of the first point of the design (`docs/design.md`).
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from dapplewick.core.shard.state import Machine, Slot
 from dapplewick.types import JobId, Seconds, TaskRef
 
-MIN_FREE_CPUS = 1e-6  # with less free nothing fits on a machine
+MIN_FREE_CPUS = 1e-6  # below this free capacity, no task fits on a machine
 
 
 class WorkStealing:
-    """Fills a machine's free capacity from the queues of other slots, and from no queue."""
+    """Fills a machine's free capacity with tasks queued at other slots and unqueued tasks."""
 
     def __init__(self, queues: Queues, tasks: ArrayTasks, candidates: Candidates) -> None:
         self._queues = queues
@@ -26,7 +26,7 @@
         self._candidates = candidates
 
     def steal(self, now: Seconds, machine: Machine) -> None:
-        """Carve slots of a machine for waiting tasks, until none fits there any more."""
+        """Create slots on a machine for waiting tasks until no more of them fit."""
         fitting: Iterable[JobId] = self._queues.waiting_jobs()
         while machine.free().cpus > MIN_FREE_CPUS:
             fits = fitting = self._candidates.fitting_jobs(now, machine, fitting)
@@ -42,7 +42,7 @@
     def _dequeue_last(
         self, now: Seconds, machine: Machine, fits: Collection[JobId]
     ) -> TaskRef | None:
-        """Take the last task that fits out of the longest queue with such a task."""
+        """Remove and return the last fitting task of the longest queue that has one."""
         for source in self._queues.longest_first(fits):
             queue = self._queues.unqueued if source is None else source.queue
             task = self._candidates.next_task(now, machine, reversed(queue), fits)
