--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -48,7 +48,7 @@
         self._images = images
         self._changes = changes
         self._delayed: list[TaskRef] = []  # tasks in their retry delay after a failure
-        self._has_unconfirmed = False  # whether any task is in the state UNCONFIRMED
+        self._has_unconfirmed = False  # whether any task may be in the state UNCONFIRMED
 
     def get(self, task: TaskRef) -> ArrayTask | None:
         """The state of an array task; None for tasks of gangs and of other shards."""
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -66,8 +66,8 @@
     def _time_until_fits(self, now: Seconds, machine: Machine) -> Seconds:
         """Estimated time until all reserved slots of a machine fit in its free capacity."""
         reserved = self._reservations.reserved_resources(machine.id)
-        room = machine.free()
-        if reserved.fits_in(room):
+        available = machine.free()
+        if reserved.fits_in(available):
             return 0.0
         ends = sorted(
             (self._estimated_remaining(now, task_attempt), task_attempt.resources)
@@ -75,8 +75,8 @@
             if task_attempt.stage != EXITED
         )
         for remaining_s, resources in ends:
-            room = room.plus(resources)
-            if reserved.fits_in(room):
+            available = available.plus(resources)
+            if reserved.fits_in(available):
                 return remaining_s
         return ends[-1][0] if ends else 0.0
 
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -43,7 +43,7 @@
         """
         reserved = self._reservations.reserved_resources(machine.id)
         # The capacity that a job may use depends only on these properties of its specification.
-        rooms: dict[tuple[bool, int, bool], Resources] = {}
+        available_by_kind: dict[tuple[bool, int, bool], Resources] = {}
         warm: dict[JobId, None] = {}
         cold: dict[JobId, None] = {}
         for job_id in jobs:
@@ -54,13 +54,13 @@
             if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
                 continue  # spread the replicas of a service over machines
             kind = (spec.gpus > 0, spec.priority, spec.is_service)
-            room = rooms.get(kind)
-            if room is None:
-                room = rooms[kind] = self._free_capacity.usable_by(spec, machine)
-            if not job.resources.fits_in(room):
+            available = available_by_kind.get(kind)
+            if available is None:
+                available = available_by_kind[kind] = self._free_capacity.usable_by(spec, machine)
+            if not job.resources.fits_in(available):
                 continue
             fits_beside_reserved = reserved is NO_RESOURCES or job.resources.fits_in(
-                room.minus(reserved)
+                available.minus(reserved)
             )
             if fits_beside_reserved or self._backfill.may_backfill(now, spec, machine):
                 (warm if spec.image in machine.images else cold)[job_id] = None
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -73,7 +73,7 @@
             self._replace(job_id, reservation)
         reservation.preempt = gang.preempt
         if not failover:
-            self._check(job_id, reservation)
+            self._update_readiness(job_id, reservation)
 
     def _replace(self, job_id: JobId, reservation: GangReservation) -> None:
         if job_id in self.by_job:
@@ -97,7 +97,7 @@
                     del self._by_machine[machine_id]
             self._changes.record_machine(machine_id)
 
-    def machine_gone(self, machine_id: MachineId) -> None:
+    def fail_attempts_on(self, machine_id: MachineId) -> None:
         """Fail the attempts of all gangs that have slots on a deleted machine."""
         for job_id, reservation in self.on_machine(machine_id).items():
             if not reservation.failure_reason:
@@ -126,7 +126,7 @@
         return [
             ReservedSlot(job_id, reservation, index)
             for job_id, reservation in reservations.items()
-            if not reservation.failure_reason and self.is_wanted(job_id)
+            if not reservation.failure_reason and self.is_active(job_id)
             for index in reservation.indices_on[machine_id]
             if index not in reservation.launched_indices
         ]
@@ -141,32 +141,32 @@
         return resources
 
     def may_still_launch(self, machine_id: MachineId) -> bool:
-        """Whether the record of a job with slots on this machine still contains its gang."""
+        """Whether a gang with slots on this machine is still in its job's record and may start."""
         return any(
             (job := self._cache.jobs.get(job_id)) is not None and job.gang is not None
             for job_id in self._by_machine.get(machine_id, ())
         )
 
-    def is_wanted(self, job_id: JobId) -> bool:
+    def is_active(self, job_id: JobId) -> bool:
         """Whether a gang's attempt should continue: it is not over, and its job is open."""
         job = self._cache.jobs.get(job_id)
         return job is not None and job.open and job.gang is not None and not job.gang.over
 
     # Start of all tasks of a gang together
 
-    def check_all(self) -> None:
+    def update_readiness(self) -> None:
         """Update all gangs that can start now or can no longer start."""
         for job_id, reservation in self.by_job.items():
-            self._check(job_id, reservation)
+            self._update_readiness(job_id, reservation)
 
-    def check_on(self, machine_id: MachineId) -> None:
+    def update_readiness_on(self, machine_id: MachineId) -> None:
         """Update the gangs with slots on this machine that can start now or no longer."""
         for job_id, reservation in self.on_machine(machine_id).items():
-            self._check(job_id, reservation)
+            self._update_readiness(job_id, reservation)
 
-    def _check(self, job_id: JobId, reservation: GangReservation) -> None:
+    def _update_readiness(self, job_id: JobId, reservation: GangReservation) -> None:
         """Mark a gang as ready if all its slots are idle, or as failed if a machine leaves."""
-        if reservation.ready or reservation.failure_reason or not self.is_wanted(job_id):
+        if reservation.ready or reservation.failure_reason or not self.is_active(job_id):
             return
         if any(self._is_leaving_shard(m) for m in reservation.indices_on):
             reservation.failure_reason = "machine leaves"
@@ -177,25 +177,27 @@
             machine = self._machines.by_id.get(machine_id)
             if machine is None:
                 return
-            if not task_resources.times(len(indices)).fits_in(self._room_for(reservation, machine)):
+            if not task_resources.times(len(indices)).fits_in(
+                self._available_for(reservation, machine)
+            ):
                 return
         reservation.ready = True
         self._changes.dirty = True
 
-    def _room_for(self, reservation: GangReservation, machine: Machine) -> Resources:
+    def _available_for(self, reservation: GangReservation, machine: Machine) -> Resources:
         """Free capacity of a machine minus the slots of older gangs and of gangs about to start."""
-        room = machine.free()
+        available = machine.free()
         is_older = True
         for other_id, other in self._by_machine[machine.id].items():
             if other is reservation:
                 is_older = False
             elif (
-                (is_older or other.ready) and not other.failure_reason and self.is_wanted(other_id)
+                (is_older or other.ready) and not other.failure_reason and self.is_active(other_id)
             ):
                 resources = self._cache.jobs[other_id].resources
                 count = sum(i not in other.launched_indices for i in other.indices_on[machine.id])
-                room = room.minus(resources.times(count))
-        return room
+                available = available.minus(resources.times(count))
+        return available
 
     def _is_leaving_shard(self, machine_id: MachineId) -> bool:
         record = self._cache.machines.get(machine_id)
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -55,7 +55,7 @@
         exits: TaskExits,
         changes: ChangeLog,
     ) -> None:
-        self.unreconciled = unreconciled  # machines without such a heartbeat yet
+        self.unreconciled = unreconciled  # no heartbeat with this shard's token yet
         self._machines = machines
         self._tasks = tasks
         self._reservations = reservations
@@ -107,7 +107,7 @@
             listed = {item.task for item in heartbeat.tasks}
             self._health.count_lost_starts(now, machine, listed)
             for task in [t for t in machine.task_attempts if t not in listed]:
-                self.record_gone(now, machine, task, "not on its machine")
+                self.record_missing(now, machine, task, "not on its machine")
         for item in heartbeat.tasks:
             task_attempt = self._update_attempt(now, machine, item)
             if is_current and item.stage == EXITED:
@@ -171,7 +171,7 @@
             reservation.launched_indices.add(task.number)
             reservation.listed_indices.add(task.number)
 
-    def record_gone(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
+    def record_missing(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
         """Record that a task is no longer on its machine.
 
         Args:
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -106,7 +106,7 @@
             return machine is not None
         if len(eligible) > MAX_SAMPLED_MACHINES:
             eligible = self._sample(spec, eligible)
-        machine = self._machine_with_room(now, spec, eligible)
+        machine = self._machine_with_capacity(now, spec, eligible)
         if machine is not None:
             self._tasks.assign_new_slot(now, task, machine)
             return True
@@ -135,10 +135,10 @@
         others = self._random.sample(eligible, MAX_SAMPLED_MACHINES - len(chosen))
         return chosen + [m for m in others if m not in chosen]
 
-    def _machine_with_room(
+    def _machine_with_capacity(
         self, now: Seconds, spec: JobSpec, eligible: list[Machine]
     ) -> Machine | None:
-        """The best machine with unreserved capacity, else one where the task may backfill."""
+        """The best machine with unreserved capacity, else the first where the task may backfill."""
         resources = spec.resources
         best: Machine | None = None
         best_key = (0.0, 0.0, 0.0)
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -13,8 +13,10 @@
 log = logging.getLogger(__name__)
 
 MAX_HEARTBEAT_AGE_S = 6.0  # without a heartbeat for longer, a machine gets no new work
-MAX_LOST_STARTS = 3  # consecutive heartbeats without the sent starts, until no more are sent
-MIN_FAULTY_FAILURES = 4  # jobs that failed in a row on a machine, until it counts as faulty
+# After this many consecutive heartbeats that list none of the sent starts, no more are sent.
+MAX_LOST_STARTS = 3
+# A machine is faulty after failures of this many jobs without a success in between.
+MIN_FAULTY_FAILURES = 4
 # Fraction of a lease. If an incarnation ends sooner after its last confirmed heartbeat, it did not
 # end because heartbeats were missing: the machine did not receive the answers.
 UNREACHABLE_LEASE_FRACTION = 0.95
--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -41,10 +41,10 @@
         priority: The priority of the waiting work; only tasks of lower priority are preempted.
         preempted: The tasks already chosen to stop on this machine; extended in place.
     """
-    room = machine.free()
+    available = machine.free()
     for task, task_attempt in machine.task_attempts.items():
         if is_stopping(task, task_attempt, preempted):
-            room = room.plus(task_attempt.resources)
+            available = available.plus(task_attempt.resources)
     victims = sorted(
         (task_attempt.spec.priority, -task_attempt.created_at, task)
         for task, task_attempt in machine.task_attempts.items()
@@ -53,9 +53,9 @@
         and may_be_preempted(task_attempt, priority)
     )
     for _, _, task in victims:
-        if required.fits_in(room):
+        if required.fits_in(available):
             break
-        room = room.plus(machine.task_attempts[task].resources)
+        available = available.plus(machine.task_attempts[task].resources)
         preempted.add(task)
 
 
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -28,9 +28,7 @@
 # Placement penalties, in seconds of start-up delay that a better machine is worth: for each other
 # replica of the service on the machine, for a spot machine, and for a machine with accelerators.
 SAME_SERVICE_COST_S, SPOT_COST_S, ACCELERATOR_COST_S = 30.0, 20.0, 5.0
-FREE_CPU_COST_S = (
-    0.01  # for each free CPU, so that machines with little free capacity are filled first
-)
+FREE_CPU_COST_S = 0.01  # for each free CPU, to fill machines with little free capacity first
 DRAIN_DELAY_S = 75.0  # an expensive machine with only replicas for this long is drained
 DRAIN_PRICE_RATIO = 2.0  # expensive: above this multiple of the cheapest machine type that fits
 MIN_FETCH_RATE_GB_PER_S = 0.01  # lower bound of the image fetch rate
@@ -74,13 +72,13 @@
         """
         best: tuple[Seconds, Machine] | None = None
         for machine in eligible:
-            room = machine.free()
+            available = machine.free()
             reserved = self._reservations.reserved_resources(machine.id)
             if reserved is not NO_RESOURCES:
-                room = room.minus(reserved)
-            must_preempt = not spec.resources.fits_in(room)
+                available = available.minus(reserved)
+            must_preempt = not spec.resources.fits_in(available)
             if must_preempt and not spec.resources.fits_in(
-                self._room_with_preemption(machine, room, spec.priority)
+                self._available_with_preemption(machine, available, spec.priority)
             ):
                 continue
             # The answer to one heartbeat stops the preempted tasks and the next one starts the
@@ -93,11 +91,13 @@
         return best[1] if best is not None else None
 
     @staticmethod
-    def _room_with_preemption(machine: Machine, room: Resources, priority: int) -> Resources:
+    def _available_with_preemption(
+        machine: Machine, available: Resources, priority: int
+    ) -> Resources:
         for task, task_attempt in machine.task_attempts.items():
             if may_be_preempted(task_attempt, priority) or is_stopping(task, task_attempt, set()):
-                room = room.plus(task_attempt.resources)
-        return room
+                available = available.plus(task_attempt.resources)
+        return available
 
     def _placement_cost(
         self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine
@@ -183,7 +183,7 @@
         specs = [a.spec for a in task_attempts if a.spec is not None and a.spec.is_service]
         if len(specs) < len(task_attempts) or len(machine.slots) > len(task_attempts):
             return False
-        return self._is_expensive(machine, specs) and self._have_room(
+        return self._is_expensive(machine, specs) and self._have_capacity(
             self._other_usable_machines(machine), specs
         )
 
@@ -196,7 +196,7 @@
             return False
         return machine_type.price > DRAIN_PRICE_RATIO * min(prices)
 
-    def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
+    def _have_capacity(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
             any(self._constraints.allow(s, m) and s.resources.fits_in(m.free()) for m in machines)
             for s in specs
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -219,8 +219,8 @@
             self.images.clear(machine)
             self._tasks.requeue_slots(machine)
             for task in list(machine.task_attempts):
-                self._reconciler.record_gone(now, machine, task, "machine gone")
-        self._gangs.machine_gone(machine_id)
+                self._reconciler.record_missing(now, machine, task, "machine gone")
+        self._gangs.fail_attempts_on(machine_id)
         self._reconciler.requeue_if_all_reconciled(now)
         self._changes.dirty = True
         if had_replicas:
@@ -277,7 +277,7 @@
         )
         if is_current:
             self._reconciler.requeue_if_all_reconciled(now)
-        self._gangs.check_on(machine.id)
+        self._gangs.update_readiness_on(machine.id)
         commands += self._stops.stop_commands(now, machine)
         commands += self._start_commands(now, machine, may_launch and is_current)
         if machine.stored_results:
@@ -353,7 +353,7 @@
         for machine in self.machines.values():
             if not self._health.update_usable(now, machine) and machine.slots:
                 self._tasks.requeue_slots(machine)
-        self._gangs.check_all()
+        self._gangs.update_readiness()
         for machine in self._replicas.drain_expensive(now, bool(self.queues.unqueued)):
             self._health.update_usable(now, machine)
         if followed:
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -173,8 +173,8 @@
                 continue
             # A machine that never receives this shard's token receives no commands either, so only
             # heartbeats with the token count as contact. Time in which this controller did not
-            # accept heartbeats, as in a long outage, does not count: without this rule, all machines
-            # were deleted as soon as the state service was available again.
+            # accept heartbeats, as in a long outage, does not count. Without this rule, all
+            # machines were deleted as soon as the state service was available again.
             no_contact_s = now - max(machine.last_confirmed_at, accepting_heartbeats_since)
             if no_contact_s > CONTACT_TIMEOUT_S:
                 # Its replicas can start elsewhere only after it is deleted, so the leader waits
@@ -293,7 +293,7 @@
         is_open = job is not None and job.open
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
-        if not self._reservations.is_wanted(job_id):
+        if not self._reservations.is_active(job_id):
             return GANG_BUSY if self._may_be_on_machine(job_id, reservation) else GANG_CLEAR
         if reservation.failure_reason or any(self._is_failing(m) for m in reservation.indices_on):
             return GANG_BAD
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -78,15 +78,15 @@
         """Whether a task of an open job must stop, either for good or to run elsewhere."""
         spec = job.spec
         if spec.is_gang:
-            is_wanted = self._is_gang_wanted(task, task_attempt, job)
+            is_needed = self._is_gang_attempt_active(task, task_attempt, job)
         else:
             array_task = self._tasks.get(task)
             # An unconfirmed task was assigned before this ownership, possibly to this machine; it
             # may run until all machines are reconciled.
-            is_wanted = array_task is not None and (
+            is_needed = array_task is not None and (
                 array_task.machine == machine.id or array_task.state == UNCONFIRMED
             )
-        if not is_wanted or task in preempted:
+        if not is_needed or task in preempted:
             return True
         if spec.is_service:
             return self._replicas.must_leave(now, machine, task.job, spec)
@@ -94,7 +94,9 @@
         is_evicted = machine.spot_notice_s is not None and _can_checkpoint(task_attempt, job)
         return is_evicted and not spec.is_gang
 
-    def _is_gang_wanted(self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord) -> bool:
+    def _is_gang_attempt_active(
+        self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord
+    ) -> bool:
         return (
             job.gang is not None
             and not job.gang.over
