--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -229,8 +229,8 @@
     def _drop_transferred_machine(self, machine: Machine) -> None:
         """Remove a machine that was transferred to another shard.
 
-        The machine was reported as empty before the transfer, so no task of this shard can be on
-        it, and no attempt is restarted elsewhere because of the removal.
+        This shard reported the machine as empty before the transfer, so none of its tasks can be
+        on it, and no task is restarted elsewhere because of the removal.
         """
         self.images.clear(machine)
         self._tasks.requeue_slots(machine)
@@ -328,13 +328,13 @@
 
     # Time
 
-    def tick(self, now: Seconds, wall_time: Seconds = 0.0, followed: bool = True) -> None:
+    def tick(self, now: Seconds, wall_time: Seconds = 0.0, watch_current: bool = True) -> None:
         """Run the periodic work.
 
         Args:
             now: The time by this process's clock.
             wall_time: The wall-clock time, in which the submission times of jobs are given.
-            followed: Whether the record watch is current, so that the leader may be working.
+            watch_current: Whether the record watch is current, so that the leader may be working.
         """
         if now - self._ticked_at > STALL_THRESHOLD_S:
             # The process was stalled, and heartbeats from that time are still unread. Without this
@@ -344,10 +344,10 @@
         self._tasks.requeue_delayed(now)
         if now - self._full_scan_at >= FULL_SCAN_INTERVAL_S:
             self._full_scan_at = now
-            self._full_scan(now, wall_time, followed)
+            self._full_scan(now, wall_time, watch_current)
         self._joining.join_all(now)
 
-    def _full_scan(self, now: Seconds, wall_time: Seconds, followed: bool) -> None:
+    def _full_scan(self, now: Seconds, wall_time: Seconds, watch_current: bool) -> None:
         self._speed.update(self.machines.values())
         self._free_capacity.update(now, wall_time)
         for machine in self.machines.values():
@@ -356,7 +356,7 @@
         self._gangs.update_readiness()
         for machine in self._replicas.drain_expensive(now, bool(self.queues.unqueued)):
             self._health.update_usable(now, machine)
-        if followed:
+        if watch_current:
             # During an outage no leader could assign a released task to another shard, while it
             # may still start in this one.
             self._tasks.release_overdue(now)
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -176,7 +176,7 @@
         self.spot_notice_s: Seconds | None = None
         self.task_attempts: dict[TaskRef, TaskAttempt] = {}
         self.slots: list[Slot] = []
-        # Tasks whose results the machine may delete, with the time since when.
+        # Tasks whose results are stored and may be deleted, with the time when this was found.
         self.stored_results: dict[TaskRef, Seconds] = {}
         self.images: dict[str, None] = {}
         self.idle_since = now
@@ -213,7 +213,7 @@
         return self.capacity.minus(self.usage())
 
     def has_replicas(self) -> bool:
-        """Whether replicas of services run on this machine."""
+        """Whether the machine has replicas of services, which must run elsewhere if it is lost."""
         return any(
             task_attempt.spec is not None
             and task_attempt.spec.is_service
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -93,10 +93,11 @@
         changes.dirty = False
         self._record_gang_changes(now)
         machines = {
-            m: self._machine_if_known(now, m) for m in _changed_since(changes.machines, base)
+            m: self._machine_status_if_present(now, m)
+            for m in _changed_since(changes.machines, base)
         }
         jobs = {
-            j: self._job(j) if j in self._tasks.by_job else None
+            j: self._job_status(j) if j in self._tasks.by_job else None
             for j in _changed_since(changes.jobs, base)
         }
         gangs = {j: changes.gang_statuses.get(j) for j in _changed_since(changes.gangs, base)}
@@ -105,7 +106,7 @@
         _prune(changes.gangs, self._reservations.by_job, base)
         number = changes.status_number
         changes.status_number += 1
-        unused = self._unused(now)
+        unused = self._unused_machines(now)
         return ShardStatus(
             shard=self._shard,
             token=self._token,
@@ -127,13 +128,15 @@
 
     # Machines
 
-    def _machine_if_known(self, now: Seconds, machine_id: MachineId) -> MachineStatus | None:
+    def _machine_status_if_present(
+        self, now: Seconds, machine_id: MachineId
+    ) -> MachineStatus | None:
         machine = self._machines.by_id.get(machine_id)
         if machine is None or machine_id not in self._cache.machines:
             return None
-        return self._machine(now, machine)
+        return self._machine_status(now, machine)
 
-    def _machine(self, now: Seconds, machine: Machine) -> MachineStatus:
+    def _machine_status(self, now: Seconds, machine: Machine) -> MachineStatus:
         ends = [
             (
                 round(now + self._backfill.expected_remaining(now, task_attempt), 1),
@@ -161,7 +164,7 @@
             faulty=self._health.is_faulty(machine),
         )
 
-    def _unused(self, now: Seconds) -> _UnusedMachines:
+    def _unused_machines(self, now: Seconds) -> _UnusedMachines:
         """Find the machines without contact and the idle ones in one pass over all machines."""
         without_contact: dict[MachineId, SilentMachine] = {}
         idle: dict[MachineId, Seconds] = {}
@@ -221,7 +224,7 @@
 
     # Jobs
 
-    def _job(self, job_id: JobId) -> JobStatus:
+    def _job_status(self, job_id: JobId) -> JobStatus:
         placed = running = 0
         released: list[int] = []
         done: list[int] = []
@@ -268,10 +271,10 @@
     # Gangs
 
     def _record_gang_changes(self, now: Seconds) -> None:
-        """Compare all gangs with their last report.
+        """Record the gangs whose status differs from the last report.
 
-        The state of a gang depends on many events outside its reservation, and there are few
-        gangs.
+        All gangs are compared, because their state depends on many events outside the reservation
+        and a shard has few gangs.
         """
         changes, reservations = self._changes, self._reservations.by_job
         for job_id in [j for j in changes.gang_statuses if j not in reservations]:
@@ -279,7 +282,7 @@
             changes.record_gang(job_id)
         for job_id, reservation in reservations.items():
             state = self._gang_state(job_id, reservation)
-            remaining_wait_s = self._wait(now, reservation, state)
+            remaining_wait_s = self._remaining_wait(now, reservation, state)
             status = GangStatus(reservation.attempt, state, remaining_wait_s)
             if changes.gang_statuses.get(job_id) != status:
                 changes.gang_statuses[job_id] = status
@@ -322,7 +325,9 @@
                 return True
         return False
 
-    def _wait(self, now: Seconds, reservation: GangReservation, state: GangState) -> Seconds:
+    def _remaining_wait(
+        self, now: Seconds, reservation: GangReservation, state: GangState
+    ) -> Seconds:
         if state != GANG_HELD or reservation.ready:
             return 0.0
         remaining_wait_s = reservation.remaining_wait_s
