--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -1,7 +1,7 @@
-"""How array tasks join slots and queues: the first point of the design.
+"""Assignment of array tasks to slots and queues: the first point of the design.
 
-An array task takes an idle slot with an empty queue; else a reserved slot, if it passes the
-backfilling test; else it waits in the shortest queue (`docs/design.md`).
+An array task joins an idle slot with an empty queue. If there is none, it joins a reserved slot if
+the backfill rule allows it, and otherwise the shortest queue (`docs/design.md`).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.free_capacity import FreeCapacity
 from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.queues import Queues
 from dapplewick.core.shard.replicas import ReplicaPlacement
@@ -21,19 +21,19 @@
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.types import Seconds, TaskRef
 
-SAMPLE = 12  # machines looked at when an array task joins
-MAX_QUEUE = 8  # array tasks waiting behind one slot
+MAX_SAMPLED_MACHINES = 12  # machines compared when an array task joins
+MAX_QUEUE_LENGTH = 8  # array tasks that wait for one slot
 
 
 class Joining:
-    """Lets the array tasks that are in no queue join slots and queues."""
+    """Assigns unqueued array tasks to slots and queues."""
 
     def __init__(
         self,
         machines: MachineTable,
         tasks: ArrayTasks,
         queues: Queues,
-        images: Images,
+        images: ImageIndex,
         constraints: PlacementConstraints,
         free_capacity: FreeCapacity,
         reservations: GangReservations,
@@ -53,33 +53,33 @@
         self._random = generator
 
     def join_all(self, now: Seconds) -> None:
-        """Let each array task join that is in no queue; what finds no place stays unqueued."""
+        """Assign each unqueued array task; tasks without a suitable slot stay unqueued."""
         unqueued = self._queues.unqueued
         if not unqueued:
             return
         usable = [m for m in self._machines.by_id.values() if m.was_usable]
         waiting = list(unqueued)
         unqueued.clear()
-        stuck: set[PlacementKey] = set()
+        unplaceable: set[PlacementKey] = set()
         eligible: dict[PlacementKey, list[Machine]] = {}
         for task in waiting:
             array_task = self._tasks.get(task)
             if array_task is None or array_task.state != WAITING or array_task.slot is not None:
                 continue
             spec = self._tasks.spec(task)
-            # Where one task finds no queue, the next that is alike finds none either.
-            if spec is None or spec.placement_key in stuck:
+            # If one task finds no slot or queue, others with the same placement key find none.
+            if spec is None or spec.placement_key in unplaceable:
                 unqueued.append(task)
                 continue
             machines = eligible.get(spec.placement_key)
             if machines is None:
-                machines = eligible[spec.placement_key] = self._able_machines(spec, usable)
+                machines = eligible[spec.placement_key] = self._eligible_machines(spec, usable)
             if not self._join(now, task, array_task, spec, machines):
-                stuck.add(spec.placement_key)
+                unplaceable.add(spec.placement_key)
                 unqueued.append(task)
 
-    def _able_machines(self, spec: JobSpec, usable: list[Machine]) -> list[Machine]:
-        """The machines on which a task of this job would fit if nothing else were there."""
+    def _eligible_machines(self, spec: JobSpec, usable: list[Machine]) -> list[Machine]:
+        """The allowed machines whose total capacity is enough for a task of this job."""
         resources = spec.resources
         return [
             m for m in usable if self._constraints.allow(spec, m) and resources.fits_in(m.capacity)
@@ -93,36 +93,36 @@
         spec: JobSpec,
         eligible: list[Machine],
     ) -> bool:
-        """A task joins an idle slot, else a reserved one that it passes, else the shortest queue.
+        """Assign a task to an idle slot, a reserved slot by backfill, or the shortest queue.
 
         Returns:
-            Whether it has found a place.
+            Whether the task was assigned or queued.
         """
         if spec.is_service:
-            # A replica waits in no queue: the tasks of a slot may take long.
+            # A replica does not wait in a queue because the tasks ahead of it may run long.
             machine = self._replicas.best_machine(now, spec, task.job, eligible)
             if machine is not None:
                 self._tasks.assign_new_slot(now, task, machine)
             return machine is not None
-        if len(eligible) > SAMPLE:
+        if len(eligible) > MAX_SAMPLED_MACHINES:
             eligible = self._sample(spec, eligible)
-        machine = self._machine_with_room(now, spec, eligible)
+        machine = self._machine_with_capacity(now, spec, eligible)
         if machine is not None:
             self._tasks.assign_new_slot(now, task, machine)
             return True
         slot = self._slot_with_shortest_queue(spec, eligible)
         if slot is None:
             return False
-        self._queues.join(slot, task)
+        self._queues.enqueue(slot, task)
         array_task.slot = slot
         return True
 
     def _sample(self, spec: JobSpec, eligible: list[Machine]) -> list[Machine]:
-        """Some machines to look at: of those with the image, and of all."""
-        machine_ids = self._images.where(spec.image)
+        """A random sample: up to half from machines with the image, the others from all."""
+        machine_ids = self._images.machines_with(spec.image)
         chosen: list[Machine] = []
         if machine_ids:
-            count = min(len(machine_ids), SAMPLE // 2)
+            count = min(len(machine_ids), MAX_SAMPLED_MACHINES // 2)
             for machine_id in self._random.sample(list(machine_ids), count):
                 machine = self._machines.by_id.get(machine_id)
                 if (
@@ -132,13 +132,13 @@
                     and spec.resources.fits_in(machine.capacity)
                 ):
                     chosen.append(machine)
-        rest = self._random.sample(eligible, SAMPLE - len(chosen))
-        return chosen + [m for m in rest if m not in chosen]
+        others = self._random.sample(eligible, MAX_SAMPLED_MACHINES - len(chosen))
+        return chosen + [m for m in others if m not in chosen]
 
-    def _machine_with_room(
+    def _machine_with_capacity(
         self, now: Seconds, spec: JobSpec, eligible: list[Machine]
     ) -> Machine | None:
-        """The best machine with room beside its reservations, else one whose test is passed."""
+        """The best machine with unreserved capacity, else the first where the task may backfill."""
         resources = spec.resources
         best: Machine | None = None
         best_key = (0.0, 0.0, 0.0)
@@ -151,13 +151,13 @@
             if not resources.fits_in(free.minus(self._reservations.reserved_resources(machine.id))):
                 continue
             spare_gpus = machine.capacity.gpus if spec.gpus == 0 else 0.0
-            cold = 0.0 if spec.image in machine.images else 1.0 + machine.fetches()
+            cold = 0.0 if spec.image in machine.images else 1.0 + machine.pending_image_fetches()
             key = (spare_gpus, cold, free.cpus)
             if best is None or key < best_key:
                 best, best_key = machine, key
         if best is not None:
             return best
-        return next((m for m in fits if self._backfill.passes(now, spec, m)), None)
+        return next((m for m in fits if self._backfill.may_backfill(now, spec, m)), None)
 
     def _slot_with_shortest_queue(self, spec: JobSpec, eligible: list[Machine]) -> Slot | None:
         queues = [
@@ -165,9 +165,10 @@
             for machine in eligible
             for is_cold in [spec.image not in machine.images]
             for slot in machine.slots
-            if len(slot.queue) < MAX_QUEUE and not slot.endless
+            if len(slot.queue) < MAX_QUEUE_LENGTH and not slot.holds_replica
         ]
         if not queues:
             return None
-        # Of the shortest, one where the image is: fetching takes longer than many tasks run.
+        # Among equal lengths, prefer a machine with the image: fetching takes longer than many
+        # tasks run.
         return min(queues, key=lambda queue: queue[:2])[2]
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -1,4 +1,4 @@
-"""Which machines take new work: those that are heard, and on which tasks start and end well."""
+"""Health of machines: whether new work may be sent to them."""
 
 from __future__ import annotations
 
@@ -12,17 +12,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEARTBEAT_AGE_S = 6.0  # a machine silent for longer takes no new work
-LOST_STARTS = 3  # heartbeats in a row that miss what was sent, until no more is sent
-FAULTY = 4  # failures in a row, of different jobs, that make a machine suspect
-# Of a lease: an incarnation that ends within this time of a heartbeat was not silent.
+MAX_HEARTBEAT_AGE_S = 6.0  # without a heartbeat for longer, a machine gets no new work
+# After this many consecutive heartbeats that list none of the sent starts, no more are sent.
+MAX_LOST_STARTS = 3
+# A machine is faulty after failures of this many jobs without a success in between.
+MIN_FAULTY_FAILURES = 4
+# Fraction of a lease. If an incarnation ends sooner after its last confirmed heartbeat, it did not
+# end because heartbeats were missing: the machine did not receive the answers.
 UNREACHABLE_LEASE_FRACTION = 0.95
-# Leases within which a second incarnation ends on a machine that hears nothing.
+# Number of leases. If a second incarnation ends within this time of the first, the machine does
+# not receive answers.
 REPEATED_INCARNATION_LEASES = 4.0
 
 
 class MachineHealth:
-    """Judges the machines of a shard by their records, heartbeats and tasks."""
+    """Determines the health of a shard's machines from records, heartbeats and tasks."""
 
     def __init__(
         self,
@@ -36,31 +40,31 @@
         self._cache = cache
         self._changes = changes
         self._lease_s = lease_s
-        # Since when silence counts: heartbeats were refused before, or could not be read, or
-        # this ownership had not begun.
-        self.listening_since = now
+        # Time without contact is counted from here at the earliest. Before this time heartbeats
+        # were refused or could not be read, or this ownership had not begun.
+        self.accepting_heartbeats_since = now
 
     def is_faulty(self, machine: Machine) -> bool:
-        """Whether tasks of several jobs have failed here and none has completed since."""
-        return len(machine.failures) >= FAULTY
+        """Whether tasks of several jobs failed on this machine without a success in between."""
+        return len(machine.failures) >= MIN_FAULTY_FAILURES
 
-    def note_usable(self, now: Seconds, machine: Machine) -> bool:
-        """Whether new work may go to this machine; a change is noted for the leader."""
+    def update_usable(self, now: Seconds, machine: Machine) -> bool:
+        """Update whether new work may be sent to a machine; report a change to the leader."""
         is_drained = self._cache.transfers.drains(machine.id) is not None
-        is_usable = not is_drained and self._is_fit_for_work(now, machine)
+        is_usable = not is_drained and self._is_healthy(now, machine)
         if is_usable != machine.was_usable:
             machine.was_usable = is_usable
-            self._changes.machine(machine.id)
+            self._changes.record_machine(machine.id)
             self._changes.dirty = True
         return is_usable
 
-    def is_only_drained(self, now: Seconds, machine: Machine) -> bool:
-        """Whether nothing but a transfer keeps new work from this machine."""
+    def is_healthy_but_drained(self, now: Seconds, machine: Machine) -> bool:
+        """Whether a transfer is the only reason to send no new work to this machine."""
         is_drained = self._cache.transfers.drains(machine.id) is not None
-        return is_drained and self._is_fit_for_work(now, machine)
+        return is_drained and self._is_healthy(now, machine)
 
-    def _is_fit_for_work(self, now: Seconds, machine: Machine) -> bool:
-        """Whether a machine is ours, up, and takes what it is told."""
+    def _is_healthy(self, now: Seconds, machine: Machine) -> bool:
+        """Whether a machine belongs to this shard, is up and executes commands."""
         record = self._cache.machines.get(machine.id)
         return (
             record is not None
@@ -72,20 +76,20 @@
             and now - machine.last_heartbeat_at < MAX_HEARTBEAT_AGE_S
             and not self.is_faulty(machine)
             and not machine.slow
-            and not machine.drain
+            and not machine.draining
             and not machine.unreachable
-            and machine.lost_starts < LOST_STARTS
+            and machine.lost_starts < MAX_LOST_STARTS
         )
 
-    def take_heartbeat(self, now: Seconds, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Take over what a heartbeat says of its machine, beside the tasks.
+    def apply_heartbeat(self, now: Seconds, machine: Machine, heartbeat: Heartbeat) -> bool:
+        """Update a machine from a heartbeat, except for its tasks.
 
         Returns:
             Whether a new incarnation of the machine has begun.
         """
         is_new_incarnation = heartbeat.incarnation > machine.newest_heartbeat[0]
         if is_new_incarnation:
-            self._note_new_incarnation(now, machine)
+            self._record_new_incarnation(now, machine)
         machine.newest_heartbeat = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
         machine.type = heartbeat.type
@@ -97,21 +101,25 @@
             machine.capacity = machine_type.resources
         return is_new_incarnation
 
-    def _note_new_incarnation(self, now: Seconds, machine: Machine) -> None:
-        if not machine.reconciled or machine.last_confirmed_at <= self.listening_since:
+    def _record_new_incarnation(self, now: Seconds, machine: Machine) -> None:
+        if not machine.reconciled or machine.last_confirmed_at <= self.accepting_heartbeats_since:
             return
-        # A lease that ended while we answered its heartbeats: the answers don't reach it. It
-        # asks all controllers in turn, so its heartbeats here may also be a lease apart; then
-        # the second end soon after the first tells.
-        again = now - machine.incarnation_ended_at < self._lease_s * REPEATED_INCARNATION_LEASES
-        silent_s = now - machine.last_confirmed_at
-        if again or silent_s < self._lease_s * UNREACHABLE_LEASE_FRACTION:
+        # If the lease ended although this controller answered the heartbeats, the answers do not
+        # reach the machine. A machine contacts all controllers in turn, so its heartbeats to this
+        # one may also be a lease apart; in that case a second end soon after the first shows it.
+        is_repeated = (
+            now - machine.incarnation_ended_at < self._lease_s * REPEATED_INCARNATION_LEASES
+        )
+        no_contact_s = now - machine.last_confirmed_at
+        if is_repeated or no_contact_s < self._lease_s * UNREACHABLE_LEASE_FRACTION:
             machine.unreachable = True
             log.info("event=machine_unreachable machine=%s", machine.id)
         machine.incarnation_ended_at = now
 
     def count_lost_starts(self, now: Seconds, machine: Machine, listed: set[TaskRef]) -> None:
-        """A machine that sends heartbeats but never lists what it is told to start hears nothing.
+        """Count consecutive heartbeats that list none of the tasks whose start was sent.
+
+        A machine that sends heartbeats but never lists these tasks does not receive answers.
 
         Args:
             now: The time.
@@ -121,7 +129,7 @@
         sent = [
             task
             for task, task_attempt in machine.task_attempts.items()
-            if task_attempt.start_unseen
+            if task_attempt.start_unconfirmed
         ]
         if any(task in listed for task in sent):
             machine.lost_starts = 0
@@ -129,5 +137,5 @@
             machine.lost_starts += 1
             machine.lost_starts_at = now
         elif now - machine.lost_starts_at > self._lease_s:
-            # Its lease would have ended by now if no answer had reached it.
+            # The machine received an answer: otherwise its lease would have ended by now.
             machine.lost_starts = 0
