--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -145,7 +145,7 @@
     def _view_owners(self, planner: LeaderPlanner, now: Seconds) -> OwnersView:
         return OwnersView(
             unreachable=planner.unreachable_shards(),
-            unheard=planner.unheard_shards(now),
+            unheard=planner.shards_without_contact(now),
             silent_controllers=self._silent_controllers(now),
         )
 
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -18,7 +18,7 @@
 SCARCE = 0.5  # of the accelerators
 SEEN_LEAST = 500  # gangs that have been counted, before those that are over are forgotten
 FADE_S = 20.0  # a demand for accelerators that has passed is believed in for about this long
-LEAST_GANG_SLOTS = 0.5  # fewer idle slots than this are not worth keeping
+MIN_GANG_SLOTS = 0.5  # fewer idle slots than this are not worth keeping
 
 
 class AcceleratorDemand:
@@ -94,7 +94,7 @@
         """Whether most accelerators are wanted: what their work leaves goes to more of it."""
         return self._wanted_fraction > SCARCE
 
-    def reserve(self, total: Resources, free: Resources) -> Resources:
+    def resources_to_reserve(self, total: Resources, free: Resources) -> Resources:
         """What is to be left free on a machine for the accelerators that are wanted.
 
         Args:
@@ -183,7 +183,7 @@
                     fresh += spec.task_count
         return _TaskCounts(fresh, waiting, in_the_way)
 
-    def kept_slots(self, elsewhere: bool) -> float:
+    def reserved_slots(self, elsewhere: bool) -> float:
         """How many idle slots of the gangs' size are kept from array tasks.
 
         Args:
@@ -193,12 +193,12 @@
         """
         return self.slots + self.waiting if elsewhere else self.slots
 
-    def applies(self, spec: JobSpec) -> bool:
+    def is_restricted(self, spec: JobSpec) -> bool:
         """Whether this work would be in the way of gangs."""
         if spec.is_gang or spec.is_service or spec.gpus > 0:
             return False
-        return spec.priority >= self.priority and self.slots + self.waiting >= LEAST_GANG_SLOTS
+        return spec.priority >= self.priority and self.slots + self.waiting >= MIN_GANG_SLOTS
 
-    def rest(self, free: Resources) -> Resources:
+    def outside_reserved_slots(self, free: Resources) -> Resources:
         """Free resources less the whole slots of the gangs' size in them."""
         return free.minus(self.resources.times(self.resources.count_in(free)))
--- a/src/dapplewick/core/estimates.py
+++ b/src/dapplewick/core/estimates.py
@@ -13,7 +13,7 @@
 
 LEAST_WEIGHT = 0.1  # of each new observation in the running mean
 LEAST_RATIO, GREATEST_RATIO = 0.2, 5.0  # of actual over estimated run time, as it is believed
-NEVER = 1e9  # seconds; a replica is not expected to end
+UNBOUNDED_RUN_S = 1e9  # seconds; a replica is not expected to end
 
 # The mean logarithm of actual over estimated run time, and the number of tasks that it was learned
 # from. A bare pair, because it goes into messages between controllers as it is.
@@ -41,7 +41,7 @@
     def run_time(self, spec: JobSpec) -> Seconds:
         """How long a task of this job is expected to run, in seconds."""
         if spec.is_service:
-            return NEVER
+            return UNBOUNDED_RUN_S
         mean, _ = self._biases.get(spec.job_class, NO_BIAS)
         return spec.estimated_run_s * math.exp(mean)
 
@@ -49,7 +49,7 @@
         """All that was learned, by class, for other controllers."""
         return dict(self._biases)
 
-    def adopt(self, other: dict[str, Bias]) -> None:
+    def merge(self, other: dict[str, Bias]) -> None:
         """Take over what another controller has seen more tasks of."""
         for job_class, bias in other.items():
             if bias[1] > self._biases.get(job_class, NO_BIAS)[1]:
--- a/src/dapplewick/core/invariants.py
+++ b/src/dapplewick/core/invariants.py
@@ -8,8 +8,8 @@
 class Invariant(StrEnum):
     """An invariant that a controller asserts while it runs."""
 
-    SHARDS_ARE_HEARD = "shards_are_heard"
-    LIMITS_ARE_GIVEN_BACK = "limits_are_given_back"
+    SHARDS_IN_CONTACT = "shards_are_heard"
+    LIMITS_ARE_RELEASED = "limits_are_given_back"
 
 
 class InvariantCounts:
@@ -24,6 +24,6 @@
     def __init__(self) -> None:
         self.violations: dict[Invariant, int] = {}
 
-    def violated(self, invariant: Invariant) -> None:
+    def record_violation(self, invariant: Invariant) -> None:
         """Count one violation."""
         self.violations[invariant] = self.violations.get(invariant, 0) + 1
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from dapplewick.core.demand import LEAST_GANG_SLOTS, GangDemand
+from dapplewick.core.demand import MIN_GANG_SLOTS, GangDemand
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.array_order import PendingArray
 from dapplewick.core.leader.gang_placement import LONG_RESERVATION_S
@@ -100,7 +100,7 @@
             arrays.setdefault(need, []).append(array)
         for alike in arrays.values():
             requests += self._array_requests(wall_time, alike)
-        if self._gangs.spec is not None and self._gangs.slots >= LEAST_GANG_SLOTS:
+        if self._gangs.spec is not None and self._gangs.slots >= MIN_GANG_SLOTS:
             # Idle slots for gangs still to come: provisioning when they are here is too late.
             requests.append(CapacityRequest(self._gangs.spec, math.ceil(self._gangs.slots), False))
         # Accelerators first: gangs then see what CPUs these leave of the machines to come.
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -8,7 +8,7 @@
 from dapplewick.core.leader.machine_capacity import MachineCapacity
 from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.core.leader.slot_selection import (
-    ONE_GROUP_TIMES,
+    ONE_GROUP_LIMIT_FACTOR,
     ChosenSlots,
     fit_all,
     fit_behind,
@@ -103,7 +103,7 @@
         if shard.slots_within(spec, limit_s) < count:
             return None
         return fit_reserved(shard.capacities, spec, count, patience_s, limit_s)
-    if shard.slots_within(spec, ONE_GROUP_TIMES * limit_s) < count:
+    if shard.slots_within(spec, ONE_GROUP_LIMIT_FACTOR * limit_s) < count:
         return None
     capacities = fit_behind(*shard.slot_groups(spec), count, limit_s)
     return ChosenSlots(capacities, False) if capacities is not None else None
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-GIVEN_BACK_S = 60.0  # of time in which all shards were heard and no machine was waited for
+RELEASE_TIMEOUT_S = 60.0  # of time in which all shards were heard and no machine was waited for
 
 
 class LimitAudit:
@@ -52,7 +52,7 @@
         for job_id, job in holders.items():
             before_s = self._held_s.get(job_id, 0.0)
             self._held_s[job_id] = before_s + elapsed_s
-            if before_s <= GIVEN_BACK_S < self._held_s[job_id]:
+            if before_s <= RELEASE_TIMEOUT_S < self._held_s[job_id]:
                 self._report(job_id, job)
 
     def _nothing_is_awaited(self, now: Seconds) -> bool:
@@ -63,7 +63,7 @@
         )
 
     def _report(self, job_id: JobId, job: JobRecord) -> None:
-        self._invariants.violated(Invariant.LIMITS_ARE_GIVEN_BACK)
+        self._invariants.record_violation(Invariant.LIMITS_ARE_RELEASED)
         shards = sorted(job.assignments) if job.gang is None else sorted(set(job.gang.shards()))
         log.error(
             "event=limit_not_given_back job=%s team=%s shards=%s held_s=%.0f",
--- a/src/dapplewick/core/leader/limit_reservations.py
+++ b/src/dapplewick/core/leader/limit_reservations.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from dapplewick.core.leader.quotas import TeamQuotas
-from dapplewick.core.leader.shard_reservation import OVERDUE_S, PAUSE_S
+from dapplewick.core.leader.shard_reservation import COOLDOWN_S, OVERDUE_S
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
@@ -16,7 +16,7 @@
 # this leaves 10 s for what waited then to be assigned and launched. Tasks that run for longer may
 # keep a gang waiting: while they end one by one, either it waits or others do for more than that.
 # After a pause, in which all of the other work may start, it begins anew.
-MOST_WITHHELD_S = 80.0
+MAX_WITHHELD_S = 80.0
 
 
 class LimitReservations:
@@ -33,7 +33,7 @@
         self._since = {team: at for team, at in self._since.items() if team in self._asked}
         self._asked.clear()
 
-    def ask(self, wall_time: Seconds, spec: JobSpec, waited_s: Seconds) -> None:
+    def request(self, wall_time: Seconds, spec: JobSpec, waited_s: Seconds) -> None:
         """Withhold room for a gang that its team's limit keeps from starting, if it may be now."""
         team = spec.team
         if waited_s < OVERDUE_S or team in self._asked:
@@ -42,8 +42,8 @@
             return
         self._asked.add(team)
         since = self._since.setdefault(team, wall_time)
-        if wall_time - since >= MOST_WITHHELD_S:
-            self._paused_until[team] = wall_time + PAUSE_S
+        if wall_time - since >= MAX_WITHHELD_S:
+            self._paused_until[team] = wall_time + COOLDOWN_S
             del self._since[team]
             return
         self._quotas.withhold(spec)
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
-from dapplewick.core.priorities import GANG_PRIORITY
+from dapplewick.core.priorities import NON_PREEMPTIBLE_PRIORITY
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.protocol.peers import MachineStatus
 from dapplewick.types import (
@@ -116,7 +116,7 @@
         self.now = 0.0
         self.queue_length = queue_length
         self.demand = demand
-        self.array_tasks = sum(end.priority < GANG_PRIORITY for end in ends)
+        self.array_tasks = sum(end.priority < NON_PREEMPTIBLE_PRIORITY for end in ends)
         self.max_cpus = free.cpus + sum(end.resources.cpus for end in ends)
         self.images = frozenset(images)
         self.kept_for: GangDemand | None = None
@@ -164,9 +164,9 @@
         free = self.free
         if spec.gpus > 0 or spec.is_service or self.demand is None:
             return free
-        if self.kept_for is not None and self.kept_for.applies(spec):
-            free = self.kept_for.rest(free)
-        reserve = self.demand.reserve(self.total, self.free)
+        if self.kept_for is not None and self.kept_for.is_restricted(spec):
+            free = self.kept_for.outside_reserved_slots(free)
+        reserve = self.demand.resources_to_reserve(self.total, self.free)
         return free if reserve is NO_RESOURCES else free.minus(reserve)
 
     def slot_count(self, spec: JobSpec) -> int:
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -118,7 +118,7 @@
         if shard is None or shard.token != token:
             shard = self.by_name[name] = ObservedShard(name, token)
         if shard.apply(now, status):
-            self._estimates.adopt(status.estimates)
+            self._estimates.merge(status.estimates)
         return shard.number
 
     def owned(self) -> list[ObservedShard]:
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -182,7 +182,7 @@
         """Shards that want another owner; see `ObservedShards.unreachable`."""
         return self._observed.unreachable()
 
-    def unheard_shards(self, now: Seconds) -> set[ShardName]:
+    def shards_without_contact(self, now: Seconds) -> set[ShardName]:
         """Shards whose owner can't reach this leader; see `ShardContacts.unheard`."""
         self.contacts.note_owners(now)
         return self.contacts.unheard(now)
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -8,7 +8,7 @@
 
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
-from dapplewick.core.priorities import GANG_PRIORITY
+from dapplewick.core.priorities import NON_PREEMPTIBLE_PRIORITY
 from dapplewick.protocol.peers import GANG_BAD, GANG_CLEAR, GANG_DONE, GANG_HELD
 from dapplewick.storage.job_records import DONE, GangPlacement, JobRecord
 from dapplewick.storage.watch_cache import WatchCache
@@ -108,7 +108,7 @@
                 for _, job in self._cache.each_live()
                 if job.open and not (job.spec.is_gang or job.spec.is_service)
             ),
-            default=GANG_PRIORITY,
+            default=NON_PREEMPTIBLE_PRIORITY,
         )
 
     def _end_attempt(
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterable
 
-from dapplewick.core.demand import LEAST_GANG_SLOTS, GangDemand
+from dapplewick.core.demand import MIN_GANG_SLOTS, GangDemand
 from dapplewick.core.leader.capacity_requests import CapacityRequest
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
@@ -89,7 +89,7 @@
     def _gang_slots(self, record: MachineRecord) -> int:
         """How many slots of the gangs' size a machine has; 0 while none are kept."""
         machine_type = self._cache.types.get(record.type)
-        if machine_type is None or self._gangs.slots < LEAST_GANG_SLOTS:
+        if machine_type is None or self._gangs.slots < MIN_GANG_SLOTS:
             return 0
         return self._gangs.resources.count_in(machine_type.resources)
 
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from dapplewick.core.demand import LEAST_GANG_SLOTS, AcceleratorDemand, GangDemand
+from dapplewick.core.demand import MIN_GANG_SLOTS, AcceleratorDemand, GangDemand
 from dapplewick.core.leader.machine_capacity import (
     CPU_ROUNDING,
     MachineCapacity,
     spare_key,
 )
-from dapplewick.core.priorities import GANG_PRIORITY
+from dapplewick.core.priorities import NON_PREEMPTIBLE_PRIORITY
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
 from dapplewick.types import Resources, Seconds, ShardName, zone_of
 
@@ -144,7 +144,8 @@
         """Whether any work here has a lower priority, and so may be preempted for this one."""
         if self._lowest_priority is None:
             self._lowest_priority = min(
-                (end.priority for c in self.capacities for end in c.ends), default=GANG_PRIORITY
+                (end.priority for c in self.capacities for end in c.ends),
+                default=NON_PREEMPTIBLE_PRIORITY,
             )
         return self._lowest_priority < priority
 
@@ -224,8 +225,8 @@
             self._has_small_machines = any(
                 not gangs.resources.fits_in(c.total) for c in self.capacities
             )
-        slots = gangs.kept_slots(self._has_small_machines)
-        if slots < LEAST_GANG_SLOTS:
+        slots = gangs.reserved_slots(self._has_small_machines)
+        if slots < MIN_GANG_SLOTS:
             return
         if self._idle_gang_slots is None:
             self._idle_gang_slots = sum(
--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -94,7 +94,7 @@
         for name in sorted(unheard):
             passes = self._unheard_passes[name] = self._unheard_passes.get(name, 0) + 1
             if passes == MOVE_PASSES + len(self._cache.shards):
-                self._invariants.violated(Invariant.SHARDS_ARE_HEARD)
+                self._invariants.record_violation(Invariant.SHARDS_IN_CONTACT)
                 log.error(
                     "event=shard_left_unheard shard=%s token=%d controller=%s unheard_s=%.1f",
                     name,
--- a/src/dapplewick/core/leader/shard_reservation.py
+++ b/src/dapplewick/core/leader/shard_reservation.py
@@ -13,9 +13,9 @@
 from dapplewick.types import Seconds, ShardName
 
 OVERDUE_S = 60.0  # a gang that found no slots for so long may have a shard reserved
-HOPELESS_S = 240.0  # and one so late keeps no others waiting any more
-MOST_S = 45.0  # a reservation under which no gang is placed in this time ends
-PAUSE_S = 10.0  # and for this time there is none, so that nothing waits long beside idle slots
+MAX_OVERDUE_S = 240.0  # and one so late keeps no others waiting any more
+MAX_RESERVATION_S = 45.0  # a reservation under which no gang is placed in this time ends
+COOLDOWN_S = 10.0  # and for this time there is none, so that nothing waits long beside idle slots
 
 
 class ShardReservation:
@@ -35,12 +35,12 @@
         """The shards in which the next gang may be placed."""
         return [capacity for capacity in shard_capacities if capacity.shard != self._shard]
 
-    def placed(self, wall_time: Seconds, shards: set[ShardName]) -> None:
+    def record_placement(self, wall_time: Seconds, shards: set[ShardName]) -> None:
         """Note that a gang was placed in these shards: the reservation there helps."""
         if self._last_shard in shards:
             self._since = wall_time
 
-    def ask(
+    def request(
         self,
         wall_time: Seconds,
         spec: JobSpec,
@@ -54,7 +54,7 @@
         """
         if self._shard is not None or wall_time < self._paused_until:
             return
-        if not OVERDUE_S <= waited_s < HOPELESS_S:
+        if not OVERDUE_S <= waited_s < MAX_OVERDUE_S:
             return
         eligible = [capacity for capacity in shard_capacities if capacity.could_hold_all(spec)]
         if not eligible:
@@ -62,7 +62,7 @@
         shard = max(eligible, key=lambda capacity: capacity.slots_within(spec, limit_s)).shard
         if shard != self._last_shard:
             self._since = wall_time
-        if wall_time - self._since >= MOST_S:
-            self._paused_until = wall_time + PAUSE_S
+        if wall_time - self._since >= MAX_RESERVATION_S:
+            self._paused_until = wall_time + COOLDOWN_S
             return
         self._shard = shard
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -10,7 +10,7 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
-ONE_GROUP_TIMES = 4.0  # behind one gang a longer wait is accepted than behind several
+ONE_GROUP_LIMIT_FACTOR = 4.0  # behind one gang a longer wait is accepted than behind several
 
 
 class ChosenSlots(NamedTuple):
@@ -119,7 +119,7 @@
     enough = [
         group
         for group in groups
-        if len(group.capacities) >= count and group.wait <= ONE_GROUP_TIMES * limit_s
+        if len(group.capacities) >= count and group.wait <= ONE_GROUP_LIMIT_FACTOR * limit_s
     ]
     if enough:
         # The smallest of them: the others stay whole for gangs that need as many slots.
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger(__name__)
 
-REPORT_S = 10.0  # what waits is looked at this often
+REPORT_INTERVAL_S = 10.0  # what waits is looked at this often
 LONG_WAIT_S = 60.0  # groups whose oldest job waits for less are not worth a line
 MOST_GROUPS = 6  # in a line, those that wait longest
 MOST_SHARDS = 8
@@ -37,10 +37,10 @@
 
     IN_SHARD_QUEUE = "in_shard_queue"  # assigned to a shard, behind other work there
     RESERVED_SLOTS_BUSY = "reserved_slots_busy"  # a gang that waits for the last of its slots
-    SHARD_NOT_HEARD = "shard_not_heard"  # some shard's capacity is not known
+    SHARD_WITHOUT_CONTACT = "shard_not_heard"  # some shard's capacity is not known
     OVER_LIMIT = "over_limit"  # its team's limit, or what is withheld of it, leaves no room
     BEHIND_OTHERS = "behind_others"  # there are slots, which go or are kept for other work
-    MACHINES_COMING = "machines_coming"  # machines that it fits on are not up yet
+    MACHINES_STARTING = "machines_coming"  # machines that it fits on are not up yet
     NO_CAPACITY = "no_capacity"  # the cloud had no more machines for it
     NO_SLOT = "no_slot"  # all slots of its size are taken
 
@@ -110,7 +110,7 @@
             provisioner: Knows the machines that are provisioned and not up yet.
             unmet: What nothing could be provisioned for.
         """
-        if now - self._reported_at < REPORT_S:
+        if now - self._reported_at < REPORT_INTERVAL_S:
             return
         self._reported_at = now
         coming = provisioner.coming(wall_time)
@@ -155,14 +155,14 @@
         if any(job.assignments.values()):
             return WaitReason.IN_SHARD_QUEUE
         if not self._contacts.all_fresh(now):
-            return WaitReason.SHARD_NOT_HEARD
+            return WaitReason.SHARD_WITHOUT_CONTACT
         wanted = spec.task_count if spec.is_gang else 1
         if self._quotas.within_limit(spec) < wanted:
             return WaitReason.OVER_LIMIT
         if sum(shard.idle_slots(spec) for shard in shard_capacities) >= wanted:
             return WaitReason.BEHIND_OTHERS
         if any(machine.allows(spec) and machine.slot_count(spec) for machine in coming):
-            return WaitReason.MACHINES_COMING
+            return WaitReason.MACHINES_STARTING
         if any(request.spec.placement_key == spec.placement_key for request in unmet):
             return WaitReason.NO_CAPACITY
         return WaitReason.NO_SLOT
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -102,14 +102,14 @@
             spec = gang.job.spec
             waited_s = wall_time - gang.job.submitted_at
             if self._quotas.within_limit(spec) < spec.task_count:
-                self._limit_reservations.ask(wall_time, spec, waited_s)
+                self._limit_reservations.request(wall_time, spec, waited_s)
                 continue
             limit_s = self._reservation_limit_s(spec, waited_s)
             open_shards = self._reservation.open_shards(shard_capacities)
             slots = place_gang(spec, open_shards, limit_s, self._patience_s)
             if slots is None:
                 left.append(gang)
-                self._reservation.ask(wall_time, spec, waited_s, shard_capacities, limit_s)
+                self._reservation.request(wall_time, spec, waited_s, shard_capacities, limit_s)
             else:
                 self._take(gang, slots, wall_time, shard_capacities)
         return left
@@ -130,7 +130,9 @@
         by_name = {shard.shard: shard for shard in shard_capacities}
         for capacity in slots.capacities:
             by_name[capacity.shard].take([capacity], gang.job.resources)
-        self._reservation.placed(wall_time, {capacity.shard for capacity in slots.capacities})
+        self._reservation.record_placement(
+            wall_time, {capacity.shard for capacity in slots.capacities}
+        )
         self._quotas.spend(gang.job.spec, gang.job.spec.task_count)
         attempt = self._ids.next_attempt()
         placements = [(str(c.shard), str(c.id)) for c in slots.capacities]
--- a/src/dapplewick/core/priorities.py
+++ b/src/dapplewick/core/priorities.py
@@ -3,4 +3,4 @@
 from __future__ import annotations
 
 # A task of a gang or a service counts as this among the ends of tasks: nothing preempts it.
-GANG_PRIORITY = 99
+NON_PREEMPTIBLE_PRIORITY = 99
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dapplewick.core.estimates import NEVER, Estimates
+from dapplewick.core.estimates import UNBOUNDED_RUN_S, Estimates
 from dapplewick.core.shard.gang_reservations import GangReservations
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import EXITED, GangReservation, Machine, TaskAttempt
@@ -84,7 +84,7 @@
         if task_attempt.spec is None or task_attempt.stopped:
             return 0.0
         estimate_s = self._estimates.run_time(task_attempt.spec)
-        if task_attempt.running_at is None or estimate_s >= NEVER:
+        if task_attempt.running_at is None or estimate_s >= UNBOUNDED_RUN_S:
             return estimate_s
         return max(0.0, estimate_s - (now - task_attempt.running_at))
 
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -44,7 +44,7 @@
         machines = self._machines.by_id.values()
         resources = self._gangs.resources
         elsewhere = any(m.was_usable and not resources.fits_in(m.capacity) for m in machines)
-        kept = self._gangs.kept_slots(elsewhere)
+        kept = self._gangs.reserved_slots(elsewhere)
         if kept < 0.5:
             return False
         idle = sum(resources.count_in(m.free()) for m in machines)
@@ -55,7 +55,7 @@
         free = machine.free()
         if spec.gpus > 0 or spec.is_service:
             return free
-        reserve = self._accelerators.reserve(machine.capacity, free)
-        if self._has_few_slots and self._gangs.applies(spec):
-            free = self._gangs.rest(free)
+        reserve = self._accelerators.resources_to_reserve(machine.capacity, free)
+        if self._has_few_slots and self._gangs.is_restricted(spec):
+            free = self._gangs.outside_reserved_slots(free)
         return free if reserve is NO_RESOURCES else free.minus(reserve)
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -8,7 +8,7 @@
 from msgspec import UNSET
 
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.priorities import GANG_PRIORITY
+from dapplewick.core.priorities import NON_PREEMPTIBLE_PRIORITY
 from dapplewick.core.shard.array_tasks import ArrayTasks
 from dapplewick.core.shard.backfill import Backfill
 from dapplewick.core.shard.changes import ChangeLog
@@ -135,7 +135,7 @@
             (
                 round(now + self._backfill.expected_left(now, task_attempt), 1),
                 *task_attempt.resources,
-                GANG_PRIORITY
+                NON_PREEMPTIBLE_PRIORITY
                 if task_attempt.spec.is_gang or task_attempt.spec.is_service
                 else task_attempt.spec.priority,
                 task.job if task_attempt.spec.is_gang else "",
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dapplewick.core.estimates import NEVER
+from dapplewick.core.estimates import UNBOUNDED_RUN_S
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.messages import (
     DurationSummary,
@@ -131,7 +131,7 @@
         if ends:
             last = max(end.at for end in ends) + shard.clock - self._now
             tasks = f"{len(ends)} task{'s' if len(ends) > 1 else ''} on it"
-            if last >= NEVER / 2:
+            if last >= UNBOUNDED_RUN_S / 2:
                 return f"{tasks}, a replica of a service among them, which moves first"
             return f"{tasks}, expected to end in {max(0.0, last):.0f} s"
         gangs = [
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Set
 from typing import NamedTuple
 
-from dapplewick.core.estimates import NEVER
+from dapplewick.core.estimates import UNBOUNDED_RUN_S
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.protocol.peers import MachineStatus
@@ -151,4 +151,4 @@
             return 0.0
         # Services never end: their machines go last, when the replicas have moved.
         last = max(end.at for end in status.ends)
-        return min(NEVER, max(1.0, last + shard.clock - self._now))
+        return min(UNBOUNDED_RUN_S, max(1.0, last + shard.clock - self._now))
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -80,7 +80,7 @@
 
 
 def limits_are_withheld_for_a_minute(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("dapplewick.core.leader.limit_reservations.MOST_WITHHELD_S", 60.0)
+    patch.setattr("dapplewick.core.leader.limit_reservations.MAX_WITHHELD_S", 60.0)
 
 
 GUARDS: list[tuple[Patch, Callable[[], None]]] = [
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -588,7 +588,7 @@
 def estimates(given: Any) -> Any:
     """What owners tell one another of estimates."""
     known = Estimates()
-    known.adopt(given)
+    known.merge(given)
     return neutral(known.dump())
 
 
--- a/tests/unit/test_invariants.py
+++ b/tests/unit/test_invariants.py
@@ -9,7 +9,7 @@
 import standins
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.invariants import Invariant, InvariantCounts
-from dapplewick.core.leader.limit_audit import GIVEN_BACK_S
+from dapplewick.core.leader.limit_audit import RELEASE_TIMEOUT_S
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.leader.shard_contacts import MOVE_PASSES, UNHEARD_S
 from dapplewick.protocol.cloud import encode_machine_types
@@ -51,7 +51,7 @@
     noticed = [
         at
         for at in passes(planner(invariants), 200.0, heard=heard)
-        if invariants.violations.get(Invariant.SHARDS_ARE_HEARD)
+        if invariants.violations.get(Invariant.SHARDS_IN_CONTACT)
     ]
     lines = [line for line in caplog.messages if "event=shard_left_unheard" in line]
     if heard:
@@ -60,7 +60,7 @@
     else:
         # After the time in which it is moved, and the passes that a move may take.
         assert noticed[0] == UNHEARD_S + MOVE_PASSES + 1
-        assert invariants.violations == {Invariant.SHARDS_ARE_HEARD: 1}
+        assert invariants.violations == {Invariant.SHARDS_IN_CONTACT: 1}
         assert len(lines) == 1
         assert "shard=a token=2 controller=n0" in lines[0]
 
@@ -76,13 +76,13 @@
     invariants = InvariantCounts()
     leader = planner(invariants, job)
     at = 0.0
-    while at < 3 * GIVEN_BACK_S:
+    while at < 3 * RELEASE_TIMEOUT_S:
         status = shard_status({}, int(at) + 1, at)
         status.unreconciled = unreconciled
         leader.shard_status(at, status)
         leader.plan(at, at)
         at += PASS_S
-    wanted = {} if unreconciled else {Invariant.LIMITS_ARE_GIVEN_BACK: 1}
+    wanted = {} if unreconciled else {Invariant.LIMITS_ARE_RELEASED: 1}
     assert invariants.violations == wanted
     lines = [line for line in caplog.messages if "event=limit_not_given_back" in line]
     assert len(lines) == len(wanted)
--- a/tests/unit/test_limit_reservations.py
+++ b/tests/unit/test_limit_reservations.py
@@ -9,9 +9,9 @@
 
 from dapplewick.config import Team
 from dapplewick.core.leader.job_drafts import JobDrafts
-from dapplewick.core.leader.limit_reservations import MOST_WITHHELD_S, LimitReservations
+from dapplewick.core.leader.limit_reservations import MAX_WITHHELD_S, LimitReservations
 from dapplewick.core.leader.quotas import TeamQuotas
-from dapplewick.core.leader.shard_reservation import OVERDUE_S, PAUSE_S
+from dapplewick.core.leader.shard_reservation import COOLDOWN_S, OVERDUE_S
 from dapplewick.storage.watch_cache import WatchCache
 from support.shard_bench import spec
 
@@ -49,7 +49,7 @@
     kept = quotas()
     reservations = LimitReservations(kept)
     reservations.begin()
-    reservations.ask(0.0, GANG, waited_s)
+    reservations.request(0.0, GANG, waited_s)
     assert kept.within_limit(SMALL) == (0 if waited_s >= OVERDUE_S else 2)
 
 
@@ -65,13 +65,15 @@
         reservations.begin()
         for size in range(gangs):
             asking = replace(GANG, task_count=6 + (number + size) % gangs)
-            reservations.ask(at, asking, 100.0)
+            reservations.request(at, asking, 100.0)
         if kept.within_limit(SMALL) == 2:
             open_passes.append(at)
     gaps = [after - before for before, after in itertools.pairwise(open_passes)]
-    assert max(gaps) <= MOST_WITHHELD_S + PASS_S
+    assert max(gaps) <= MAX_WITHHELD_S + PASS_S
     starts = [a for a, gap in zip(open_passes, [1e9, *gaps], strict=False) if gap > PASS_S]
     # Each time for long enough that all of it may start.
     for start in starts[:-1]:
-        assert sum(start <= at < start + PAUSE_S for at in open_passes) >= PAUSE_S / PASS_S - 1
+        assert (
+            sum(start <= at < start + COOLDOWN_S for at in open_passes) >= COOLDOWN_S / PASS_S - 1
+        )
     assert len(starts) > 3
--- a/tests/unit/test_status_details.py
+++ b/tests/unit/test_status_details.py
@@ -28,8 +28,8 @@
         controller = Controller(standins.settings("n0"), clock=lambda: 5.0, seed=1)
         assert not {"violations", "waiting"} & status(controller).keys()
         before = status_lines(status(controller))
-        controller.invariants.violated(Invariant.SHARDS_ARE_HEARD)
-        controller.invariants.violated(Invariant.SHARDS_ARE_HEARD)
+        controller.invariants.record_violation(Invariant.SHARDS_IN_CONTACT)
+        controller.invariants.record_violation(Invariant.SHARDS_IN_CONTACT)
         planner = LeaderPlanner(
             controller.cache, controller.settings, Estimates(), FencingToken(9), 0.0
         )
--- a/tests/unit/test_wait_reasons.py
+++ b/tests/unit/test_wait_reasons.py
@@ -11,7 +11,12 @@
 import standins
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.planner import LeaderPlanner
-from dapplewick.core.leader.wait_reasons import LONG_WAIT_S, REPORT_S, WaitingGroup, WaitReason
+from dapplewick.core.leader.wait_reasons import (
+    LONG_WAIT_S,
+    REPORT_INTERVAL_S,
+    WaitingGroup,
+    WaitReason,
+)
 from dapplewick.protocol.cloud import encode_machine_types
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.peers import GANG_HELD, GangStatus
@@ -22,7 +27,7 @@
 from support.shard_bench import KIND, group, machine_status, shard_status, spec
 
 JOB = JobId("run-1")
-AT = LONG_WAIT_S + REPORT_S + 1.0
+AT = LONG_WAIT_S + REPORT_INTERVAL_S + 1.0
 BLUE_GANG = replace(spec(7, 4.0, 10.0, is_gang=True), team="blue")  # 28 CPUs, and its limit is 24
 ARRAY = spec(3, 4.0, 10.0)
 
@@ -73,7 +78,7 @@
     [
         (lambda: reported(record(BLUE_GANG)), WaitReason.OVER_LIMIT),
         (lambda: reported(record(ARRAY, assignments={"a": {0}})), WaitReason.IN_SHARD_QUEUE),
-        (lambda: reported(record(ARRAY), 2, status_age_s=7.0), WaitReason.SHARD_NOT_HEARD),
+        (lambda: reported(record(ARRAY), 2, status_age_s=7.0), WaitReason.SHARD_WITHOUT_CONTACT),
         (
             lambda: reported(
                 record(spec(1, 4.0, 10.0, is_gang=True), gang=PLACED),
@@ -83,7 +88,7 @@
         ),
         (
             lambda: reported(record(spec(2, 4.0, 10.0, is_gang=True)), coming=True),
-            WaitReason.MACHINES_COMING,
+            WaitReason.MACHINES_STARTING,
         ),
         (lambda: reported(record(spec(2, 4.0, 10.0, is_gang=True))), WaitReason.NO_SLOT),
     ],
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -12,13 +12,13 @@
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.core.leader.shard_capacity import EndGroup, ShardCapacity
 from dapplewick.core.leader.shard_reservation import (
-    HOPELESS_S,
-    MOST_S,
+    COOLDOWN_S,
+    MAX_OVERDUE_S,
+    MAX_RESERVATION_S,
     OVERDUE_S,
-    PAUSE_S,
     ShardReservation,
 )
-from dapplewick.core.leader.slot_selection import ONE_GROUP_TIMES, fit_behind
+from dapplewick.core.leader.slot_selection import ONE_GROUP_LIMIT_FACTOR, fit_behind
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol.cloud import MachineType, encode_machine_types
 from dapplewick.protocol.workers import Heartbeat
@@ -85,8 +85,8 @@
 
 def test_gangs_that_may_preempt_array_tasks_need_no_slots_kept() -> None:
     kept = demand(records(gang_rank=2))
-    assert kept.kept_slots(True) == 0.0
-    assert not kept.applies(ARRAY_TASKS)
+    assert kept.reserved_slots(True) == 0.0
+    assert not kept.is_restricted(ARRAY_TASKS)
 
 
 def launched(machines: dict[str, str]) -> dict[str, int]:
@@ -133,7 +133,7 @@
     for count, expected in ((16, sixteen), (7, eight), (2, two)):
         assert fit_behind([], groups, count, 20.0) == expected.capacities[:count]
     # One that ends too late is no place to wait, however well it fits.
-    late = EndGroup(20.0 * ONE_GROUP_TIMES + 1.0, eight.capacities)
+    late = EndGroup(20.0 * ONE_GROUP_LIMIT_FACTOR + 1.0, eight.capacities)
     assert fit_behind([], [sixteen, late], 8, 20.0) == sixteen.capacities[:8]
 
 
@@ -152,29 +152,29 @@
         """How many shards are open to the gangs after one that found no room, in a new pass."""
         reservation.begin()
         assert reservation.open_shards(rooms) == rooms  # to the gangs before it, all
-        reservation.ask(wall_time, big, waited, of, 20.0)
-        reservation.ask(wall_time, big, OVERDUE_S, of[::-1], 20.0)  # one shard at a time
+        reservation.request(wall_time, big, waited, of, 20.0)
+        reservation.request(wall_time, big, OVERDUE_S, of[::-1], 20.0)  # one shard at a time
         return len(reservation.open_shards(rooms))
 
     def alone(wall_time: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
         reservation.begin()
-        reservation.ask(wall_time, big, waited, of, 20.0)
+        reservation.request(wall_time, big, waited, of, 20.0)
         return len(reservation.open_shards(rooms))
 
     assert alone(0.0, OVERDUE_S - 1.0) == 2
-    assert alone(0.0, HOPELESS_S) == 2  # so late that others go first
+    assert alone(0.0, MAX_OVERDUE_S) == 2  # so late that others go first
     assert alone(0.0, OVERDUE_S, two_shards(5)) == 2  # no shard will ever hold all of it
     assert open_after(0.0, OVERDUE_S) == 1
     # One that helps goes on; one that does not ends, and for a while there is none: idle slots
     # are not kept for ever.
-    assert open_after(MOST_S - 1.0, OVERDUE_S) == 1
+    assert open_after(MAX_RESERVATION_S - 1.0, OVERDUE_S) == 1
     reservation.begin()
-    reservation.placed(MOST_S, {ShardName("a")})
-    reservation.ask(MOST_S, big, OVERDUE_S, rooms, 20.0)
-    assert open_after(2 * MOST_S - 1.0, OVERDUE_S) == 1
-    assert open_after(2 * MOST_S, OVERDUE_S) == 2
-    assert open_after(2 * MOST_S + PAUSE_S - 0.1, OVERDUE_S) == 2
-    assert open_after(2 * MOST_S + PAUSE_S, OVERDUE_S) == 1
+    reservation.record_placement(MAX_RESERVATION_S, {ShardName("a")})
+    reservation.request(MAX_RESERVATION_S, big, OVERDUE_S, rooms, 20.0)
+    assert open_after(2 * MAX_RESERVATION_S - 1.0, OVERDUE_S) == 1
+    assert open_after(2 * MAX_RESERVATION_S, OVERDUE_S) == 2
+    assert open_after(2 * MAX_RESERVATION_S + COOLDOWN_S - 0.1, OVERDUE_S) == 2
+    assert open_after(2 * MAX_RESERVATION_S + COOLDOWN_S, OVERDUE_S) == 1
 
 
 @pytest.mark.parametrize(
