--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -136,9 +136,9 @@
             )
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
-                leader.provisioning_answered(name, parse_provisioned_machines(answer))
+                leader.record_provisioning_response(name, parse_provisioned_machines(answer))
             elif status == 400 or (status == 503 and b"no capacity" in answer):
-                leader.provisioning_answered(name, None)
+                leader.record_provisioning_response(name, None)
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_PAUSE_S)
@@ -152,7 +152,7 @@
         try:
             status, _ = await self._call("POST", "/hosts/delete", encode_deletion_request(machines))
             if status == 200:
-                leader.machines_deleted(machines)
+                leader.record_deleted_machines(machines)
                 # What was on them can start elsewhere once the records say that they are gone.
                 self._leadership.wake(at_once=True)
             else:
@@ -167,7 +167,7 @@
         status, answer = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
-                leader.catalog(parse_catalog(answer))
+                leader.receive_catalog(parse_catalog(answer))
                 self._leadership.wake()
                 return True
         except Exception as err:  # noqa: BLE001 a bad catalogue must not end the other calls
@@ -188,6 +188,6 @@
                 if not page.more or not page.machines or len(machines) > MAX_LISTED:
                     break
                 since = page.machines[-1].machine
-            leader.machines_listed(self._now(), MachineList(machines))
+            leader.receive_machine_list(self._now(), MachineList(machines))
         except Exception as err:  # noqa: BLE001 a bad list must not end the other calls
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -187,7 +187,7 @@
         """Give the planner the statuses of this process's own shards."""
         for name, scheduler in self.owned_shards.schedulers.items():
             base = self.confirmations.base(name, scheduler.token)
-            number = planner.shard_status(now, scheduler.status(now, base))
+            number = planner.receive_shard_status(now, scheduler.status(now, base))
             self.confirmations.confirm(
                 name, Confirmation(scheduler.token, self.identity.incarnation, number)
             )
--- a/src/dapplewick/controller/leader_writer.py
+++ b/src/dapplewick/controller/leader_writer.py
@@ -87,4 +87,4 @@
                 await self._write_batch(epoch, now, [change])
             return
         if self._leadership.planner is not None:
-            self._leadership.planner.written(now, batch)
+            self._leadership.planner.record_writes(now, batch)
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -76,7 +76,7 @@
         if planner is None:
             return
         status = peers.decode(message, ShardStatus)
-        number = planner.shard_status(self.now(), status)
+        number = planner.receive_shard_status(self.now(), status)
         self.leadership.pass_wake.set()
         self.exchange.confirm_status(status, number)
 
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -140,7 +140,7 @@
         self._updated_at: Seconds | None = None
         self._begun_at = 0.0
         self._seen: dict[JobId, None] = {}
-        self.spec: JobSpec | None = None
+        self.latest_spec: JobSpec | None = None
         self.resources = NO_RESOURCES
         self.priority = 0
         self.slots = 0.0
@@ -175,7 +175,7 @@
                 in_the_way = max(in_the_way, spec.priority)
             if spec.is_gang and job_id not in self._seen:
                 self._seen[job_id] = None
-                self.spec = spec
+                self.latest_spec = spec
                 self.resources = spec.resources
                 self.priority = spec.priority
                 # Gangs that were there before this controller looked first are not new.
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -100,9 +100,11 @@
             arrays.setdefault(need, []).append(array)
         for alike in arrays.values():
             requests += self._array_requests(wall_time, alike)
-        if self._gangs.spec is not None and self._gangs.slots >= MIN_GANG_SLOTS:
+        if self._gangs.latest_spec is not None and self._gangs.slots >= MIN_GANG_SLOTS:
             # Idle slots for gangs still to come: provisioning when they are here is too late.
-            requests.append(CapacityRequest(self._gangs.spec, math.ceil(self._gangs.slots), False))
+            requests.append(
+                CapacityRequest(self._gangs.latest_spec, math.ceil(self._gangs.slots), False)
+            )
         # Accelerators first: gangs then see what CPUs these leave of the machines to come.
         requests.sort(key=lambda request: request.spec.gpus == 0)
         return requests
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -174,7 +174,7 @@
 
     # Inputs
 
-    def shard_status(self, now: Seconds, status: ShardStatus) -> int:
+    def receive_shard_status(self, now: Seconds, status: ShardStatus) -> int:
         """Take over a shard's status; see `ObservedShards.receive`."""
         return self._observed.receive(now, status)
 
@@ -187,24 +187,24 @@
         self.contacts.note_owners(now)
         return self.contacts.unheard(now)
 
-    def provisioning_answered(self, name: str, machines: list[MachineId] | None) -> None:
+    def record_provisioning_response(self, name: str, machines: list[MachineId] | None) -> None:
         """Note which machines the cloud gave for a provisioning request; None if it refused."""
         self.provisioned[name] = machines
 
-    def machines_deleted(self, machines: Iterable[MachineId]) -> None:
+    def record_deleted_machines(self, machines: Iterable[MachineId]) -> None:
         """Note that the cloud has deleted these machines."""
         self.machine_lifecycle.were_deleted(machines)
 
-    def machines_listed(self, now: Seconds, listing: MachineList) -> None:
+    def receive_machine_list(self, now: Seconds, listing: MachineList) -> None:
         """Take over the cloud's newest list of machines."""
         self.machine_lifecycle.were_listed(now, listing)
 
-    def catalog(self, types: list[MachineType]) -> None:
+    def receive_catalog(self, types: list[MachineType]) -> None:
         """Take over the cloud's catalogue."""
         self._machine_types.catalog = types
         self._provisioner.catalog(types)
 
-    def written(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
+    def record_writes(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
         """Note that these changes are stored."""
         for change in changes:
             job_id = job_of(change.key)
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -325,7 +325,7 @@
             await controller.peers.run()
         shards: list[Any] = []
         if leader is not None:
-            leader.catalog(list(controller.cache.types.values()))
+            leader.receive_catalog(list(controller.cache.types.values()))
             unreachable = leader.unreachable_shards()
             shards = neutral(
                 [
--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -91,7 +91,7 @@
         at = 3.0 + step
         status = bench.scheduler.status(at)
         recorder.record("part_status", part="a", message=peers.encode(status))
-        leader.shard_status(at, status)
+        leader.receive_shard_status(at, status)
         leader.plan(at, at)
         for name in bench.names[step::4]:
             commands = bench.heartbeat(name, at, set(list(bench.on[name])[: step % 3]))
--- a/tests/unit/test_invariants.py
+++ b/tests/unit/test_invariants.py
@@ -37,7 +37,7 @@
     at = 0.0
     while at < until_s:
         if heard:
-            planner.shard_status(at, shard_status({}, int(at) + 1, at))
+            planner.receive_shard_status(at, shard_status({}, int(at) + 1, at))
         planner.plan(at, at)
         yield at
         at += PASS_S
@@ -79,7 +79,7 @@
     while at < 3 * RELEASE_TIMEOUT_S:
         status = shard_status({}, int(at) + 1, at)
         status.unreconciled = unreconciled
-        leader.shard_status(at, status)
+        leader.receive_shard_status(at, status)
         leader.plan(at, at)
         at += PASS_S
     wanted = {} if unreconciled else {Invariant.LIMITS_ARE_RELEASED: 1}
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -165,7 +165,7 @@
     gangs = [(tasks, float(n)) for n, tasks in enumerate(sizes)]
     for n, (tasks, at) in enumerate(gangs):
         cache.put(f"dw/j/run-{n}", JobRecord(spec(tasks, 4.0, 10.0, True), at).dump(), 100 + n)
-    scheduler.shard_status(
+    scheduler.receive_shard_status(
         1.0,
         shard_status(machines),
     )
--- a/tests/unit/test_wait_reasons.py
+++ b/tests/unit/test_wait_reasons.py
@@ -58,7 +58,7 @@
     }
     status = shard_status(machines, 1, AT - status_age_s)
     status.gangs = {JOB: gang} if gang is not None else {}
-    planner.shard_status(AT - status_age_s, status)
+    planner.receive_shard_status(AT - status_age_s, status)
     planner.plan(AT, AT)
     return planner.wait_reasons.groups
 
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -206,7 +206,7 @@
             for n in range(6)
         }
         status = shard_status(machines, number, now)
-        scheduler.shard_status(now, status)
+        scheduler.receive_shard_status(now, status)
         found = set()
         for change in scheduler.plan(now, now):
             if change.key.startswith(JOBS) and change.value.get("gang"):
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -62,12 +62,12 @@
     """Only a confirmed status is a base, so what a lost one told is told again."""
     bench = busy_shard(20)
     leader = leader_of(bench, 1.0)
-    confirmed = leader.shard_status(3.0, bench.scheduler.status(3.0))
+    confirmed = leader.receive_shard_status(3.0, bench.scheduler.status(3.0))
     one, two = bench.names[-1], bench.names[-2]
     bench.heartbeat(one, 3.5, {next(iter(bench.on[one]))})
     bench.scheduler.status(3.6, confirmed)  # never arrives
     bench.heartbeat(two, 3.7, {next(iter(bench.on[two]))})
-    leader.shard_status(3.8, bench.scheduler.status(3.8, confirmed))
+    leader.receive_shard_status(3.8, bench.scheduler.status(3.8, confirmed))
     shard = next(iter(leader.shards.values()))
 
     def rooms(machines: dict[Any, Any]) -> dict[Any, Any]:
@@ -76,8 +76,8 @@
     assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8).machines)
     # A leader that has nothing can't use an incremental status, and says so.
     fresh = leader_of(bench, 4.0)
-    assert fresh.shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
-    assert fresh.shard_status(4.1, bench.scheduler.status(4.1)) > 0
+    assert fresh.receive_shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
+    assert fresh.receive_shard_status(4.1, bench.scheduler.status(4.1)) > 0
     assert rooms(next(iter(fresh.shards.values())).machines) == rooms(shard.machines)
 
 
@@ -87,7 +87,7 @@
     def cost(machines: int, gangs: int) -> int:
         bench = busy_shard(machines)
         leader = leader_of(bench, 3.0)
-        leader.shard_status(3.0, bench.scheduler.status(3.0))
+        leader.receive_shard_status(3.0, bench.scheduler.status(3.0))
         for n in range(gangs):
             asked = JobRecord(spec(machines * 4, 4.0, 30.0, is_gang=True), 3.0)
             bench.put(f"dw/j/run-w{n}", asked.dump())
@@ -158,7 +158,7 @@
 
     def placed(now: float) -> GangPlacement | None:
         bench.cache.revision = Revision(bench.version)
-        leader.shard_status(now, bench.scheduler.status(now))
+        leader.receive_shard_status(now, bench.scheduler.status(now))
         for change in leader.plan(now, now):
             if change.key == "dw/j/run-g":
                 bench.put(change.key, change.value)
@@ -182,7 +182,7 @@
     provisioning_request = {"type": "k", "zone": "a", "spot": False, "count": 2, "at": 0.0}
     bench.put("dw/b/r-9-1", provisioning_request)
     leader = leader_of(bench, 1.0)
-    leader.provisioning_answered("r-9-1", [MachineId("vm-1"), MachineId("vm-2")])
+    leader.record_provisioning_response("r-9-1", [MachineId("vm-1"), MachineId("vm-2")])
     changes = leader.plan(2.0, 2.0)
     assert [c.key for c in changes] == ["dw/m/r-9-1", "dw/b/r-9-1"]
     assert set(changes[0].value["machines"]) == {"vm-1", "vm-2"}
@@ -204,7 +204,7 @@
     bench.put("dw/j/run-s", JobRecord(spec(2, 1.0, 100.0), 0.0).dump())
 
     def assigned(now: float) -> bool:
-        leader.shard_status(now, bench.scheduler.status(now))
+        leader.receive_shard_status(now, bench.scheduler.status(now))
         return any(c.key == "dw/j/run-s" for c in leader.plan(now, now))
 
     assert not assigned(10.0)
@@ -232,7 +232,7 @@
 
     def placed(now: float) -> bool:
         bench.scheduler.tick(now)
-        leader.shard_status(now, bench.scheduler.status(now))
+        leader.receive_shard_status(now, bench.scheduler.status(now))
         return any(c.key == "dw/j/run-g" for c in leader.plan(now, now))
 
     assert not placed(10.0)
