--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -43,7 +43,7 @@
         self._fitting_attempts: dict[JobId, int] = {}  # whose placement fits into the record
         self._stored_at: dict[JobId, Seconds] = {}
 
-    def written(self, now: Seconds, job_id: JobId) -> None:
+    def record_write(self, now: Seconds, job_id: JobId) -> None:
         """Note that a key of this job is stored."""
         self._stored_at[job_id] = now
 
@@ -144,7 +144,7 @@
             else:
                 self._fitting_attempts[job_id] = gang.attempt
 
-    def convert(self) -> list[ConditionalWrite]:
+    def conversion_writes(self) -> list[ConditionalWrite]:
         """Cut arrays whose records may outgrow a value into chunks, a few writes at a time.
 
         They were written before chunks were known. First come the chunks, which nobody reads yet,
@@ -200,7 +200,7 @@
             known = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
         return known
 
-    def leftovers(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
+    def obsolete_key_removals(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
         """The removal of keys of jobs that nothing reads any more."""
         unread: list[str] = []
         for job_id in [*self._cache.chunks, *self._cache.placements]:
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -209,7 +209,7 @@
         for change in changes:
             job_id = job_of(change.key)
             if job_id is not None:
-                self._job_writes.written(now, job_id)
+                self._job_writes.record_write(now, job_id)
             elif change.key.startswith(MACHINES):
                 self.machine_lifecycle.written(now, change.key[len(MACHINES) :])
 
@@ -326,9 +326,9 @@
 
     def _job_changes(self, now: Seconds) -> list[ConditionalWrite]:
         """The writes for all drafts of jobs, and those that cut or tidy up their records."""
-        changes = self._job_writes.convert()
+        changes = self._job_writes.conversion_writes()
         for job_id in self._job_writes.oversized_placements():
             self._drafts.edit(job_id, WritePriority.NORMAL)
         for job_id, (job, priority) in self._drafts.items():
             changes += self._job_writes.changes(now, job_id, job, priority)
-        return changes + self._job_writes.leftovers(self._drafts.job_ids())
+        return changes + self._job_writes.obsolete_key_removals(self._drafts.job_ids())
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -445,7 +445,7 @@
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(JobRecord, "outgrows", lambda _, __, ___: False)
-    patch.setattr(JobWrites, "convert", lambda _: [])
+    patch.setattr(JobWrites, "conversion_writes", lambda _: [])
 
 
 @pytest.mark.parametrize("patch", [the_format_is_raised_by_guess, no_chunks])
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -194,13 +194,13 @@
 def write_cut(given: Any) -> Any:
     """The keys of a job that is cut into chunks."""
     writes, _, _ = _draft_of(given)
-    return _changes(writes.convert())
+    return _changes(writes.conversion_writes())
 
 
 def write_leftovers(given: Any) -> Any:
     """The removal of keys that nothing reads any more."""
     writes, _, _ = _draft_of(given)
-    return _changes(writes.leftovers([]))
+    return _changes(writes.obsolete_key_removals([]))
 
 
 def write_widened(given: Any) -> Any:
