--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -99,7 +99,7 @@
         limits = deployment.state.lowest()
         zones = deployment.zones
         self._cache = cache
-        self._names = {settings.host_name, *(p.host_name for p in settings.peers)}
+        self._controller_names = {settings.host_name, *(p.host_name for p in settings.peers)}
         self._zones = zones
         self._heartbeat_s = deployment.workers.report_s
         self._ids = TermIds(epoch)
@@ -314,7 +314,7 @@
         understood = min(
             (
                 self._cache.understood.get(ControllerName(name), FIRST_FORMAT)
-                for name in self._names
+                for name in self._controller_names
             ),
             default=FIRST_FORMAT,
         )
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -437,7 +437,7 @@
     raised = LeaderPlanner._raise_format
 
     def hasty(self: LeaderPlanner) -> Any:
-        self._names = set()
+        self._controller_names = set()
         return raised(self)
 
     patch.setattr(LeaderPlanner, "_raise_format", hasty)
