--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -1,4 +1,4 @@
-"""Which shard gets which tasks of the pending arrays: the design's first point."""
+"""Assignment of the tasks of pending arrays to shards (point 1 of `docs/design.md`)."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from dapplewick.storage.write_priority import WritePriority
 from dapplewick.types import JobId, ShardName, Zone, zone_of
 
-LEAST_QUEUED = 2  # tasks that may be queued in a shard, beyond its idle slots
-QUEUED_FRACTION = 0.15  # and so many more for each that runs there
+BASE_QUEUE_LIMIT = 2  # tasks queued in a shard beyond its idle slots
+QUEUE_LIMIT_PER_RUNNING_TASK = 0.15  # additional queued tasks per running array task
 
 
-class _Shape(NamedTuple):
-    """What decides for which tasks the idle slots are the same."""
+class _SlotShape(NamedTuple):
+    """The properties of a task that determine which idle slots fit it."""
 
     placement_key: PlacementKey
     image: str
 
 
 class ArrayAssignment:
-    """Assigns tasks to shards by their idle slots, and a few more for their queues."""
+    """Assigns tasks to the idle slots of shards, and a few more tasks to the shards' queues."""
 
     def __init__(
         self, drafts: JobDrafts, quotas: TeamQuotas, shards: ObservedShards, gangs: GangDemand
@@ -36,7 +36,7 @@
         self._quotas = quotas
         self._shards = shards
         self._gangs = gangs
-        self._first_open: dict[JobId, int] = {}  # all tasks below this number are complete
+        self._first_incomplete: dict[JobId, int] = {}  # all lower tasks are complete
 
     def assign(
         self,
@@ -46,15 +46,16 @@
     ) -> None:
         """Draft the assignments of this pass.
 
-        Slots go first to work whose image is on the machine: a fetch keeps them from all work.
+        Slots are assigned first to work whose image is already on the machine, because no task can
+        use a slot while an image is fetched for it.
 
         Args:
-            shard_capacities: What this pass has left free; the slots that are given are taken.
-            pending: The arrays and services that want slots, in the order in which they get them.
-            overdue: Those of which one task goes before all others.
+            shard_capacities: The free capacity in this pass; assigned slots are deducted from it.
+            pending: The arrays and services that need slots, in the order in which they are served.
+            overdue: The arrays of which one task is assigned before all other tasks.
         """
         queue_capacity = self._queue_capacity(shard_capacities)
-        self._assign_in_order(overdue, shard_capacities, queue_capacity, most=1)
+        self._assign_in_order(overdue, shard_capacities, queue_capacity, limit=1)
         self._assign_in_order(pending, shard_capacities, queue_capacity, only_with_image=True)
         self._assign_in_order(pending, shard_capacities, queue_capacity)
 
@@ -64,23 +65,23 @@
         shard_capacities: list[ShardCapacity],
         queue_capacity: dict[ShardName, int],
         only_with_image: bool = False,
-        most: int | None = None,
+        limit: int | None = None,
     ) -> None:
-        """Give each array its slots, and at most so many of its tasks, as long as there are any."""
-        # Where one job got less than it wanted, one of the same shape gets none.
-        full: set[_Shape] = set()
+        """Assign slots to at most `limit` tasks of each array, in order, until none are free."""
+        # If one job receives fewer slots than it needs, no slot is free for jobs of the same shape.
+        exhausted: set[_SlotShape] = set()
         for array in arrays:
             if array.unassigned <= 0:
                 continue
             spec = array.job.spec
-            shape = _Shape(spec.placement_key, spec.image if only_with_image else "")
-            if shape in full:
+            shape = _SlotShape(spec.placement_key, spec.image if only_with_image else "")
+            if shape in exhausted:
                 continue
-            split = self._split(array, shard_capacities, queue_capacity, only_with_image, most)
+            split = self._split(array, shard_capacities, queue_capacity, only_with_image, limit)
             if split is None:
                 continue
-            if split.left > 0 and not (spec.same_zone or spec.spread):
-                full.add(shape)
+            if split.remaining > 0 and not (spec.same_zone or spec.spread):
+                exhausted.add(shape)
             if split.total() > 0:
                 self._draft(array.job_id, split)
 
@@ -90,22 +91,22 @@
         shard_capacities: list[ShardCapacity],
         queue_capacity: dict[ShardName, int],
         only_with_image: bool,
-        most: int | None,
+        limit: int | None,
     ) -> _Split | None:
-        """Take slots for a job's tasks; None if it has none left or its team's limit is reached."""
+        """Reserve slots for a job; None if all tasks are assigned or its team is at its limit."""
         job = self._drafts.current(array.job_id)
         spec = job.spec
         assigned = sum(len(tasks) for tasks in job.assignments.values())
         unassigned = spec.task_count - len(job.done) - assigned
         wanted = min(unassigned, self._quotas.within_limit(spec))
-        if most is not None:
-            wanted = min(wanted, most)
+        if limit is not None:
+            wanted = min(wanted, limit)
         if wanted <= 0:
             return None
         split = _Split(job, shard_capacities, wanted)
-        split.take_idle(self._gangs, only_with_image)
+        split.assign_idle_slots(self._gangs, only_with_image)
         if not only_with_image:
-            split.take_more(queue_capacity)
+            split.assign_beyond_idle_slots(queue_capacity)
         return split
 
     def _draft(self, job_id: JobId, split: _Split) -> None:
@@ -114,19 +115,19 @@
         draft = self._drafts.edit(job_id, WritePriority.NORMAL)
         for shard, count in split.counts.items():
             if count:
-                mine, tasks = tasks[:count], tasks[count:]
-                draft.assignments[shard] = draft.assigned(shard) | set(mine)
-        self._quotas.spend(job.spec, total)
+                shard_tasks, tasks = tasks[:count], tasks[count:]
+                draft.assignments[shard] = draft.assigned(shard) | set(shard_tasks)
+        self._quotas.charge(job.spec, total)
 
     def _next_tasks(self, job_id: JobId, job: JobRecord, count: int) -> list[int]:
-        """The first tasks that are neither complete nor assigned, at most so many."""
+        """Return the first `count` tasks, or fewer, that are neither complete nor assigned."""
         assigned: set[int] = set()
         for tasks in job.assignments.values():
             assigned |= tasks
-        first = self._first_open.get(job_id, 0)
+        first = self._first_incomplete.get(job_id, 0)
         while first < job.spec.task_count and first in job.done:
             first += 1
-        self._first_open[job_id] = first
+        self._first_incomplete[job_id] = first
         found: list[int] = []
         index = first
         while len(found) < count and index < job.spec.task_count:
@@ -136,7 +137,7 @@
         return found
 
     def _queue_capacity(self, shard_capacities: list[ShardCapacity]) -> dict[ShardName, int]:
-        """How many more tasks may be queued in each shard."""
+        """Return how many more tasks may be queued in each shard."""
         queue_capacity = {}
         for shard in shard_capacities:
             observed = self._shards.by_name[shard.shard]
@@ -146,18 +147,18 @@
                 assigned = job.assignments.get(shard.shard)
                 if assigned and not job.spec.is_service:
                     queued += max(0, len(assigned) - observed.placed(job_id))
-            most = int(LEAST_QUEUED + QUEUED_FRACTION * running)
-            queue_capacity[shard.shard] = max(0, most - queued)
+            limit = int(BASE_QUEUE_LIMIT + QUEUE_LIMIT_PER_RUNNING_TASK * running)
+            queue_capacity[shard.shard] = max(0, limit - queued)
         return queue_capacity
 
 
 class _Split:
-    """How many of a job's tasks each shard gets, within the limit of each zone.
+    """The number of a job's tasks assigned to each shard, within the job's limit for each zone.
 
     Attributes:
-        job: The job as it stands in this pass.
-        counts: The tasks for each shard, in the order in which shards were chosen.
-        left: Tasks that no shard has got.
+        job: The job with the changes of this pass.
+        counts: The number of tasks for each shard, in the order in which shards were chosen.
+        remaining: The number of tasks that are assigned to no shard.
     """
 
     def __init__(self, job: JobRecord, shard_capacities: list[ShardCapacity], wanted: int) -> None:
@@ -167,53 +168,54 @@
         shards = [s for s in shard_capacities if any(c.allows(spec) for c in s.capacities)]
         if spec.same_zone:
             shards = _in_one_zone(job, shards)
-        # A partition that is kept for its teams goes before what all use; else idle slots decide.
+        # Shards reserved for certain teams precede shared shards; then most idle slots first.
         shards.sort(key=lambda s: (s.teams is None, -s.idle_slots(spec)))
         self._shards = shards
-        self._zone_left = {s.zone: spec.zone_cap - job.assigned_in_zone(s.zone) for s in shards}
+        self._zone_remaining = {
+            s.zone: spec.zone_cap - job.assigned_in_zone(s.zone) for s in shards
+        }
         self.counts: dict[ShardName, int] = {}
-        self.left = wanted
+        self.remaining = wanted
 
     def total(self) -> int:
-        """How many tasks were given to shards."""
+        """Return how many tasks were assigned to shards."""
         return sum(self.counts.values())
 
-    def take_idle(self, gangs: GangDemand, only_with_image: bool) -> None:
-        """Give shards tasks for their idle slots, less those that are kept for gangs."""
+    def assign_idle_slots(self, gangs: GangDemand, only_with_image: bool) -> None:
+        """Assign tasks to the shards' idle slots, except slots reserved for gangs."""
         for shard in self._shards:
             shard.keep_for_gangs(gangs, self._shard_fraction)
-            most = min(self.left, self._zone_left[shard.zone])
+            limit = min(self.remaining, self._zone_remaining[shard.zone])
             self.counts[shard.shard] = 0
-            self._give(shard, shard.take_most(self._spec, most, only_with_image))
+            self._assign(shard, shard.take_most(self._spec, limit, only_with_image))
 
-    def take_more(self, queue_capacity: dict[ShardName, int]) -> None:
-        """Give shards tasks for their queues, or replicas for which they preempt others."""
+    def assign_beyond_idle_slots(self, queue_capacity: dict[ShardName, int]) -> None:
+        """Assign tasks to the shards' queues, or replicas that preempt work of lower priority."""
         for shard in self._shards:
-            most = min(self.left, self._zone_left[shard.zone])
+            limit = min(self.remaining, self._zone_remaining[shard.zone])
             if self._spec.is_service:
-                # No replica waits in a queue; work of lower priority gives way to it.
-                count = shard.take_preempting(self._spec, most)
+                # Replicas are not queued; they preempt work of lower priority.
+                count = shard.take_preempting(self._spec, limit)
             else:
-                count = max(0, min(most, queue_capacity[shard.shard]))
+                count = max(0, min(limit, queue_capacity[shard.shard]))
                 queue_capacity[shard.shard] -= count
-            self._give(shard, count)
+            self._assign(shard, count)
 
-    def _give(self, shard: ShardCapacity, count: int) -> None:
+    def _assign(self, shard: ShardCapacity, count: int) -> None:
         self.counts[shard.shard] += count
-        self._zone_left[shard.zone] -= count
-        self.left -= count
+        self._zone_remaining[shard.zone] -= count
+        self.remaining -= count
 
 
 def _in_one_zone(job: JobRecord, shards: list[ShardCapacity]) -> list[ShardCapacity]:
-    """The shards of the zone in which tasks of this job are, else of the one with most slots."""
+    """Return the shards in the zone of the job's assigned tasks, else of most idle slots."""
     zones = {zone_of(name) for name, tasks in job.assignments.items() if tasks}
     if not zones and shards:
-        zones = {_widest_zone(shards, job.spec)}
+        zones = {_zone_with_most_idle_slots(shards, job.spec)}
     return [shard for shard in shards if shard.zone in zones]
 
 
-def _widest_zone(shards: list[ShardCapacity], spec: JobSpec) -> Zone:
-    """The zone with most idle slots for this work."""
+def _zone_with_most_idle_slots(shards: list[ShardCapacity], spec: JobSpec) -> Zone:
     idle: dict[Zone, int] = {}
     for shard in shards:
         idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle_slots(spec)
--- a/src/dapplewick/core/leader/array_order.py
+++ b/src/dapplewick/core/leader/array_order.py
@@ -1,4 +1,4 @@
-"""The order in which arrays and services are served."""
+"""The order in which pending arrays and services are served."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import JobId, Seconds
 
-UNAIMED_WAIT_S = 90.0  # work without objectives lets gangs with some go first for this long
-# Users expect the largest jobs of a class to begin within four minutes. Of a job that has waited
-# for half of that without a task one goes first: the rest of the time is for a slot to come free.
+NO_OBJECTIVE_WAIT_S = 90.0  # arrays without objectives yield to gangs with objectives for this time
+# Users expect the largest jobs of a class to start within 240 s. An array that has waited for half
+# of that without a task has one task assigned before all others; the other 120 s allow for a slot
+# to become idle.
 OVERDUE_S = 120.0
 
 
 class PendingArray(NamedTuple):
-    """An open array or service, and how many of its tasks are assigned to no shard."""
+    """An open array or service, and how many of its tasks are not assigned to any shard."""
 
     job_id: JobId
     job: JobRecord
@@ -28,10 +29,10 @@
 
 
 class DueTime(NamedTuple):
-    """When a job should be complete; what has missed fewer objectives compares lower."""
+    """When a job should be complete; fewer missed objectives compare lower."""
 
-    missed: int  # objectives that it can't reach any more
-    at: Seconds
+    missed: int  # number of objectives that the job can no longer meet
+    due_at: Seconds
 
 
 class ArrayOrder:
@@ -43,18 +44,18 @@
         quotas: TeamQuotas,
         estimates: Estimates,
         objectives: Iterable[Objective],
-        aimed_classes: frozenset[str],
+        classes_with_objectives: frozenset[str],
         tuning: Tuning,
     ) -> None:
         self._drafts = drafts
         self._quotas = quotas
         self._estimates = estimates
         self._objectives = list(objectives)
-        self._aimed_classes = aimed_classes
+        self._classes_with_objectives = classes_with_objectives
         self._class_weights = tuning.class_weights
 
     def pending(self, wall_time: Seconds) -> list[PendingArray]:
-        """All open arrays and services, in the order in which they are served."""
+        """Return all open arrays and services, in the order in which they are served."""
         jobs = [
             (job_id, job)
             for job_id, job in self._drafts.live_jobs()
@@ -71,23 +72,25 @@
                 -array.job.spec.priority,
                 array.job_id not in within,
                 -self._class_weights.get(array.job.spec.job_class, 1.0),
-                self._due(array.job, wall_time),
+                self._due_time(array.job, wall_time),
                 array.job.submitted_at,
                 array.job_id,
             )
         )
         return pending
 
-    def behind_gangs(self, wall_time: Seconds, pending: list[PendingArray]) -> list[PendingArray]:
-        """Without the work that has no objectives, while gangs wait that have some.
+    def eligible(self, wall_time: Seconds, pending: list[PendingArray]) -> list[PendingArray]:
+        """Return the work that may be assigned; arrays without objectives yield to waiting gangs.
 
-        Its tasks would take each slot before enough are idle for a gang.
+        An array without objectives yields for `NO_OBJECTIVE_WAIT_S` while a gang with objectives
+        waits. Otherwise its tasks would use each idle slot before enough slots are idle for the
+        gang.
         """
         gang_waits = any(
             job.spec.is_gang
             and job.open
             and job.gang is None
-            and job.spec.job_class in self._aimed_classes
+            and job.spec.job_class in self._classes_with_objectives
             for _, job in self._drafts.live_jobs()
         )
         if not gang_waits:
@@ -95,16 +98,16 @@
         return [
             array
             for array in pending
-            if array.job.spec.job_class in self._aimed_classes
+            if array.job.spec.job_class in self._classes_with_objectives
             or array.job.spec.is_service
-            or wall_time - array.job.submitted_at > UNAIMED_WAIT_S
+            or wall_time - array.job.submitted_at > NO_OBJECTIVE_WAIT_S
         ]
 
     def overdue(self, wall_time: Seconds, pending: Iterable[PendingArray]) -> list[PendingArray]:
-        """Arrays of which nothing has begun for too long, in the order in which they came.
+        """Return arrays that have waited too long without a task, by priority and age.
 
-        Work that can still be in time goes before late work, so that not all is late under load.
-        While more comes than there is room for, late work would never begin.
+        Work that can still meet its objectives is served before late work, so that overload does
+        not make all work late. Without this list, late work would never start while overload lasts.
         """
         overdue = [
             array
@@ -122,11 +125,11 @@
             ),
         )
 
-    def _due(self, job: JobRecord, wall_time: Seconds) -> DueTime:
-        """The first of a job's objectives that it can still reach.
+    def _due_time(self, job: JobRecord, wall_time: Seconds) -> DueTime:
+        """Return the due time of the first objective that the job can still meet.
 
-        Late work goes behind work that is still in time, or under load the most overdue would make
-        everything late.
+        Late work follows work that is still in time. Otherwise, under overload, serving the most
+        overdue work first would make all work late.
         """
         earliest = wall_time + self._estimates.run_time(job.spec)
         missed = 0
@@ -137,7 +140,7 @@
         return DueTime(missed, float("inf"))
 
     def _objective_times(self, job: JobRecord) -> set[Seconds]:
-        """Within which times after its submission the job should be complete."""
+        """Return the times after its submission within which the job should be complete."""
         spec = job.spec
         times_s = set() if spec.deadline_s is None else {spec.deadline_s}
         for objective in self._objectives:
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -1,4 +1,4 @@
-"""Where a waiting gang goes: the design's second point, over the leader's view of the shards."""
+"""Placement of one waiting gang by the leader (point 2 of `docs/design.md`)."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds, Zone
 
-LONG_RESERVATION_S = 10.0  # after a longer one, more machines are wanted for the gang
+LONG_RESERVATION_S = 10.0  # for a gang with a longer reservation, more machines are provisioned
 
 
-class _ReservedSlots(NamedTuple):
-    """Slots that a gang could reserve, and how long until all are idle."""
+class _ReservationOption(NamedTuple):
+    """Slots that a gang could reserve, and the time until all of them are idle."""
 
     wait_s: Seconds
     slots: ChosenSlots
@@ -30,17 +30,17 @@
 def place_gang(
     spec: JobSpec, shards: Iterable[ShardCapacity], limit_s: Seconds, patience_s: Seconds
 ) -> ChosenSlots | None:
-    """Choose the machines of a gang's tasks, or None if it has to wait; takes nothing yet.
+    """Choose machines for a gang's tasks, or return None if the gang has to wait; reserves nothing.
 
-    The design's order: the idle slots of one shard, else busy slots of one shard that are reserved
-    until all are idle, else idle slots of several shards. Sums over machines come first, and they
-    are kept for gangs that are alike; machines are chosen only where there are enough slots.
+    The order of preference is: idle slots of one shard, then busy slots of one shard that are
+    reserved until all are idle, then idle slots of several shards. Slot totals, which are memoized
+    by slot shape, are checked first; machines are chosen only if there are enough slots.
 
     Args:
         spec: The gang.
-        shards: The shards in which it may be placed.
-        limit_s: No slot is reserved that is busy for longer than this.
-        patience_s: A longer wait is cut short by preempting work of lower priority.
+        shards: The shards in which the gang may be placed.
+        limit_s: Slots that are busy for longer than this are not reserved.
+        patience_s: Longer waits are shortened by preempting work of lower priority.
     """
     shards = list(shards)
     if spec.zone_cap >= spec.task_count:
@@ -48,9 +48,9 @@
         if slots is not None:
             return slots
     if not spec.same_zone:
-        return _span(spec, shards)
+        return _span_shards(spec, shards)
     for zone in dict.fromkeys(shard.zone for shard in shards):
-        slots = _span(spec, [shard for shard in shards if shard.zone == zone])
+        slots = _span_shards(spec, [shard for shard in shards if shard.zone == zone])
         if slots is not None:
             return slots
     return None
@@ -60,11 +60,11 @@
     spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, patience_s: Seconds
 ) -> ChosenSlots | None:
     idle = _idle_in_one_shard(spec, shards)
-    return idle if idle is not None else _reserve(spec, shards, limit_s, patience_s)
+    return idle if idle is not None else _soonest_reservation(spec, shards, limit_s, patience_s)
 
 
 def _idle_in_one_shard(spec: JobSpec, shards: list[ShardCapacity]) -> ChosenSlots | None:
-    """Idle slots of the shard in which fewest accelerators stand beside them unneeded."""
+    """Choose idle slots in the shard where they leave the fewest accelerators unused."""
     best: list[MachineCapacity] | None = None
     best_gpus = 0.0
     for shard in shards:
@@ -79,25 +79,25 @@
     return ChosenSlots(best, False) if best is not None else None
 
 
-def _reserve(
+def _soonest_reservation(
     spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, patience_s: Seconds
 ) -> ChosenSlots | None:
-    """Slots of the shard in which all of them are idle soonest."""
-    best: _ReservedSlots | None = None
+    """Choose slots to reserve in the shard where all of them become idle soonest."""
+    best: _ReservationOption | None = None
     for shard in shards:
         slots = _reservable_slots(spec, shard, limit_s, patience_s)
         if slots is None:
             continue
         wait_s = _wait_s(spec, slots)
         if best is None or wait_s < best.wait_s:
-            best = _ReservedSlots(wait_s, slots)
+            best = _ReservationOption(wait_s, slots)
     return best.slots if best is not None else None
 
 
 def _reservable_slots(
     spec: JobSpec, shard: ShardCapacity, limit_s: Seconds, patience_s: Seconds
 ) -> ChosenSlots | None:
-    # Slots behind long work are no place to wait: those that are idle already would stay so.
+    # Slots that are busy with long work are not reserved: the gang's idle slots would stay unused.
     count = spec.task_count
     if shard.runs_below(spec.priority):
         if shard.slots_within(spec, limit_s) < count:
@@ -110,7 +110,7 @@
 
 
 def _wait_s(spec: JobSpec, slots: ChosenSlots) -> Seconds:
-    """How long until the last of these machines has a slot."""
+    """Return the time until the last of these machines has a slot."""
     longest_s = 0.0
     for capacity in slots.capacities:
         wait = capacity.slot_wait(spec)
@@ -119,20 +119,22 @@
     return longest_s
 
 
-def _span(spec: JobSpec, shards: list[ShardCapacity]) -> ChosenSlots | None:
-    """Idle slots of several shards, in each zone no more than the gang may have there."""
+def _span_shards(spec: JobSpec, shards: list[ShardCapacity]) -> ChosenSlots | None:
+    """Choose idle slots across shards, in each zone at most the gang's limit per zone."""
     idle: dict[Zone, int] = {}
     for shard in shards:
         idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle_slots(spec)
     if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.task_count:
         return None
     chosen: list[MachineCapacity] = []
-    left = dict.fromkeys(idle, spec.zone_cap)
+    zone_remaining = dict.fromkeys(idle, spec.zone_cap)
     for shard in sorted(shards, key=lambda s: -s.idle_slots(spec)):
-        most = min(spec.task_count - len(chosen), left[shard.zone], shard.idle_slots(spec))
-        if most > 0:
-            found = fit_all(shard.machines_for(spec), spec, most) or []
-            left[shard.zone] -= len(found)
+        limit = min(
+            spec.task_count - len(chosen), zone_remaining[shard.zone], shard.idle_slots(spec)
+        )
+        if limit > 0:
+            found = fit_all(shard.machines_for(spec), spec, limit) or []
+            zone_remaining[shard.zone] -= len(found)
             chosen += found
         if len(chosen) == spec.task_count:
             return ChosenSlots(chosen, False)
--- a/src/dapplewick/core/leader/job_drafts.py
+++ b/src/dapplewick/core/leader/job_drafts.py
@@ -1,4 +1,4 @@
-"""Drafts of job records: what a pass of the leader has decided and not yet written."""
+"""Drafts of job records: changes that a planning pass of the leader has decided but not written."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class JobDraft(NamedTuple):
-    """A job's next record, and the most urgent of the reasons to write it."""
+    """A job's next record, and the highest priority of the reasons to write it."""
 
     job: JobRecord
     priority: WritePriority
 
 
 class JobDrafts:
-    """The job records as this pass sees them: its drafts, else what is stored."""
+    """The job records in a planning pass: its drafts, or the stored record of other jobs."""
 
     def __init__(self, cache: WatchCache) -> None:
         self._cache = cache
         self._drafts: dict[JobId, JobDraft] = {}
 
     def clear(self) -> None:
-        """Forget all drafts; what was not written is found again."""
+        """Discard all drafts; the next pass derives again the changes that were not written."""
         self._drafts.clear()
 
     def edit(self, job_id: JobId, priority: WritePriority) -> JobRecord:
-        """The draft of a job, to be changed; it is written with at least this priority."""
+        """Return a job's draft for changes, to be written with at least this priority."""
         draft = self._drafts.get(job_id)
         if draft is None:
             draft = JobDraft(self._cache.jobs[job_id].copy(), priority)
@@ -40,19 +40,19 @@
         return draft.job
 
     def current(self, job_id: JobId) -> JobRecord:
-        """A job as it stands in this pass; not to be changed."""
+        """Return a job with the changes of this pass; callers must not change it."""
         draft = self._drafts.get(job_id)
         return draft.job if draft is not None else self._cache.jobs[job_id]
 
     def live_jobs(self) -> Iterator[tuple[JobId, JobRecord]]:
-        """All live jobs as they stand in this pass, in the order in which they came."""
+        """Yield all live jobs with the changes of this pass, in order of arrival."""
         for job_id in self._cache.live_jobs:
             yield job_id, self.current(job_id)
 
     def job_ids(self) -> KeysView[JobId]:
-        """The jobs that are drafted."""
+        """Return the jobs that have a draft."""
         return self._drafts.keys()
 
     def items(self) -> Iterator[tuple[JobId, JobDraft]]:
-        """All drafts, in the order in which they were begun."""
+        """Yield all drafts, in order of creation."""
         yield from self._drafts.items()
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -1,8 +1,8 @@
-"""Drafts of job records as writes that fit the limits of the state service.
+"""Writes of drafted job records, within the limits of the state service.
 
-A record that may outgrow a value is kept in several keys: an array's tasks in chunks, the placement
-of a long gang in pieces. Which keys are written in which order decides what a leader that ends on
-the way leaves behind; each step is harmless if the next never comes.
+A record that may exceed the size of a value is split over several keys: an array's tasks into
+chunks, the placement of a long gang into pieces. The order of the writes determines what remains if
+the leader fails between them; each write is harmless if the next one never follows.
 """
 
 from __future__ import annotations
@@ -23,58 +23,60 @@
 
 log = logging.getLogger(__name__)
 
-PROGRESS_S = 1.0  # completed tasks of an unfinished job are stored at most this often
-CHUNKS_AT_ONCE = 2.0  # a job of which more chunks changed stores its progress less often
-MOST_CONVERTING = 2  # jobs whose records are cut into chunks at the same time
-MOST_CONVERSION_WRITES = 6  # and writes for it in one pass
-LONG_GANG_TASKS = 8  # placements of gangs with fewer tasks always fit into one value
-PIECE_BYTES = 60  # of the value of a piece of a placement, beside its tasks
+PROGRESS_INTERVAL_S = 1.0  # minimum interval between progress writes of an unfinished job
+CHUNKS_PER_INTERVAL = 2.0  # with more changed chunks the interval grows in proportion
+MAX_CONVERTING_JOBS = 2  # jobs whose records are split into chunks at the same time
+MAX_CONVERSION_WRITES = 6  # per pass, to split records and likewise to remove obsolete keys
+LONG_GANG_TASKS = 8  # placements of smaller gangs always fit into one value
+PIECE_OVERHEAD_BYTES = 60  # of a placement piece, besides its tasks
 
 
 class JobWrites:
-    """The writes for drafts of job records, within the lower of all limits."""
+    """Builds the writes for drafts of job records, within the lowest configured value size."""
 
     def __init__(self, cache: WatchCache, shard_names: list[str], value_bytes: int) -> None:
         self._cache = cache
         self._shard_names = shard_names
         self._value_bytes = value_bytes
-        self._converting: set[JobId] = set()  # jobs whose records are being cut in this pass
-        self._outgrows: dict[JobId, bool] = {}  # memo
-        self._fitting_attempts: dict[JobId, int] = {}  # whose placement fits into the record
+        self._converting: set[JobId] = set()  # jobs whose records are being split in this pass
+        self._outgrows: dict[JobId, bool] = {}  # memoized: record may exceed the value size
+        self._fitting_attempts: dict[
+            JobId, int
+        ] = {}  # attempts whose placement fits into the record
         self._stored_at: dict[JobId, Seconds] = {}
 
     def record_write(self, now: Seconds, job_id: JobId) -> None:
-        """Note that a key of this job is stored."""
+        """Record that a key of this job has been stored."""
         self._stored_at[job_id] = now
 
     def changes(
         self, now: Seconds, job_id: JobId, job: JobRecord, priority: WritePriority
     ) -> list[ConditionalWrite]:
-        """The writes for a draft: of the record, or of the keys that it is kept in.
+        """Return the writes for a draft, of one record or of the keys that it is split into.
 
         Args:
-            now: The steady clock.
+            now: The monotonic clock, in seconds.
             job_id: The job.
-            job: Its draft; a long gang's placement is cut into pieces in it.
-            priority: The rank of the writes.
+            job: The job's draft; changed if a long gang's placement is split into pieces.
+            priority: The priority of the writes.
         """
         old = self._cache.jobs[job_id]
         if job_id in self._converting and job.stage == old.stage:
             return []
-        since_s = now - self._stored_at.get(job_id, 0.0)
+        elapsed_s = now - self._stored_at.get(job_id, 0.0)
         if job.chunk_size:
-            return self._chunked_changes(since_s, job_id, job, old, priority)
-        if priority == WritePriority.PROGRESS and since_s < PROGRESS_S:
+            return self._chunked_changes(elapsed_s, job_id, job, old, priority)
+        if priority == WritePriority.PROGRESS and elapsed_s < PROGRESS_INTERVAL_S:
             return []
         pieces = self._split_placement(job_id, job, priority)
         value = job.dump(self._value_bytes)
         if self._cache.format >= FORMAT_NOW and encoded_size(value) > self._value_bytes:
-            return []  # it is cut first; what is not written is found again
+            return []  # the record is split first; the next pass derives this write again
         return [*pieces, ConditionalWrite(JOBS + job_id, value, job.main_version, priority)]
 
     def _chunked_changes(
         self,
-        since_s: Seconds,
+        elapsed_s: Seconds,
         job_id: JobId,
         job: JobRecord,
         old: JobRecord,
@@ -87,8 +89,8 @@
         if job.stage == DONE:
             return changes
         changed = sorted(job.chunks_changed(old))
-        pause_s = PROGRESS_S * max(1.0, len(changed) / CHUNKS_AT_ONCE)
-        if priority == WritePriority.PROGRESS and since_s < pause_s:
+        interval_s = PROGRESS_INTERVAL_S * max(1.0, len(changed) / CHUNKS_PER_INTERVAL)
+        if priority == WritePriority.PROGRESS and elapsed_s < interval_s:
             return changes
         for number in changed:
             chunk = f"{CHUNKS}{job_id}/{number}"
@@ -104,9 +106,9 @@
     def _split_placement(
         self, job_id: JobId, job: JobRecord, priority: WritePriority
     ) -> list[ConditionalWrite]:
-        """The keys for a long gang's placement, written before the record that names their number.
+        """Return writes of a long gang's placement, which precede the record with the piece count.
 
-        They name the attempt: what a leader that ended on the way left behind is not read.
+        Each piece contains the attempt, so that pieces left behind by a failed leader are ignored.
         """
         gang = job.gang
         if gang is None or gang.placement_keys or self._cache.format < FORMAT_NOW:
@@ -114,8 +116,11 @@
         if encoded_size(job.dump()) <= self._value_bytes:
             return []
         longest = max(encoded_size(placement) + 1 for placement in gang.placements)
-        most = max(1, (self._value_bytes - PIECE_BYTES) // longest)
-        pieces = [gang.placements[i : i + most] for i in range(0, len(gang.placements), most)]
+        piece_tasks = max(1, (self._value_bytes - PIECE_OVERHEAD_BYTES) // longest)
+        pieces = [
+            gang.placements[i : i + piece_tasks]
+            for i in range(0, len(gang.placements), piece_tasks)
+        ]
         job.gang = msgspec.structs.replace(gang, placement_keys=len(pieces))
         changes = []
         for number, placements in enumerate(pieces):
@@ -125,11 +130,11 @@
         return changes
 
     def oversized_placements(self) -> Iterator[JobId]:
-        """Gangs whose placement was written into their own record when a value could hold more.
+        """Yield gangs whose placement is in their job record and no longer fits the value size.
 
-        They are to be written anew, with pieces. Guards against a cancellation that is refused
-        for its size: it keeps the placement, since tasks may still be there, and once the limit
-        has fallen it could not be written.
+        The caller writes these records again, with the placement in pieces. Otherwise, after the
+        size limit has been lowered, a cancellation would be rejected for its size: the cancelled
+        job's record keeps the placement, because tasks may still be running there.
         """
         if self._cache.format < FORMAT_NOW:
             return
@@ -145,12 +150,13 @@
                 self._fitting_attempts[job_id] = gang.attempt
 
     def conversion_writes(self) -> list[ConditionalWrite]:
-        """Cut arrays whose records may outgrow a value into chunks, a few writes at a time.
+        """Split array records that may exceed the value size into chunks, a few writes at a time.
 
-        They were written before chunks were known. First come the chunks, which nobody reads yet,
-        and when all are as the record says, the record itself. Only the leader changes either, but
-        for a cancellation, which makes the last write fail; meanwhile nothing else of the job is
-        changed. Each of these writes is small, so this goes on also when the limit has fallen.
+        These records were written before the format had chunks. The chunks, which no controller
+        reads yet, are written first, and once all chunks match the record, the record itself is
+        written. Only the leader changes chunks and record, apart from a cancellation, which makes
+        the last write fail; nothing else of the job is changed during the conversion. Each write is
+        small, so that the conversion also proceeds after the size limit has been lowered.
         """
         self._converting = set()
         if self._cache.format < FORMAT_NOW:
@@ -165,13 +171,20 @@
             ):
                 continue
             self._converting.add(job_id)
-            changes += self._conversion(job_id, job, MOST_CONVERSION_WRITES - len(changes))
-            if len(self._converting) >= MOST_CONVERTING or len(changes) >= MOST_CONVERSION_WRITES:
+            changes += self._next_conversion_writes(
+                job_id, job, MAX_CONVERSION_WRITES - len(changes)
+            )
+            if (
+                len(self._converting) >= MAX_CONVERTING_JOBS
+                or len(changes) >= MAX_CONVERSION_WRITES
+            ):
                 break
         return changes
 
-    def _conversion(self, job_id: JobId, job: JobRecord, most: int) -> list[ConditionalWrite]:
-        """The next writes, at most so many, that cut one job's record into chunks."""
+    def _next_conversion_writes(
+        self, job_id: JobId, job: JobRecord, limit: int
+    ) -> list[ConditionalWrite]:
+        """Return the next writes, at most `limit`, that split one job's record into chunks."""
         target = job.copy()
         target.chunk_size = chunk_tasks(job.spec.task_count, self._shard_names, self._value_bytes)
         wanted = target.chunk_values()
@@ -186,7 +199,7 @@
             ]
         unchanged = (Precondition(JOBS + job_id, job.main_version),)
         changes = []
-        for number in differ[:most]:
+        for number in differ[:limit]:
             key = f"{CHUNKS}{job_id}/{number}"
             version = self._cache.version(key)
             changes.append(
@@ -195,13 +208,13 @@
         return changes
 
     def _may_outgrow(self, job_id: JobId, job: JobRecord) -> bool:
-        known = self._outgrows.get(job_id)
-        if known is None:
-            known = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
-        return known
+        outgrows = self._outgrows.get(job_id)
+        if outgrows is None:
+            outgrows = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
+        return outgrows
 
     def obsolete_key_removals(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
-        """The removal of keys of jobs that nothing reads any more."""
+        """Return writes that remove keys of jobs that no controller reads any more."""
         unread: list[str] = []
         for job_id in [*self._cache.chunks, *self._cache.placements]:
             job = self._cache.jobs.get(job_id)
@@ -213,7 +226,7 @@
                 unread += [
                     f"{GANG_PLACEMENTS}{job_id}/{n}" for n in self._cache.placements.get(job_id, {})
                 ]
-        keys = list(dict.fromkeys(unread))[:MOST_CONVERSION_WRITES]
+        keys = list(dict.fromkeys(unread))[:MAX_CONVERSION_WRITES]
         return [
             ConditionalWrite(key, None, self._cache.version(key), WritePriority.PROGRESS)
             for key in keys
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -1,7 +1,7 @@
-"""Asserts that work which is over stops counting against its team's limit.
+"""Asserts that ended work stops counting against its team's limit.
 
-Assignments and gang placements count until every shard says that nothing of them is left. One that
-no shard ever gives back would keep its team from its limit for ever.
+Assignments and gang placements count until each shard reports that none of their tasks remain. An
+assignment or placement that a shard never releases would reduce its team's limit permanently.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 log = logging.getLogger(__name__)
 
-RELEASE_TIMEOUT_S = 60.0  # of time in which all shards were heard and no machine was waited for
+RELEASE_TIMEOUT_S = 60.0  # of time with contact to all shards and machines
 
 
 class LimitAudit:
-    """Watches jobs that are over and still hold a part of their team's limit."""
+    """Monitors ended jobs that still hold a part of their team's limit."""
 
     def __init__(
         self,
@@ -34,11 +34,11 @@
         self._shards = shards
         self._contacts = contacts
         self._invariants = invariants
-        self._held_s: dict[JobId, Seconds] = {}  # for how long, while nothing excused it
+        self._held_s: dict[JobId, Seconds] = {}  # while all shards and machines were in contact
         self._checked_at: Seconds | None = None
 
     def check(self, now: Seconds) -> None:
-        """Note what still holds a part of a limit; to be called once in each pass."""
+        """Update how long ended jobs have held limits; call once in each planning pass."""
         elapsed_s = now - self._checked_at if self._checked_at is not None else 0.0
         self._checked_at = now
         holders = {
@@ -47,16 +47,16 @@
             if not job.open and (job.assignments or job.gang is not None)
         }
         self._held_s = {job: held for job, held in self._held_s.items() if job in holders}
-        if not holders or not self._nothing_is_awaited(now):
+        if not holders or not self._all_in_contact(now):
             return
         for job_id, job in holders.items():
-            before_s = self._held_s.get(job_id, 0.0)
-            self._held_s[job_id] = before_s + elapsed_s
-            if before_s <= RELEASE_TIMEOUT_S < self._held_s[job_id]:
+            previous_s = self._held_s.get(job_id, 0.0)
+            self._held_s[job_id] = previous_s + elapsed_s
+            if previous_s <= RELEASE_TIMEOUT_S < self._held_s[job_id]:
                 self._report(job_id, job)
 
-    def _nothing_is_awaited(self, now: Seconds) -> bool:
-        """Whether every shard is heard, and every machine was heard by its shard."""
+    def _all_in_contact(self, now: Seconds) -> bool:
+        """Return whether all shards report to the leader and all machines to their shards."""
         return self._contacts.all_fresh(now) and all(
             not shard.latest.unreconciled and not shard.latest.silent
             for shard in self._shards.owned()
--- a/src/dapplewick/core/leader/load_log.py
+++ b/src/dapplewick/core/leader/load_log.py
@@ -1,4 +1,4 @@
-"""What there is and what waits, now and then, for those who look for a cause."""
+"""Periodic debug log of free capacity and waiting work, for fault diagnosis."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 log = logging.getLogger(__name__)
 
-LOAD_LOG_S = 10.0
+LOAD_LOG_INTERVAL_S = 10.0
 
 
 class LoadLog:
-    """Logs the load every few seconds, if anybody wants to read it."""
+    """Logs the load at a fixed interval if debug logging is enabled."""
 
     def __init__(self, drafts: JobDrafts, provisioner: Provisioner, now: Seconds) -> None:
         self._drafts = drafts
         self._provisioner = provisioner
         self._logged_at = now
 
-    def note(
+    def log_if_due(
         self,
         now: Seconds,
         wall_time: Seconds,
         shard_capacities: Iterable[ShardCapacity],
         pending: Iterable[PendingArray],
     ) -> None:
-        """Log the load if it is time for it."""
-        if not log.isEnabledFor(logging.DEBUG) or now - self._logged_at <= LOAD_LOG_S:
+        """Log the load if debug logging is enabled and the interval has elapsed."""
+        if not log.isEnabledFor(logging.DEBUG) or now - self._logged_at <= LOAD_LOG_INTERVAL_S:
             return
         self._logged_at = now
         unassigned: dict[str, int] = {}
@@ -51,7 +51,7 @@
 
 
 def _free_by_type(shard_capacities: Iterable[ShardCapacity]) -> dict[str, list[float]]:
-    """Of each machine type: machines, free CPUs, free accelerators."""
+    """Return machine count, free CPUs and free accelerators by machine type."""
     free: dict[str, list[float]] = {}
     for shard in shard_capacities:
         for machine in shard.capacities:
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -1,8 +1,9 @@
-"""The leader: it places waiting gangs, assigns array tasks to shards and sizes the cluster.
+"""The leader's planner: places waiting gangs, assigns array tasks to shards, sizes the cluster.
 
-Each pass looks at the records and the shards' newest statuses and says what to write; what was
-not written is simply found again by the next pass. The leader is the grid scheduler of the paper,
-"Job Scheduling in a Distributed System Using Backfilling with Inaccurate Runtime Computations".
+Each planning pass reads the stored records and the latest status of every shard, and returns the
+writes to make. The next pass derives again every write that was not made. The leader is the grid
+scheduler of the paper "Job Scheduling in a Distributed System Using Backfilling with Inaccurate
+Runtime Computations".
 """
 
 from __future__ import annotations
@@ -50,13 +51,13 @@
 
 
 class PartitionRebalancer(Protocol):
-    """What the leader needs of the partitions of zones, where there are any."""
+    """The leader's interface to the partitions of zones, for deployments that have partitions."""
 
     def note_waiting(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
-        """Note which jobs wait: they may wait for machines that are kept for other teams."""
+        """Record the waiting jobs, which may need machines reserved for other teams."""
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
-        """The teams whose work may come to a shard; None: all teams."""
+        """Return the teams whose work may run in a shard, or None for all teams."""
 
     def changes(
         self,
@@ -66,19 +67,19 @@
         placed: Set[MachineId],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
-        """The writes that move machines between partitions."""
+        """Return the writes that move machines between partitions."""
 
 
 class LeaderPlanner:
-    """Plans of one term of leadership.
+    """Plans the cluster during one term of leadership.
 
     Attributes:
-        shards: What is known of each shard.
-        contacts: How long ago each shard was heard.
-        wait_reasons: Why work waits.
-        machine_lifecycle: What is known of each machine, beside its record.
-        provisioned: The cloud's answers to provisioning requests.
-        partitions: Where zones have partitions, who moves machines between these.
+        shards: The reported state of each shard, by shard name.
+        contacts: The time since the last contact with the owner of each shard.
+        wait_reasons: The reasons why jobs wait.
+        machine_lifecycle: The state of each machine, apart from its stored record.
+        provisioned: The cloud's responses to provisioning requests, by request name.
+        partitions: Moves machines between partitions; None if zones have no partitions.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
         shard_names: list[str] | None = None,
         invariants: InvariantCounts | None = None,
     ) -> None:
-        # Long, but for one thing only: each piece is given what it needs, in one place to read.
+        # This constructor wires all components, so that one place shows their dependencies.
         tuning = tuning or Tuning()
         invariants = invariants or InvariantCounts()
         deployment = settings.deployment
@@ -112,7 +113,7 @@
             zones,
             epoch,
             tuning,
-            requests_per_pass=deployment.cloud.rps * SCALING_S / 2,  # deletions are calls too
+            requests_per_pass=deployment.cloud.rps * SCALING_S / 2,  # deletions share the limit
         )
         self.machine_lifecycle = MachineLifecycle(
             cache,
@@ -160,7 +161,7 @@
 
     @property
     def epoch(self) -> FencingToken:
-        """The fencing token under which the leader writes."""
+        """The fencing token of the leader's writes."""
         return self._ids.token
 
     @epoch.setter
@@ -169,43 +170,43 @@
 
     @property
     def types(self) -> list[MachineType]:
-        """The cloud's catalogue; empty until the cloud has answered."""
+        """The cloud's catalog of machine types; empty until the cloud has responded."""
         return self._machine_types.catalog
 
     # Inputs
 
     def receive_shard_status(self, now: Seconds, status: ShardStatus) -> int:
-        """Take over a shard's status; see `ObservedShards.receive`."""
+        """Apply a shard's status; see `ObservedShards.receive`."""
         return self._observed.receive(now, status)
 
     def unreachable_shards(self) -> set[ShardName]:
-        """Shards that want another owner; see `ObservedShards.unreachable`."""
+        """Return the shards that need another owner; see `ObservedShards.unreachable`."""
         return self._observed.unreachable()
 
     def shards_without_contact(self, now: Seconds) -> set[ShardName]:
-        """Shards whose owner can't reach this leader; see `ShardContacts.unheard`."""
+        """Return the shards whose owner cannot reach this leader, after recording all owners."""
         self.contacts.note_owners(now)
         return self.contacts.unheard(now)
 
     def record_provisioning_response(self, name: str, machines: list[MachineId] | None) -> None:
-        """Note which machines the cloud gave for a provisioning request; None if it refused."""
+        """Record the machines provisioned for a request; None if the cloud refused it."""
         self.provisioned[name] = machines
 
     def record_deleted_machines(self, machines: Iterable[MachineId]) -> None:
-        """Note that the cloud has deleted these machines."""
+        """Record that the cloud has deleted these machines."""
         self.machine_lifecycle.were_deleted(machines)
 
     def receive_machine_list(self, now: Seconds, listing: MachineList) -> None:
-        """Take over the cloud's newest list of machines."""
+        """Apply the cloud's latest list of machines."""
         self.machine_lifecycle.were_listed(now, listing)
 
     def receive_catalog(self, types: list[MachineType]) -> None:
-        """Take over the cloud's catalogue."""
+        """Store the cloud's catalog of machine types."""
         self._machine_types.catalog = types
         self._provisioner.catalog(types)
 
     def record_writes(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
-        """Note that these changes are stored."""
+        """Record that these changes have been stored."""
         for change in changes:
             job_id = job_of(change.key)
             if job_id is not None:
@@ -213,17 +214,17 @@
             elif change.key.startswith(MACHINES):
                 self.machine_lifecycle.written(now, change.key[len(MACHINES) :])
 
-    # The pass
+    # Planning pass
 
     def plan(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
-        """Decide what to write now.
+        """Run one planning pass.
 
         Args:
-            now: The steady clock.
-            wall_time: The wall clock, which is compared with times of submission.
+            now: The monotonic clock, in seconds.
+            wall_time: The wall clock, in seconds, which is compared with submission times.
 
         Returns:
-            The writes, those that matter most first.
+            The writes to make, by priority.
         """
         self._drafts.clear()
         self.contacts.note_owners(now)
@@ -240,11 +241,11 @@
         shard_capacities = self._capacity_view.of_pass(now, self._served_teams)
         self._waiting_gangs.place(wall_time, shard_capacities)
         pending = self._array_order.pending(wall_time)
-        eligible = self._array_order.behind_gangs(wall_time, pending)
+        eligible = self._array_order.eligible(wall_time, pending)
         self._array_assignment.assign(
             shard_capacities, eligible, self._array_order.overdue(wall_time, eligible)
         )
-        self.wait_reasons.note(
+        self.wait_reasons.update(
             now,
             wall_time,
             shard_capacities,
@@ -254,9 +255,9 @@
         types = self._machine_types.changes()
         requests = self._scaling.changes(now, wall_time, shard_capacities, pending)
         moves = self._partition_changes(now, wall_time)
-        # Machines before the end of the provisioning request that they came of: what the budget
-        # cuts off is the end of this list, and a machine without record or request is found only
-        # later.
+        # Machine records precede the removal of the provisioning request that created the machines.
+        # The write budget cuts off the end of this list; if it kept the removal and cut off the
+        # record, the machine would have neither and would only be discovered later.
         changes = [
             *self._raise_format(),
             *self.machine_lifecycle.changes(),
@@ -266,21 +267,21 @@
             *self._job_changes(now),
         ]
         changes.sort(key=lambda change: change.priority)
-        self._load_log.note(now, wall_time, shard_capacities, pending)
+        self._load_log.log_if_due(now, wall_time, shard_capacities, pending)
         return changes
 
     def _review_machines(self, now: Seconds, wall_time: Seconds) -> None:
-        """Look for machines that came up, turned out unknown, or have to go."""
+        """Detect machines that have started, are unknown or must be terminated."""
         statuses: dict[MachineId, MachineStatus] = {}
         silences: dict[MachineId, Silence] = {}
         for shard in self._observed.owned():
             statuses.update(shard.machines)
-            others_heard = shard.latest.heard_ago_s < self._heartbeat_s
-            # What a shard has not heard for long is told in full each time; a status that is
-            # itself old says less than its age.
+            others_reported = shard.latest.heard_ago_s < self._heartbeat_s
+            # Each status lists all machines without contact, not only the changed ones. An old
+            # status understates how long the machines have been without contact.
             for machine_id, silent in shard.latest.silent.items():
                 if not self._observed.has_moved(machine_id, shard):
-                    silence = Silence(silent.silent_s, silent.urgent, others_heard)
+                    silence = Silence(silent.silent_s, silent.urgent, others_reported)
                     silences[machine_id] = silence
         self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
 
@@ -288,10 +289,10 @@
         return self.partitions.served_teams(shard) if self.partitions is not None else None
 
     def _partition_changes(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
-        """Move machines between partitions.
+        """Return the writes that move machines between partitions.
 
-        After all else of this pass, so that no group is written for a move and for another reason
-        at once.
+        Called after the other planning steps, so that no record of a machine group is written both
+        for a move and for another reason in the same pass.
         """
         if self.partitions is None:
             return []
@@ -305,11 +306,11 @@
         )
 
     def _raise_format(self) -> list[ConditionalWrite]:
-        """Raise the format of the records once every controller understands the newer one.
+        """Raise the format of the records once every controller supports the newer format.
 
-        That is for good, since the record of it is a condition of nothing and read by all. So each
-        controller that is named in the settings has to be seen first: one that was not heard of
-        may yet come back with the older version.
+        The change is permanent: all controllers read the format record, and no write is conditional
+        on it. So each controller in the settings must have published the formats it supports, since
+        one that has not may still return with the older version.
         """
         understood = min(
             (
@@ -325,7 +326,7 @@
         return [ConditionalWrite(FORMAT, value, version, WritePriority.URGENT)]
 
     def _job_changes(self, now: Seconds) -> list[ConditionalWrite]:
-        """The writes for all drafts of jobs, and those that cut or tidy up their records."""
+        """Return the writes that store, split and clean up job records."""
         changes = self._job_writes.conversion_writes()
         for job_id in self._job_writes.oversized_placements():
             self._drafts.edit(job_id, WritePriority.NORMAL)
--- a/src/dapplewick/core/leader/quotas.py
+++ b/src/dapplewick/core/leader/quotas.py
@@ -1,4 +1,4 @@
-"""Teams' quotas: what each team uses, what its limit leaves, and what it is guaranteed."""
+"""Team quotas: each team's usage, remaining limit and guaranteed resources."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.types import NO_RESOURCES, JobId, Resources
 
-ROUNDING = 1e-6  # amounts are sums of floats, so limits are tested with this allowance
+ROUNDING_TOLERANCE = 1e-6  # for comparisons with sums of floats
 
 
-class _Withheld(NamedTuple):
-    """A part of a team's limit that is kept for a gang of this priority."""
+class _WithheldQuota(NamedTuple):
+    """A part of a team's limit that is reserved for a gang of this priority."""
 
     resources: Resources
     priority: int
 
 
 class TeamQuotas:
-    """The teams' usage in this pass, against their limits and guarantees."""
+    """Tracks the teams' usage in this pass against their limits and guarantees."""
 
     def __init__(self, teams: Iterable[Team], drafts: JobDrafts) -> None:
         self._teams = {team.name: team for team in teams}
         self._drafts = drafts
         self._usage: dict[str, Resources] = {}
-        self._withheld: dict[str, _Withheld] = {}
+        self._withheld: dict[str, _WithheldQuota] = {}
 
     def recount(self) -> None:
-        """Begin a pass: count what each team's tasks use or may still use."""
+        """Begin a pass: sum the resources of each team's assigned tasks, started or not."""
         self._usage = dict.fromkeys(self._teams, NO_RESOURCES)
         self._withheld.clear()
         for _, job in self._drafts.live_jobs():
@@ -43,36 +43,36 @@
                 self._usage[job.spec.team] = used.plus(job.resources.times(count))
 
     def within_limit(self, spec: JobSpec) -> int:
-        """How many more tasks of this job its team's limit allows; 0 for an unknown team."""
+        """Return how many more tasks of a job its team's limit allows; 0 for unknown teams."""
         team, used = self._teams.get(spec.team), self._usage.get(spec.team)
         if team is None or used is None:
             return 0
         withheld = self._withheld.get(spec.team)
         if withheld is not None and spec.priority <= withheld.priority and not spec.is_service:
             used = used.plus(withheld.resources)
-        most = spec.task_count
-        for limit, have, each in (
+        allowed = spec.task_count
+        for limit, in_use, per_task in (
             (team.cpus_max, used.cpus, spec.cpus),
             (team.gpus_max, used.gpus, spec.gpus),
         ):
-            if limit > 0 and each > 0:
-                most = min(most, int((limit - have + ROUNDING) / each))
-        return max(0, most)
+            if limit > 0 and per_task > 0:
+                allowed = min(allowed, int((limit - in_use + ROUNDING_TOLERANCE) / per_task))
+        return max(0, allowed)
 
-    def spend(self, spec: JobSpec, count: int) -> None:
-        """Count tasks that were assigned in this pass."""
+    def charge(self, spec: JobSpec, count: int) -> None:
+        """Add tasks that were assigned in this pass to their team's usage."""
         self._usage[spec.team] = self._usage[spec.team].plus(spec.resources.times(count))
 
     def withhold(self, spec: JobSpec) -> None:
-        """Keep the team's limit for all tasks of a gang, for the rest of this pass.
+        """Reserve the team's limit for all tasks of a gang until the end of this pass.
 
-        Services and work of higher priority are not held up by it.
+        The reservation does not apply to services and work of higher priority.
         """
         resources = spec.resources.times(spec.task_count)
-        self._withheld[spec.team] = _Withheld(resources, spec.priority)
+        self._withheld[spec.team] = _WithheldQuota(resources, spec.priority)
 
     def within_guarantee(self, jobs: Iterable[tuple[JobId, JobRecord]]) -> set[JobId]:
-        """Jobs that fit into their team's guarantee together with its earlier unfinished ones."""
+        """Return the jobs that, with earlier unfinished jobs of the team, fit its guarantee."""
         used: dict[str, Resources] = {}
         within = set()
         for job_id, job in sorted(jobs, key=lambda j: (j[1].submitted_at, j[0])):
@@ -80,8 +80,8 @@
             team = self._teams.get(spec.team)
             if team is None:
                 continue
-            left = spec.task_count - job.done_count
-            total = used.get(team.name, NO_RESOURCES).plus(spec.resources.times(left))
+            unfinished = spec.task_count - job.done_count
+            total = used.get(team.name, NO_RESOURCES).plus(spec.resources.times(unfinished))
             used[team.name] = total
             if _is_guaranteed(team, spec, total):
                 within.add(job_id)
@@ -89,7 +89,7 @@
 
 
 def _is_guaranteed(team: Team, spec: JobSpec, total: Resources) -> bool:
-    """Whether this total is in the guarantee: of accelerators for work with some, else of CPUs."""
+    """Return whether `total` fits the guarantee: accelerators if the work uses any, else CPUs."""
     if spec.gpus > 0:
-        return total.gpus <= team.gpus + ROUNDING
-    return spec.gpus == 0 and team.cpus > 0 and total.cpus <= team.cpus + ROUNDING
+        return total.gpus <= team.gpus + ROUNDING_TOLERANCE
+    return spec.gpus == 0 and team.cpus > 0 and total.cpus <= team.cpus + ROUNDING_TOLERANCE
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -1,4 +1,4 @@
-"""Which slots of a shard a gang takes or reserves."""
+"""Selection of the slots in a shard that a gang uses or reserves."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
-ONE_GROUP_LIMIT_FACTOR = 4.0  # behind one gang a longer wait is accepted than behind several
+ONE_GROUP_LIMIT_FACTOR = 4.0  # factor on the wait limit if one group frees all slots
 
 
 class ChosenSlots(NamedTuple):
-    """The machine of each task, and whether work of lower priority is preempted for them."""
+    """The machine of each task, and whether work of lower priority is preempted there."""
 
     capacities: list[MachineCapacity]
     preempt: bool
@@ -23,7 +23,7 @@
 def fit_all(
     capacities: Iterable[MachineCapacity], spec: JobSpec, count: int
 ) -> list[MachineCapacity] | None:
-    """Machines for `count` tasks in idle slots, or None; takes nothing yet."""
+    """Choose machines with idle slots for `count` tasks, or return None; reserves nothing."""
     eligible = sorted(
         (c for c in capacities if c.allows(spec) and c.slot_count(spec) > 0),
         key=lambda c: spare_key(c, spec),
@@ -37,12 +37,12 @@
 
 
 class _ReservableMachine(NamedTuple):
-    """A machine on which a gang may reserve slots; those that compare lowest are used first."""
+    """A machine on which a gang may reserve slots; lowest-comparing machines are used first."""
 
     unneeded_gpus: float
     wait_s: Seconds
     spare_key: SpareKey
-    position: int  # in the shard, so that no two compare equal and machines are never compared
+    position: int  # index in the shard; breaks ties, so that `capacity` is not compared
     capacity: MachineCapacity
 
 
@@ -53,14 +53,14 @@
     patience_s: Seconds,
     limit_s: Seconds,
 ) -> ChosenSlots | None:
-    """Slots to reserve for `count` tasks until all are idle, or None; takes nothing yet.
+    """Choose slots to reserve for `count` tasks until all are idle, or None; reserves nothing.
 
     Args:
         capacities: The machines of one shard.
         spec: The gang.
-        count: For how many tasks.
-        patience_s: A longer wait is cut short by preempting work of lower priority.
-        limit_s: Slots that would be busy for longer are left alone.
+        count: The number of tasks.
+        patience_s: Longer waits are shortened by preempting work of lower priority.
+        limit_s: Slots that are busy for longer than this are not used.
     """
     options = _reservable_machines(capacities, spec, patience_s, limit_s)
     chosen: list[MachineCapacity] = []
@@ -97,7 +97,7 @@
         if wait_s > limit_s:
             continue
         if preempting_s >= natural_s:
-            # Who is queued there has to wait longer; nobody does who is preempted.
+            # A reservation without preemption delays the tasks queued on the machine.
             wait_s += capacity.queue_length
         unneeded_gpus = capacity.total.gpus if spec.gpus == 0 else 0.0
         options.append(
@@ -110,11 +110,11 @@
 def fit_behind(
     idle: list[MachineCapacity], groups: list[EndGroup], count: int, limit_s: Seconds
 ) -> list[MachineCapacity] | None:
-    """Slots for a gang to reserve behind others, or None; takes nothing yet.
+    """Choose slots for a gang to reserve behind running gangs, or None; reserves nothing.
 
-    Behind one gang that is large enough nothing stands idle, however wrong its estimate is. Else
-    the fewest, largest groups: the more of them, the longer the last is waited for by all that
-    ended before it.
+    All slots of one large enough gang become idle together, so that no reserved slot stays idle
+    even if the run time estimate is wrong. Otherwise the fewest and largest groups are chosen: with
+    more groups, the slots of those that end early stay idle for longer until the last group ends.
     """
     enough = [
         group
@@ -122,7 +122,7 @@
         if len(group.capacities) >= count and group.wait <= ONE_GROUP_LIMIT_FACTOR * limit_s
     ]
     if enough:
-        # The smallest of them: the others stay whole for gangs that need as many slots.
+        # The smallest of these groups, so that larger groups stay available for larger gangs.
         return min(enough, key=lambda g: (len(g.capacities), g.wait)).capacities[:count]
     chosen: list[MachineCapacity] = []
     for group in sorted(groups, key=lambda g: (-len(g.capacities), g.wait)):
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -1,7 +1,7 @@
-"""Why work waits: one reason for each job, decided from the data of the pass that left it waiting.
+"""Reasons why jobs wait: one per job, from the data of the planning pass that did not start it.
 
-Operators see it in the log once a class, a team or the largest jobs of a class wait for long, and
-in the leader's status.
+The reasons are logged and shown in the leader's status when a class, a team or the largest jobs of
+a class wait for long.
 """
 
 from __future__ import annotations
@@ -26,33 +26,35 @@
 
 log = logging.getLogger(__name__)
 
-REPORT_INTERVAL_S = 10.0  # what waits is looked at this often
-LONG_WAIT_S = 60.0  # groups whose oldest job waits for less are not worth a line
-MOST_GROUPS = 6  # in a line, those that wait longest
-MOST_SHARDS = 8
+REPORT_INTERVAL_S = 10.0  # interval between inspections of the waiting jobs
+LONG_WAIT_S = 60.0  # groups whose oldest job has waited for less are not reported
+MAX_LOGGED_GROUPS = 6  # per log line, longest wait first
+MAX_LOGGED_SHARDS = 8  # per log line, oldest status first
 
 
 class WaitReason(StrEnum):
-    """What keeps a job from having a task on a machine."""
+    """Reason why a job has no task on a machine."""
 
-    IN_SHARD_QUEUE = "in_shard_queue"  # assigned to a shard, behind other work there
-    RESERVED_SLOTS_BUSY = "reserved_slots_busy"  # a gang that waits for the last of its slots
-    SHARD_WITHOUT_CONTACT = "shard_not_heard"  # some shard's capacity is not known
-    OVER_LIMIT = "over_limit"  # its team's limit, or what is withheld of it, leaves no room
-    BEHIND_OTHERS = "behind_others"  # there are slots, which go or are kept for other work
-    MACHINES_STARTING = "machines_coming"  # machines that it fits on are not up yet
-    NO_CAPACITY = "no_capacity"  # the cloud had no more machines for it
-    NO_SLOT = "no_slot"  # all slots of its size are taken
+    IN_SHARD_QUEUE = "in_shard_queue"  # assigned to a shard, queued behind other work
+    RESERVED_SLOTS_BUSY = (
+        "reserved_slots_busy"  # a gang waits until all its reserved slots are idle
+    )
+    SHARD_WITHOUT_CONTACT = "shard_not_heard"  # the capacity of some shard is unknown
+    OVER_LIMIT = "over_limit"  # exceeds its team's limit, less the withheld part
+    BEHIND_OTHERS = "behind_others"  # idle slots are reserved for other work
+    MACHINES_STARTING = "machines_coming"  # machines that fit the job are starting
+    NO_CAPACITY = "no_capacity"  # the cloud has no more machines that fit the job
+    NO_SLOT = "no_slot"  # all slots that fit the job are in use
 
 
 class WaitingGroup(NamedTuple):
-    """Jobs of a class, a team, or the largest of a class, that wait.
+    """Waiting jobs of a class or a team, or the largest waiting jobs of a class.
 
     Attributes:
         name: `class NAME`, `team NAME` or `largest NAME`.
-        oldest_s: how long the oldest has waited.
-        jobs: how many wait.
-        reasons: how many of them for which reason.
+        oldest_s: The wait of the oldest job, in seconds.
+        jobs: The number of waiting jobs.
+        reasons: The number of jobs by wait reason.
     """
 
     name: str
@@ -62,7 +64,7 @@
 
 
 class _WaitingJob(NamedTuple):
-    """One job that waits."""
+    """One waiting job."""
 
     job: JobRecord
     waited_s: Seconds
@@ -70,10 +72,10 @@
 
 
 class WaitReasons:
-    """Decides why jobs wait, and reports those that wait for long.
+    """Determines why jobs wait, and reports groups of jobs that have waited for long.
 
     Attributes:
-        groups: The groups that waited for long when they were looked at last.
+        groups: The groups that had waited for long at the latest inspection.
     """
 
     def __init__(
@@ -90,10 +92,10 @@
         self._shards = shards
         self._contacts = contacts
         self._quotas = quotas
-        self._reported_at = now
+        self._updated_at = now
         self.groups: list[WaitingGroup] = []
 
-    def note(
+    def update(
         self,
         now: Seconds,
         wall_time: Seconds,
@@ -101,24 +103,24 @@
         provisioner: Provisioner,
         unmet: Sequence[CapacityRequest],
     ) -> None:
-        """Look at what waits, if it is time for it, and log what waits for long.
+        """Inspect the waiting jobs, if the interval has elapsed, and log groups with long waits.
 
         Args:
-            now: The steady clock.
-            wall_time: The wall clock, which is compared with times of submission.
-            shard_capacities: What this pass has left free.
-            provisioner: Knows the machines that are provisioned and not up yet.
-            unmet: What nothing could be provisioned for.
+            now: The monotonic clock, in seconds.
+            wall_time: The wall clock, in seconds, which is compared with submission times.
+            shard_capacities: The capacity that this pass has left free.
+            provisioner: Lists the machines that are provisioned but have not started.
+            unmet: The capacity requests for which nothing could be provisioned.
         """
-        if now - self._reported_at < REPORT_INTERVAL_S:
+        if now - self._updated_at < REPORT_INTERVAL_S:
             return
-        self._reported_at = now
-        coming = provisioner.coming(wall_time)
+        self._updated_at = now
+        starting = provisioner.coming(wall_time)
         waiting = [
             _WaitingJob(
                 job,
                 wall_time - job.submitted_at,
-                self._reason(now, job, shard_capacities, coming, unmet),
+                self._reason(now, job, shard_capacities, starting, unmet),
             )
             for job_id, job in self._drafts.live_jobs()
             if self._waits(job_id, job)
@@ -128,7 +130,7 @@
             self._log(now)
 
     def _waits(self, job_id: JobId, job: JobRecord) -> bool:
-        """Whether no task of an open job is on a machine, as far as the shards have told."""
+        """Return whether, by the shards' reports, no task of an open job is on a machine."""
         if not job.open:
             return False
         if not job.spec.is_gang:
@@ -146,7 +148,7 @@
         now: Seconds,
         job: JobRecord,
         shard_capacities: Sequence[ShardCapacity],
-        coming: Sequence[MachineCapacity],
+        starting: Sequence[MachineCapacity],
         unmet: Sequence[CapacityRequest],
     ) -> WaitReason:
         spec = job.spec
@@ -161,7 +163,7 @@
             return WaitReason.OVER_LIMIT
         if sum(shard.idle_slots(spec) for shard in shard_capacities) >= wanted:
             return WaitReason.BEHIND_OTHERS
-        if any(machine.allows(spec) and machine.slot_count(spec) for machine in coming):
+        if any(machine.allows(spec) and machine.slot_count(spec) for machine in starting):
             return WaitReason.MACHINES_STARTING
         if any(request.spec.placement_key == spec.placement_key for request in unmet):
             return WaitReason.NO_CAPACITY
@@ -174,20 +176,20 @@
         )
         log.info(
             "event=work_waiting groups=%s status_age_s=%s revision=%d",
-            ",".join(_group_text(group) for group in self.groups[:MOST_GROUPS]),
-            ",".join(f"{shard}:{age_s:.1f}" for age_s, shard in ages[:MOST_SHARDS]),
+            ",".join(_group_text(group) for group in self.groups[:MAX_LOGGED_GROUPS]),
+            ",".join(f"{shard}:{age_s:.1f}" for age_s, shard in ages[:MAX_LOGGED_SHARDS]),
             self._cache.revision,
         )
 
 
 def _group_text(group: WaitingGroup) -> str:
-    """A group without spaces, for the log: name, age of the oldest, and counts by reason."""
+    """Format a group for the log, without spaces: name, oldest wait and counts by reason."""
     counts = "+".join(f"{reason}*{count}" for reason, count in group.reasons.items())
     return f"{group.name.replace(' ', '/')}:{group.oldest_s:.0f}s:{counts}"
 
 
 def _long_waits(waiting: Sequence[_WaitingJob]) -> list[WaitingGroup]:
-    """The groups whose oldest job waits for long, the longest wait first."""
+    """Return the groups whose oldest job has waited for long, longest wait first."""
     largest: dict[str, int] = {}
     for item in waiting:
         spec = item.job.spec
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -1,4 +1,4 @@
-"""The pass over the gangs that wait at the leader: the design's third point."""
+"""Placement of all gangs that wait at the leader (point 3 of `docs/design.md`)."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 log = logging.getLogger(__name__)
 
-# Idle slots may be reserved for this fraction of a gang's run time, or of its wait so far.
+# Idle slots may be reserved for this fraction of a gang's run time or wait, whichever is longer.
 RESERVATION_FRACTION = 0.25
 
 
 class WaitingGang(NamedTuple):
-    """An open gang that has no place."""
+    """An open gang that has not been placed."""
 
     job_id: JobId
     job: JobRecord
 
 
 class WaitingGangs:
-    """Places gangs: the largest that fits first, the oldest among equals, until none fits."""
+    """Places waiting gangs by priority, then largest first, then oldest first."""
 
     def __init__(
         self,
@@ -57,27 +57,30 @@
         self._patience_s = tuning.patience_s
         self._zones = zones
         self._ids = ids
-        self._reservation = ShardReservation()
+        self._shard_reservation = ShardReservation()
         self._limit_reservations = LimitReservations(quotas)
 
     def place(self, wall_time: Seconds, shard_capacities: list[ShardCapacity]) -> None:
-        """Draft the placements of this pass."""
-        self._reservation.begin()
+        """Draft the gang placements of this pass."""
+        self._shard_reservation.begin()
         self._limit_reservations.begin()
-        left = self._place_each(self._waiting(), wall_time, shard_capacities)
-        above = [gang for gang in left if gang.job.spec.priority > self._demand.priority]
-        if above and self._demand.wanted():
-            above = self._not_awaited(wall_time, above)
-        if above and self._demand.wanted():
-            # Nothing without accelerators is to be had soon, and this work goes before theirs.
+        unplaced = self._place_each(self._waiting(), wall_time, shard_capacities)
+        higher_priority = [
+            gang for gang in unplaced if gang.job.spec.priority > self._demand.priority
+        ]
+        if higher_priority and self._demand.wanted():
+            higher_priority = self._without_starting_machines(wall_time, higher_priority)
+        if higher_priority and self._demand.wanted():
+            # No machines without accelerators will be available soon, and these gangs have a higher
+            # priority than accelerator work, so they may use the resources reserved for it.
             for shard in shard_capacities:
                 shard.set_demand(None)
-            self._place_each(above, wall_time, shard_capacities)
+            self._place_each(higher_priority, wall_time, shard_capacities)
             for shard in shard_capacities:
                 shard.set_demand(self._demand)
 
     def _waiting(self) -> list[WaitingGang]:
-        """Gangs without a place, in the order in which they are tried."""
+        """Return the gangs without a placement, in the order in which they are tried."""
         waiting = [
             WaitingGang(job_id, job)
             for job_id, job in self._drafts.live_jobs()
@@ -96,8 +99,8 @@
     def _place_each(
         self, waiting: list[WaitingGang], wall_time: Seconds, shard_capacities: list[ShardCapacity]
     ) -> list[WaitingGang]:
-        """Place gangs in this order; gives those for which there were no slots."""
-        left = []
+        """Place gangs in this order, and return the gangs for which there were no slots."""
+        unplaced = []
         for gang in waiting:
             spec = gang.job.spec
             waited_s = wall_time - gang.job.submitted_at
@@ -105,35 +108,37 @@
                 self._limit_reservations.request(wall_time, spec, waited_s)
                 continue
             limit_s = self._reservation_limit_s(spec, waited_s)
-            open_shards = self._reservation.open_shards(shard_capacities)
+            open_shards = self._shard_reservation.open_shards(shard_capacities)
             slots = place_gang(spec, open_shards, limit_s, self._patience_s)
             if slots is None:
-                left.append(gang)
-                self._reservation.request(wall_time, spec, waited_s, shard_capacities, limit_s)
+                unplaced.append(gang)
+                self._shard_reservation.request(
+                    wall_time, spec, waited_s, shard_capacities, limit_s
+                )
             else:
-                self._take(gang, slots, wall_time, shard_capacities)
-        return left
+                self._assign(gang, slots, wall_time, shard_capacities)
+        return unplaced
 
     def _reservation_limit_s(self, spec: JobSpec, waited_s: Seconds) -> Seconds:
-        """For how long slots may be reserved that are idle while others are still busy."""
+        """Return how long idle slots may be reserved for a gang while its other slots are busy."""
         basis_s = max(waited_s, self._estimates.run_time(spec))
         return max(LONG_RESERVATION_S, RESERVATION_FRACTION * basis_s)
 
-    def _take(
+    def _assign(
         self,
         gang: WaitingGang,
         slots: ChosenSlots,
         wall_time: Seconds,
         shard_capacities: list[ShardCapacity],
     ) -> None:
-        """Take a gang's slots and draft its placement."""
+        """Assign slots to a gang and draft its placement."""
         by_name = {shard.shard: shard for shard in shard_capacities}
         for capacity in slots.capacities:
             by_name[capacity.shard].take([capacity], gang.job.resources)
-        self._reservation.record_placement(
+        self._shard_reservation.record_placement(
             wall_time, {capacity.shard for capacity in slots.capacities}
         )
-        self._quotas.spend(gang.job.spec, gang.job.spec.task_count)
+        self._quotas.charge(gang.job.spec, gang.job.spec.task_count)
         attempt = self._ids.next_attempt()
         placements = [(str(c.shard), str(c.id)) for c in slots.capacities]
         self._drafts.edit(gang.job_id, WritePriority.NORMAL).gang = GangPlacement(
@@ -147,27 +152,33 @@
             slots.preempt,
         )
 
-    def _not_awaited(self, wall_time: Seconds, gangs: list[WaitingGang]) -> list[WaitingGang]:
-        """Gangs for which no machines without accelerators are about to come up.
+    def _without_starting_machines(
+        self, wall_time: Seconds, gangs: list[WaitingGang]
+    ) -> list[WaitingGang]:
+        """Return the gangs that will not fit on machines without accelerators that are starting.
 
-        At the start of a day all come up together, and those that were there first kept gangs for
-        minutes.
+        When a cluster starts, machines of all types boot together. Gangs that were placed on the
+        accelerator machines that started first occupied them for minutes.
         """
-        coming = {Zone(zone): ShardCapacity(ShardName(zone), []) for zone in self._zones}
+        starting = {Zone(zone): ShardCapacity(ShardName(zone), []) for zone in self._zones}
         for capacity in self._provisioner.coming(wall_time):
-            if capacity.total.gpus == 0 and capacity.zone in coming:
-                coming[capacity.zone].add(capacity)
-        return [gang for gang in gangs if not _take_coming(gang.job.spec, list(coming.values()))]
+            if capacity.total.gpus == 0 and capacity.zone in starting:
+                starting[capacity.zone].add(capacity)
+        return [
+            gang
+            for gang in gangs
+            if not _reserve_starting_slots(gang.job.spec, list(starting.values()))
+        ]
 
 
-def _take_coming(spec: JobSpec, zones: list[ShardCapacity]) -> bool:
-    """Take slots for a gang on machines that come up; takes none where they are too few."""
+def _reserve_starting_slots(spec: JobSpec, zones: list[ShardCapacity]) -> bool:
+    """Reserve slots for a gang on starting machines, all or none; return whether it succeeded."""
     zones = sorted(zones, key=lambda zone: -zone.idle_slots(spec))
     slots = sum(zone.idle_slots(spec) for zone in zones)
     if not spec.same_zone and slots >= spec.task_count:
-        left = spec.task_count
+        remaining = spec.task_count
         for zone in zones:
-            left -= zone.take_most(spec, left)
+            remaining -= zone.take_most(spec, remaining)
         return True
     if zones and zones[0].idle_slots(spec) >= spec.task_count:
         zones[0].take_most(spec, spec.task_count)
