--- a/src/dapplewick/core/__init__.py
+++ b/src/dapplewick/core/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduling itself, as state machines without I/O."""
+"""The scheduling logic, as state machines without I/O."""
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -1,4 +1,4 @@
-"""What accelerator work, and gangs to come, need of machines that other work would fill."""
+"""Demand of accelerator work and of expected gangs, for which capacity is kept from other work."""
 
 from __future__ import annotations
 
@@ -9,64 +9,66 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds
 
-GANG_WINDOW_S = 45.0  # gang tasks that come in this time should find idle slots
-MEMORY_S = 60.0  # over this time the rate at which gangs come is counted
-LEAST_MEMORY_S = 5.0  # as if it had been counted for at least so long
-GANG_SPREAD = 1.5  # standard deviations of the gang tasks that come and go, which are kept idle
-UNAIMED_S = 60.0  # nothing is reserved for this long for work that has no objectives
-WANTED = 0.01  # of the accelerators: less is not worth reserving for
-SCARCE = 0.5  # of the accelerators
-SEEN_LEAST = 500  # gangs that have been counted, before those that are over are forgotten
-FADE_S = 20.0  # a demand for accelerators that has passed is believed in for about this long
-MIN_GANG_SLOTS = 0.5  # fewer idle slots than this are not worth keeping
+GANG_WINDOW_S = 45.0  # gang tasks that arrive within this time should find idle slots
+RATE_DECAY_S = 60.0  # decay time constant of the gang arrival rate
+MIN_RATE_WINDOW_S = 5.0  # minimum observation time for the arrival rate
+GANG_SLOT_DEVIATIONS = 1.5  # idle slots, in standard deviations of gang task arrivals and ends
+NO_OBJECTIVE_WAIT_S = 60.0  # nothing is reserved earlier for work without objectives
+MIN_WANTED_FRACTION = 0.01  # of all accelerators; nothing is reserved for less
+SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is wanted
+MIN_SEEN_GANGS = 500  # counted gangs above which ended ones are removed
+DEMAND_DECAY_S = 20.0  # decay time constant of a past accelerator demand
+MIN_GANG_SLOTS = 0.5  # nothing is reserved for a smaller demand
 
 
 class AcceleratorDemand:
-    """How many accelerators are wanted, and the CPUs and memory that go with each.
+    """The number of accelerators that are wanted, and the CPUs and memory that each needs.
 
-    A machine's accelerators are worth nothing without CPUs. Work that needs none of them may
-    use a machine's other resources only beyond what its wanted accelerators need.
+    A machine's accelerators are unusable without CPUs. Work without accelerators may use only the
+    CPUs and memory of a machine that its wanted accelerators do not need.
 
     Attributes:
-        priority: The highest of the work that wants accelerators; -1 if there is none.
+        priority: The highest priority of the work that wants accelerators; -1 without such work.
     """
 
-    def __init__(self, cache: WatchCache, aimed_classes: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self, cache: WatchCache, classes_with_objectives: frozenset[str] = frozenset()
+    ) -> None:
         self.cache = cache
-        self._aimed_classes = aimed_classes  # classes that have objectives
+        self._classes_with_objectives = classes_with_objectives  # classes that have objectives
         self._wanted = 0.0
         self._updated_at = 0.0
-        self._each = Resources(0.0, 1.0, 0.0)  # what goes with one accelerator
-        self._wanted_fraction = 0.0  # of all accelerators that are up
+        self._per_accelerator = Resources(0.0, 1.0, 0.0)  # resources needed with one accelerator
+        self._wanted_fraction = 0.0  # of all available accelerators
         self.priority = -1
 
     def update(self, now: Seconds, wall_time: Seconds) -> None:
-        """Sum up the demand of all open jobs; a demand that has passed fades.
+        """Sum the demand of all open jobs; past demand decays exponentially.
 
         Args:
-            now: The steady clock.
-            wall_time: The wall clock, which is compared with times of submission.
+            now: The monotonic clock, in seconds.
+            wall_time: The wall clock, in seconds, which is compared with submission times.
         """
         wanted = self._count_wanted(wall_time)
-        fade = math.exp(-max(0.0, now - self._updated_at) / FADE_S)
+        decay = math.exp(-max(0.0, now - self._updated_at) / DEMAND_DECAY_S)
         self._updated_at = now
-        self._wanted = max(wanted, self._wanted * fade)
-        have = self._count_up()
-        self._wanted_fraction = min(1.0, self._wanted / have) if have else 0.0
+        self._wanted = max(wanted, self._wanted * decay)
+        total = self._count_available()
+        self._wanted_fraction = min(1.0, self._wanted / total) if total else 0.0
 
     def _count_wanted(self, wall_time: Seconds) -> float:
-        """The accelerators that unfinished work wants; notes its priority and what goes with it."""
+        """Count the wanted accelerators; update the priority and needs of the work that wants them."""
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
         for _, job in self.cache.each_live():
             spec = job.spec
             if spec.gpus > 0 and job.open:
-                # Where users have objectives for other classes only, nothing is kept from those
-                # for this work, until it has waited for long.
+                # If only other classes have objectives, no resources are kept from their work for
+                # this job until the job has waited for long.
                 if (
-                    self._aimed_classes
-                    and spec.job_class not in self._aimed_classes
-                    and wall_time - job.submitted_at < UNAIMED_S
+                    self._classes_with_objectives
+                    and spec.job_class not in self._classes_with_objectives
+                    and wall_time - job.submitted_at < NO_OBJECTIVE_WAIT_S
                 ):
                     continue
                 self.priority = max(self.priority, spec.priority)
@@ -74,11 +76,11 @@
                 cpus = max(cpus, spec.cpus / spec.gpus)
                 ram_gb = max(ram_gb, spec.ram_gb / spec.gpus)
         if cpus or ram_gb:
-            self._each = Resources(cpus, 1.0, ram_gb)
+            self._per_accelerator = Resources(cpus, 1.0, ram_gb)
         return wanted
 
-    def _count_up(self) -> float:
-        """The accelerators of all machines that are up."""
+    def _count_available(self) -> float:
+        """Count the accelerators of all machines that are up and not terminating."""
         count = 0.0
         for record in self.cache.machines.values():
             machine_type = self.cache.types.get(record.type)
@@ -87,58 +89,60 @@
         return count
 
     def wanted(self) -> bool:
-        """Whether accelerators are wanted at all."""
-        return self._wanted_fraction > WANTED
+        """Return whether enough accelerators are wanted to reserve resources for them."""
+        return self._wanted_fraction > MIN_WANTED_FRACTION
 
     def scarce(self) -> bool:
-        """Whether most accelerators are wanted: what their work leaves goes to more of it."""
-        return self._wanted_fraction > SCARCE
+        """Return whether most accelerators are wanted; their CPUs then go to accelerator work."""
+        return self._wanted_fraction > SCARCE_FRACTION
 
     def resources_to_reserve(self, total: Resources, free: Resources) -> Resources:
-        """What is to be left free on a machine for the accelerators that are wanted.
+        """Return the resources to leave free on a machine for the wanted accelerators.
 
         Args:
             total: All resources of the machine.
-            free: Those that no task uses.
+            free: The resources that no task uses.
         """
-        if total.gpus <= 0 or self._wanted_fraction <= WANTED:
+        if total.gpus <= 0 or self._wanted_fraction <= MIN_WANTED_FRACTION:
             return NO_RESOURCES
         target = math.floor(self._wanted_fraction * total.gpus + 0.5)
         count = max(0.0, min(free.gpus, target - (total.gpus - free.gpus)))
-        return Resources(self._each.cpus * count, 0.0, self._each.ram_gb * count)
+        return Resources(
+            self._per_accelerator.cpus * count, 0.0, self._per_accelerator.ram_gb * count
+        )
 
 
 class _TaskCounts(NamedTuple):
-    """Tasks of gangs that are new and that wait, and the highest priority of arrays in their way.
+    """Tasks of new and of waiting gangs, and the highest priority of arrays that may block gangs.
 
-    The priority is -1 if there is no such array.
+    The priority is -1 if there are no such arrays.
     """
 
-    fresh: int
+    new: int
     waiting: int
-    in_the_way: int
+    blocking_priority: int
 
 
 class GangDemand:
-    """How many idle slots to keep for gangs that can't preempt the array tasks in their way.
+    """The number of idle slots to reserve for gangs that cannot preempt array tasks.
 
-    A gang of higher priority preempts array tasks; any other would wait for them to end. So array
-    tasks without accelerators use only what is left beside a few idle slots of the gangs' size.
+    A gang of higher priority preempts array tasks; any other gang waits for them to end. So array
+    tasks without accelerators may not use a few idle slots of the gangs' size.
 
     Attributes:
-        spec: The gang that came last; None before the first.
-        resources: Those of each of its tasks: the size of a slot.
-        priority: Its priority.
-        slots: How many idle slots are kept on average for gangs that are expected.
-        waiting: Tasks of gangs that have no place yet.
+        latest_spec: The latest gang to arrive; None before the first.
+        resources: The resources of one task of the latest gang: the size of a slot.
+        priority: The priority of the latest gang.
+        slots: The number of idle slots to reserve for expected gangs, over all shards.
+        waiting: The number of tasks of gangs that are not placed.
     """
 
     def __init__(self, cache: WatchCache, factor: float = 1.0) -> None:
         self.cache = cache
-        self._factor = factor  # as operators have set it
-        self._count = 0.0  # tasks of gangs that came, fading
+        self._slot_factor = factor  # configured by operators
+        self._decayed_arrivals = 0.0  # gang tasks that arrived, exponentially decayed
         self._updated_at: Seconds | None = None
-        self._begun_at = 0.0
+        self._started_at = 0.0
         self._seen: dict[JobId, None] = {}
         self.latest_spec: JobSpec | None = None
         self.resources = NO_RESOURCES
@@ -147,58 +151,62 @@
         self.waiting = 0
 
     def update(self, now: Seconds) -> None:
-        """Count the gangs that came since the last call and those that wait."""
-        fresh, waiting, in_the_way = self._count_tasks()
-        if len(self._seen) > SEEN_LEAST + 2 * len(self.cache.live_jobs):
+        """Count the tasks of gangs that have arrived since the last call, and of waiting gangs."""
+        new, waiting, blocking_priority = self._count_tasks()
+        if len(self._seen) > MIN_SEEN_GANGS + 2 * len(self.cache.live_jobs):
             self._seen = {job_id: None for job_id in self._seen if job_id in self.cache.live_jobs}
         if self._updated_at is None:
-            self._begun_at = self._updated_at = now
-        self._count = self._count * math.exp(-max(0.0, now - self._updated_at) / MEMORY_S) + fresh
+            self._started_at = self._updated_at = now
+        self._decayed_arrivals = (
+            self._decayed_arrivals * math.exp(-max(0.0, now - self._updated_at) / RATE_DECAY_S)
+            + new
+        )
         self._updated_at = now
-        # A fading count stands for less than its whole memory soon after the start.
-        weight = 1.0 - math.exp(-max(LEAST_MEMORY_S, now - self._begun_at) / MEMORY_S)
-        mean = self._count / (weight * MEMORY_S) * GANG_WINDOW_S
-        # Gangs also end, about as many as come; what matters is how far both stray by chance.
-        wanted = self._factor * GANG_SPREAD * math.sqrt(2.0 * mean)
-        preempts = in_the_way < self.priority
+        # Soon after the start, a decayed count covers less than its whole time constant.
+        weight = 1.0 - math.exp(-max(MIN_RATE_WINDOW_S, now - self._started_at) / RATE_DECAY_S)
+        mean = self._decayed_arrivals / (weight * RATE_DECAY_S) * GANG_WINDOW_S
+        # Gangs end about as often as they arrive, so slots cover only the random fluctuations of
+        # both: the variance of the difference is twice the mean.
+        wanted = self._slot_factor * GANG_SLOT_DEVIATIONS * math.sqrt(2.0 * mean)
+        preempts = blocking_priority < self.priority
         self.slots = 0.0 if preempts else wanted
         self.waiting = 0 if preempts else waiting
 
     def _count_tasks(self) -> _TaskCounts:
-        fresh = waiting = 0
-        in_the_way = -1
+        new = waiting = 0
+        blocking_priority = -1
         for job_id, job in self.cache.each_live():
             spec = job.spec
             if spec.is_gang and job.open and job.gang is None:
                 waiting += spec.task_count
             if job.open and not spec.is_gang and not spec.is_service and spec.gpus == 0:
-                in_the_way = max(in_the_way, spec.priority)
+                blocking_priority = max(blocking_priority, spec.priority)
             if spec.is_gang and job_id not in self._seen:
                 self._seen[job_id] = None
                 self.latest_spec = spec
                 self.resources = spec.resources
                 self.priority = spec.priority
-                # Gangs that were there before this controller looked first are not new.
+                # Gangs that existed at the first update are not counted as new.
                 if self._updated_at is not None:
-                    fresh += spec.task_count
-        return _TaskCounts(fresh, waiting, in_the_way)
+                    new += spec.task_count
+        return _TaskCounts(new, waiting, blocking_priority)
 
-    def reserved_slots(self, elsewhere: bool) -> float:
-        """How many idle slots of the gangs' size are kept from array tasks.
+    def reserved_slots(self, has_small_machines: bool) -> float:
+        """Return how many idle slots of the gangs' size array tasks may not use.
 
         Args:
-            elsewhere: Whether array tasks can also go to machines too small for a gang's task.
-                Only then do the slots of gangs that wait count: else a constant stream of gangs
-                would starve array tasks.
+            has_small_machines: Whether array tasks can run on machines too small for a gang's task.
+                Only then are slots also reserved for waiting gangs; otherwise a constant stream of
+                gangs would starve array tasks.
         """
-        return self.slots + self.waiting if elsewhere else self.slots
+        return self.slots + self.waiting if has_small_machines else self.slots
 
     def is_restricted(self, spec: JobSpec) -> bool:
-        """Whether this work would be in the way of gangs."""
+        """Return whether this work may not use the slots reserved for gangs."""
         if spec.is_gang or spec.is_service or spec.gpus > 0:
             return False
         return spec.priority >= self.priority and self.slots + self.waiting >= MIN_GANG_SLOTS
 
     def outside_reserved_slots(self, free: Resources) -> Resources:
-        """Free resources less the whole slots of the gangs' size in them."""
+        """Return the free resources without the whole slots of the gangs' size in them."""
         return free.minus(self.resources.times(self.resources.count_in(free)))
--- a/src/dapplewick/core/invariants.py
+++ b/src/dapplewick/core/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold at run time, and how often it did not: a violation ends nothing."""
+"""Run-time invariants and the counts of their violations, which stop no operation."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class InvariantCounts:
-    """How often each invariant was violated since the process started.
+    """The number of violations of each invariant since the process started.
 
-    Whoever finds a violation logs it as one error event, with its evidence.
+    The code that detects a violation also logs it as one error event, with the evidence.
 
     Attributes:
-        violations: The count of each; those that always held are not named.
+        violations: The number of violations by invariant, without invariants that always held.
     """
 
     def __init__(self) -> None:
--- a/src/dapplewick/core/leader/__init__.py
+++ b/src/dapplewick/core/leader/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's decisions: records and statuses in, writes out; no input or output of its own."""
+"""The leader's planning, without I/O: derives writes from stored records and shard statuses."""
--- a/src/dapplewick/core/priorities.py
+++ b/src/dapplewick/core/priorities.py
@@ -1,6 +1,7 @@
-"""How work ranks where it could be preempted."""
+"""Priorities of running work with regard to preemption."""
 
 from __future__ import annotations
 
-# A task of a gang or a service counts as this among the ends of tasks: nothing preempts it.
+# The priority of running gang tasks and service replicas in shard statuses: higher than that of any
+# job, so that no job preempts them.
 NON_PREEMPTIBLE_PRIORITY = 99
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -229,9 +229,9 @@
     for n in range(6000):
         cache.put(f"{JOBS}run-{n}", JobRecord(GANG, 0.0).dump(), n + 1)
     made.update(1.0)
-    counted = made._count
+    counted = made._decayed_arrivals
     made.update(1.0)
-    assert made._count == counted
+    assert made._decayed_arrivals == counted
     assert len(made._seen) == 6000
     for n in range(6000):
         over = JobRecord(GANG, 0.0)
