--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -1,4 +1,4 @@
-"""Demand of accelerator work and of expected gangs, for which capacity is kept from other work."""
+"""Demand of accelerator work and of gangs, for which capacity is reserved from other work."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 RATE_DECAY_S = 60.0  # decay time constant of the gang arrival rate
 MIN_RATE_WINDOW_S = 5.0  # minimum observation time for the arrival rate
 GANG_SLOT_DEVIATIONS = 1.5  # idle slots, in standard deviations of gang task arrivals and ends
-NO_OBJECTIVE_WAIT_S = 60.0  # nothing is reserved earlier for work without objectives
+NO_OBJECTIVE_WAIT_S = 60.0  # work without objectives reserves nothing before this wait
 MIN_WANTED_FRACTION = 0.01  # of all accelerators; nothing is reserved for less
 SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is wanted
-MIN_SEEN_GANGS = 500  # counted gangs above which ended ones are removed
+SEEN_GANGS_ALLOWANCE = (
+    500  # counted gangs kept, plus two per live job, before ended ones are removed
+)
 DEMAND_DECAY_S = 20.0  # decay time constant of a past accelerator demand
 MIN_GANG_SLOTS = 0.5  # nothing is reserved for a smaller demand
 
@@ -35,7 +37,7 @@
         self, cache: WatchCache, classes_with_objectives: frozenset[str] = frozenset()
     ) -> None:
         self.cache = cache
-        self._classes_with_objectives = classes_with_objectives  # classes that have objectives
+        self._classes_with_objectives = classes_with_objectives
         self._wanted = 0.0
         self._updated_at = 0.0
         self._per_accelerator = Resources(0.0, 1.0, 0.0)  # resources needed with one accelerator
@@ -57,7 +59,7 @@
         self._wanted_fraction = min(1.0, self._wanted / total) if total else 0.0
 
     def _count_wanted(self, wall_time: Seconds) -> float:
-        """Count the wanted accelerators; update the priority and needs of the work that wants them."""
+        """Count the wanted accelerators; update the priority and needs of their work."""
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
         for _, job in self.cache.each_live():
@@ -153,7 +155,7 @@
     def update(self, now: Seconds) -> None:
         """Count the tasks of gangs that have arrived since the last call, and of waiting gangs."""
         new, waiting, blocking_priority = self._count_tasks()
-        if len(self._seen) > MIN_SEEN_GANGS + 2 * len(self.cache.live_jobs):
+        if len(self._seen) > SEEN_GANGS_ALLOWANCE + 2 * len(self.cache.live_jobs):
             self._seen = {job_id: None for job_id in self._seen if job_id in self.cache.live_jobs}
         if self._updated_at is None:
             self._started_at = self._updated_at = now
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -208,7 +208,11 @@
 
 
 def _in_one_zone(job: JobRecord, shards: list[ShardCapacity]) -> list[ShardCapacity]:
-    """Return the shards in the zone of the job's assigned tasks, else of most idle slots."""
+    """Return the shards of the zone in which all tasks of the job must run.
+
+    This is the zone of the job's assigned tasks; if none is assigned, the zone with the most idle
+    slots.
+    """
     zones = {zone_of(name) for name, tasks in job.assignments.items() if tasks}
     if not zones and shards:
         zones = {_zone_with_most_idle_slots(shards, job.spec)}
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -26,9 +26,9 @@
 PROGRESS_INTERVAL_S = 1.0  # minimum interval between progress writes of an unfinished job
 CHUNKS_PER_INTERVAL = 2.0  # with more changed chunks the interval grows in proportion
 MAX_CONVERTING_JOBS = 2  # jobs whose records are split into chunks at the same time
-MAX_CONVERSION_WRITES = 6  # per pass, to split records and likewise to remove obsolete keys
+MAX_CONVERSION_WRITES = 6  # per pass; also the limit for removals of obsolete keys
 LONG_GANG_TASKS = 8  # placements of smaller gangs always fit into one value
-PIECE_OVERHEAD_BYTES = 60  # of a placement piece, besides its tasks
+PIECE_OVERHEAD_BYTES = 60  # size of a placement piece without its tasks
 
 
 class JobWrites:
@@ -40,9 +40,7 @@
         self._value_bytes = value_bytes
         self._converting: set[JobId] = set()  # jobs whose records are being split in this pass
         self._outgrows: dict[JobId, bool] = {}  # memoized: record may exceed the value size
-        self._fitting_attempts: dict[
-            JobId, int
-        ] = {}  # attempts whose placement fits into the record
+        self._fitting_attempts: dict[JobId, int] = {}  # with placements that fit into the record
         self._stored_at: dict[JobId, Seconds] = {}
 
     def record_write(self, now: Seconds, job_id: JobId) -> None:
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-RELEASE_TIMEOUT_S = 60.0  # of time with contact to all shards and machines
+RELEASE_TIMEOUT_S = 60.0  # counted only while all shards and machines are in contact
 
 
 class LimitAudit:
--- a/src/dapplewick/core/leader/limit_reservations.py
+++ b/src/dapplewick/core/leader/limit_reservations.py
@@ -2,7 +2,7 @@
 
 A team at its limit regains quota a few tasks at a time, and smaller work of the team would use each
 part of it, so that the largest gangs never find quota for all their tasks. So the quota that the
-first gang to have waited too long needs, in placement order, is withheld from work after that gang.
+first gang to have waited too long needs, in placement order, is withheld from work that follows.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 from dapplewick.types import Seconds
 
 # While quota is withheld, the team's other work waits although slots are idle, which users accept
-# for less than 90 s: a limit of 80 s leaves 10 s to assign and launch the work that has waited. If
-# tasks that run for longer end one by one, either the gang or other work waits for more than 90 s.
+# for less than 90 s: a limit of 80 s leaves 10 s to assign and launch the work that has waited.
+# Tasks with longer run times may keep the gang waiting: while they end one by one, either the gang
+# or the other work has to wait for more than 90 s.
 # After a cool-down, in which all of the other work may start, quota is withheld again.
 MAX_WITHHELD_S = 80.0
 
@@ -25,7 +26,7 @@
     def __init__(self, quotas: TeamQuotas) -> None:
         self._quotas = quotas
         self._requesting_teams: set[str] = set()  # teams with a requesting gang in this pass
-        self._withheld_since: dict[str, Seconds] = {}  # by team; consecutive passes
+        self._withheld_since: dict[str, Seconds] = {}  # by team, over consecutive passes
         self._cooldown_until: dict[str, Seconds] = {}
 
     def begin(self) -> None:
--- a/src/dapplewick/core/leader/shard_reservation.py
+++ b/src/dapplewick/core/leader/shard_reservation.py
@@ -14,8 +14,8 @@
 
 OVERDUE_S = 60.0  # a gang that has waited for this long may have a shard reserved
 MAX_OVERDUE_S = 240.0  # a gang that has waited for this long no longer holds up others
-MAX_RESERVATION_S = 45.0  # a reservation ends after this time without a placed gang
-COOLDOWN_S = 10.0  # then no shard is reserved, so that other gangs can use idle slots
+MAX_RESERVATION_S = 45.0  # a reservation ends after this time without a gang placed in the shard
+COOLDOWN_S = 10.0  # no new reservation for this time, so that other gangs can use idle slots
 
 
 class ShardReservation:
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -53,7 +53,9 @@
     patience_s: Seconds,
     limit_s: Seconds,
 ) -> ChosenSlots | None:
-    """Choose slots to reserve for `count` tasks until all are idle, or None; reserves nothing.
+    """Choose slots to reserve for `count` tasks until all are idle, or return None.
+
+    The slots are not reserved yet.
 
     Args:
         capacities: The machines of one shard.
@@ -110,7 +112,7 @@
 def fit_behind(
     idle: list[MachineCapacity], groups: list[EndGroup], count: int, limit_s: Seconds
 ) -> list[MachineCapacity] | None:
-    """Choose slots for a gang to reserve behind running gangs, or None; reserves nothing.
+    """Choose slots for a gang to reserve behind running gangs, or return None.
 
     All slots of one large enough gang become idle together, so that no reserved slot stays idle
     even if the run time estimate is wrong. Otherwise the fewest and largest groups are chosen: with
