--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -99,7 +99,8 @@
         if wait_s > limit_s:
             continue
         if preempting_s >= natural_s:
-            # A reservation without preemption delays the tasks queued on the machine.
+            # Without preemption, the tasks queued on the machine have to wait for longer; tasks
+            # that are preempted do not.
             wait_s += capacity.queue_length
         unneeded_gpus = capacity.total.gpus if spec.gpus == 0 else 0.0
         options.append(
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -41,7 +41,7 @@
     )
     SHARD_WITHOUT_CONTACT = "shard_not_heard"  # the capacity of some shard is unknown
     OVER_LIMIT = "over_limit"  # exceeds its team's limit, less the withheld part
-    BEHIND_OTHERS = "behind_others"  # idle slots are reserved for other work
+    BEHIND_OTHERS = "behind_others"  # idle slots go to, or are reserved for, other work
     MACHINES_STARTING = "machines_coming"  # machines that fit the job are starting
     NO_CAPACITY = "no_capacity"  # the cloud has no more machines that fit the job
     NO_SLOT = "no_slot"  # all slots that fit the job are in use
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -36,7 +36,7 @@
 
 
 class WaitingGangs:
-    """Places waiting gangs by priority, then largest first, then oldest first."""
+    """Places waiting gangs until none fits, by priority, then size (largest first), then age."""
 
     def __init__(
         self,
