--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -145,7 +145,7 @@
     def _view_owners(self, planner: LeaderPlanner, now: Seconds) -> OwnersView:
         return OwnersView(
             unreachable=planner.unreachable_shards(),
-            unheard=planner.unheard_shards(now),
+            unheard=planner.shards_without_contact(now),
             silent_controllers=self._silent_controllers(now),
         )
 
@@ -187,7 +187,7 @@
         """Give the planner the statuses of this process's own shards."""
         for name, scheduler in self.owned_shards.schedulers.items():
             base = self.confirmations.base(name, scheduler.token)
-            number = planner.shard_status(now, scheduler.status(now, base))
+            number = planner.receive_shard_status(now, scheduler.status(now, base))
             self.confirmations.confirm(
                 name, Confirmation(scheduler.token, self.identity.incarnation, number)
             )
--- a/src/dapplewick/core/invariants.py
+++ b/src/dapplewick/core/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold at run time, and how often it did not: a violation ends nothing."""
+"""Run-time invariants and the counts of their violations, which stop no operation."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 class Invariant(StrEnum):
     """An invariant that a controller asserts while it runs."""
 
-    SHARDS_ARE_HEARD = "shards_are_heard"
-    LIMITS_ARE_GIVEN_BACK = "limits_are_given_back"
+    SHARDS_IN_CONTACT = "shards_are_heard"
+    LIMITS_ARE_RELEASED = "limits_are_given_back"
 
 
 class InvariantCounts:
-    """How often each invariant was violated since the process started.
+    """The number of violations of each invariant since the process started.
 
-    Whoever finds a violation logs it as one error event, with its evidence.
+    The code that detects a violation also logs it as one error event, with the evidence.
 
     Attributes:
-        violations: The count of each; those that always held are not named.
+        violations: The number of violations by invariant, without invariants that always held.
     """
 
     def __init__(self) -> None:
         self.violations: dict[Invariant, int] = {}
 
-    def violated(self, invariant: Invariant) -> None:
+    def record_violation(self, invariant: Invariant) -> None:
         """Count one violation."""
         self.violations[invariant] = self.violations.get(invariant, 0) + 1
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -46,7 +46,7 @@
         has_other_machines = any(
             m.was_usable and not resources.fits_in(m.capacity) for m in machines
         )
-        reserved_slots = self._gangs.kept_slots(has_other_machines)
+        reserved_slots = self._gangs.reserved_slots(has_other_machines)
         if reserved_slots < 0.5:
             return False
         idle = sum(resources.count_in(m.free()) for m in machines)
@@ -57,7 +57,7 @@
         free = machine.free()
         if spec.gpus > 0 or spec.is_service:
             return free
-        reserve = self._accelerators.reserve(machine.capacity, free)
-        if self._has_few_slots and self._gangs.applies(spec):
-            free = self._gangs.rest(free)
+        reserve = self._accelerators.resources_to_reserve(machine.capacity, free)
+        if self._has_few_slots and self._gangs.is_restricted(spec):
+            free = self._gangs.outside_reserved_slots(free)
         return free if reserve is NO_RESOURCES else free.minus(reserve)
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -437,7 +437,7 @@
     raised = LeaderPlanner._raise_format
 
     def hasty(self: LeaderPlanner) -> Any:
-        self._names = set()
+        self._controller_names = set()
         return raised(self)
 
     patch.setattr(LeaderPlanner, "_raise_format", hasty)
@@ -445,7 +445,7 @@
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(JobRecord, "outgrows", lambda _, __, ___: False)
-    patch.setattr(JobWrites, "convert", lambda _: [])
+    patch.setattr(JobWrites, "conversion_writes", lambda _: [])
 
 
 @pytest.mark.parametrize("patch", [the_format_is_raised_by_guess, no_chunks])
