--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -145,7 +145,7 @@
             for job_id, job in self._drafts.live_jobs():
                 assigned = job.assignments.get(shard.shard)
                 if assigned and not job.spec.is_service:
-                    queued += max(0, len(assigned) - observed.placed(job_id))
+                    queued += max(0, len(assigned) - observed.placed_task_count(job_id))
             most = int(LEAST_QUEUED + QUEUED_FRACTION * running)
             queue_capacity[shard.shard] = max(0, most - queued)
         return queue_capacity
@@ -181,10 +181,10 @@
     def take_idle(self, gangs: GangDemand, only_with_image: bool) -> None:
         """Give shards tasks for their idle slots, less those that are kept for gangs."""
         for shard in self._shards:
-            shard.keep_for_gangs(gangs, self._shard_fraction)
+            shard.reserve_idle_slots_for_gangs(gangs, self._shard_fraction)
             most = min(self.left, self._zone_left[shard.zone])
             self.counts[shard.shard] = 0
-            self._give(shard, shard.take_most(self._spec, most, only_with_image))
+            self._give(shard, shard.reserve_up_to(self._spec, most, only_with_image))
 
     def take_more(self, queue_capacity: dict[ShardName, int]) -> None:
         """Give shards tasks for their queues, or replicas for which they preempt others."""
@@ -192,7 +192,7 @@
             most = min(self.left, self._zone_left[shard.zone])
             if self._spec.is_service:
                 # No replica waits in a queue; work of lower priority gives way to it.
-                count = shard.take_preempting(self._spec, most)
+                count = shard.reserve_by_preemption(self._spec, most)
             else:
                 count = max(0, min(most, queue_capacity[shard.shard]))
                 queue_capacity[shard.shard] -= count
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -19,7 +19,7 @@
 from dapplewick.types import JobId, Seconds, ShardName, zone_of
 
 LEAST_RUN_S = 1.0  # an owner may say that a task takes no time at all
-STARVED_S = 60.0  # a job of which nothing started for so long has machines provisioned for it
+STARVATION_S = 60.0  # a job of which nothing started for so long has machines provisioned for it
 
 
 class CapacityRequest(NamedTuple):
@@ -134,7 +134,7 @@
         """Whether a gang's slots will still be busy for long: more machines are wanted then."""
         for name in gang.shards():
             shard = self._shards.by_name.get(ShardName(name))
-            status = shard.reserved(job_id, gang.attempt) if shard is not None else None
+            status = shard.reservation(job_id, gang.attempt) if shard is not None else None
             if status is not None and status.remaining_wait_s > LONG_RESERVATION_S:
                 return True
         return False
@@ -142,7 +142,7 @@
     def _service_requests(self, array: PendingArray) -> list[CapacityRequest]:
         """Replicas of a service that are nowhere, nor on the way."""
         spec = array.job.spec
-        missing = spec.task_count - self._shards.placed(array.job_id)
+        missing = spec.task_count - self._shards.placed_task_count(array.job_id)
         if missing <= 0:
             return []
         return [CapacityRequest(spec, missing, False, self._zone_limits(array.job))]
@@ -191,14 +191,14 @@
     def _array_work(self, wall_time: Seconds, alike: list[PendingArray]) -> _ArrayWork:
         work = _ArrayWork(alike[0].job.spec)
         for job_id, job, unassigned in alike:
-            placed = self._shards.placed(job_id)
+            placed = self._shards.placed_task_count(job_id)
             assigned = sum(len(tasks) for tasks in job.assignments.values())
             waiting = unassigned + max(0, assigned - placed)
             seconds = waiting * max(LEAST_RUN_S, self._estimates.run_time(job.spec))
             work.running += placed
             work.waiting += waiting
             work.seconds += seconds
-            if not placed and wall_time - job.submitted_at > STARVED_S:
+            if not placed and wall_time - job.submitted_at > STARVATION_S:
                 work.starved_seconds += seconds
             if waiting and job.spec.cpus > work.largest.cpus:
                 work.largest = job.spec
--- a/src/dapplewick/core/leader/capacity_view.py
+++ b/src/dapplewick/core/leader/capacity_snapshots.py
@@ -17,7 +17,7 @@
 from dapplewick.types import JobId, MachineId, Seconds, ShardName, TypeName
 
 
-class CapacityView:
+class CapacitySnapshotBuilder:
     """Builds the shards' capacities from their statuses and from what these do not show yet."""
 
     def __init__(
@@ -32,7 +32,7 @@
         self._shards = shards
         self._demand = demand
 
-    def of_pass(
+    def build(
         self, now: Seconds, served_teams: Callable[[ShardName], frozenset[str] | None]
     ) -> list[ShardCapacity]:
         """The shards' capacities, less what was given to them that their statuses don't show.
@@ -91,7 +91,7 @@
             machine_type.resources,
             status,
             self._demand,
-            shard.clock,
+            shard.clock_offset_s,
         )
         return capacity
 
@@ -101,11 +101,11 @@
             return
         for name, machine in job.gang.placements:
             observed = self._shards.by_name.get(ShardName(name))
-            if name not in by_name or observed is None or observed.seen >= job.version:
+            if name not in by_name or observed is None or observed.seen_revision >= job.version:
                 continue
             capacity = observed.capacities.get(MachineId(machine))
             if capacity is not None:
-                by_name[name].take([capacity], job.resources)
+                by_name[name].reserve([capacity], job.resources)
 
     def _take_unseen_tasks(
         self, job_id: JobId, job: JobRecord, by_name: dict[str, ShardCapacity]
@@ -114,6 +114,6 @@
         for name, tasks in job.assignments.items():
             if name not in by_name:
                 continue
-            backlog = len(tasks) - self._shards.by_name[ShardName(name)].placed(job_id)
+            backlog = len(tasks) - self._shards.by_name[ShardName(name)].placed_task_count(job_id)
             if backlog > 0:
-                by_name[name].take_most(job.spec, backlog)
+                by_name[name].reserve_up_to(job.spec, backlog)
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-SCALING_S = 1.0  # scaling out and in is decided this often
+SCALING_INTERVAL_S = 1.0  # scaling out and in is decided this often
 FIRST_STATUSES_S = 1.0  # the shards' owners have so long to tell a new leader of themselves
 
 
@@ -56,7 +56,7 @@
         self._ids = ids
         self._started_at = now
         self._scaled_at = NEVER_S
-        self.provisioned: dict[str, list[MachineId] | None] = {}
+        self.cloud_answers: dict[str, list[MachineId] | None] = {}
         self.unmet: list[CapacityRequest] = []
 
     def changes(
@@ -68,7 +68,7 @@
     ) -> list[ConditionalWrite]:
         """The writes of provisioning requests; what ends machines is drafted with these."""
         changes = self._take_answers(now, wall_time)
-        if now - self._scaled_at >= SCALING_S and self._is_ready(now):
+        if now - self._scaled_at >= SCALING_INTERVAL_S and self._is_ready(now):
             self._scaled_at = now
             requests = self._capacity_requests.capacity_requests(wall_time, pending)
             # Before scaling out takes slots for what waits.
@@ -82,14 +82,14 @@
     def _take_answers(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
         """Draft the machines that the cloud gave, and the end of their requests."""
         changes = []
-        for name, machines in list(self.provisioned.items()):
+        for name, machines in list(self.cloud_answers.items()):
             request = self._cache.provisioning_requests.get(name)
             if request is None:
-                del self.provisioned[name]
+                del self.cloud_answers[name]
                 continue
             if machines is None or len(machines) < request.count:
-                self._provisioner.no_capacity(now, request)
-            self._machine_lifecycle.provisioned(name, request, machines or [], wall_time)
+                self._provisioner.record_no_capacity(now, request)
+            self._machine_lifecycle.add_provisioned(name, request, machines or [], wall_time)
             key = PROVISIONING_REQUESTS + name
             version = self._cache.version(key)
             changes.append(ConditionalWrite(key, None, version, WritePriority.URGENT))
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -99,7 +99,7 @@
 ) -> ChosenSlots | None:
     # Slots behind long work are no place to wait: those that are idle already would stay so.
     count = spec.task_count
-    if shard.runs_below(spec.priority):
+    if shard.runs_lower_priority_than(spec.priority):
         if shard.slots_within(spec, limit_s) < count:
             return None
         return fit_reserved(shard.capacities, spec, count, patience_s, limit_s)
@@ -115,7 +115,9 @@
     for capacity in slots.capacities:
         wait = capacity.slot_wait(spec)
         if wait is not None:
-            longest_s = max(longest_s, wait.preempting_s if slots.preempt else wait.natural_s)
+            longest_s = max(
+                longest_s, wait.with_preemption_s if slots.preempt else wait.without_preemption_s
+            )
     return longest_s
 
 
--- a/src/dapplewick/core/leader/load_log.py
+++ b/src/dapplewick/core/leader/load_log.py
@@ -43,7 +43,7 @@
             "event=load_reported free=%s provisioning=%d unassigned=%s gangs_waiting=%d "
             "gangs_placed=%d",
             _free_by_type(shard_capacities),
-            len(self._provisioner.coming(wall_time)),
+            len(self._provisioner.expected_machines(wall_time)),
             unassigned,
             sum(job.gang is None for job in gangs),
             sum(job.gang is not None for job in gangs),
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -37,8 +37,8 @@
 class SlotWait(NamedTuple):
     """How long until a slot is idle: when tasks end by themselves, and when some are preempted."""
 
-    natural_s: Seconds
-    preempting_s: Seconds
+    without_preemption_s: Seconds
+    with_preemption_s: Seconds
 
 
 IDLE_NOW = SlotWait(0.0, 0.0)
@@ -132,19 +132,19 @@
         self.teams = None
         self.kept_for = None
         if self._idle_slots or self._slot_waits or self._slot_ends:
-            self.forget_slots()
+            self.clear_memos()
 
-    def forget_slots(self) -> None:
+    def clear_memos(self) -> None:
         """Clear the memo tables: what they rest on has changed."""
         self._idle_slots.clear()
         self._slot_waits.clear()
         self._slot_ends.clear()
 
-    def take(self, resources: Resources) -> None:
+    def reserve(self, resources: Resources) -> None:
         """Take resources for the rest of this pass."""
         self.free = self.free.minus(resources)
         if self._idle_slots or self._slot_waits or self._slot_ends:
-            self.forget_slots()
+            self.clear_memos()
 
     def has_image(self, spec: JobSpec) -> bool:
         """Whether the image of this work is there, or being fetched."""
@@ -212,7 +212,7 @@
                 saved = self.free
                 while (wait := self.slot_wait(spec)) is not None:
                     self.free = self.free.minus(spec.resources)
-                    waits.append(min(wait.natural_s, wait.preempting_s))
+                    waits.append(min(wait.without_preemption_s, wait.with_preemption_s))
                 self.free = saved
         return waits
 
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -34,7 +34,7 @@
 LOST_ANSWER_S = 6.2
 
 
-class Silence(NamedTuple):
+class ReportGap(NamedTuple):
     """For how long a machine has not been heard, and what that means for its shard.
 
     Attributes:
@@ -80,11 +80,11 @@
 
     # What the cloud and the state service have answered
 
-    def were_deleted(self, machines: Iterable[MachineId]) -> None:
+    def record_deleted(self, machines: Iterable[MachineId]) -> None:
         """Note that the cloud has deleted these machines."""
         self.deleted.update(machines)
 
-    def were_listed(self, now: Seconds, listing: MachineList) -> None:
+    def record_listed(self, now: Seconds, listing: MachineList) -> None:
         """Take over the cloud's newest list of machines."""
         self.listed = {MachineId(item.machine): item for item in listing.machines}
         known = self._cache.machines.keys() | self.deleted
@@ -94,7 +94,7 @@
             if machine_id not in known
         }
 
-    def written(self, now: Seconds, group_name: str) -> None:
+    def record_written(self, now: Seconds, group_name: str) -> None:
         """Note that a group's record is stored."""
         self._group_written_at[group_name] = now
 
@@ -128,7 +128,7 @@
         log.info("event=machine_terminating machine=%s reason=%s", machine_id, reason)
         self._groups.set_state(machine_id, TERMINATING, priority)
 
-    def provisioned(
+    def add_provisioned(
         self,
         name: str,
         provisioning_request: ProvisioningRequest,
@@ -158,7 +158,7 @@
         now: Seconds,
         wall_time: Seconds,
         statuses: Mapping[MachineId, MachineStatus],
-        silences: Mapping[MachineId, Silence],
+        silences: Mapping[MachineId, ReportGap],
         zones: list[str],
     ) -> None:
         """Look at every machine, and draft what has changed.
@@ -206,7 +206,7 @@
         machine_id: MachineId,
         record: MachineRecord,
         status: MachineStatus | None,
-        silence: Silence | None,
+        silence: ReportGap | None,
     ) -> str:
         """Why a machine has to be terminated; empty if it may stay."""
         if not record.up:
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -34,10 +34,10 @@
         self.shard = shard
         self.zone = zone_of(shard)
         self.token = token
-        self.number = 0
-        self.at = NEVER_S
-        self.clock = 0.0
-        self.seen = Revision(0)
+        self.status_number = 0
+        self.received_at = NEVER_S
+        self.clock_offset_s = 0.0
+        self.seen_revision = Revision(0)
         self.machines: dict[MachineId, MachineStatus] = {}
         self.capacities: dict[MachineId, MachineCapacity] = {}
         self.jobs: dict[JobId, JobStatus] = {}
@@ -45,7 +45,7 @@
         self._latest: ShardStatus | None = None
 
     @property
-    def latest(self) -> ShardStatus:
+    def latest_status(self) -> ShardStatus:
         """The newest status; its fields that are complete in each status hold now.
 
         Raises:
@@ -58,19 +58,19 @@
     def apply(self, now: Seconds, status: ShardStatus) -> bool:
         """Take over a status; False if something before it is missing here."""
         number, base = status.number, status.base
-        if base > self.number:
+        if base > self.status_number:
             return False
-        if number <= self.number:
+        if number <= self.status_number:
             return True
         if base == 0:
             self.machines.clear()
             self.capacities.clear()
             self.jobs.clear()
             self.gangs.clear()
-        self.number = number
-        self.at = now
-        self.clock = now - status.at
-        self.seen = status.seen_revision
+        self.status_number = number
+        self.received_at = now
+        self.clock_offset_s = now - status.at
+        self.seen_revision = status.seen_revision
         for machine_id, machine in status.machines.items():
             self.capacities.pop(machine_id, None)
             if machine is None:
@@ -82,14 +82,14 @@
         self._latest = status
         return True
 
-    def reserved(self, job_id: JobId, attempt: int) -> GangStatus | None:
+    def reservation(self, job_id: JobId, attempt: int) -> GangStatus | None:
         """The status of a gang's attempt, if it has slots here that are only reserved."""
         status = self.gangs.get(job_id)
         if status is None or status.attempt != attempt or status.state != GANG_HELD:
             return None
         return status
 
-    def placed(self, job_id: JobId) -> int:
+    def placed_task_count(self, job_id: JobId) -> int:
         """How many array tasks of a job are on machines here, or about to start."""
         status = self.jobs.get(job_id)
         return status.placed if status is not None else 0
@@ -119,7 +119,7 @@
             shard = self.by_name[name] = ObservedShard(name, token)
         if shard.apply(now, status):
             self._estimates.adopt(status.estimates)
-        return shard.number
+        return shard.status_number
 
     def owned(self) -> list[ObservedShard]:
         """The shards whose present owner has told of them."""
@@ -132,16 +132,18 @@
 
     def _is_owners(self, shard: ObservedShard) -> bool:
         """Whether what is known of a shard is its present owner's word."""
-        return shard.number > 0 and shard.token == self._cache.version(SHARDS + shard.shard)
+        return shard.status_number > 0 and shard.token == self._cache.version(SHARDS + shard.shard)
 
-    def unreachable(self) -> set[ShardName]:
+    def unreachable_shards(self) -> set[ShardName]:
         """Shards whose owner has not heard any machine for a while, though several are up.
 
         Deleting them all as silent would cost a shard its work for one controller's broken
         network. The records say which are up: an owner that has heard none of them since it took
         over the shard describes none in its statuses.
         """
-        quiet = {shard.shard for shard in self.owned() if shard.latest.heard_ago_s > UNREACHABLE_S}
+        quiet = {
+            shard.shard for shard in self.owned() if shard.latest_status.heard_ago_s > UNREACHABLE_S
+        }
         if not quiet:
             return quiet
         up = Counter(
@@ -156,9 +158,9 @@
         record = self._cache.machines.get(machine_id)
         return record is not None and record.shard != shard.shard
 
-    def placed(self, job_id: JobId) -> int:
+    def placed_task_count(self, job_id: JobId) -> int:
         """How many array tasks of a job are on machines anywhere, or about to start."""
-        return sum(shard.placed(job_id) for shard in self.by_name.values())
+        return sum(shard.placed_task_count(job_id) for shard in self.by_name.values())
 
 
 def _merge(into: dict[JobId, V], changes: dict[JobId, V | None]) -> None:
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -18,13 +18,13 @@
 from dapplewick.core.leader.array_assignment import ArrayAssignment
 from dapplewick.core.leader.array_order import ArrayOrder
 from dapplewick.core.leader.capacity_requests import CapacityRequestPlanner
-from dapplewick.core.leader.capacity_view import CapacityView
-from dapplewick.core.leader.cluster_scaling import SCALING_S, ClusterScaling
+from dapplewick.core.leader.capacity_snapshots import CapacitySnapshotBuilder
+from dapplewick.core.leader.cluster_scaling import SCALING_INTERVAL_S, ClusterScaling
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.job_writes import JobWrites
 from dapplewick.core.leader.limit_audit import LimitAudit
 from dapplewick.core.leader.load_log import LoadLog
-from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, Silence
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, ReportGap
 from dapplewick.core.leader.machine_types import MachineTypes
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
 from dapplewick.core.leader.provisioner import Provisioner
@@ -112,7 +112,9 @@
             zones,
             epoch,
             tuning,
-            requests_per_pass=deployment.cloud.rps * SCALING_S / 2,  # deletions are calls too
+            requests_per_pass=deployment.cloud.rps
+            * SCALING_INTERVAL_S
+            / 2,  # deletions are calls too
         )
         self.machine_lifecycle = MachineLifecycle(
             cache,
@@ -129,7 +131,7 @@
         self._quotas = TeamQuotas(deployment.teams, drafts)
         self.contacts = ShardContacts(cache, zones, observed, invariants)
         self._limit_audit = LimitAudit(cache, observed, self.contacts, invariants)
-        self._capacity_view = CapacityView(cache, drafts, observed, self._demand)
+        self._capacity_view = CapacitySnapshotBuilder(cache, drafts, observed, self._demand)
         self._waiting_gangs = WaitingGangs(
             drafts, self._quotas, self._demand, provisioner, estimates, tuning, zones, self._ids
         )
@@ -155,7 +157,7 @@
         self.wait_reasons = WaitReasons(cache, drafts, observed, self.contacts, self._quotas, now)
         self._load_log = LoadLog(drafts, provisioner, now)
         self.shards = observed.by_name
-        self.provisioned = self._scaling.provisioned
+        self.provisioned = self._scaling.cloud_answers
         self.partitions: PartitionRebalancer | None = None
 
     @property
@@ -180,12 +182,12 @@
 
     def unreachable_shards(self) -> set[ShardName]:
         """Shards that want another owner; see `ObservedShards.unreachable`."""
-        return self._observed.unreachable()
+        return self._observed.unreachable_shards()
 
     def unheard_shards(self, now: Seconds) -> set[ShardName]:
         """Shards whose owner can't reach this leader; see `ShardContacts.unheard`."""
-        self.contacts.note_owners(now)
-        return self.contacts.unheard(now)
+        self.contacts.record_owners(now)
+        return self.contacts.shards_without_contact(now)
 
     def provisioning_answered(self, name: str, machines: list[MachineId] | None) -> None:
         """Note which machines the cloud gave for a provisioning request; None if it refused."""
@@ -193,16 +195,16 @@
 
     def machines_deleted(self, machines: Iterable[MachineId]) -> None:
         """Note that the cloud has deleted these machines."""
-        self.machine_lifecycle.were_deleted(machines)
+        self.machine_lifecycle.record_deleted(machines)
 
     def machines_listed(self, now: Seconds, listing: MachineList) -> None:
         """Take over the cloud's newest list of machines."""
-        self.machine_lifecycle.were_listed(now, listing)
+        self.machine_lifecycle.record_listed(now, listing)
 
     def catalog(self, types: list[MachineType]) -> None:
         """Take over the cloud's catalogue."""
         self._machine_types.catalog = types
-        self._provisioner.catalog(types)
+        self._provisioner.set_catalog(types)
 
     def written(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
         """Note that these changes are stored."""
@@ -211,7 +213,7 @@
             if job_id is not None:
                 self._job_writes.written(now, job_id)
             elif change.key.startswith(MACHINES):
-                self.machine_lifecycle.written(now, change.key[len(MACHINES) :])
+                self.machine_lifecycle.record_written(now, change.key[len(MACHINES) :])
 
     # The pass
 
@@ -226,7 +228,7 @@
             The writes, those that matter most first.
         """
         self._drafts.clear()
-        self.contacts.note_owners(now)
+        self.contacts.record_owners(now)
         self.contacts.check(now)
         self._limit_audit.check(now)
         self.machine_lifecycle.begin()
@@ -237,7 +239,7 @@
         self._quotas.recount()
         if self.partitions is not None:
             self.partitions.note_waiting(wall_time, (job for _, job in self._drafts.live_jobs()))
-        shard_capacities = self._capacity_view.of_pass(now, self._served_teams)
+        shard_capacities = self._capacity_view.build(now, self._served_teams)
         self._waiting_gangs.place(wall_time, shard_capacities)
         pending = self._array_order.pending(wall_time)
         eligible = self._array_order.behind_gangs(wall_time, pending)
@@ -272,15 +274,15 @@
     def _review_machines(self, now: Seconds, wall_time: Seconds) -> None:
         """Look for machines that came up, turned out unknown, or have to go."""
         statuses: dict[MachineId, MachineStatus] = {}
-        silences: dict[MachineId, Silence] = {}
+        silences: dict[MachineId, ReportGap] = {}
         for shard in self._observed.owned():
             statuses.update(shard.machines)
-            others_heard = shard.latest.heard_ago_s < self._heartbeat_s
+            others_heard = shard.latest_status.heard_ago_s < self._heartbeat_s
             # What a shard has not heard for long is told in full each time; a status that is
             # itself old says less than its age.
-            for machine_id, silent in shard.latest.silent.items():
+            for machine_id, silent in shard.latest_status.silent.items():
                 if not self._observed.has_moved(machine_id, shard):
-                    silence = Silence(silent.silent_s, silent.urgent, others_heard)
+                    silence = ReportGap(silent.silent_s, silent.urgent, others_heard)
                     silences[machine_id] = silence
         self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
 
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -53,11 +53,11 @@
         self._random = random.Random(seed)
         self._market = MachineMarket(cache, zones)
 
-    def catalog(self, types: Iterable[MachineType]) -> None:
+    def set_catalog(self, types: Iterable[MachineType]) -> None:
         """Take over the cloud's catalogue."""
         self._market.set_catalog(types)
 
-    def no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
+    def record_no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
         """Note that the cloud had not all machines that were asked for."""
         self._market.refuse(now, provisioning_request)
 
@@ -69,7 +69,7 @@
         """How long a machine of this type may take to come up before it is given up."""
         return self._market.boot_limit_s(machine_type)
 
-    def coming(self, wall_time: Seconds) -> list[MachineCapacity]:
+    def expected_machines(self, wall_time: Seconds) -> list[MachineCapacity]:
         """Machines that are provisioned or asked for and not yet up, as empty ones.
 
         One that is long overdue may never come: nothing is left waiting for it.
@@ -106,7 +106,7 @@
         zones = _capacities_by_zone(shard_capacities)
         for zone in self._zones:
             zones.setdefault(Zone(zone), ShardCapacity(ShardName(zone), []))
-        for capacity in self.coming(wall_time):
+        for capacity in self.expected_machines(wall_time):
             if capacity.zone in zones:
                 zones[capacity.zone].add(capacity)
         scaling = _ScalingPass(
@@ -200,11 +200,11 @@
                     continue
                 fit = min(count - taken, zone_limits[zone], capacity.slot_count(spec))
                 if fit > 0:
-                    capacity.take(spec.resources.times(fit))
+                    capacity.reserve(spec.resources.times(fit))
                     zone_limits[zone] -= fit
                     taken += fit
             if taken > before:
-                shard.forget_slots()
+                shard.clear_memos()
         return taken
 
     def _ask(self, offer: MachineOffer, spec: JobSpec, most: int) -> int:
@@ -214,7 +214,7 @@
         name = f"new#{self._asked[pool]}"
         capacity = _empty(name, offer.machine_type, offer.zone, offer.spot)
         fit = min(most, capacity.slot_count(spec))
-        capacity.take(spec.resources.times(fit))
+        capacity.reserve(spec.resources.times(fit))
         self._capacities[Zone(offer.zone)].add(capacity)
         return fit
 
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -45,7 +45,7 @@
 
     def _clear_drained_jobs(self, shard: ObservedShard) -> None:
         """Remove the assignments of jobs that are over and of which a shard runs nothing."""
-        for job_id in shard.latest.drained_jobs:
+        for job_id in shard.latest_status.drained_jobs:
             old = self._cache.jobs.get(job_id)
             if old is not None and not old.open and shard.shard in old.assignments:
                 job = self._drafts.edit(job_id, WritePriority.LOW)
@@ -144,7 +144,7 @@
     for name in gang.shards():
         shard = owned.get(ShardName(name))
         state = "unknown"
-        if shard is not None and shard.seen >= job.version:
+        if shard is not None and shard.seen_revision >= job.version:
             status = shard.gangs.get(job_id)
             if status is not None and status.attempt == gang.attempt:
                 state = status.state
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -61,7 +61,7 @@
             for _, machine in job.gang.placements
         }
         for shard in self._shards.owned():
-            for machine_id, idle_s in shard.latest.idle.items():
+            for machine_id, idle_s in shard.latest_status.idle.items():
                 record = self._cache.machines.get(machine_id)
                 if record is None or not self._may_go(shard, machine_id, record, idle_s):
                     continue
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -21,7 +21,7 @@
 class EndGroup(NamedTuple):
     """Slots that become idle together, named by their machines."""
 
-    wait: Seconds
+    wait_s: Seconds
     capacities: list[MachineCapacity]
 
 
@@ -56,7 +56,7 @@
         self._kept_for: GangDemand | None = None
         self._has_small_machines: bool | None = None
 
-    def forget_slots(self) -> None:
+    def clear_memos(self) -> None:
         """Clear the memo tables: what they rest on has changed."""
         self._idle_totals.clear()
         self._waits.clear()
@@ -67,7 +67,7 @@
         """Count with one more machine."""
         self.capacities.append(capacity)
         self.open_capacities.append(capacity)
-        self.forget_slots()
+        self.clear_memos()
 
     def serve_only(self, teams: frozenset[str] | None) -> None:
         """Keep this shard for the work of some teams, in this pass."""
@@ -137,10 +137,10 @@
         for capacity in self.capacities:
             if capacity.total.gpus > 0:
                 capacity.demand = demand
-                capacity.forget_slots()
-        self.forget_slots()
+                capacity.clear_memos()
+        self.clear_memos()
 
-    def runs_below(self, priority: int) -> bool:
+    def runs_lower_priority_than(self, priority: int) -> bool:
         """Whether any work here has a lower priority, and so may be preempted for this one."""
         if self._lowest_priority is None:
             self._lowest_priority = min(
@@ -157,13 +157,13 @@
             if c.free.cpus >= cpus and c.free.gpus >= gpus and c.allows(spec)
         ]
 
-    def take(self, capacities: Iterable[MachineCapacity], resources: Resources) -> None:
+    def reserve(self, capacities: Iterable[MachineCapacity], resources: Resources) -> None:
         """Take a slot of this size on each of these machines."""
         for capacity in capacities:
-            capacity.take(resources)
-        self.forget_slots()
+            capacity.reserve(resources)
+        self.clear_memos()
 
-    def take_most(self, spec: JobSpec, most: int, only_with_image: bool = False) -> int:
+    def reserve_up_to(self, spec: JobSpec, most: int, only_with_image: bool = False) -> int:
         """Take idle slots for up to `most` tasks.
 
         Args:
@@ -186,15 +186,15 @@
         for capacity in capacities:
             count = min(most - taken, capacity.slot_count(spec))
             if count > 0:
-                capacity.take(spec.resources.times(count))
+                capacity.reserve(spec.resources.times(count))
                 taken += count
                 if taken == most:
                     break
         if taken:
-            self.forget_slots()
+            self.clear_memos()
         return taken
 
-    def take_preempting(self, spec: JobSpec, most: int) -> int:
+    def reserve_by_preemption(self, spec: JobSpec, most: int) -> int:
         """Take slots for replicas that preempt work of lower priority, one on each machine.
 
         Returns:
@@ -206,14 +206,17 @@
                 break
             if capacity.allows(spec):
                 wait = capacity.slot_wait(spec)
-                if wait is not None and min(wait.natural_s, wait.preempting_s) <= 0.0:
-                    capacity.take(spec.resources)
+                if (
+                    wait is not None
+                    and min(wait.without_preemption_s, wait.with_preemption_s) <= 0.0
+                ):
+                    capacity.reserve(spec.resources)
                     taken += 1
         if taken:
-            self.forget_slots()
+            self.clear_memos()
         return taken
 
-    def keep_for_gangs(self, gangs: GangDemand, fraction: float) -> None:
+    def reserve_idle_slots_for_gangs(self, gangs: GangDemand, fraction: float) -> None:
         """Keep the idle slots for gangs if there are no more than gangs need.
 
         Args:
@@ -240,4 +243,4 @@
         self._groups.clear()
         for capacity in self.capacities:
             capacity.kept_for = kept_for
-            capacity.forget_slots()
+            capacity.clear_memos()
--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -21,13 +21,15 @@
 FRESH_STATUS_S = 6.0  # no decision on capacity rests on a status that is older
 # A shard that is unheard for longer gets another owner. A move costs the reservations of its gangs,
 # and peers that refuse for some seconds are common, so it is not made at once.
-UNHEARD_S = 30.0
-MOVE_PASSES = 20  # planning passes, beside one for each shard, in which that has to have happened
+OWNER_CONTACT_TIMEOUT_S = 30.0
+MAX_REASSIGNMENT_PASSES = (
+    20  # planning passes, beside one for each shard, in which that has to have happened
+)
 
 
 def is_fresh(now: Seconds, shard: ObservedShard) -> bool:
     """Whether a shard's newest status is new enough to give it work."""
-    return now - shard.at <= FRESH_STATUS_S
+    return now - shard.received_at <= FRESH_STATUS_S
 
 
 class _OwnerSeen(NamedTuple):
@@ -54,7 +56,7 @@
         self._unheard_passes: dict[ShardName, int] = {}
         self._invariants = invariants
 
-    def note_owners(self, now: Seconds) -> None:
+    def record_owners(self, now: Seconds) -> None:
         """Note since when each shard has its owner: a new one has yet to tell of itself."""
         for name in self._owned_by_record():
             token = FencingToken(self._cache.version(SHARDS + name))
@@ -69,38 +71,42 @@
         fresh = {shard.shard for shard in self._shards.owned() if is_fresh(now, shard)}
         return bool(names) and fresh.issuperset(names)
 
-    def age_s(self, now: Seconds, name: ShardName) -> Seconds:
+    def contact_age_s(self, now: Seconds, name: ShardName) -> Seconds:
         """How long ago the shard's owner was heard, or else became its owner."""
         seen = self._owners_seen.get(name)
         if seen is None:
             return 0.0
         shard = self._shards.by_name.get(name)
-        if shard is None or shard.token != seen.token or shard.number == 0:
+        if shard is None or shard.token != seen.token or shard.status_number == 0:
             return now - seen.at
-        return now - max(seen.at, shard.at)
+        return now - max(seen.at, shard.received_at)
 
-    def unheard(self, now: Seconds) -> set[ShardName]:
+    def shards_without_contact(self, now: Seconds) -> set[ShardName]:
         """The shards that want another owner, since the leader can't hear the one they have."""
-        return {name for name in self._owned_by_record() if self.age_s(now, name) > UNHEARD_S}
+        return {
+            name
+            for name in self._owned_by_record()
+            if self.contact_age_s(now, name) > OWNER_CONTACT_TIMEOUT_S
+        }
 
     def check(self, now: Seconds) -> None:
         """Assert, once in each pass that could write, that no shard stays unheard.
 
         A violation is logged and counted, and the service goes on.
         """
-        unheard = self.unheard(now)
+        unheard = self.shards_without_contact(now)
         for name in [name for name in self._unheard_passes if name not in unheard]:
             del self._unheard_passes[name]
         for name in sorted(unheard):
             passes = self._unheard_passes[name] = self._unheard_passes.get(name, 0) + 1
-            if passes == MOVE_PASSES + len(self._cache.shards):
+            if passes == MAX_REASSIGNMENT_PASSES + len(self._cache.shards):
                 self._invariants.violated(Invariant.SHARDS_ARE_HEARD)
                 log.error(
                     "event=shard_left_unheard shard=%s token=%d controller=%s unheard_s=%.1f",
                     name,
                     self._cache.version(SHARDS + name),
                     self._cache.shards[name].owner,
-                    self.age_s(now, name),
+                    self.contact_age_s(now, name),
                 )
 
     def _owned_by_record(self) -> list[ShardName]:
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -70,11 +70,14 @@
         saved = capacity.free
         while len(chosen) < count:
             wait = capacity.slot_wait(spec)
-            if wait is None or min(wait.natural_s, wait.preempting_s) > limit_s:
+            if wait is None or min(wait.without_preemption_s, wait.with_preemption_s) > limit_s:
                 break
-            if wait.natural_s > patience_s and wait.preempting_s < wait.natural_s:
+            if (
+                wait.without_preemption_s > patience_s
+                and wait.with_preemption_s < wait.without_preemption_s
+            ):
                 preempt = True
-            capacity.take(spec.resources)
+            capacity.reserve(spec.resources)
             chosen.append(capacity)
         capacity.free = saved
         if len(chosen) == count:
@@ -119,17 +122,17 @@
     enough = [
         group
         for group in groups
-        if len(group.capacities) >= count and group.wait <= ONE_GROUP_TIMES * limit_s
+        if len(group.capacities) >= count and group.wait_s <= ONE_GROUP_TIMES * limit_s
     ]
     if enough:
         # The smallest of them: the others stay whole for gangs that need as many slots.
-        return min(enough, key=lambda g: (len(g.capacities), g.wait)).capacities[:count]
+        return min(enough, key=lambda g: (len(g.capacities), g.wait_s)).capacities[:count]
     chosen: list[MachineCapacity] = []
-    for group in sorted(groups, key=lambda g: (-len(g.capacities), g.wait)):
+    for group in sorted(groups, key=lambda g: (-len(g.capacities), g.wait_s)):
         missing = count - len(chosen)
         if missing <= len(idle):
             break
-        if group.wait <= limit_s:
+        if group.wait_s <= limit_s:
             chosen.extend(group.capacities[:missing])
     chosen.extend(idle[: count - len(chosen)])
     return chosen if len(chosen) == count else None
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -113,7 +113,7 @@
         if now - self._reported_at < REPORT_S:
             return
         self._reported_at = now
-        coming = provisioner.coming(wall_time)
+        coming = provisioner.expected_machines(wall_time)
         waiting = [
             _WaitingJob(
                 job,
@@ -132,11 +132,11 @@
         if not job.open:
             return False
         if not job.spec.is_gang:
-            return not job.done and self._shards.placed(job_id) == 0
+            return not job.done and self._shards.placed_task_count(job_id) == 0
         if job.gang is None or job.gang.over:
             return True
         return any(
-            shard.reserved(job_id, job.gang.attempt) is not None
+            shard.reservation(job_id, job.gang.attempt) is not None
             for name in job.gang.shards()
             if (shard := self._shards.owned_by_name(ShardName(name))) is not None
         )
@@ -169,7 +169,7 @@
 
     def _log(self, now: Seconds) -> None:
         ages = sorted(
-            ((self._contacts.age_s(now, shard), shard) for shard in self._cache.shards),
+            ((self._contacts.contact_age_s(now, shard), shard) for shard in self._cache.shards),
             reverse=True,
         )
         log.info(
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -129,7 +129,7 @@
         """Take a gang's slots and draft its placement."""
         by_name = {shard.shard: shard for shard in shard_capacities}
         for capacity in slots.capacities:
-            by_name[capacity.shard].take([capacity], gang.job.resources)
+            by_name[capacity.shard].reserve([capacity], gang.job.resources)
         self._reservation.placed(wall_time, {capacity.shard for capacity in slots.capacities})
         self._quotas.spend(gang.job.spec, gang.job.spec.task_count)
         attempt = self._ids.next_attempt()
@@ -152,7 +152,7 @@
         minutes.
         """
         coming = {Zone(zone): ShardCapacity(ShardName(zone), []) for zone in self._zones}
-        for capacity in self._provisioner.coming(wall_time):
+        for capacity in self._provisioner.expected_machines(wall_time):
             if capacity.total.gpus == 0 and capacity.zone in coming:
                 coming[capacity.zone].add(capacity)
         return [gang for gang in gangs if not _take_coming(gang.job.spec, list(coming.values()))]
@@ -165,9 +165,9 @@
     if not spec.same_zone and slots >= spec.task_count:
         left = spec.task_count
         for zone in zones:
-            left -= zone.take_most(spec, left)
+            left -= zone.reserve_up_to(spec, left)
         return True
     if zones and zones[0].idle_slots(spec) >= spec.task_count:
-        zones[0].take_most(spec, spec.task_count)
+        zones[0].reserve_up_to(spec, spec.task_count)
         return True
     return False
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -111,9 +111,9 @@
         shard = self._shards.get(ShardName(record.source))
         if shard is None:
             return "the owner of the giving share has not been heard yet"
-        if shard.seen < self._cache.version(TRANSFERS + name):
+        if shard.seen_revision < self._cache.version(TRANSFERS + name):
             return f"the owner of the giving share was last heard {self._age(shard)} ago"
-        silence = shard.latest.silent.get(machine_id)
+        silence = shard.latest_status.silent.get(machine_id)
         if silence is not None and silence.silent_s > SILENT_S:
             return (
                 f"it has been silent for {silence.silent_s:.0f} s, so that nothing is proven of it"
@@ -124,12 +124,12 @@
         return self._work(shard, machine_id, status)
 
     def _age(self, shard: ObservedShard) -> str:
-        return f"{max(0.0, self._now - shard.at):.0f} s"
+        return f"{max(0.0, self._now - shard.received_at):.0f} s"
 
     def _work(self, shard: ObservedShard, machine_id: MachineId, status: MachineStatus) -> str:
         ends = status.ends
         if ends:
-            last = max(end.at for end in ends) + shard.clock - self._now
+            last = max(end.at for end in ends) + shard.clock_offset_s - self._now
             tasks = f"{len(ends)} task{'s' if len(ends) > 1 else ''} on it"
             if last >= NEVER / 2:
                 return f"{tasks}, a replica of a service among them, which moves first"
@@ -141,6 +141,6 @@
         ]
         if gangs:
             return f"the gang {gangs[0]} has slots on it that are not released yet"
-        if machine_id in shard.latest.drained_machines:
+        if machine_id in shard.latest_status.drained_machines:
             return "it is empty and goes over with the next writes"
         return "results on it are not stored yet, or it was told to start a task a moment ago"
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -100,7 +100,7 @@
         cancelled.
         """
         stored = self._cache.version(TRANSFERS + transfer)
-        return any(shard.shard == source and shard.seen >= stored for shard in shards)
+        return any(shard.shard == source and shard.seen_revision >= stored for shard in shards)
 
     def _move(
         self,
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -103,7 +103,7 @@
         if len(there) <= SAMPLE_SIZE:
             return there
         shard = self._shards.get(ShardName(transfer.source))
-        idle = shard.latest.idle if shard is not None else {}
+        idle = shard.latest_status.idle if shard is not None else {}
         known_idle = [machine for machine in idle if machine in there][:MACHINES_MOST]
         draw = random.Random(transfer.generation * COUNT_MOST + transfer.moved)
         return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE_SIZE)])
@@ -126,7 +126,7 @@
         if not record.up:
             return True  # nothing was ever started there
         shard = self._shards.get(ShardName(transfer.source))
-        return shard is not None and machine_id in shard.latest.drained_machines
+        return shard is not None and machine_id in shard.latest_status.drained_machines
 
     def _expected_wait(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
         """In how many seconds a machine is expected to be empty.
@@ -151,4 +151,4 @@
             return 0.0
         # Services never end: their machines go last, when the replicas have moved.
         last = max(end.at for end in status.ends)
-        return min(NEVER, max(1.0, last + shard.clock - self._now))
+        return min(NEVER, max(1.0, last + shard.clock_offset_s - self._now))
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -142,8 +142,8 @@
 
         for _ in range(8):
             for view in self.capacities:
-                view.seen = Revision(self.revision)
-                view.latest.drained = [
+                view.seen_revision = Revision(self.revision)
+                view.latest_status.drained = [
                     m
                     for m in self.cache.transfers.drained()
                     if self.cache.machines[m].shard == view.shard
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -64,7 +64,7 @@
 
 
 def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("dapplewick.core.leader.capacity_requests.STARVED_S", 1e9)
+    patch.setattr("dapplewick.core.leader.capacity_requests.STARVATION_S", 1e9)
 
 
 def late_work_has_no_first_task(patch: pytest.MonkeyPatch) -> None:
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -333,15 +333,15 @@
                         shard.shard,
                         shard.zone,
                         shard.token,
-                        shard.number,
-                        shard.clock,
-                        shard.seen,
+                        shard.status_number,
+                        shard.clock_offset_s,
+                        shard.seen_revision,
                         {name: peers.encode(status) for name, status in shard.machines.items()},
                         {name: peers.encode(status) for name, status in shard.jobs.items()},
                         shard.gangs,
-                        peers.encode(shard.latest) if shard.number else {},
+                        peers.encode(shard.latest_status) if shard.status_number else {},
                         unreachable,
-                        [shard.placed(job) for job in shard.jobs],
+                        [shard.placed_task_count(job) for job in shard.jobs],
                     ]
                     for shard in leader.shards.values()
                 ]
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -47,7 +47,7 @@
 
 
 def unheard_shards_stay(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardContacts, "unheard", lambda *_: set())
+    patch.setattr(ShardContacts, "shards_without_contact", lambda *_: set())
 
 
 # Guards that a soak run has to notice when they are taken out, by name.
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dapplewick import client
-from dapplewick.core.leader.shard_contacts import UNHEARD_S
+from dapplewick.core.leader.shard_contacts import OWNER_CONTACT_TIMEOUT_S
 from dapplewick.errors import DapplewickError
 from standins import WORKERS, now
 from support.scenario_checks import final_check_failures
@@ -21,7 +21,7 @@
 # How long it may take after the last fault until work flows: a presence lease of 5 s, the time
 # after which an unheard shard is moved, a lease until silent machines are deleted, 10 s until
 # new ones are up, and 20 s for calls, gangs and moves that are made anew after a pause.
-RECOVERY_S = 5.0 + UNHEARD_S + float(WORKERS["lease_s"]) + 10.0 + 20.0
+RECOVERY_S = 5.0 + OWNER_CONTACT_TIMEOUT_S + float(WORKERS["lease_s"]) + 10.0 + 20.0
 SETTLE_S = 1.0  # after the end of a fault, until what it kept back is on its way
 WASTE = 2.0  # a task waits for a heartbeat and an image, and gangs for one another
 TASK_OVERHEAD_S = 4.0
--- a/tests/unit/test_invariants.py
+++ b/tests/unit/test_invariants.py
@@ -11,7 +11,7 @@
 from dapplewick.core.invariants import Invariant, InvariantCounts
 from dapplewick.core.leader.limit_audit import GIVEN_BACK_S
 from dapplewick.core.leader.planner import LeaderPlanner
-from dapplewick.core.leader.shard_contacts import MOVE_PASSES, UNHEARD_S
+from dapplewick.core.leader.shard_contacts import MAX_REASSIGNMENT_PASSES, OWNER_CONTACT_TIMEOUT_S
 from dapplewick.protocol.cloud import encode_machine_types
 from dapplewick.storage.job_records import CANCELLED, JobRecord
 from dapplewick.storage.keys import JOBS, TYPES
@@ -59,7 +59,7 @@
         assert lines == []
     else:
         # After the time in which it is moved, and the passes that a move may take.
-        assert noticed[0] == UNHEARD_S + MOVE_PASSES + 1
+        assert noticed[0] == OWNER_CONTACT_TIMEOUT_S + MAX_REASSIGNMENT_PASSES + 1
         assert invariants.violations == {Invariant.SHARDS_ARE_HEARD: 1}
         assert len(lines) == 1
         assert "shard=a token=2 controller=n0" in lines[0]
--- a/tests/unit/test_leader_isolation.py
+++ b/tests/unit/test_leader_isolation.py
@@ -84,4 +84,4 @@
         cache.put(f"dw/m/vm-{n}", group(f"vm-{n}"), 10 + n)
     shards = ObservedShards(cache, Estimates())
     shards.receive(0.0, status_of(heard_ago_s, described))
-    assert shards.unreachable() == ({OWN} if unreachable else set())
+    assert shards.unreachable_shards() == ({OWN} if unreachable else set())
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -437,7 +437,7 @@
     simulation.lead(faults=False)
     catch_up(start=False)
     simulation.capacities[OWN] = owner.status(1)
-    assert simulation.capacities[OWN].latest.drained == [machine]
+    assert simulation.capacities[OWN].latest_status.drained == [machine]
     (first,) = simulation.cache.transfers.records or [TransferId("o-1")]
     simulation.keeper.commands = [TransferCommand(first, None)]
     simulation.lead(faults=False)
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -196,7 +196,7 @@
     chosen = fit_all(capacities, spec(count, float(cpus), 1.0, True), count)
     assert (chosen is not None) == (sum(room // cpus for room in rooms) >= count)
     for v in chosen or []:
-        v.take(Resources(float(cpus), 0.0, 1.0))
+        v.reserve(Resources(float(cpus), 0.0, 1.0))
     assert all(v.free.cpus >= 0 for v in capacities)
 
 
@@ -232,7 +232,7 @@
     need = CapacityRequest(spec(3000, 4.0, 30.0), 3000, False)
     for calls, machines in ((0.3, 50), (1.0, 50), (4.0, 200), (100.0, 400)):
         provisioner = Provisioner(cache, ["a", "b"], 1, requests_per_pass=calls)
-        provisioner.catalog(kinds)
+        provisioner.set_catalog(kinds)
         provisioning_requests, _ = provisioner.scale_out(0.0, 0.0, [need], [])
         assert (
             sum(provisioning_request.count for provisioning_request in provisioning_requests)
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -79,8 +79,8 @@
 ) -> None:
     cache = records()
     rooms = ShardCapacity(ZONE, [view(name, size) for name, size in machines.items()])
-    rooms.keep_for_gangs(demand(cache), 1.0)
-    assert rooms.take_most(ARRAY_TASKS, ARRAY_TASKS.task_count) == taken
+    rooms.reserve_idle_slots_for_gangs(demand(cache), 1.0)
+    assert rooms.reserve_up_to(ARRAY_TASKS, ARRAY_TASKS.task_count) == taken
 
 
 def test_gangs_that_may_preempt_array_tasks_need_no_slots_kept() -> None:
