--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -1,4 +1,4 @@
-"""The cluster's size: answers to provisioning requests, scaling out and scaling in."""
+"""Scaling of the cluster: results of provisioning requests, scaling out and scaling in."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 log = logging.getLogger(__name__)
 
-SCALING_INTERVAL_S = 1.0  # scaling out and in is decided this often
-FIRST_STATUSES_S = 1.0  # the shards' owners have so long to tell a new leader of themselves
+SCALING_INTERVAL_S = 1.0  # minimum time between two scaling decisions
+INITIAL_STATUS_WAIT_S = 1.0  # a new leader waits this long for the first statuses of shard owners
 
 
 class ClusterScaling:
-    """Decides on the number of machines, as soon as enough is known of the shards.
+    """Decides how many machines to provision and to terminate, once all shards have reported.
 
     Attributes:
-        provisioned: The cloud's answers to provisioning requests that are still recorded: the
-            machines that it gave, or None if it refused.
-        unmet: The requests for which nothing could be provisioned when that was decided last.
+        cloud_answers: The cloud's answers to provisioning requests that are still recorded, by
+            request name: the machines provided, or None if the cloud refused.
+        unmet: The capacity requests that could not be served at the last scaling decision.
     """
 
     def __init__(
@@ -66,21 +66,27 @@
         shard_capacities: list[ShardCapacity],
         pending: list[PendingArray],
     ) -> list[ConditionalWrite]:
-        """The writes of provisioning requests; what ends machines is drafted with these."""
-        changes = self._take_answers(now, wall_time)
+        """Process the cloud's answers and decide on scaling.
+
+        Terminations and newly provisioned machines are drafted with `MachineLifecycle`.
+
+        Returns:
+            The writes that add new provisioning requests and remove answered ones.
+        """
+        changes = self._process_cloud_answers(now, wall_time)
         if now - self._scaled_at >= SCALING_INTERVAL_S and self._is_ready(now):
             self._scaled_at = now
             requests = self._capacity_requests.capacity_requests(wall_time, pending)
-            # Before scaling out takes slots for what waits.
+            # Computed first, because `scale_out` reserves slots in `shard_capacities`.
             spare_slots = self._scale_in.spare_slots(shard_capacities)
-            wanted = self._provisioner.scale_out(now, wall_time, requests, shard_capacities)
-            changes += [self._request(request) for request in wanted.requests]
-            self.unmet = wanted.unmet
-            self._scale_in.terminate_idle(wanted.unmet, spare_slots)
+            scale_out = self._provisioner.scale_out(now, wall_time, requests, shard_capacities)
+            changes += [self._provisioning_write(request) for request in scale_out.requests]
+            self.unmet = scale_out.unmet
+            self._scale_in.terminate_idle(scale_out.unmet, spare_slots)
         return changes
 
-    def _take_answers(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
-        """Draft the machines that the cloud gave, and the end of their requests."""
+    def _process_cloud_answers(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
+        """Draft the machines that the cloud provided, and remove the answered requests."""
         changes = []
         for name, machines in list(self.cloud_answers.items()):
             request = self._cache.provisioning_requests.get(name)
@@ -95,7 +101,7 @@
             changes.append(ConditionalWrite(key, None, version, WritePriority.URGENT))
         return changes
 
-    def _request(self, request: ProvisioningRequest) -> ConditionalWrite:
+    def _provisioning_write(self, request: ProvisioningRequest) -> ConditionalWrite:
         name = self._ids.next_request_name()
         log.info(
             "event=provisioning_requested request=%s type=%s zone=%s spot=%s count=%d",
@@ -109,7 +115,7 @@
         return ConditionalWrite(PROVISIONING_REQUESTS + name, value, 0, WritePriority.NORMAL)
 
     def _is_ready(self, now: Seconds) -> bool:
-        """Whether enough is known to decide on machines: every owned shard was heard."""
-        if not self._cache.types or now - self._started_at < FIRST_STATUSES_S:
+        """Whether scaling can be decided: types are known, all shard owners reported recently."""
+        if not self._cache.types or now - self._started_at < INITIAL_STATUS_WAIT_S:
             return False
         return self._contacts.all_fresh(now)
--- a/src/dapplewick/core/leader/machine_offers.py
+++ b/src/dapplewick/core/leader/machine_offers.py
@@ -1,4 +1,4 @@
-"""What machines the cloud offers, at what price, and what it has refused lately."""
+"""The machines that the cloud offers, their prices, and recent refusals by the cloud."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds
 
-REFUSED_S = 20.0  # how long "no capacity" is believed
-MACHINES_PER_REQUEST = 50  # as the cloud allows
-IDLE_TIMES = 5.0  # a cheap machine idles at most this much longer than one of average price
-BOOT_TIMES = 4.0  # a machine that takes longer than this times its usual boot is given up
-LEAST_BOOT_LIMIT_S = 60.0
-UNKNOWN_BOOT_S = 60.0  # for a type that the catalogue does not name any more
+REFUSAL_MEMORY_S = 20.0  # a pool is not requested again for this long after a refusal
+MAX_MACHINES_PER_REQUEST = 50  # limit of the cloud's API
+# The idle limit of a cheap machine is at most this multiple of that of an average-priced machine.
+MAX_IDLE_FACTOR = 5.0
+# A machine is terminated if it boots for longer than this multiple of its type's usual boot time,
+# but not before MIN_BOOT_LIMIT_S.
+BOOT_LIMIT_FACTOR = 4.0
+MIN_BOOT_LIMIT_S = 60.0
+DEFAULT_BOOT_S = 60.0  # usual boot time assumed for a type that is no longer recorded
 
 
 class MachinePool(NamedTuple):
-    """Machines that are alike to the cloud: a request asks for some of one pool."""
+    """A pool of interchangeable machines; each provisioning request names one pool."""
 
     machine_type: str
     zone: str
@@ -28,13 +31,13 @@
 
 
 class MachineOffer(NamedTuple):
-    """One more machine, and what it costs.
+    """A machine that the cloud can provide, and its price.
 
     Attributes:
         machine_type: Its type.
         zone: Its zone.
         spot: Whether the cloud may reclaim it.
-        hourly_price: What an hour of it costs.
+        hourly_price: Its price per hour.
     """
 
     machine_type: MachineType
@@ -48,8 +51,8 @@
         return MachinePool(self.machine_type.name, self.zone, self.spot)
 
 
-class MachineMarket:
-    """The offers of the cloud, by its catalogue and by its newest answers."""
+class MachineOffers:
+    """The cloud's current offers, according to its catalogue and its latest refusals."""
 
     def __init__(self, cache: WatchCache, zones: list[str]) -> None:
         self._cache = cache
@@ -58,30 +61,31 @@
         self._refused_at: dict[MachinePool, Seconds] = {}
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        """Take over the cloud's catalogue; until then the stored types are used."""
+        """Set the catalogue that the cloud returned; until then the stored types are used."""
         self._catalog = {machine_type.name: machine_type for machine_type in types}
 
-    def refuse(self, now: Seconds, request: ProvisioningRequest) -> None:
-        """Note that the cloud had not all machines that were asked for."""
+    def record_refusal(self, now: Seconds, request: ProvisioningRequest) -> None:
+        """Record that the cloud could not provide all machines of a request."""
         self._refused_at[MachinePool(request.type, request.zone, request.spot)] = now
 
-    def offers(
+    def matching(
         self,
         now: Seconds,
         spec: JobSpec,
         zones: Collection[str],
-        asked: Mapping[MachinePool, int],
+        requested: Mapping[MachinePool, int],
     ) -> list[MachineOffer]:
-        """Machines on which a task of this work fits, in these zones.
+        """The offers of machines in these zones on which a task of this job fits.
 
-        One request is made at a time for each pool: what is asked of a cloud that has nothing left
-        would pile up otherwise, in front of what it has.
+        Pools with a pending provisioning request are excluded: while the cloud has no machines of
+        a pool, further requests for the pool would queue up ahead of requests that the cloud can
+        serve.
 
         Args:
             now: The steady clock.
-            spec: The work.
-            zones: The zones in which machines may be.
-            asked: How many machines of each pool this pass asks for already.
+            spec: The job specification.
+            zones: The zones in which machines may be provisioned.
+            requested: The number of machines already requested from each pool in this pass.
         """
         pending = {
             MachinePool(request.type, request.zone, request.spot)
@@ -98,26 +102,28 @@
                     continue
                 for spot in (True, False) if spec.spot else (False,):
                     pool = MachinePool(machine_type.name, zone, spot)
-                    if pool not in pending and self._may_have(now, pool, asked):
+                    if pool not in pending and self._is_available(now, pool, requested):
                         price = machine_type.spot_price if spot else machine_type.price
                         offers.append(MachineOffer(machine_type, zone, spot, price))
         return offers
 
-    def _may_have(self, now: Seconds, pool: MachinePool, asked: Mapping[MachinePool, int]) -> bool:
+    def _is_available(
+        self, now: Seconds, pool: MachinePool, requested: Mapping[MachinePool, int]
+    ) -> bool:
         refused_at = self._refused_at.get(pool)
-        if refused_at is not None and now - refused_at <= REFUSED_S:
+        if refused_at is not None and now - refused_at <= REFUSAL_MEMORY_S:
             return False
-        return asked.get(pool, 0) < MACHINES_PER_REQUEST
+        return requested.get(pool, 0) < MAX_MACHINES_PER_REQUEST
 
     def hourly_price(self, machine_type: str, spot: bool) -> float:
-        """What an hour of such a machine costs; 0 if nobody knows its type."""
+        """The price per hour of a machine; 0 if its type is in neither catalogue nor records."""
         known = self._catalog.get(machine_type) or self._cache.types.get(machine_type)
         if known is None:
             return 0.0
         return known.spot_price if spot else known.price
 
     def hourly_spending(self) -> float:
-        """What an hour of all machines costs, with those that are asked for."""
+        """The total price per hour of all machines, including requested ones."""
         spending = sum(self.hourly_price(m.type, m.spot) for m in self._cache.machines.values())
         spending += sum(
             self.hourly_price(request.type, request.spot) * request.count
@@ -128,22 +134,23 @@
     def idle_limit_s(self, machine_type: str, average_limit_s: Seconds) -> Seconds:
         """How long a machine may idle before it is terminated.
 
-        Idling costs about the same for each type, so the cheap ones are there when the next work
-        comes.
+        The limit is inversely proportional to the price, within `MAX_IDLE_FACTOR`, so that the
+        cost of idling is about the same for each type and cheap machines are still up when the
+        next work arrives.
 
         Args:
             machine_type: The name of its type.
-            average_limit_s: The limit for a machine of average price.
+            average_limit_s: The idle limit of a machine of average price.
         """
         types = self._catalog or self._cache.types
         known = types.get(machine_type)
         if known is None or known.price <= 0:
             return average_limit_s
         average_price = sum(t.price for t in types.values()) / len(types)
-        return average_limit_s * min(IDLE_TIMES, average_price / known.price)
+        return average_limit_s * min(MAX_IDLE_FACTOR, average_price / known.price)
 
     def boot_limit_s(self, machine_type: str) -> Seconds:
-        """How long a machine may take to come up before it is given up."""
+        """How long a machine may boot before it is terminated."""
         known = self._cache.types.get(machine_type)
-        boot_s = known.boot_s if known is not None else UNKNOWN_BOOT_S
-        return max(LEAST_BOOT_LIMIT_S, BOOT_TIMES * boot_s)
+        boot_s = known.boot_s if known is not None else DEFAULT_BOOT_S
+        return max(MIN_BOOT_LIMIT_S, BOOT_LIMIT_FACTOR * boot_s)
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -1,4 +1,4 @@
-"""Scaling out: which machines to ask the cloud for."""
+"""Scaling out: which machines to request from the cloud."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from dapplewick.core.leader.capacity_requests import CapacityRequest
 from dapplewick.core.leader.machine_capacity import MachineCapacity, empty_capacity
 from dapplewick.core.leader.machine_offers import (
-    MACHINES_PER_REQUEST,
-    MachineMarket,
+    MAX_MACHINES_PER_REQUEST,
     MachineOffer,
+    MachineOffers,
     MachinePool,
 )
 from dapplewick.core.leader.shard_capacity import ShardCapacity
@@ -22,19 +22,31 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import MachineId, Seconds, ShardName, TypeName, Zone
 
-OVERDUE_TIMES = 1.7  # a machine that boots for longer than this times its usual is not counted on
-CROWDING = 0.1  # each machine that is asked of a pool makes the next one dearer by so much
+# A machine that has booted for longer than this multiple of its type's usual boot time is no longer
+# counted as expected capacity.
+OVERDUE_BOOT_FACTOR = 1.7
+# Each machine already requested from a pool raises the cost at which the pool's next machine is
+# compared by this fraction, which spreads requests over several pools.
+POOL_CROWDING_PENALTY = 0.1
 
 
 class ScaleOut(NamedTuple):
-    """What to ask the cloud for, and the requests for which nothing is left to be asked."""
+    """The result of one scale-out decision.
+
+    Attributes:
+        requests: The provisioning requests to send to the cloud.
+        unmet: The capacity requests that neither existing nor requested machines can serve.
+    """
 
     requests: list[ProvisioningRequest]
     unmet: list[CapacityRequest]
 
 
 class Provisioner:
-    """Decides on new machines; it neither writes nor calls."""
+    """Decides which machines to provision.
+
+    It neither writes records nor calls the cloud: the caller does both.
+    """
 
     def __init__(
         self,
@@ -44,48 +56,51 @@
         tuning: Tuning | None = None,
         requests_per_pass: float = 1.0,
     ) -> None:
-        # More requests than the cloud takes in a pass would only wait, for more and more work
-        # that is known by then.
-        self._machines_per_pass = max(1, int(requests_per_pass)) * MACHINES_PER_REQUEST
+        # The cloud's request rate limits how many requests can be sent per pass. Excess requests
+        # would queue, and by the time they are sent the demand has changed.
+        self._machines_per_pass = max(1, int(requests_per_pass)) * MAX_MACHINES_PER_REQUEST
         self._tuning = tuning or Tuning()
         self._cache = cache
         self._zones = zones
         self._random = random.Random(seed)
-        self._market = MachineMarket(cache, zones)
+        self._offers = MachineOffers(cache, zones)
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        """Take over the cloud's catalogue."""
-        self._market.set_catalog(types)
+        """Replace the catalogue of machine types with the one that the cloud returned."""
+        self._offers.set_catalog(types)
 
     def record_no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
-        """Note that the cloud had not all machines that were asked for."""
-        self._market.refuse(now, provisioning_request)
+        """Record that the cloud could not provide all machines of a request."""
+        self._offers.record_refusal(now, provisioning_request)
 
     def idle_limit_s(self, machine_type: str) -> Seconds:
         """How long a machine of this type may idle before it is terminated."""
-        return self._market.idle_limit_s(machine_type, self._tuning.idle_s)
+        return self._offers.idle_limit_s(machine_type, self._tuning.idle_s)
 
     def boot_limit_s(self, machine_type: str) -> Seconds:
-        """How long a machine of this type may take to come up before it is given up."""
-        return self._market.boot_limit_s(machine_type)
+        """How long a machine of this type may boot before it is terminated."""
+        return self._offers.boot_limit_s(machine_type)
 
     def expected_machines(self, wall_time: Seconds) -> list[MachineCapacity]:
-        """Machines that are provisioned or asked for and not yet up, as empty ones.
+        """Machines that are booting or requested, each as an empty machine.
 
-        One that is long overdue may never come: nothing is left waiting for it.
+        Machines that are overdue (see `OVERDUE_BOOT_FACTOR`) are excluded: they may never finish
+        booting, and no work should wait for them.
         """
         capacities = []
         for machine_id, record in self._cache.machines.items():
             machine_type = self._cache.types.get(record.type)
             if machine_type is None or record.up or record.terminating:
                 continue
-            if wall_time - record.at < OVERDUE_TIMES * machine_type.boot_s:
-                capacities.append(_empty(machine_id, machine_type, record.zone, record.spot))
+            if wall_time - record.at < OVERDUE_BOOT_FACTOR * machine_type.boot_s:
+                capacities.append(
+                    _empty_machine(machine_id, machine_type, record.zone, record.spot)
+                )
         for name, request in self._cache.provisioning_requests.items():
             machine_type = self._cache.types.get(request.type)
             if machine_type is not None:
                 capacities += [
-                    _empty(f"{name}#{n}", machine_type, request.zone, request.spot)
+                    _empty_machine(f"{name}#{n}", machine_type, request.zone, request.spot)
                     for n in range(request.count)
                 ]
         return capacities
@@ -97,11 +112,17 @@
         capacity_requests: list[CapacityRequest],
         shard_capacities: list[ShardCapacity],
     ) -> ScaleOut:
-        """Decide what to ask for, beyond what is there and what is already coming.
+        """Decide which machines to request beyond those that are up, booting or requested.
 
-        A request that finds slots on machines that are up asks for nothing, whatever else keeps
-        its work from starting: otherwise it would ask again in every pass. The slots that are
-        found are taken out of the shards' capacities.
+        If a capacity request finds free slots on machines that are up, no machine is requested
+        for these tasks, even if something else delays their start: otherwise every pass would
+        request more machines. The slots found are reserved in `shard_capacities`.
+
+        Args:
+            now: The steady clock.
+            wall_time: The wall clock, which is compared with times of provisioning.
+            capacity_requests: The demand, in the order in which it is served.
+            shard_capacities: The capacity of all shards; this method changes it.
         """
         zones = _capacities_by_zone(shard_capacities)
         for zone in self._zones:
@@ -113,151 +134,159 @@
             now,
             zones,
             self._zones,
-            self._market,
+            self._offers,
             self._random,
             self._machines_per_pass,
             self._tuning.spend_cap,
         )
-        unmet = [request for request in capacity_requests if not scaling.meet(request)]
+        unmet = [request for request in capacity_requests if not scaling.satisfy(request)]
         return ScaleOut(scaling.provisioning_requests(), unmet)
 
 
 class _ScalingPass:
-    """What one pass takes of the machines that there are, and asks for beyond them."""
+    """One scale-out decision: slots reserved on existing machines, and new machines to request."""
 
     def __init__(
         self,
         now: Seconds,
         capacities: dict[Zone, ShardCapacity],
         zones: list[str],
-        market: MachineMarket,
+        offers: MachineOffers,
         rng: random.Random,
-        most_machines: int,
+        max_machines: int,
         spend_cap: float,
     ) -> None:
         self._now = now
         self._capacities = capacities
         self._zones = zones
-        self._market = market
+        self._offers = offers
         self._random = rng
-        self._most_machines = most_machines
-        self._spend_cap = spend_cap  # for an hour of all machines; 0 if there is none
-        self._asked: dict[MachinePool, int] = {}
+        self._max_machines = max_machines
+        self._spend_cap = spend_cap  # price per hour of all machines; 0 means no cap
+        self._requested: dict[MachinePool, int] = {}
 
     def provisioning_requests(self) -> list[ProvisioningRequest]:
-        """One request for each pool of which machines are wanted."""
+        """One provisioning request for each pool from which machines are requested."""
         return [
             ProvisioningRequest(
                 type=pool.machine_type, zone=pool.zone, spot=pool.spot, count=count, at=self._now
             )
-            for pool, count in self._asked.items()
+            for pool, count in self._requested.items()
         ]
 
-    def meet(self, request: CapacityRequest) -> bool:
-        """Find or ask for slots for all tasks of a request; whether that was possible."""
+    def satisfy(self, request: CapacityRequest) -> bool:
+        """Reserve slots for all tasks of a request, requesting machines where slots are missing.
+
+        Returns:
+            Whether all tasks have a slot on an existing or requested machine.
+        """
         spec, count = request.spec, request.task_count
-        if request.together and spec.same_zone:
+        if request.all_or_nothing and spec.same_zone:
             zones = sorted(self._zones, key=lambda z: -self._capacities[Zone(z)].idle_slots(spec))
-            return any(self._provide(spec, count, {zone: count}) for zone in zones)
+            return any(self._allocate_slots(spec, count, {zone: count}) for zone in zones)
         if request.zone_limits is not None:
             limits = {zone: request.zone_limits.get(zone, 0) for zone in self._zones}
         else:
-            limit = spec.zone_cap if request.together and spec.spread else count
+            limit = spec.zone_cap if request.all_or_nothing and spec.spread else count
             limits = dict.fromkeys(self._zones, limit)
-        return self._provide(spec, count, limits)
+        return self._allocate_slots(spec, count, limits)
 
-    def _provide(self, spec: JobSpec, count: int, zone_limits: dict[str, int]) -> bool:
-        """Take slots for so many tasks and ask for what is missing; whether all have one.
+    def _allocate_slots(self, spec: JobSpec, count: int, zone_limits: dict[str, int]) -> bool:
+        """Reserve slots for `count` tasks, requesting machines where slots are missing.
 
         Args:
-            spec: The work.
-            count: For how many tasks.
-            zone_limits: For at most how many in each zone; it is used up.
+            spec: The job specification of the tasks.
+            count: The number of tasks.
+            zone_limits: The maximum number of tasks in each zone. Allocated tasks are subtracted
+                from it in place.
+
+        Returns:
+            Whether all tasks have a slot on an existing or requested machine.
         """
-        count -= self._take_present(spec, count, zone_limits)
-        while count > 0 and sum(self._asked.values()) < self._most_machines:
-            open_zones = [zone for zone, left in zone_limits.items() if left > 0]
+        count -= self._reserve_existing(spec, count, zone_limits)
+        while count > 0 and sum(self._requested.values()) < self._max_machines:
+            open_zones = [zone for zone, remaining in zone_limits.items() if remaining > 0]
             offer = self._best_offer(spec, count, open_zones)
-            if offer is None or self._is_too_dear(offer):
+            if offer is None or self._exceeds_spend_cap(offer):
                 return False
-            fit = self._ask(offer, spec, min(count, zone_limits[offer.zone]))
-            zone_limits[offer.zone] -= fit
-            count -= fit
+            fitting = self._request_machine(offer, spec, min(count, zone_limits[offer.zone]))
+            zone_limits[offer.zone] -= fitting
+            count -= fitting
         return count <= 0
 
-    def _take_present(self, spec: JobSpec, count: int, zone_limits: dict[str, int]) -> int:
-        """Take slots on machines that are there or coming; gives for how many tasks."""
-        taken = 0
+    def _reserve_existing(self, spec: JobSpec, count: int, zone_limits: dict[str, int]) -> int:
+        """Reserve slots on machines that are up or expected; returns the number of tasks served."""
+        reserved = 0
         for zone in zone_limits:
             shard = self._capacities[Zone(zone)]
-            before = taken
+            before = reserved
             for capacity in shard.machines_for(spec):
-                if taken >= count or zone_limits[zone] <= 0:
+                if reserved >= count or zone_limits[zone] <= 0:
                     break
-                # Array tasks that need no accelerators don't count on machines that are
-                # provisioned for theirs: slots for them are to be had for much less.
+                # Array tasks that need no accelerators are not planned on accelerator machines:
+                # a slot on a machine without accelerators costs much less.
                 if spec.gpus == 0 and not spec.is_gang and capacity.total.gpus > 0:
                     continue
-                fit = min(count - taken, zone_limits[zone], capacity.slot_count(spec))
-                if fit > 0:
-                    capacity.reserve(spec.resources.times(fit))
-                    zone_limits[zone] -= fit
-                    taken += fit
-            if taken > before:
+                fitting = min(count - reserved, zone_limits[zone], capacity.slot_count(spec))
+                if fitting > 0:
+                    capacity.reserve(spec.resources.times(fitting))
+                    zone_limits[zone] -= fitting
+                    reserved += fitting
+            if reserved > before:
                 shard.clear_memos()
-        return taken
+        return reserved
 
-    def _ask(self, offer: MachineOffer, spec: JobSpec, most: int) -> int:
-        """Ask for one more machine, and take slots on it; gives for how many tasks."""
+    def _request_machine(self, offer: MachineOffer, spec: JobSpec, max_tasks: int) -> int:
+        """Request one more machine and reserve slots on it; returns the number of tasks served."""
         pool = offer.pool
-        self._asked[pool] = self._asked.get(pool, 0) + 1
-        name = f"new#{self._asked[pool]}"
-        capacity = _empty(name, offer.machine_type, offer.zone, offer.spot)
-        fit = min(most, capacity.slot_count(spec))
-        capacity.reserve(spec.resources.times(fit))
+        self._requested[pool] = self._requested.get(pool, 0) + 1
+        name = f"new#{self._requested[pool]}"
+        capacity = _empty_machine(name, offer.machine_type, offer.zone, offer.spot)
+        fitting = min(max_tasks, capacity.slot_count(spec))
+        capacity.reserve(spec.resources.times(fitting))
         self._capacities[Zone(offer.zone)].add(capacity)
-        return fit
+        return fitting
 
     def _best_offer(self, spec: JobSpec, count: int, zones: list[str]) -> MachineOffer | None:
-        """The offer with the lowest price for each task that it would run now; ties by chance."""
+        """The offer with the lowest price per task that would run now; ties broken at random."""
         best: MachineOffer | None = None
         best_cost = (0.0, 0.0)
-        for offer in self._market.offers(self._now, spec, zones, self._asked):
+        for offer in self._offers.matching(self._now, spec, zones, self._requested):
             slots = min(count, spec.resources.count_in(offer.machine_type.resources))
-            # Machines of one pool are few: ask for some elsewhere too.
-            crowding = 1.0 + CROWDING * self._asked.get(offer.pool, 0)
+            # A pool holds few machines, so requests are spread over several pools.
+            crowding = 1.0 + POOL_CROWDING_PENALTY * self._requested.get(offer.pool, 0)
             cost = (offer.hourly_price / slots * crowding, self._random.random())
             if best is None or cost < best_cost:
                 best, best_cost = offer, cost
         return best
 
-    def _is_too_dear(self, offer: MachineOffer) -> bool:
-        """Whether one more machine would cost more than operators allow."""
+    def _exceeds_spend_cap(self, offer: MachineOffer) -> bool:
+        """Whether this machine would raise the hourly spending above the operator's cap."""
         if not self._spend_cap:
             return False
-        spending = self._market.hourly_spending()
+        spending = self._offers.hourly_spending()
         spending += sum(
-            self._market.hourly_price(pool.machine_type, pool.spot) * count
-            for pool, count in self._asked.items()
+            self._offers.hourly_price(pool.machine_type, pool.spot) * count
+            for pool, count in self._requested.items()
         )
         return spending + offer.hourly_price > self._spend_cap
 
 
-def _empty(name: str, machine_type: MachineType, zone: str, spot: bool) -> MachineCapacity:
+def _empty_machine(name: str, machine_type: MachineType, zone: str, spot: bool) -> MachineCapacity:
     return empty_capacity(
         MachineId(name), TypeName(machine_type.name), zone, spot, machine_type.resources
     )
 
 
 def _capacities_by_zone(shard_capacities: list[ShardCapacity]) -> dict[Zone, ShardCapacity]:
-    """The capacity of each zone, whose machines may be in several shards."""
+    """The capacity of each zone, merged over the shards that partition its machines."""
     shards: dict[Zone, list[ShardCapacity]] = {}
     for capacity in shard_capacities:
         shards.setdefault(capacity.zone, []).append(capacity)
-    return {zone: _joined(zone, of_zone) for zone, of_zone in shards.items()}
+    return {zone: _merge_shards(zone, zone_shards) for zone, zone_shards in shards.items()}
 
 
-def _joined(zone: Zone, shard_capacities: list[ShardCapacity]) -> ShardCapacity:
+def _merge_shards(zone: Zone, shard_capacities: list[ShardCapacity]) -> ShardCapacity:
     if len(shard_capacities) == 1:
         return shard_capacities[0]
     return ShardCapacity(
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -19,7 +19,7 @@
 
 
 class ScaleIn:
-    """Terminates machines that have been idle for a while, unless something waits for them."""
+    """Terminates machines idle beyond their limit, except those that waiting work could use."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._machine_lifecycle = machine_lifecycle
 
     def spare_slots(self, shard_capacities: Iterable[ShardCapacity]) -> int:
-        """How many idle slots of the gangs' size there are beyond those to be kept."""
+        """The number of idle slots of the gangs' size beyond those reserved for expected gangs."""
         idle = sum(
             self._gangs.resources.count_in(machine.free)
             for shard in shard_capacities
@@ -47,12 +47,12 @@
         return idle - math.ceil(self._gangs.slots)
 
     def terminate_idle(self, unmet: list[CapacityRequest], spare_slots: int) -> None:
-        """Draft the end of idle machines.
+        """Draft the termination of idle machines.
 
         Args:
-            unmet: Requests for which nothing could be provisioned: a machine that would serve
-                one of them stays.
-            spare_slots: How many slots of the gangs' size may go.
+            unmet: Capacity requests that could not be served by provisioning; a machine that
+                could serve one of them is not terminated.
+            spare_slots: The number of slots of the gangs' size that may be removed.
         """
         placed = {
             machine
@@ -63,9 +63,9 @@
         for shard in self._shards.owned():
             for machine_id, idle_s in shard.latest_status.idle.items():
                 record = self._cache.machines.get(machine_id)
-                if record is None or not self._may_go(shard, machine_id, record, idle_s):
+                if record is None or not self._is_terminable(shard, machine_id, record, idle_s):
                     continue
-                if machine_id in placed or self._is_wanted(record, unmet):
+                if machine_id in placed or self._would_serve_unmet(record, unmet):
                     continue
                 slots = self._gang_slots(record)
                 if slots and spare_slots < slots:
@@ -73,10 +73,13 @@
                 spare_slots -= slots
                 self._machine_lifecycle.terminate(machine_id, "idle", WritePriority.LOW)
 
-    def _may_go(
+    def _is_terminable(
         self, shard: ObservedShard, machine_id: MachineId, record: MachineRecord, idle_s: Seconds
     ) -> bool:
-        """Whether a machine is up, still this shard's, not being moved, and idle for too long."""
+        """Whether a machine is up, still in this shard, in no transfer, and idle past its limit.
+
+        A machine that reports to be leaving needs no minimum idle time.
+        """
         status = shard.machines.get(machine_id)
         if status is None or record.terminating or not record.up:
             return False
@@ -87,14 +90,16 @@
         return idle_s > self._provisioner.idle_limit_s(record.type) or status.leaving
 
     def _gang_slots(self, record: MachineRecord) -> int:
-        """How many slots of the gangs' size a machine has; 0 while none are kept."""
+        """The slots of the gangs' size on a machine; 0 while none are reserved for gangs."""
         machine_type = self._cache.types.get(record.type)
         if machine_type is None or self._gangs.slots < LEAST_GANG_SLOTS:
             return 0
         return self._gangs.resources.count_in(machine_type.resources)
 
-    def _is_wanted(self, record: MachineRecord, requests: Iterable[CapacityRequest]) -> bool:
-        """Whether a task of one of these requests would fit on an empty machine of this type."""
+    def _would_serve_unmet(
+        self, record: MachineRecord, requests: Iterable[CapacityRequest]
+    ) -> bool:
+        """Whether a task of one of these requests fits on this machine when it is empty."""
         machine_type = self._cache.types.get(record.type)
         return machine_type is not None and any(
             request.spec.resources.fits_in(machine_type.resources)
