--- a/src/dapplewick/core/leader/capacity_snapshots.py
+++ b/src/dapplewick/core/leader/capacity_snapshots.py
@@ -1,4 +1,4 @@
-"""The capacity of all shards at the start of a pass."""
+"""The capacity of all shards at the start of a planning pass."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CapacitySnapshotBuilder:
-    """Builds the shards' capacities from their statuses and from what these do not show yet."""
+    """Builds the shards' capacities from their statuses and from newer decisions of the leader."""
 
     def __init__(
         self,
@@ -35,27 +35,29 @@
     def build(
         self, now: Seconds, served_teams: Callable[[ShardName], frozenset[str] | None]
     ) -> list[ShardCapacity]:
-        """The shards' capacities, less what was given to them that their statuses don't show.
+        """The shards' capacities, less the slots of work assigned after their latest statuses.
+
+        Shards without a recent status are left out.
 
         Args:
             now: The steady clock.
-            served_teams: The teams whose work may come to a shard; None for all.
+            served_teams: Returns the teams whose work may be placed in a shard; None for all.
         """
         by_name: dict[str, ShardCapacity] = {}
         for shard in self._shards.owned():
             if is_fresh(now, shard):
-                capacity = ShardCapacity(shard.shard, self._machines(now, shard))
+                capacity = ShardCapacity(shard.shard, self._machine_capacities(now, shard))
                 teams = served_teams(shard.shard)
                 if teams is not None:
-                    capacity.serve_only(teams)
+                    capacity.restrict_to_teams(teams)
                 by_name[shard.shard] = capacity
         for job_id, job in self._drafts.live_jobs():
-            self._take_unseen_gang(job, by_name)
-            self._take_unseen_tasks(job_id, job, by_name)
+            self._reserve_unseen_gang(job, by_name)
+            self._reserve_unseen_tasks(job_id, job, by_name)
         return list(by_name.values())
 
-    def _machines(self, now: Seconds, shard: ObservedShard) -> list[MachineCapacity]:
-        """The machines of a shard that may get work; a machine is built only if it is new."""
+    def _machine_capacities(self, now: Seconds, shard: ObservedShard) -> list[MachineCapacity]:
+        """The machines of a shard that may be given work; cached capacities are reused."""
         capacities = []
         drains = self._cache.transfers.drains
         for machine_id, status in shard.machines.items():
@@ -63,17 +65,17 @@
             if record is None or record.terminating or not status.usable:
                 continue
             if record.shard != shard.shard or drains(machine_id):
-                continue  # moved to another shard since its status, or chosen to be
+                continue  # moved to another shard since the status, or draining for a transfer
             capacity = shard.capacities.get(machine_id)
             if capacity is None:
-                capacity = self._new_machine(machine_id, record, status, shard)
+                capacity = self._add_capacity(machine_id, record, status, shard)
                 if capacity is None:
                     continue
             capacity.begin_pass(now)
             capacities.append(capacity)
         return capacities
 
-    def _new_machine(
+    def _add_capacity(
         self,
         machine_id: MachineId,
         record: MachineRecord,
@@ -95,8 +97,8 @@
         )
         return capacity
 
-    def _take_unseen_gang(self, job: JobRecord, by_name: dict[str, ShardCapacity]) -> None:
-        """Take a gang's slots where the shard's owner had not read of the gang yet."""
+    def _reserve_unseen_gang(self, job: JobRecord, by_name: dict[str, ShardCapacity]) -> None:
+        """Reserve a gang's slots in shards whose owner had not read the gang's record yet."""
         if job.gang is None:
             return
         for name, machine in job.gang.placements:
@@ -107,10 +109,10 @@
             if capacity is not None:
                 by_name[name].reserve([capacity], job.resources)
 
-    def _take_unseen_tasks(
+    def _reserve_unseen_tasks(
         self, job_id: JobId, job: JobRecord, by_name: dict[str, ShardCapacity]
     ) -> None:
-        """Take slots for tasks that were assigned to a shard and are on none of its machines."""
+        """Reserve slots for tasks that are assigned to a shard but not yet on its machines."""
         for name, tasks in job.assignments.items():
             if name not in by_name:
                 continue
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -1,4 +1,4 @@
-"""One machine as the leader plans with it: what is free now, and what becomes free when."""
+"""One machine in the leader's planning: its free resources, and when busy ones become free."""
 
 from __future__ import annotations
 
@@ -19,13 +19,17 @@
     zone_of,
 )
 
-CPU_ROUNDING = 1e-6  # amounts are sums of floats, so fits are tested with this allowance
+RESOURCE_TOLERANCE = 1e-6  # compensates rounding errors in sums of resource amounts
 
 
 class ExpectedEnd(NamedTuple):
-    """When a task on a machine is estimated to end, and the resources that it frees then.
+    """The estimated end of a task on a machine, and the resources that it then releases.
 
-    Tasks with the same `group` end together: those of one gang. It is empty for an array's task.
+    Attributes:
+        at: The estimated time of the end, by the leader's steady clock.
+        resources: The resources that the task releases.
+        priority: The priority of the task's job.
+        group: The gang, whose tasks all end together; empty for an array task.
     """
 
     at: Seconds
@@ -35,7 +39,12 @@
 
 
 class SlotWait(NamedTuple):
-    """How long until a slot is idle: when tasks end by themselves, and when some are preempted."""
+    """The time until a slot becomes idle.
+
+    Attributes:
+        without_preemption_s: If all running tasks run to their end.
+        with_preemption_s: If tasks of lower priority are preempted.
+    """
 
     without_preemption_s: Seconds
     with_preemption_s: Seconds
@@ -45,26 +54,33 @@
 
 
 class SlotEnd(NamedTuple):
-    """When a slot becomes idle, and with which group's end; no group if it is idle already."""
+    """The time until a slot becomes idle, and the group of tasks with whose end it does.
+
+    Attributes:
+        wait_s: The time until then; 0 if the slot is idle.
+        group: The group of tasks; empty if the slot is idle.
+    """
 
     wait_s: Seconds
     group: str
 
 
 class MachineCapacity:
-    """One machine's capacity within a pass.
+    """One machine's capacity within a planning pass.
 
-    It lives as long as the status that it was made of; each pass begins it anew, so that
-    thousands of machines are not built again for every pass.
+    The object is cached as long as the machine status it was built from is current, and each pass
+    resets it with `begin_pass`: building thousands of objects in every pass would be expensive.
 
     Attributes:
-        teams: Whose work the machine takes; None means everybody's.
-        reported_free: The free resources in its shard's status.
-        free: The same less what this pass has taken.
-        ends: The running tasks' expected ends, earliest first.
-        array_tasks: How many array tasks run here.
+        teams: The teams whose work the machine accepts; None means all teams.
+        reported_free: The free resources according to the shard's status.
+        free: `reported_free` less the resources reserved in this pass.
+        ends: The expected ends of the running tasks, earliest first.
+        array_tasks: The number of array tasks that run here.
         max_cpus: The CPUs that are free once all running tasks have ended.
-        kept_for: Set while the idle slots of its shard are kept for gangs.
+        queue_length: The number of tasks queued on the machine.
+        demand: The accelerator demand for which CPUs and memory are reserved; None for none.
+        gang_demand: Set while the idle slots of the machine's shard are reserved for gangs.
     """
 
     __slots__ = (
@@ -75,9 +91,9 @@
         "demand",
         "ends",
         "free",
+        "gang_demand",
         "id",
         "images",
-        "kept_for",
         "machine_type",
         "max_cpus",
         "now",
@@ -119,39 +135,39 @@
         self.array_tasks = sum(end.priority < GANG_PRIORITY for end in ends)
         self.max_cpus = free.cpus + sum(end.resources.cpus for end in ends)
         self.images = frozenset(images)
-        self.kept_for: GangDemand | None = None
-        # Memo tables by the shape of a slot, valid until resources are taken.
+        self.gang_demand: GangDemand | None = None
+        # Memo tables by the placement key of a job, valid until resources are reserved.
         self._idle_slots: dict[PlacementKey, int] = {}
         self._slot_waits: dict[PlacementKey, list[Seconds]] = {}
         self._slot_ends: dict[PlacementKey, list[SlotEnd]] = {}
 
     def begin_pass(self, now: Seconds) -> None:
-        """Forget what the last pass took."""
+        """Reset what the previous pass reserved and set."""
         self.free = self.reported_free
         self.now = now
         self.teams = None
-        self.kept_for = None
+        self.gang_demand = None
         if self._idle_slots or self._slot_waits or self._slot_ends:
             self.clear_memos()
 
     def clear_memos(self) -> None:
-        """Clear the memo tables: what they rest on has changed."""
+        """Clear the memo tables, after a change of their inputs."""
         self._idle_slots.clear()
         self._slot_waits.clear()
         self._slot_ends.clear()
 
     def reserve(self, resources: Resources) -> None:
-        """Take resources for the rest of this pass."""
+        """Reserve resources until the end of this pass."""
         self.free = self.free.minus(resources)
         if self._idle_slots or self._slot_waits or self._slot_ends:
             self.clear_memos()
 
     def has_image(self, spec: JobSpec) -> bool:
-        """Whether the image of this work is there, or being fetched."""
+        """Whether the job's image is on the machine or being fetched."""
         return spec.image in self.images
 
     def allows(self, spec: JobSpec) -> bool:
-        """Whether this work may run here at all, whatever is free."""
+        """Whether a job may run here by its constraints and team, whatever resources are free."""
         return (
             (spec.types is None or self.machine_type in spec.types)
             and (spec.spot or not self.spot)
@@ -160,21 +176,21 @@
         )
 
     def usable_resources(self, spec: JobSpec) -> Resources:
-        """The free resources that this work may use."""
+        """The free resources that a job may use, less those reserved for gangs or accelerators."""
         free = self.free
         if spec.gpus > 0 or spec.is_service or self.demand is None:
             return free
-        if self.kept_for is not None and self.kept_for.applies(spec):
-            free = self.kept_for.rest(free)
+        if self.gang_demand is not None and self.gang_demand.applies(spec):
+            free = self.gang_demand.rest(free)
         reserve = self.demand.reserve(self.total, self.free)
         return free if reserve is NO_RESOURCES else free.minus(reserve)
 
     def slot_count(self, spec: JobSpec) -> int:
-        """How many tasks of this work fit into what is free."""
+        """The number of tasks of a job that fit into its usable resources."""
         return spec.resources.count_in(self.usable_resources(spec))
 
     def idle_slots(self, spec: JobSpec) -> int:
-        """How many tasks of this work may start here now; memoized by the shape of a slot."""
+        """The number of tasks of a job that may start here now; memoized by placement key."""
         placement_key = spec.placement_key
         count = self._idle_slots.get(placement_key)
         if count is None:
@@ -183,41 +199,44 @@
         return count
 
     def slot_wait(self, spec: JobSpec) -> SlotWait | None:
-        """When the running tasks will have left a slot; None if they never do."""
+        """The time until a slot for a job is idle; None if the end of all tasks leaves none."""
         resources, priority = spec.resources, spec.priority
         free = free_preempting = self.usable_resources(spec)
         if resources.fits_in(free):
             return IDLE_NOW
-        natural_s = -1.0
-        keeps_accelerators = self._keeps_accelerators(spec)
+        without_preemption_s = -1.0
+        reserves_accelerators = self._reserves_accelerators(spec)
         for end, freed, end_priority, _ in self.ends:
-            if keeps_accelerators and freed.gpus > 0:
+            if reserves_accelerators and freed.gpus > 0:
                 continue
             free = free.plus(freed)
             if end_priority < priority:
                 free_preempting = free_preempting.plus(freed)
-            if natural_s < 0.0 and resources.fits_in(free):
-                natural_s = max(0.0, end - self.now)
-        if natural_s < 0.0:
+            if without_preemption_s < 0.0 and resources.fits_in(free):
+                without_preemption_s = max(0.0, end - self.now)
+        if without_preemption_s < 0.0:
             return None
-        return SlotWait(natural_s, 0.0 if resources.fits_in(free_preempting) else natural_s)
+        return SlotWait(
+            without_preemption_s,
+            0.0 if resources.fits_in(free_preempting) else without_preemption_s,
+        )
 
     def slot_waits(self, spec: JobSpec) -> list[Seconds]:
-        """When each slot of this shape becomes idle, preempting lower priorities if it helps."""
+        """The time until each slot for a job is idle, with preemption where that is earlier."""
         placement_key = spec.placement_key
         waits = self._slot_waits.get(placement_key)
         if waits is None:
             waits = self._slot_waits[placement_key] = []
             if self._may_ever_fit(spec):
-                saved = self.free
+                free_before = self.free
                 while (wait := self.slot_wait(spec)) is not None:
                     self.free = self.free.minus(spec.resources)
                     waits.append(min(wait.without_preemption_s, wait.with_preemption_s))
-                self.free = saved
+                self.free = free_before
         return waits
 
     def slot_ends(self, spec: JobSpec) -> list[SlotEnd]:
-        """When each slot of this shape becomes idle by itself, and with whose end."""
+        """When each slot for a job becomes idle without preemption, and with which group."""
         placement_key = spec.placement_key
         slots = self._slot_ends.get(placement_key)
         if slots is None:
@@ -231,9 +250,9 @@
         count = resources.count_in(free)
         slots.extend([SlotEnd(0.0, "")] * count)
         free = free.minus(resources.times(count))
-        keeps_accelerators = self._keeps_accelerators(spec)
+        reserves_accelerators = self._reserves_accelerators(spec)
         for end in self.ends:
-            if keeps_accelerators and end.resources.gpus > 0:
+            if reserves_accelerators and end.resources.gpus > 0:
                 continue
             free = free.plus(end.resources)
             while resources.fits_in(free):
@@ -242,27 +261,28 @@
                 slots.append(SlotEnd(max(0.0, end.at - self.now), group))
 
     def _may_ever_fit(self, spec: JobSpec) -> bool:
-        return self.max_cpus >= spec.cpus - CPU_ROUNDING and self.allows(spec)
+        return self.max_cpus >= spec.cpus - RESOURCE_TOLERANCE and self.allows(spec)
 
-    def _keeps_accelerators(self, spec: JobSpec) -> bool:
-        """Whether the CPUs beside accelerators here are left to work that needs these.
+    def _reserves_accelerators(self, spec: JobSpec) -> bool:
+        """Whether the CPUs next to accelerators are reserved for work that uses accelerators.
 
-        A gang that took them, with such work preempted for it, left most accelerators idle.
+        Without this rule, a gang without accelerators could preempt accelerator work to use its
+        CPUs, which left most accelerators idle.
         """
         return spec.gpus == 0 and self.demand is not None and self.demand.scarce()
 
 
-# Accelerators that the work does not need, whether the image is missing, whether it is an
-# on-demand machine, free CPUs and free memory. A bare tuple, since one is made for every machine
-# that could take a task, each time that tasks are assigned.
+# Sort key of `spare_key`: accelerators that the job does not need, whether the image is missing,
+# whether the machine is on-demand, free CPUs and free memory. A plain tuple, because one is built
+# for every candidate machine each time tasks are assigned.
 SpareKey = tuple[float, bool, bool, float, float]
 
 
 def spare_key(capacity: MachineCapacity, spec: JobSpec) -> SpareKey:
-    """What using this machine would waste.
+    """A sort key that orders the candidate machines of a job by what placing it there wastes.
 
-    Machines without accelerators that are not needed come first, then those with the image, then
-    the cheap spot machines, then those with the least left.
+    Machines without unneeded accelerators come first, then those that have the image, then spot
+    machines, which are cheaper, then those with the least free CPUs and memory.
     """
     return (
         capacity.total.gpus if spec.gpus == 0 else 0.0,
@@ -283,7 +303,7 @@
     demand: AcceleratorDemand,
     clock_offset_s: Seconds = 0.0,
 ) -> MachineCapacity:
-    """A machine as its shard's status describes it.
+    """Build a machine's capacity from its status in a shard's report.
 
     Args:
         machine_id: The machine.
@@ -291,9 +311,9 @@
         shard: The shard that schedules it.
         spot: Whether the cloud may reclaim it.
         total: The resources of its type.
-        status: What the shard's owner told of it.
-        demand: What is kept beside accelerators.
-        clock_offset_s: Our steady clock less that of the shard's owner.
+        status: The machine's status as the shard's owner reported it.
+        demand: The accelerator demand for which CPUs and memory are reserved.
+        clock_offset_s: The leader's steady clock minus that of the shard's owner.
     """
     return MachineCapacity(
         machine_id,
@@ -315,5 +335,5 @@
 def empty_capacity(
     machine_id: MachineId, machine_type: TypeName, zone: str, spot: bool, total: Resources
 ) -> MachineCapacity:
-    """A machine that is still to come, as an empty one of its zone's own shard."""
+    """The capacity of a booting or requested machine: empty, in the shard named like its zone."""
     return MachineCapacity(machine_id, machine_type, ShardName(zone), spot, total, total, [], 0)
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -78,7 +78,7 @@
     ) -> bool:
         """Whether a machine is up, still in this shard, in no transfer, and idle past its limit.
 
-        A machine that reports to be leaving needs no minimum idle time.
+        A spot machine with a reclaim notice (`leaving`) qualifies without being idle that long.
         """
         status = shard.machines.get(machine_id)
         if status is None or record.terminating or not record.up:
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -1,4 +1,4 @@
-"""One shard's machines within a pass, with sums over them that are kept by shape of slot."""
+"""The capacity of one shard's machines within a planning pass, with memoized totals."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from dapplewick.core.demand import LEAST_GANG_SLOTS, AcceleratorDemand, GangDemand
 from dapplewick.core.leader.machine_capacity import (
-    CPU_ROUNDING,
+    RESOURCE_TOLERANCE,
     MachineCapacity,
     spare_key,
 )
@@ -19,26 +19,36 @@
 
 
 class EndGroup(NamedTuple):
-    """Slots that become idle together, named by their machines."""
+    """Slots that become idle together, because their tasks belong to one gang.
+
+    Attributes:
+        wait_s: The time until they are idle.
+        capacities: The machine of each slot; a machine is repeated for each of its slots.
+    """
 
     wait_s: Seconds
     capacities: list[MachineCapacity]
 
 
 class SlotGroups(NamedTuple):
-    """The machines of idle slots, one entry for each, and the groups of busy ones."""
+    """The slots of a shard for one job.
+
+    Attributes:
+        idle: The machine of each idle slot; a machine is repeated for each of its slots.
+        groups: The groups of busy slots.
+    """
 
     idle: list[MachineCapacity]
     groups: list[EndGroup]
 
 
 class ShardCapacity:
-    """One shard's capacity within a pass.
+    """One shard's capacity within a planning pass.
 
     Attributes:
-        teams: Whose work may come here; None means everybody's.
+        teams: The teams whose work may be placed here; None means all teams.
         capacities: All machines.
-        open_capacities: Those on which some CPU was free when the pass began.
+        open_capacities: The machines that had free CPUs at the start of the pass.
     """
 
     def __init__(self, shard: ShardName, capacities: list[MachineCapacity]) -> None:
@@ -46,54 +56,54 @@
         self.zone = zone_of(shard)
         self.teams: frozenset[str] | None = None
         self.capacities = capacities
-        self.open_capacities = [c for c in capacities if c.free.cpus > CPU_ROUNDING]
-        # Memo tables by shape of slot, valid until resources are taken here.
+        self.open_capacities = [c for c in capacities if c.free.cpus > RESOURCE_TOLERANCE]
+        # Memo tables by the placement key of a job, valid until resources are reserved here.
         self._idle_totals: dict[PlacementKey, int] = {}
         self._waits: dict[PlacementKey, list[Seconds]] = {}
         self._groups: dict[PlacementKey, SlotGroups] = {}
         self._idle_gang_slots: int | None = None
         self._lowest_priority: int | None = None
-        self._kept_for: GangDemand | None = None
+        self._gang_demand: GangDemand | None = None
         self._has_small_machines: bool | None = None
 
     def clear_memos(self) -> None:
-        """Clear the memo tables: what they rest on has changed."""
+        """Clear the memo tables, after a change of their inputs."""
         self._idle_totals.clear()
         self._waits.clear()
         self._groups.clear()
         self._idle_gang_slots = None
 
     def add(self, capacity: MachineCapacity) -> None:
-        """Count with one more machine."""
+        """Add a machine to the shard."""
         self.capacities.append(capacity)
         self.open_capacities.append(capacity)
         self.clear_memos()
 
-    def serve_only(self, teams: frozenset[str] | None) -> None:
-        """Keep this shard for the work of some teams, in this pass."""
+    def restrict_to_teams(self, teams: frozenset[str] | None) -> None:
+        """Restrict this shard to the work of some teams for this pass; None permits all."""
         self.teams = teams
         for capacity in self.capacities:
             capacity.teams = teams
 
-    def serves(self, spec: JobSpec) -> bool:
-        """Whether work of this team may come here."""
+    def accepts(self, spec: JobSpec) -> bool:
+        """Whether work of the job's team may be placed here."""
         return self.teams is None or spec.team in self.teams
 
     def idle_slots(self, spec: JobSpec) -> int:
-        """For how many tasks there are idle slots."""
-        if not self.serves(spec):
-            return 0  # the memo below is shared by teams whose work is alike
+        """The number of tasks of a job for which there are idle slots."""
+        if not self.accepts(spec):
+            return 0  # not memoized: teams with equal placement keys share the memo table
         placement_key = spec.placement_key
         total = self._idle_totals.get(placement_key)
         if total is None:
-            cpus = spec.cpus - CPU_ROUNDING
+            cpus = spec.cpus - RESOURCE_TOLERANCE
             total = sum(c.idle_slots(spec) for c in self.open_capacities if c.free.cpus >= cpus)
             self._idle_totals[placement_key] = total
         return total
 
     def slots_within(self, spec: JobSpec, limit_s: Seconds) -> int:
-        """For how many tasks slots become idle within a time."""
-        if not self.serves(spec):
+        """The number of tasks of a job for which slots become idle within a time."""
+        if not self.accepts(spec):
             return 0
         placement_key = spec.placement_key
         waits = self._waits.get(placement_key)
@@ -104,19 +114,19 @@
         return bisect_right(waits, limit_s)
 
     def could_hold_all(self, spec: JobSpec) -> bool:
-        """Whether these machines, if they were empty, would take all tasks of a gang."""
+        """Whether all tasks of a gang would fit on this shard's machines if these were empty."""
         slots = (spec.resources.count_in(c.total) for c in self.capacities if c.allows(spec))
         return sum(slots) >= spec.task_count
 
     def slot_groups(self, spec: JobSpec) -> SlotGroups:
-        """The idle slots of this shape, and those that become idle together."""
-        if not self.serves(spec):
+        """The idle slots for a job, and the groups of slots that become idle together."""
+        if not self.accepts(spec):
             return SlotGroups([], [])
         placement_key = spec.placement_key
-        found = self._groups.get(placement_key)
-        if found is None:
-            found = self._groups[placement_key] = self._group_slots(spec)
-        return found
+        slot_groups = self._groups.get(placement_key)
+        if slot_groups is None:
+            slot_groups = self._groups[placement_key] = self._group_slots(spec)
+        return slot_groups
 
     def _group_slots(self, spec: JobSpec) -> SlotGroups:
         idle: list[MachineCapacity] = []
@@ -133,7 +143,7 @@
         return SlotGroups(idle, list(by_name.values()))
 
     def set_demand(self, demand: AcceleratorDemand | None) -> None:
-        """Keep resources beside accelerators for the work that needs these, or no longer."""
+        """Reserve CPUs and memory for accelerator work by this demand; None reserves nothing."""
         for capacity in self.capacities:
             if capacity.total.gpus > 0:
                 capacity.demand = demand
@@ -141,7 +151,7 @@
         self.clear_memos()
 
     def runs_lower_priority_than(self, priority: int) -> bool:
-        """Whether any work here has a lower priority, and so may be preempted for this one."""
+        """Whether any task here has a priority below this one, so that it may be preempted."""
         if self._lowest_priority is None:
             self._lowest_priority = min(
                 (end.priority for c in self.capacities for end in c.ends), default=GANG_PRIORITY
@@ -149,8 +159,8 @@
         return self._lowest_priority < priority
 
     def machines_for(self, spec: JobSpec) -> list[MachineCapacity]:
-        """Machines that allow this work and have CPUs and accelerators for a task of it."""
-        cpus, gpus = spec.cpus - CPU_ROUNDING, spec.gpus - CPU_ROUNDING
+        """The machines where a job may run that have CPUs and accelerators free for one task."""
+        cpus, gpus = spec.cpus - RESOURCE_TOLERANCE, spec.gpus - RESOURCE_TOLERANCE
         return [
             c
             for c in self.open_capacities
@@ -158,23 +168,23 @@
         ]
 
     def reserve(self, capacities: Iterable[MachineCapacity], resources: Resources) -> None:
-        """Take a slot of this size on each of these machines."""
+        """Reserve a slot of this size on each of these machines."""
         for capacity in capacities:
             capacity.reserve(resources)
         self.clear_memos()
 
-    def reserve_up_to(self, spec: JobSpec, most: int, only_with_image: bool = False) -> int:
-        """Take idle slots for up to `most` tasks.
+    def reserve_up_to(self, spec: JobSpec, max_tasks: int, only_with_image: bool = False) -> int:
+        """Reserve idle slots for up to `max_tasks` tasks.
 
         Args:
-            spec: The work.
-            most: For how many tasks.
-            only_with_image: Only on machines that have its image.
+            spec: The job specification.
+            max_tasks: The maximum number of tasks.
+            only_with_image: Whether to use only machines that have the job's image.
 
         Returns:
-            For how many tasks there were slots.
+            The number of tasks for which slots were reserved.
         """
-        if most <= 0:
+        if max_tasks <= 0:
             return 0
         capacities = self.machines_for(spec)
         if only_with_image:
@@ -182,27 +192,31 @@
         if not capacities:
             return 0
         capacities.sort(key=lambda c: spare_key(c, spec))
-        taken = 0
+        reserved = 0
         for capacity in capacities:
-            count = min(most - taken, capacity.slot_count(spec))
+            count = min(max_tasks - reserved, capacity.slot_count(spec))
             if count > 0:
                 capacity.reserve(spec.resources.times(count))
-                taken += count
-                if taken == most:
+                reserved += count
+                if reserved == max_tasks:
                     break
-        if taken:
+        if reserved:
             self.clear_memos()
-        return taken
+        return reserved
 
-    def reserve_by_preemption(self, spec: JobSpec, most: int) -> int:
-        """Take slots for replicas that preempt work of lower priority, one on each machine.
+    def reserve_by_preemption(self, spec: JobSpec, max_tasks: int) -> int:
+        """Reserve slots that are idle at once if lower priorities are preempted, one per machine.
+
+        Args:
+            spec: The specification of a service.
+            max_tasks: The maximum number of replicas.
 
         Returns:
-            For how many replicas there were slots.
+            The number of replicas for which slots were reserved.
         """
-        taken = 0
+        reserved = 0
         for capacity in self.capacities:
-            if taken >= most:
+            if reserved >= max_tasks:
                 break
             if capacity.allows(spec):
                 wait = capacity.slot_wait(spec)
@@ -211,16 +225,16 @@
                     and min(wait.without_preemption_s, wait.with_preemption_s) <= 0.0
                 ):
                     capacity.reserve(spec.resources)
-                    taken += 1
-        if taken:
+                    reserved += 1
+        if reserved:
             self.clear_memos()
-        return taken
+        return reserved
 
     def reserve_idle_slots_for_gangs(self, gangs: GangDemand, fraction: float) -> None:
-        """Keep the idle slots for gangs if there are no more than gangs need.
+        """Reserve all idle slots for gangs if there are no more than the expected gangs need.
 
         Args:
-            gangs: How many slots are kept in all shards together.
+            gangs: The gang demand, with the number of slots reserved in all shards together.
             fraction: This shard's fraction of them.
         """
         if self._has_small_machines is None:
@@ -234,13 +248,13 @@
             self._idle_gang_slots = sum(
                 gangs.resources.count_in(c.free) for c in self.open_capacities
             )
-        kept_for = gangs if self._idle_gang_slots <= math.ceil(slots * fraction) else None
-        if kept_for is self._kept_for:
+        gang_demand = gangs if self._idle_gang_slots <= math.ceil(slots * fraction) else None
+        if gang_demand is self._gang_demand:
             return
-        self._kept_for = kept_for
+        self._gang_demand = gang_demand
         self._idle_totals.clear()
         self._waits.clear()
         self._groups.clear()
         for capacity in self.capacities:
-            capacity.kept_for = kept_for
+            capacity.gang_demand = gang_demand
             capacity.clear_memos()
