--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -1,7 +1,7 @@
-"""Drafts of the records of machine groups, within what a value of the state service may hold.
+"""Drafts of machine group records, within the value size limit of the state service.
 
-Machines of one type in one zone are kept in one record, a group: a write for each change of each
-machine would use up the state service's request budget.
+A group is one record for many machines of one type in one zone. With a record per machine, the
+writes for all changes would exceed the state service's request budget.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 log = logging.getLogger(__name__)
 
-MOST_MACHINES = 150  # in a group, where a value may hold as many
-GROUP_BYTES = 200  # of a record, beside its machines
-STATE_BYTES = 18  # of each machine, beside its name
-FLOOR_BYTES = 18  # of the floor of each, beside its name
-SHORTEST_NAME = 10  # characters that are reckoned with for a machine of a group without any
+MAX_MACHINES = 150  # per group; the value size limit may lower this
+GROUP_OVERHEAD_BYTES = 200  # size of an encoded record without its machines
+MACHINE_STATE_BYTES = 18  # size of a machine's encoded state, without its name
+MACHINE_FLOOR_BYTES = 18  # size of a machine's encoded token floor, without its name
+DEFAULT_NAME_CHARS = 10  # assumed length of machine names where a group has no machines
 
 
 class GroupKind(NamedTuple):
-    """What all machines of a group have in common."""
+    """The properties that all machines of a group share."""
 
     machine_type: str
     zone: str
@@ -39,95 +39,114 @@
 
     @classmethod
     def of(cls, group: MachineGroupRecord) -> GroupKind:
-        """The kind of a recorded group."""
+        """The kind of a group record."""
         return cls(group.type, group.zone, group.spot, group.partition)
 
 
 class GroupDraft(NamedTuple):
-    """A group's next record, and the most urgent of the reasons to write it."""
+    """A group's new record, and the most urgent priority of its changes."""
 
     group: MachineGroupRecord
     priority: WritePriority
 
 
 class GroupLimits:
-    """How many machines a group may have so that its record fits into a value."""
+    """Limits the number of machines in a group so that its record fits into a stored value."""
 
     def __init__(self, value_bytes: int) -> None:
         self._value_bytes = value_bytes
 
-    def most_machines(self, machines: Iterable[str], with_floors: bool = False) -> int:
-        """How many machines with names like these a record may hold, perhaps with floors."""
-        longest = max((len(machine) for machine in machines), default=SHORTEST_NAME)
-        each = longest + STATE_BYTES
+    def max_machines(self, machines: Iterable[str], with_floors: bool = False) -> int:
+        """The maximum number of machines in a record, given the longest of these names.
+
+        Args:
+            machines: The names of the machines.
+            with_floors: Whether the record also holds a token floor for each machine.
+        """
+        longest_name = max((len(machine) for machine in machines), default=DEFAULT_NAME_CHARS)
+        machine_bytes = longest_name + MACHINE_STATE_BYTES
         if with_floors:
-            each += longest + FLOOR_BYTES
-        return max(1, min(MOST_MACHINES, (self._value_bytes - GROUP_BYTES) // each))
+            machine_bytes += longest_name + MACHINE_FLOOR_BYTES
+        return max(
+            1, min(MAX_MACHINES, (self._value_bytes - GROUP_OVERHEAD_BYTES) // machine_bytes)
+        )
 
     def is_oversized(self, group: MachineGroupRecord) -> bool:
-        """Whether a group has more machines than the lower limit lets a value hold."""
-        return len(group.machines) > self.most_machines(group.machines, bool(group.floors))
+        """Whether a group has too many machines, as after the value size limit was lowered."""
+        return len(group.machines) > self.max_machines(group.machines, bool(group.floors))
 
-    def pieces(self, group: MachineGroupRecord, machines: list[str]) -> list[MachineGroupRecord]:
-        """These machines of a group, in as many groups as they need."""
-        most = self.most_machines(machines, bool(group.floors))
+    def split(self, group: MachineGroupRecord, machines: list[str]) -> list[MachineGroupRecord]:
+        """Distribute these machines of a group over as many groups as needed."""
+        max_machines = self.max_machines(machines, bool(group.floors))
         return [
-            _piece(group, machines[first : first + most]) for first in range(0, len(machines), most)
+            _subset(group, machines[first : first + max_machines])
+            for first in range(0, len(machines), max_machines)
         ]
 
 
 class GroupSplitter:
-    """Splits groups that were written when a value could hold more, one in each pass.
+    """Splits groups that were written under a higher value size limit, one group per pass.
 
-    Where the pieces fit into one transaction, the group is split at once. A larger one can't be
-    rewritten in part once the limit has fallen, so its machines are copied to new groups first; the
-    group is removed when each of them is in a newer one. In between the newer record of a machine
-    counts (`WatchCache`), so a change of leader on the way loses nothing.
+    If the pieces fit into one transaction, the group is split atomically. A larger group cannot be
+    rewritten with some of its machines removed, because the result would still exceed the lower
+    limit. Its machines are therefore copied to new groups first, and the group is removed once each
+    machine is in a newer group. Meanwhile `WatchCache` uses the newer record of a machine, so a
+    change of leader in between loses nothing.
+
+    Attributes:
+        group_name: The group that is split in this pass; None if no group is too large.
     """
 
     def __init__(self, cache: WatchCache, limits: GroupLimits, txn_ops: int) -> None:
         self._cache = cache
         self._limits = limits
         self._txn_ops = txn_ops
-        self._oversized: dict[str, tuple[MachineGroupRecord, bool]] = {}  # memo, by stored record
-        self.name: str | None = None  # the group that is split in this pass
+        self._oversized: dict[
+            str, tuple[MachineGroupRecord, bool]
+        ] = {}  # memo: the stored record and the result
+        self.group_name: str | None = None
 
     def begin(self) -> None:
-        """Choose the group that is split in this pass, if any is too large."""
-        self.name = None
+        """Start a pass: choose the group to split, if any is too large."""
+        self.group_name = None
         if self._cache.format >= FORMAT_NOW:
             oversized = (name for name in self._cache.groups if self._is_oversized(name))
-            self.name = next(oversized, None)
+            self.group_name = next(oversized, None)
 
     def changes(self, drafts: Mapping[str, GroupDraft]) -> list[ConditionalWrite]:
-        """The writes of this pass for the group that is split."""
-        name = self.name
+        """The writes of this pass for the group that is being split.
+
+        Args:
+            drafts: The drafted groups of this pass, by name.
+        """
+        name = self.group_name
         if name is None:
             return []
         draft = drafts.get(name)
         stored = self._cache.groups[name]
         group = draft.group if draft is not None else stored
-        pieces = self._limits.pieces(group, list(group.machines))
+        pieces = self._limits.split(group, list(group.machines))
         if not pieces:
-            return [self._removal(name)]
+            return [self._removal_write(name)]
         if len(pieces) <= self._txn_ops:
             names = [name, *self._free_names(name, len(pieces) - 1, drafts)]
             return [
-                self._put(piece_name, piece, transaction_group=name)
+                self._group_write(piece_name, piece, transaction_group=name)
                 for piece_name, piece in zip(names, pieces, strict=True)
             ]
-        left = [m for m in stored.machines if self._cache.group_of.get(MachineId(m)) == name]
-        if not left:
+        remaining = [m for m in stored.machines if self._cache.group_of.get(MachineId(m)) == name]
+        if not remaining:
             log.info("event=machine_group_split group=%s", name)
-            return [self._removal(name)]
-        pieces = self._limits.pieces(stored, left)
+            return [self._removal_write(name)]
+        pieces = self._limits.split(stored, remaining)
         names = self._free_names(name, len(pieces), drafts)
         return [
-            self._put(piece_name, piece) for piece_name, piece in zip(names, pieces, strict=True)
+            self._group_write(piece_name, piece)
+            for piece_name, piece in zip(names, pieces, strict=True)
         ]
 
     def _is_oversized(self, name: str) -> bool:
-        """Whether a stored group is too large. A pass asks of all of them, and few change."""
+        """Whether a stored group is too large; memoized, as each pass checks all groups."""
         group = self._cache.groups[name]
         known = self._oversized.get(name)
         if known is None or known[0] is not group:
@@ -137,7 +156,7 @@
     def _free_names(self, name: str, count: int, drafts: Container[str]) -> list[str]:
         return free_group_names(name, count, self._cache.groups, drafts)
 
-    def _put(
+    def _group_write(
         self, name: str, group: MachineGroupRecord, transaction_group: str = ""
     ) -> ConditionalWrite:
         key = MACHINES + name
@@ -149,43 +168,43 @@
             transaction_group=transaction_group,
         )
 
-    def _removal(self, name: str) -> ConditionalWrite:
+    def _removal_write(self, name: str) -> ConditionalWrite:
         key = MACHINES + name
         return ConditionalWrite(key, None, self._cache.version(key), WritePriority.URGENT)
 
 
 class MachineGroupDrafts:
-    """What a pass has decided on the groups of machines, as writes."""
+    """The changes to machine groups decided in a planning pass, and their writes."""
 
     def __init__(self, cache: WatchCache, value_bytes: int, txn_ops: int) -> None:
         self._cache = cache
         self._limits = GroupLimits(value_bytes)
         self._splitter = GroupSplitter(cache, self._limits, txn_ops)
         self._drafts: dict[str, GroupDraft] = {}
-        # Drafted groups that are written in one transaction, and its name.
+        # The transaction group of each drafted group that is written in a transaction.
         self._transaction_groups: dict[str, str] = {}
 
     def begin(self) -> None:
-        """Start a pass: forget the drafts, and choose the next oversized group to split."""
+        """Start a pass: discard the drafts, and choose the next oversized group to split."""
         self._drafts.clear()
         self._transaction_groups.clear()
         self._splitter.begin()
 
     def changes(self) -> list[ConditionalWrite]:
-        """The writes for all drafts but the moved ones, and for the group that is being split."""
+        """The writes for all drafts except moves, and for the group that is being split."""
         changes = []
         for name, draft in self._drafts.items():
-            if name == self._splitter.name or name in self._transaction_groups:
+            if name == self._splitter.group_name or name in self._transaction_groups:
                 continue
             if self._cache.format >= FORMAT_NOW and self._limits.is_oversized(draft.group):
-                continue  # it is split in one of the next passes
-            changes.append(self._change(name))
+                continue  # to be split in a later pass
+            changes.append(self._draft_write(name))
         return changes + self._splitter.changes(self._drafts)
 
     def moves(self, transaction_group: str) -> list[ConditionalWrite]:
-        """The writes of the groups that are drafted together under this name, in one row."""
+        """The consecutive writes of the drafts that belong to this transaction group."""
         return [
-            self._change(name, transaction_group)
+            self._draft_write(name, transaction_group)
             for name, group in self._transaction_groups.items()
             if group == transaction_group
         ]
@@ -195,7 +214,7 @@
         self._edit(self._cache.group_of[machine_id], priority).machines[machine_id] = state
 
     def remove(self, machine_id: MachineId, priority: WritePriority) -> None:
-        """Draft that a machine's group does not list it any more."""
+        """Draft the removal of a machine from its group."""
         group = self._edit(self._cache.group_of[machine_id], priority)
         group.machines.pop(machine_id, None)
         group.floors.pop(machine_id, None)
@@ -208,29 +227,29 @@
         name: str,
         priority: WritePriority,
     ) -> None:
-        """Draft new machines: into a group of their kind that has space, else into a new one.
+        """Draft new machines in a group of their kind that has space, or else in a new group.
 
         Args:
-            machines: The machines; they boot.
-            kind: The kind of all of them.
-            wall_time: When they were provisioned, by the wall clock.
-            name: The name of a new group; others are derived of it if that is taken, or if the
-                machines need several.
-            priority: The rank of the writes.
+            machines: The machines, which are booting.
+            kind: The kind of all these machines.
+            wall_time: When the machines were provisioned, by the wall clock.
+            name: The name of a new group. Other names are derived from it if it is in use or if
+                the machines need several groups.
+            priority: The priority of the writes.
         """
-        most = self._limits.most_machines(machines)
-        if len(machines) > most:
-            for n, first in enumerate(range(0, len(machines), most)):
-                some = machines[first : first + most]
-                self.add(some, kind, wall_time, f"{name}.{n}" if n else name, priority)
+        max_machines = self._limits.max_machines(machines)
+        if len(machines) > max_machines:
+            for n, first in enumerate(range(0, len(machines), max_machines)):
+                chunk = machines[first : first + max_machines]
+                self.add(chunk, kind, wall_time, f"{name}.{n}" if n else name, priority)
             return
         states: dict[str, str] = dict.fromkeys(machines, f"{BOOTING}{wall_time:.0f}")
-        known = self._group_with_space(kind, most - len(machines))
+        known = self._group_with_space(kind, max_machines - len(machines))
         if known is not None:
             self._edit(known, priority).machines.update(states)
             return
         if name in self._cache.groups or name in self._drafts:
-            # Some machines of this provisioning request may be recorded already.
+            # The name is in use if machines of the same provisioning request are already recorded.
             (name,) = self._free_names(name, 1)
         group = MachineGroupRecord(
             type=kind.machine_type, zone=kind.zone, spot=kind.spot, machines=states
@@ -240,48 +259,49 @@
     def move(
         self, floors: Mapping[MachineId, int], partition: str, transaction_group: str
     ) -> list[MachineId]:
-        """Draft that machines of one group go over to another partition.
+        """Draft the move of machines of one group to another partition.
 
-        They leave their group and join one of that partition in the same transaction, so that at
-        each revision each is in exactly one.
+        The machines leave their group and join a group of the partition in one transaction, so
+        that each machine is in exactly one group at every revision.
 
         Args:
-            floors: The machines, each with the least fencing token for its worker from then on.
-            partition: The partition that they go to.
+            floors: The machines, each with the minimum fencing token that commands to its worker
+                must carry after the move.
+            partition: The partition to move the machines to.
             transaction_group: The name of the transaction, for `moves`.
 
         Returns:
-            The machines that do: none if another draft of this pass is in the way, fewer if their
-            new group is full.
+            The machines that are moved: none if another draft of this pass changes one of the
+            groups, and only some if the new group becomes full.
         """
         name = self._cache.group_of[next(iter(floors))]
         group = self._cache.groups[name]
-        # Another group that lists a machine would bring it back to where it came from.
+        # If another group also lists a machine, its record would undo the move.
         listed_once = all(self._cache.in_one_group(machine) for machine in floors)
-        is_busy = name in self._drafts or name == self._splitter.name
+        is_busy = name in self._drafts or name == self._splitter.group_name
         if is_busy or self._limits.is_oversized(group) or not listed_once:
             return []
-        most = self._limits.most_machines(floors, with_floors=True)
+        max_machines = self._limits.max_machines(floors, with_floors=True)
         kind = GroupKind.of(group)._replace(partition=partition)
-        target = self._group_with_space(kind, most - 1)
-        if target is None:
-            (target,) = self._free_names(name, 1)
+        target_name = self._group_with_space(kind, max_machines - 1)
+        if target_name is None:
+            (target_name,) = self._free_names(name, 1)
             empty = MachineGroupRecord(group.type, group.zone, group.spot, {}, partition=partition)
-            self._drafts[target] = GroupDraft(empty, WritePriority.NORMAL)
-        elif target in self._drafts or target in (name, self._splitter.name):
+            self._drafts[target_name] = GroupDraft(empty, WritePriority.NORMAL)
+        elif target_name in self._drafts or target_name in (name, self._splitter.group_name):
             return []
-        joined = self._edit(target, WritePriority.NORMAL)
-        moved = list(floors)[: most - len(joined.machines)]
+        target_group = self._edit(target_name, WritePriority.NORMAL)
+        moved = list(floors)[: max_machines - len(target_group.machines)]
         for machine in moved:
-            joined.machines[machine] = group.machines[machine]
-            joined.floors[machine] = floors[machine]
+            target_group.machines[machine] = group.machines[machine]
+            target_group.floors[machine] = floors[machine]
             group = group.without(machine)
         self._drafts[name] = GroupDraft(group, WritePriority.NORMAL)
-        self._transaction_groups[name] = self._transaction_groups[target] = transaction_group
+        self._transaction_groups[name] = self._transaction_groups[target_name] = transaction_group
         return moved
 
     def _edit(self, name: str, priority: WritePriority) -> MachineGroupRecord:
-        """The draft of a group, to be changed; it is written with at least this priority."""
+        """The draft of a group for changes, which is written with at least this priority."""
         draft = self._drafts.get(name)
         if draft is None:
             old = self._cache.groups[name]
@@ -294,11 +314,11 @@
         self._drafts[name] = draft
         return draft.group
 
-    def _change(self, name: str, transaction_group: str = "") -> ConditionalWrite:
-        """The write of a drafted group; one that has no machines left is removed."""
+    def _draft_write(self, name: str, transaction_group: str = "") -> ConditionalWrite:
+        """The write of a drafted group, or its removal if the draft has no machines."""
         group, priority = self._drafts[name]
         key = MACHINES + name
-        # All writes of a transaction have the same rank, so that they stay in a row.
+        # All writes of a transaction have the same priority, so that they stay consecutive.
         return ConditionalWrite(
             key,
             msgspec.to_builtins(group) if group.machines else None,
@@ -307,13 +327,13 @@
             transaction_group=transaction_group,
         )
 
-    def _group_with_space(self, kind: GroupKind, most: int) -> str | None:
-        """A stored group of this kind that has no more than so many machines."""
+    def _group_with_space(self, kind: GroupKind, max_existing: int) -> str | None:
+        """A stored group of this kind with at most `max_existing` machines, or None."""
         for name, group in self._cache.groups.items():
             if GroupKind.of(group) != kind:
                 continue
             draft = self._drafts.get(name)
-            if len(draft.group.machines if draft is not None else group.machines) <= most:
+            if len(draft.group.machines if draft is not None else group.machines) <= max_existing:
                 return name
         return None
 
@@ -324,19 +344,19 @@
 def free_group_names(
     name: str, count: int, groups: Container[str], drafts: Container[str]
 ) -> list[str]:
-    """Unused names for groups beside this one, which neither a record nor a draft has."""
+    """New group names derived from this one that neither a record nor a draft uses."""
     names: list[str] = []
-    number = 1
+    suffix = 1
     while len(names) < count:
-        candidate = f"{name}.{number}"
+        candidate = f"{name}.{suffix}"
         if candidate not in groups and candidate not in drafts:
             names.append(candidate)
-        number += 1
+        suffix += 1
     return names
 
 
-def _piece(group: MachineGroupRecord, machines: list[str]) -> MachineGroupRecord:
-    """The part of a group's record that tells of these machines."""
+def _subset(group: MachineGroupRecord, machines: list[str]) -> MachineGroupRecord:
+    """A group's record reduced to these machines."""
     return msgspec.structs.replace(
         group,
         machines={m: group.machines[m] for m in machines},
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -1,4 +1,4 @@
-"""Which machines came up, which nobody knows of, and which have to go."""
+"""The lifecycle of machines: finished boots, unrecorded machines and terminations."""
 
 from __future__ import annotations
 
@@ -23,37 +23,42 @@
 
 log = logging.getLogger(__name__)
 
-UP_S = 1.0  # machines of a group that came up are written this often
-LEASE_MARGIN_S = 1.0  # a silent machine is terminated so long after its lease has run out
-# Lists lag: a machine that is gone may still be listed for twice the lag.
-UNKNOWN_LAGS = 2.5  # a machine that is listed and not recorded for so many lags is adopted
-# Heartbeats, at most a quarter late each, that a hanging machine has missed.
-MISSED_HEARTBEATS = 2.2
-# A worker whose heartbeat got no answer waits 4 s for it, 1 s more, and is sent back to the owner
-# by the next controller: a machine that is silent for less may only have lost one answer.
-LOST_ANSWER_S = 6.2
+UP_WRITE_INTERVAL_S = 1.0  # minimum time between two writes of a group for finished boots
+LEASE_MARGIN_S = 1.0  # an unreachable machine is terminated this long after its lease expired
+# A machine that is listed by the cloud but not recorded is adopted after this many list lags. The
+# cloud's list is stale: it may name a deleted machine for twice the lag.
+ADOPTION_DELAY_LAGS = 2.5
+# A machine is considered hanging after this many heartbeat periods without a heartbeat. A healthy
+# machine sends each heartbeat at most a quarter of a period late.
+MISSED_HEARTBEAT_PERIODS = 2.2
+# A machine without a heartbeat for less than this may only have lost one response: its worker waits
+# 4 s for the response and 1 s more, then contacts the next controller, which redirects it to the
+# shard's owner.
+LOST_RESPONSE_S = 6.2
 
 
 class ReportGap(NamedTuple):
-    """For how long a machine has not been heard, and what that means for its shard.
+    """A period without heartbeats from a machine.
 
     Attributes:
-        seconds: For how long.
-        urgent: Replicas or cancelled tasks on it wait for the proof that it is gone.
-        others_heard: Other machines of its shard are heard: the silence is its own.
+        duration_s: The time since the machine's last heartbeat.
+        urgent: Whether replicas or cancelled tasks on the machine can only be replaced or closed
+            once the machine is proven to be gone.
+        others_reachable: Whether other machines of the shard send heartbeats, so that the fault is
+            this machine's and not the network's.
     """
 
-    seconds: Seconds
+    duration_s: Seconds
     urgent: bool
-    others_heard: bool
+    others_reachable: bool
 
 
 class MachineLifecycle:
-    """Follows each machine from its provisioning to its deletion, as drafts of its record.
+    """Tracks each machine from provisioning to deletion, and drafts changes of its record.
 
     Attributes:
-        deleted: Machines that the cloud has deleted.
-        listed: The cloud's newest list of machines.
+        deleted: The machines that the cloud has deleted.
+        listed: The cloud's latest list of machines.
     """
 
     def __init__(
@@ -78,15 +83,17 @@
         self._booting_since: dict[MachineId, Seconds] = {}
         self._group_written_at: dict[str, Seconds] = {}
 
-    # What the cloud and the state service have answered
+    # Results from the cloud and the state service
 
     def record_deleted(self, machines: Iterable[MachineId]) -> None:
-        """Note that the cloud has deleted these machines."""
+        """Record that the cloud has deleted these machines."""
         self.deleted.update(machines)
 
     def record_listed(self, now: Seconds, listing: MachineList) -> None:
-        """Take over the cloud's newest list of machines."""
-        self.listed = {MachineId(item.machine): item for item in listing.machines}
+        """Record the cloud's latest list of machines."""
+        self.listed = {
+            MachineId(listed_machine.machine): listed_machine for listed_machine in listing.machines
+        }
         known = self._cache.machines.keys() | self.deleted
         self._unknown_since = {
             machine_id: self._unknown_since.get(machine_id, now)
@@ -95,27 +102,27 @@
         }
 
     def record_written(self, now: Seconds, group_name: str) -> None:
-        """Note that a group's record is stored."""
+        """Record that a group's record is stored."""
         self._group_written_at[group_name] = now
 
     # Drafts
 
     def begin(self) -> None:
-        """Start a pass: forget the drafts."""
+        """Start a planning pass: discard the drafts."""
         self._groups.begin()
 
     def changes(self) -> list[ConditionalWrite]:
-        """The writes for all drafts but the moves between partitions."""
+        """The writes for all drafts except moves between partitions."""
         return self._groups.changes()
 
     def move(
         self, floors: Mapping[MachineId, int], partition: str, transaction_group: str
     ) -> list[MachineId]:
-        """Draft that machines go over to another partition; see `MachineGroupDrafts.move`."""
+        """Draft the move of machines to another partition; see `MachineGroupDrafts.move`."""
         return self._groups.move(floors, partition, transaction_group)
 
     def moves(self, transaction_group: str) -> list[ConditionalWrite]:
-        """The writes of the moves that were drafted under this name."""
+        """The writes of the moves drafted for this transaction group."""
         return self._groups.moves(transaction_group)
 
     def terminate(
@@ -124,7 +131,7 @@
         reason: str,
         priority: WritePriority = WritePriority.URGENT,
     ) -> None:
-        """Draft that a machine is to be deleted, which is never taken back."""
+        """Draft the termination of a machine, which is irreversible."""
         log.info("event=machine_terminating machine=%s reason=%s", machine_id, reason)
         self._groups.set_state(machine_id, TERMINATING, priority)
 
@@ -135,7 +142,7 @@
         machines: list[MachineId],
         wall_time: Seconds,
     ) -> None:
-        """Draft the machines that the cloud gave for a provisioning request of this name."""
+        """Draft the machines that the cloud provided for the provisioning request of this name."""
         new = [m for m in machines if m not in self._cache.machines and m not in self.deleted]
         if new:
             kind = GroupKind(
@@ -143,34 +150,36 @@
             )
             self._groups.add(new, kind, wall_time, name, WritePriority.URGENT)
 
-    def _adopt(self, machine_id: MachineId, item: ListedMachine, wall_time: Seconds) -> None:
-        """Draft a machine that is recorded nowhere: it is used or deleted like the others."""
+    def _adopt(
+        self, machine_id: MachineId, listed_machine: ListedMachine, wall_time: Seconds
+    ) -> None:
+        """Draft a record of a machine that has none, so that it is used or deleted like others."""
         if machine_id in self._cache.machines or machine_id in self.deleted:
             return
-        kind = GroupKind(item.type, item.zone, item.spot)
+        kind = GroupKind(listed_machine.type, listed_machine.zone, listed_machine.spot)
         self._groups.add([machine_id], kind, wall_time, f"x-{machine_id}", WritePriority.LOW)
         log.info("event=machine_adopted machine=%s", machine_id)
 
-    # The pass
+    # The planning pass
 
     def review(
         self,
         now: Seconds,
         wall_time: Seconds,
         statuses: Mapping[MachineId, MachineStatus],
-        silences: Mapping[MachineId, ReportGap],
+        report_gaps: Mapping[MachineId, ReportGap],
         zones: list[str],
     ) -> None:
-        """Look at every machine, and draft what has changed.
+        """Inspect every machine, and draft the changes of its record.
 
         Args:
             now: The steady clock.
             wall_time: The wall clock.
-            statuses: What the shards say of each machine.
-            silences: The machines that their shards have not heard for a while.
-            zones: The zones of this deployment; machines elsewhere are not adopted.
+            statuses: The machines' statuses according to their shards.
+            report_gaps: The machines whose shards report missing heartbeats.
+            zones: The zones of this deployment; machines in other zones are not adopted.
         """
-        came_up: dict[str, list[MachineId]] = {}
+        newly_up: dict[str, list[MachineId]] = {}
         for machine_id, record in self._cache.machines.items():
             if record.terminating:
                 if machine_id in self.deleted:
@@ -178,63 +187,66 @@
                     self._booting_since.pop(machine_id, None)
                 continue
             status = statuses.get(machine_id)
-            reason = self._reason_to_go(now, machine_id, record, status, silences.get(machine_id))
+            reason = self._termination_reason(
+                now, machine_id, record, status, report_gaps.get(machine_id)
+            )
             if reason:
                 self.terminate(machine_id, reason)
             elif status is not None and status.reconciled and not record.up:
-                came_up.setdefault(self._cache.group_of[machine_id], []).append(machine_id)
-        self._mark_up(now, came_up)
+                newly_up.setdefault(self._cache.group_of[machine_id], []).append(machine_id)
+        self._mark_up(now, newly_up)
         self._adopt_unknown(now, wall_time, zones)
 
-    def _mark_up(self, now: Seconds, came_up: dict[str, list[MachineId]]) -> None:
-        """Draft that machines came up: those of a group together, as hundreds do at the start."""
-        for group_name, machines in came_up.items():
-            if now - self._group_written_at.get(group_name, NEVER_S) >= UP_S:
+    def _mark_up(self, now: Seconds, newly_up: dict[str, list[MachineId]]) -> None:
+        """Draft finished boots, batched by group, as hundreds of machines may boot at once."""
+        for group_name, machines in newly_up.items():
+            if now - self._group_written_at.get(group_name, NEVER_S) >= UP_WRITE_INTERVAL_S:
                 for machine_id in machines:
                     self._groups.set_state(machine_id, UP, WritePriority.NORMAL)
 
     def _adopt_unknown(self, now: Seconds, wall_time: Seconds, zones: list[str]) -> None:
-        patience_s = UNKNOWN_LAGS * self._list_lag_s
-        for machine_id, since in self._unknown_since.items():
-            item = self.listed[machine_id]
-            if now - since > patience_s and item.zone in zones:
-                self._adopt(machine_id, item, wall_time)
+        delay_s = ADOPTION_DELAY_LAGS * self._list_lag_s
+        for machine_id, unknown_since in self._unknown_since.items():
+            listed_machine = self.listed[machine_id]
+            if now - unknown_since > delay_s and listed_machine.zone in zones:
+                self._adopt(machine_id, listed_machine, wall_time)
 
-    def _reason_to_go(
+    def _termination_reason(
         self,
         now: Seconds,
         machine_id: MachineId,
         record: MachineRecord,
         status: MachineStatus | None,
-        silence: ReportGap | None,
+        gap: ReportGap | None,
     ) -> str:
-        """Why a machine has to be terminated; empty if it may stay."""
+        """The reason to terminate a machine; empty if there is none."""
         if not record.up:
-            since = self._booting_since.setdefault(machine_id, now)
+            booting_since = self._booting_since.setdefault(machine_id, now)
             limit_s = self._provisioner.boot_limit_s(record.type)
-            return "never up" if now - since > limit_s else ""
+            return "never up" if now - booting_since > limit_s else ""
         listed = self.listed.get(machine_id)
         if listed is not None and listed.state == "failed":
             return "failed"
-        if silence is not None:
-            if silence.seconds > self._lease_s + LEASE_MARGIN_S:
+        if gap is not None:
+            if gap.duration_s > self._lease_s + LEASE_MARGIN_S:
                 return "silent"
-            if silence.urgent and silence.seconds > self._urgent_silence_s(silence.others_heard):
-                # A hanging machine may hold a cancelled task until its deletion, and replicas of
-                # services start elsewhere only after it.
+            if gap.urgent and gap.duration_s > self._urgent_gap_limit_s(gap.others_reachable):
+                # On a hanging machine, a cancelled task may continue until the machine is deleted,
+                # and replacements of service replicas start only after that.
                 return "silent with cancelled tasks or replicas"
         if status is not None and status.faulty:
             return "faulty"
         return ""
 
-    def _urgent_silence_s(self, others_heard: bool) -> Seconds:
-        """After which silence a machine is deleted so that its replicas can run elsewhere.
+    def _urgent_gap_limit_s(self, others_reachable: bool) -> Seconds:
+        """The time without heartbeats after which an urgent machine is terminated.
 
-        Two heartbeats are missed by then, and one lost answer does not explain it. Where no other
-        machine of the shard is heard either, its owner may have lost the way to all of them: half
-        a lease is waited, which leaves time to give the shard to another owner.
+        By then two heartbeats are missing, which one lost response cannot explain. If no other
+        machine of the shard is reachable either, the shard's owner may have lost its connection to
+        all of them. The limit is then half a lease, which leaves time to reassign the shard to
+        another owner.
         """
         half_lease_s = self._lease_s / 2
-        if not others_heard:
+        if not others_reachable:
             return half_lease_s
-        return min(half_lease_s, max(LOST_ANSWER_S, MISSED_HEARTBEATS * self._heartbeat_s))
+        return min(half_lease_s, max(LOST_RESPONSE_S, MISSED_HEARTBEAT_PERIODS * self._heartbeat_s))
