--- a/src/dapplewick/core/leader/machine_types.py
+++ b/src/dapplewick/core/leader/machine_types.py
@@ -1,4 +1,4 @@
-"""The record of the machine types that the cloud offers."""
+"""The stored records of the machine types that the cloud offers."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 from dapplewick.storage.write_priority import WritePriority
 
 
-class _Shape(NamedTuple):
-    """What of a type is worth a write; its prices change often and matter only to the leader."""
+class _StoredProperties(NamedTuple):
+    """The properties of a type whose changes are written.
+
+    Price changes are not written, because they are frequent and only the leader uses prices.
+    """
 
     name: str
     cpus: float
@@ -24,7 +27,7 @@
     zones: tuple[str, ...]
 
     @classmethod
-    def of(cls, machine_type: MachineType) -> _Shape:
+    def of(cls, machine_type: MachineType) -> _StoredProperties:
         return cls(
             machine_type.name,
             machine_type.cpus,
@@ -36,10 +39,10 @@
 
 
 class MachineTypes:
-    """Keeps the stored types as the cloud's catalogue names them.
+    """Keeps the stored machine types in step with the cloud's catalogue.
 
     Attributes:
-        catalog: The catalogue; empty until the cloud has answered.
+        catalog: The catalogue that the cloud returned; empty before its first response.
     """
 
     def __init__(self, cache: WatchCache, value_bytes: int) -> None:
@@ -50,13 +53,14 @@
     def changes(self) -> list[ConditionalWrite]:
         """The writes that bring the stored types up to date.
 
-        They stand in one record or, where they are too many for it, with a key for each.
+        The types are stored in one record, or under one key per type if they exceed the value size
+        limit.
         """
         if not self.catalog:
             return []
         stored = self._cache.types
-        if {t.name: _Shape.of(t) for t in self.catalog} == {
-            t.name: _Shape.of(t) for t in stored.values()
+        if {t.name: _StoredProperties.of(t) for t in self.catalog} == {
+            t.name: _StoredProperties.of(t) for t in stored.values()
         }:
             return []
         value = encode_machine_types(self.catalog)
@@ -66,7 +70,7 @@
             self._write(TYPE_KEYS + machine_type.name, item)
             for machine_type, item in zip(self.catalog, value, strict=True)
             if (old := stored.get(machine_type.name)) is None
-            or _Shape.of(old) != _Shape.of(machine_type)
+            or _StoredProperties.of(old) != _StoredProperties.of(machine_type)
         ]
         if self._cache.version(TYPES) and not changes:
             changes.append(self._write(TYPES, []))
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the shards: put together from the statuses that their owners send."""
+"""The leader's copy of the shards' state, assembled from the statuses that owners send."""
 
 from __future__ import annotations
 
@@ -12,22 +12,27 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, JobId, MachineId, Revision, Seconds, ShardName, zone_of
 
-UNREACHABLE_S = 6.0  # an owner that heard nothing for this long may be cut off from its workers
-UNREACHABLE_MIN_MACHINES = 2  # of this many machines at least: one alone may be silent itself
+# An owner that has received no heartbeat for this long may be cut off from its shard's machines, if
+# at least UNREACHABLE_MIN_MACHINES of them are up: a single machine may itself have failed.
+UNREACHABLE_S = 6.0
+UNREACHABLE_MIN_MACHINES = 2
 
 V = TypeVar("V")
 
 
 class ObservedShard:
-    """What a shard's owner has told, put together from its statuses.
+    """The state of a shard, assembled from its owner's incremental statuses.
 
     Attributes:
-        token: The fencing token under which the owner speaks.
-        number: That of the newest status; 0 before the first.
-        at: When the newest status came, by our steady clock.
-        clock: Our steady clock less the owner's, in seconds.
-        seen: The revision of the state service up to which the owner had read.
-        capacities: The machines as the leader plans with them, made where they are needed.
+        token: The owner's fencing token.
+        status_number: The number of the latest status; 0 before the first status.
+        received_at: When the latest status was received, by the leader's steady clock.
+        clock_offset_s: The leader's steady clock minus the owner's, in seconds.
+        seen_revision: The revision of the state service that the owner had read.
+        machines: The status of each machine of the shard.
+        capacities: The machines' capacities for planning, which are built on demand.
+        jobs: The status of each job with array tasks in the shard.
+        gangs: The status of each gang with slots in the shard.
     """
 
     def __init__(self, shard: ShardName, token: int) -> None:
@@ -46,17 +51,21 @@
 
     @property
     def latest_status(self) -> ShardStatus:
-        """The newest status; its fields that are complete in each status hold now.
+        """The latest status, for the fields that each status contains in full.
 
         Raises:
-            LookupError: the owner has not told anything yet.
+            LookupError: no status has been received yet.
         """
         if self._latest is None:
             raise LookupError(f"shard {self.shard} has no status yet")
         return self._latest
 
     def apply(self, now: Seconds, status: ShardStatus) -> bool:
-        """Take over a status; False if something before it is missing here."""
+        """Apply a status.
+
+        Returns:
+            Whether the status is applied or outdated; False if an earlier status is missing.
+        """
         number, base = status.number, status.base
         if base > self.status_number:
             return False
@@ -83,20 +92,20 @@
         return True
 
     def reservation(self, job_id: JobId, attempt: int) -> GangStatus | None:
-        """The status of a gang's attempt, if it has slots here that are only reserved."""
+        """The status of a gang's attempt, if its slots in this shard are only reserved."""
         status = self.gangs.get(job_id)
         if status is None or status.attempt != attempt or status.state != GANG_HELD:
             return None
         return status
 
     def placed_task_count(self, job_id: JobId) -> int:
-        """How many array tasks of a job are on machines here, or about to start."""
+        """The number of array tasks of a job on machines of this shard, including starting ones."""
         status = self.jobs.get(job_id)
         return status.placed if status is not None else 0
 
 
 class ObservedShards:
-    """All shards of which an owner has told, in the order in which they were first heard of."""
+    """All shards with a received status, in the order of their first statuses."""
 
     def __init__(self, cache: WatchCache, estimates: Estimates) -> None:
         self._cache = cache
@@ -104,11 +113,11 @@
         self.by_name: dict[ShardName, ObservedShard] = {}
 
     def receive(self, now: Seconds, status: ShardStatus) -> int:
-        """Take over a status.
+        """Apply a status that a shard's owner sent.
 
         Returns:
-            The number up to which this shard's statuses are known here: 0 if the next one has to
-            be complete, or if the sender does not own the shard any more.
+            The number of the latest status that is applied for this shard. It is 0 if the next
+            status has to be complete, or if the sender no longer owns the shard.
         """
         name = status.shard
         token = self._cache.version(SHARDS + name)
@@ -122,44 +131,45 @@
         return shard.status_number
 
     def owned(self) -> list[ObservedShard]:
-        """The shards whose present owner has told of them."""
-        return [shard for shard in self.by_name.values() if self._is_owners(shard)]
+        """The shards with a status of their present owner."""
+        return [shard for shard in self.by_name.values() if self._is_current(shard)]
 
     def owned_by_name(self, name: ShardName) -> ObservedShard | None:
-        """A shard, if its present owner has told of it."""
+        """A shard, if its present owner has sent a status; else None."""
         shard = self.by_name.get(name)
-        return shard if shard is not None and self._is_owners(shard) else None
+        return shard if shard is not None and self._is_current(shard) else None
 
-    def _is_owners(self, shard: ObservedShard) -> bool:
-        """Whether what is known of a shard is its present owner's word."""
+    def _is_current(self, shard: ObservedShard) -> bool:
+        """Whether a shard's state comes from its present owner."""
         return shard.status_number > 0 and shard.token == self._cache.version(SHARDS + shard.shard)
 
     def unreachable_shards(self) -> set[ShardName]:
-        """Shards whose owner has not heard any machine for a while, though several are up.
+        """The shards whose owner is cut off from all machines, although several are up.
 
-        Deleting them all as silent would cost a shard its work for one controller's broken
-        network. The records say which are up: an owner that has heard none of them since it took
-        over the shard describes none in its statuses.
+        Such a shard needs another owner: if its machines were deleted as unreachable, the fault of
+        one controller's network would cost the shard all its work. Machines are counted by their
+        records, since the statuses of an owner do not contain machines from which it has received
+        no heartbeat since it took over the shard.
         """
-        quiet = {
+        isolated = {
             shard.shard for shard in self.owned() if shard.latest_status.heard_ago_s > UNREACHABLE_S
         }
-        if not quiet:
-            return quiet
-        up = Counter(
+        if not isolated:
+            return isolated
+        machines_up = Counter(
             record.shard
             for record in self._cache.machines.values()
             if record.up and not record.terminating
         )
-        return {name for name in quiet if up[name] >= UNREACHABLE_MIN_MACHINES}
+        return {name for name in isolated if machines_up[name] >= UNREACHABLE_MIN_MACHINES}
 
     def has_moved(self, machine_id: MachineId, shard: ObservedShard) -> bool:
-        """Whether a machine has gone to another shard since this one's status."""
+        """Whether a machine has moved to another shard since this shard's latest status."""
         record = self._cache.machines.get(machine_id)
         return record is not None and record.shard != shard.shard
 
     def placed_task_count(self, job_id: JobId) -> int:
-        """How many array tasks of a job are on machines anywhere, or about to start."""
+        """The number of array tasks of a job on machines of all shards, including starting ones."""
         return sum(shard.placed_task_count(job_id) for shard in self.by_name.values())
 
 
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -1,4 +1,4 @@
-"""Squaring what the shards report of their jobs with the jobs' records."""
+"""Reconciliation of job records with the progress that the shards report."""
 
 from __future__ import annotations
 
@@ -19,24 +19,28 @@
 
 
 class Reconciliation:
-    """Drafts of the records of jobs of which the shards report something new."""
+    """Drafts changes of job records from the progress that the shards report.
+
+    Progress is completed and released tasks, ended attempts of gangs, and reserved gang slots that
+    are overdue.
+    """
 
     def __init__(
         self,
         cache: WatchCache,
         drafts: JobDrafts,
         shards: ObservedShards,
-        patience_s: Seconds,
+        preemption_delay_s: Seconds,
     ) -> None:
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
-        self._patience_s = patience_s
-        # Gangs with reserved slots that preempt nothing, and since when.
+        self._preemption_delay_s = preemption_delay_s
+        # When each gang was first seen holding reserved slots without preempting.
         self._reserved_since: dict[JobId, Seconds] = {}
 
     def reconcile(self, now: Seconds) -> None:
-        """Take over what the shards report of their jobs."""
+        """Draft the changes that follow from the shards' latest statuses."""
         owned = self._shards.owned()
         for shard in owned:
             self._reconcile_array_tasks(shard)
@@ -44,7 +48,7 @@
         self._reconcile_gangs(now, {shard.shard: shard for shard in owned})
 
     def _clear_drained_jobs(self, shard: ObservedShard) -> None:
-        """Remove the assignments of jobs that are over and of which a shard runs nothing."""
+        """Remove the assignments of closed jobs to a shard that runs none of their tasks."""
         for job_id in shard.latest_status.drained_jobs:
             old = self._cache.jobs.get(job_id)
             if old is not None and not old.open and shard.shard in old.assignments:
@@ -62,17 +66,17 @@
             assigned = old.assigned(name)
             done = [i for i in status.done if i not in old.done and i in assigned]
             if old.spec.is_service:
-                done = []  # a service is never complete, whatever its replicas report
-            # What is released counts only against the record that the shard knew: a newer one may
-            # have assigned the same task anew.
+                done = []  # a service never completes, even if a replica reports its end
+            # Released tasks are valid only for the record version that the shard had read: a newer
+            # version may have assigned the same tasks to it again.
             released = status.released if status.version == old.version else []
             if done or released:
-                self._take_over(job_id, name, done, released)
+                self._record_progress(job_id, name, done, released)
 
-    def _take_over(
+    def _record_progress(
         self, job_id: JobId, shard: ShardName, done: list[int], released: list[int]
     ) -> None:
-        """Draft that tasks of a shard are complete or assigned to it no longer."""
+        """Draft the completion and the release of tasks assigned to a shard."""
         priority = WritePriority.NORMAL if released else WritePriority.PROGRESS
         job = self._drafts.edit(job_id, priority)
         job.done.update(done)
@@ -97,7 +101,7 @@
                 continue
             if GANG_HELD in states and not gang.preempt and job.spec.priority > lowest_priority:
                 reserved_since[job_id] = self._reserved_since.get(job_id, now)
-                if now - reserved_since[job_id] > self._patience_s:
+                if now - reserved_since[job_id] > self._preemption_delay_s:
                     self._preempt(job_id, gang)
         self._reserved_since = reserved_since
 
@@ -114,7 +118,11 @@
     def _end_attempt(
         self, job_id: JobId, job: JobRecord, gang: GangPlacement, states: list[str]
     ) -> bool:
-        """Draft what ends an attempt or clears it away; whether there is anything of this kind."""
+        """Draft the end of a gang's attempt, or its removal from the record after the end.
+
+        Returns:
+            Whether a change was drafted.
+        """
         if job.open and GANG_DONE in states:
             draft = self._drafts.edit(job_id, WritePriority.URGENT)
             draft.stage, draft.done, draft.gang, draft.assignments = DONE, set(), None, {}
@@ -130,7 +138,7 @@
         return True
 
     def _preempt(self, job_id: JobId, gang: GangPlacement) -> None:
-        """Draft that a gang preempts: its slots were to be idle soon by too low estimates."""
+        """Draft that a gang preempts, because its slots are busy for longer than estimated."""
         log.info("event=gang_preempting job=%s attempt=%d", job_id, gang.attempt)
         preempting = msgspec.structs.replace(gang, preempt=True)
         self._drafts.edit(job_id, WritePriority.NORMAL).gang = preempting
@@ -139,7 +147,10 @@
 def _gang_states(
     job_id: JobId, job: JobRecord, gang: GangPlacement, owned: dict[ShardName, ObservedShard]
 ) -> list[str]:
-    """How an attempt stands in each of its shards; "unknown" where the owner can't know of it."""
+    """The state of an attempt in each of its shards.
+
+    The state is "unknown" where the shard's owner has not read or not reported the attempt.
+    """
     states = []
     for name in gang.shards():
         shard = owned.get(ShardName(name))
--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -1,7 +1,7 @@
-"""How long ago the leader heard the owner of each shard, and what may rest on that.
+"""The time since the leader's last contact with the owner of each shard.
 
-This is the one place that decides on it. An owner's presence says that it reaches the state
-service; only its statuses say that it reaches the leader.
+All decisions that depend on this time are made here. An owner's presence record shows only that the
+owner reaches the state service; its statuses show that it reaches the leader.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 
 log = logging.getLogger(__name__)
 
-FRESH_STATUS_S = 6.0  # no decision on capacity rests on a status that is older
-# A shard that is unheard for longer gets another owner. A move costs the reservations of its gangs,
-# and peers that refuse for some seconds are common, so it is not made at once.
+MAX_STATUS_AGE_S = 6.0  # older statuses are not used to decide on capacity
+# If the leader has no contact with a shard's owner for longer, the shard is assigned to another owner.
+# The time-out is long because a reassignment loses the shard's gang reservations, and peers commonly
+# refuse messages for some seconds.
 OWNER_CONTACT_TIMEOUT_S = 30.0
-MAX_REASSIGNMENT_PASSES = (
-    20  # planning passes, beside one for each shard, in which that has to have happened
-)
+# An unreachable shard has to be reassigned within this many planning passes plus one per shard.
+MAX_REASSIGNMENT_PASSES = 20
 
 
 def is_fresh(now: Seconds, shard: ObservedShard) -> bool:
-    """Whether a shard's newest status is new enough to give it work."""
-    return now - shard.received_at <= FRESH_STATUS_S
+    """Whether a shard's latest status is recent enough to assign work to the shard."""
+    return now - shard.received_at <= MAX_STATUS_AGE_S
 
 
-class _OwnerSeen(NamedTuple):
-    """An owner's fencing token, and when this term of leadership saw it first."""
+class _OwnerTerm(NamedTuple):
+    """An owner's fencing token, and when the leader first saw it in its present term."""
 
     token: FencingToken
-    at: Seconds
+    first_seen_at: Seconds
 
 
 class ShardContacts:
-    """The age of what the leader knows of each shard that has an owner."""
+    """Tracks the time since the last contact with the owner of each shard."""
 
     def __init__(
         self,
@@ -52,37 +52,40 @@
         self._cache = cache
         self._zones = frozenset(zones)
         self._shards = shards
-        self._owners_seen: dict[ShardName, _OwnerSeen] = {}
-        self._unheard_passes: dict[ShardName, int] = {}
+        self._owners: dict[ShardName, _OwnerTerm] = {}
+        self._passes_without_contact: dict[ShardName, int] = {}
         self._invariants = invariants
 
     def record_owners(self, now: Seconds) -> None:
-        """Note since when each shard has its owner: a new one has yet to tell of itself."""
+        """Record when each shard got its present owner, which may not have sent a status yet."""
         for name in self._owned_by_record():
             token = FencingToken(self._cache.version(SHARDS + name))
-            seen = self._owners_seen.get(name)
-            if seen is None or seen.token != token:
-                self._owners_seen[name] = _OwnerSeen(token, now)
-                self._unheard_passes.pop(name, None)
+            owner = self._owners.get(name)
+            if owner is None or owner.token != token:
+                self._owners[name] = _OwnerTerm(token, now)
+                self._passes_without_contact.pop(name, None)
 
     def all_fresh(self, now: Seconds) -> bool:
-        """Whether there are shards, and each that has an owner was heard just now."""
+        """Whether there are owned shards, and all of them have a recent status."""
         names = self._owned_by_record()
         fresh = {shard.shard for shard in self._shards.owned() if is_fresh(now, shard)}
         return bool(names) and fresh.issuperset(names)
 
     def contact_age_s(self, now: Seconds, name: ShardName) -> Seconds:
-        """How long ago the shard's owner was heard, or else became its owner."""
-        seen = self._owners_seen.get(name)
-        if seen is None:
+        """The time since the shard owner's latest status, or since it became the owner if later.
+
+        It is 0 for a shard whose owner was not recorded yet.
+        """
+        owner = self._owners.get(name)
+        if owner is None:
             return 0.0
         shard = self._shards.by_name.get(name)
-        if shard is None or shard.token != seen.token or shard.status_number == 0:
-            return now - seen.at
-        return now - max(seen.at, shard.received_at)
+        if shard is None or shard.token != owner.token or shard.status_number == 0:
+            return now - owner.first_seen_at
+        return now - max(owner.first_seen_at, shard.received_at)
 
     def shards_without_contact(self, now: Seconds) -> set[ShardName]:
-        """The shards that want another owner, since the leader can't hear the one they have."""
+        """The shards to reassign, because the leader has no contact with their owner."""
         return {
             name
             for name in self._owned_by_record()
@@ -90,15 +93,18 @@
         }
 
     def check(self, now: Seconds) -> None:
-        """Assert, once in each pass that could write, that no shard stays unheard.
+        """Check the invariant that a shard without contact is reassigned in time.
 
-        A violation is logged and counted, and the service goes on.
+        To be called once in each planning pass whose writes can be stored. A violation is logged
+        and counted, and the service continues.
         """
-        unheard = self.shards_without_contact(now)
-        for name in [name for name in self._unheard_passes if name not in unheard]:
-            del self._unheard_passes[name]
-        for name in sorted(unheard):
-            passes = self._unheard_passes[name] = self._unheard_passes.get(name, 0) + 1
+        without_contact = self.shards_without_contact(now)
+        for name in [name for name in self._passes_without_contact if name not in without_contact]:
+            del self._passes_without_contact[name]
+        for name in sorted(without_contact):
+            passes = self._passes_without_contact[name] = (
+                self._passes_without_contact.get(name, 0) + 1
+            )
             if passes == MAX_REASSIGNMENT_PASSES + len(self._cache.shards):
                 self._invariants.violated(Invariant.SHARDS_ARE_HEARD)
                 log.error(
