--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -18,8 +18,8 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import JobId, Seconds, ShardName, zone_of
 
-MIN_RUN_S = 1.0  # lower bound of estimated run times, since a user may submit an estimate near zero
-# If no task of a job has started this long after its submission, machines are requested for the job
+MIN_RUN_S = 1.0  # lower bound of estimated run times: users may submit an estimate of zero
+# If no task of a job is on a machine this long after its submission, machines are requested for it
 # even though running slots were estimated to suffice.
 STARVATION_S = 60.0
 
@@ -55,9 +55,9 @@
     Attributes:
         largest_spec: The specification with the most CPUs per task among arrays with waiting tasks.
         pending_s: The estimated run time of all waiting tasks, in seconds.
-        starved_s: The same for starved jobs only (see `STARVATION_S`).
-        running_tasks: The tasks that are on machines.
-        waiting_tasks: The tasks that are on no machine.
+        starved_s: The estimated run time of the waiting tasks of starved jobs (see `STARVATION_S`).
+        running_tasks: The number of tasks that are on machines.
+        waiting_tasks: The number of tasks that are on no machine.
     """
 
     def __init__(self, first: JobSpec) -> None:
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -42,8 +42,8 @@
     """The time until a slot becomes idle.
 
     Attributes:
-        without_preemption_s: If all running tasks run to their end.
-        with_preemption_s: If tasks of lower priority are preempted.
+        without_preemption_s: The time if all running tasks run to their estimated end.
+        with_preemption_s: The time if tasks of lower priority are preempted.
     """
 
     without_preemption_s: Seconds
@@ -54,10 +54,10 @@
 
 
 class SlotEnd(NamedTuple):
-    """The time until a slot becomes idle, and the group of tasks with whose end it does.
+    """The time until a slot becomes idle, and the group of tasks whose end makes it idle.
 
     Attributes:
-        wait_s: The time until then; 0 if the slot is idle.
+        wait_s: The time until the slot is idle; 0 if it is idle now.
         group: The group of tasks; empty if the slot is idle.
     """
 
@@ -142,7 +142,7 @@
         self._slot_ends: dict[PlacementKey, list[SlotEnd]] = {}
 
     def begin_pass(self, now: Seconds) -> None:
-        """Reset what the previous pass reserved and set."""
+        """Reset the reservations and restrictions of the previous pass."""
         self.free = self.reported_free
         self.now = now
         self.teams = None
@@ -199,7 +199,11 @@
         return count
 
     def slot_wait(self, spec: JobSpec) -> SlotWait | None:
-        """The time until a slot for a job is idle; None if the end of all tasks leaves none."""
+        """The time until a slot for a job is idle; None if no running task's end makes one idle.
+
+        Tasks with accelerators are ignored if the CPUs that they release are reserved; see
+        `_reserves_accelerators`.
+        """
         resources, priority = spec.resources, spec.priority
         free = free_preempting = self.usable_resources(spec)
         if resources.fits_in(free):
@@ -236,7 +240,7 @@
         return waits
 
     def slot_ends(self, spec: JobSpec) -> list[SlotEnd]:
-        """When each slot for a job becomes idle without preemption, and with which group."""
+        """The idle time and group of each slot for a job, without preemption; see `SlotEnd`."""
         placement_key = spec.placement_key
         slots = self._slot_ends.get(placement_key)
         if slots is None:
@@ -279,7 +283,7 @@
 
 
 def spare_key(capacity: MachineCapacity, spec: JobSpec) -> SpareKey:
-    """A sort key that orders the candidate machines of a job by what placing it there wastes.
+    """A sort key that orders a job's candidate machines by the resources wasted on each.
 
     Machines without unneeded accelerators come first, then those that have the image, then spot
     machines, which are cheaper, then those with the least free CPUs and memory.
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -101,9 +101,8 @@
         self._cache = cache
         self._limits = limits
         self._txn_ops = txn_ops
-        self._oversized: dict[
-            str, tuple[MachineGroupRecord, bool]
-        ] = {}  # memo: the stored record and the result
+        # Memoized results of `_is_oversized`, each with the record that was checked.
+        self._oversized: dict[str, tuple[MachineGroupRecord, bool]] = {}
         self.group_name: str | None = None
 
     def begin(self) -> None:
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -42,8 +42,8 @@
 
     Attributes:
         duration_s: The time since the machine's last heartbeat.
-        urgent: Whether replicas or cancelled tasks on the machine can only be replaced or closed
-            once the machine is proven to be gone.
+        urgent: Whether the replacement of service replicas or the end of cancelled tasks on the
+            machine waits for proof that the machine is gone.
         others_reachable: Whether other machines of the shard send heartbeats, so that the fault is
             this machine's and not the network's.
     """
--- a/src/dapplewick/core/leader/machine_offers.py
+++ b/src/dapplewick/core/leader/machine_offers.py
@@ -11,7 +11,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds
 
-REFUSAL_MEMORY_S = 20.0  # a pool is not requested again for this long after a refusal
+REFUSAL_BACKOFF_S = 20.0  # a pool is not requested again for this long after a refusal
 MAX_MACHINES_PER_REQUEST = 50  # limit of the cloud's API
 # The idle limit of a cheap machine is at most this multiple of that of an average-priced machine.
 MAX_IDLE_FACTOR = 5.0
@@ -111,7 +111,7 @@
         self, now: Seconds, pool: MachinePool, requested: Mapping[MachinePool, int]
     ) -> bool:
         refused_at = self._refused_at.get(pool)
-        if refused_at is not None and now - refused_at <= REFUSAL_MEMORY_S:
+        if refused_at is not None and now - refused_at <= REFUSAL_BACKOFF_S:
             return False
         return requested.get(pool, 0) < MAX_MACHINES_PER_REQUEST
 
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -35,7 +35,7 @@
 
     Attributes:
         requests: The provisioning requests to send to the cloud.
-        unmet: The capacity requests that neither existing nor requested machines can serve.
+        unmet: The capacity requests that existing and requested machines cannot fully serve.
     """
 
     requests: list[ProvisioningRequest]
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -19,7 +19,7 @@
 
 
 class EndGroup(NamedTuple):
-    """Slots that become idle together, because their tasks belong to one gang.
+    """Slots that become idle together: those of one gang, or one slot of array tasks.
 
     Attributes:
         wait_s: The time until they are idle.
