--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -146,7 +146,7 @@
             for job_id, job in self._drafts.live_jobs():
                 assigned = job.assignments.get(shard.shard)
                 if assigned and not job.spec.is_service:
-                    queued += max(0, len(assigned) - observed.placed(job_id))
+                    queued += max(0, len(assigned) - observed.placed_task_count(job_id))
             limit = int(BASE_QUEUE_LIMIT + QUEUE_LIMIT_PER_RUNNING_TASK * running)
             queue_capacity[shard.shard] = max(0, limit - queued)
         return queue_capacity
@@ -184,10 +184,10 @@
     def assign_idle_slots(self, gangs: GangDemand, only_with_image: bool) -> None:
         """Assign tasks to the shards' idle slots, except slots reserved for gangs."""
         for shard in self._shards:
-            shard.keep_for_gangs(gangs, self._shard_fraction)
+            shard.reserve_idle_slots_for_gangs(gangs, self._shard_fraction)
             limit = min(self.remaining, self._zone_remaining[shard.zone])
             self.counts[shard.shard] = 0
-            self._assign(shard, shard.take_most(self._spec, limit, only_with_image))
+            self._assign(shard, shard.reserve_up_to(self._spec, limit, only_with_image))
 
     def assign_beyond_idle_slots(self, queue_capacity: dict[ShardName, int]) -> None:
         """Assign tasks to the shards' queues, or replicas that preempt work of lower priority."""
@@ -195,7 +195,7 @@
             limit = min(self.remaining, self._zone_remaining[shard.zone])
             if self._spec.is_service:
                 # Replicas are not queued; they preempt work of lower priority.
-                count = shard.take_preempting(self._spec, limit)
+                count = shard.reserve_by_preemption(self._spec, limit)
             else:
                 count = max(0, min(limit, queue_capacity[shard.shard]))
                 queue_capacity[shard.shard] -= count
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -19,13 +19,13 @@
 from dapplewick.core.leader.array_assignment import ArrayAssignment
 from dapplewick.core.leader.array_order import ArrayOrder
 from dapplewick.core.leader.capacity_requests import CapacityRequestPlanner
-from dapplewick.core.leader.capacity_view import CapacityView
-from dapplewick.core.leader.cluster_scaling import SCALING_S, ClusterScaling
+from dapplewick.core.leader.capacity_snapshots import CapacitySnapshotBuilder
+from dapplewick.core.leader.cluster_scaling import SCALING_INTERVAL_S, ClusterScaling
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.job_writes import JobWrites
 from dapplewick.core.leader.limit_audit import LimitAudit
 from dapplewick.core.leader.load_log import LoadLog
-from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, Silence
+from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, ReportGap
 from dapplewick.core.leader.machine_types import MachineTypes
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
 from dapplewick.core.leader.provisioner import Provisioner
@@ -113,7 +113,9 @@
             zones,
             epoch,
             tuning,
-            requests_per_pass=deployment.cloud.rps * SCALING_S / 2,  # deletions share the limit
+            requests_per_pass=deployment.cloud.rps
+            * SCALING_INTERVAL_S
+            / 2,  # deletions share the limit
         )
         self.machine_lifecycle = MachineLifecycle(
             cache,
@@ -130,7 +132,7 @@
         self._quotas = TeamQuotas(deployment.teams, drafts)
         self.contacts = ShardContacts(cache, zones, observed, invariants)
         self._limit_audit = LimitAudit(cache, observed, self.contacts, invariants)
-        self._capacity_view = CapacityView(cache, drafts, observed, self._demand)
+        self._capacity_view = CapacitySnapshotBuilder(cache, drafts, observed, self._demand)
         self._waiting_gangs = WaitingGangs(
             drafts, self._quotas, self._demand, provisioner, estimates, tuning, zones, self._ids
         )
@@ -156,7 +158,7 @@
         self.wait_reasons = WaitReasons(cache, drafts, observed, self.contacts, self._quotas, now)
         self._load_log = LoadLog(drafts, provisioner, now)
         self.shards = observed.by_name
-        self.provisioned = self._scaling.provisioned
+        self.provisioned = self._scaling.cloud_answers
         self.partitions: PartitionRebalancer | None = None
 
     @property
@@ -181,12 +183,12 @@
 
     def unreachable_shards(self) -> set[ShardName]:
         """Return the shards that need another owner; see `ObservedShards.unreachable`."""
-        return self._observed.unreachable()
+        return self._observed.unreachable_shards()
 
     def shards_without_contact(self, now: Seconds) -> set[ShardName]:
         """Return the shards whose owner cannot reach this leader, after recording all owners."""
-        self.contacts.note_owners(now)
-        return self.contacts.unheard(now)
+        self.contacts.record_owners(now)
+        return self.contacts.shards_without_contact(now)
 
     def record_provisioning_response(self, name: str, machines: list[MachineId] | None) -> None:
         """Record the machines provisioned for a request; None if the cloud refused it."""
@@ -194,16 +196,16 @@
 
     def record_deleted_machines(self, machines: Iterable[MachineId]) -> None:
         """Record that the cloud has deleted these machines."""
-        self.machine_lifecycle.were_deleted(machines)
+        self.machine_lifecycle.record_deleted(machines)
 
     def receive_machine_list(self, now: Seconds, listing: MachineList) -> None:
         """Apply the cloud's latest list of machines."""
-        self.machine_lifecycle.were_listed(now, listing)
+        self.machine_lifecycle.record_listed(now, listing)
 
     def receive_catalog(self, types: list[MachineType]) -> None:
         """Store the cloud's catalog of machine types."""
         self._machine_types.catalog = types
-        self._provisioner.catalog(types)
+        self._provisioner.set_catalog(types)
 
     def record_writes(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
         """Record that these changes have been stored."""
@@ -212,7 +214,7 @@
             if job_id is not None:
                 self._job_writes.record_write(now, job_id)
             elif change.key.startswith(MACHINES):
-                self.machine_lifecycle.written(now, change.key[len(MACHINES) :])
+                self.machine_lifecycle.record_written(now, change.key[len(MACHINES) :])
 
     # Planning pass
 
@@ -227,7 +229,7 @@
             The writes to make, by priority.
         """
         self._drafts.clear()
-        self.contacts.note_owners(now)
+        self.contacts.record_owners(now)
         self.contacts.check(now)
         self._limit_audit.check(now)
         self.machine_lifecycle.begin()
@@ -238,7 +240,7 @@
         self._quotas.recount()
         if self.partitions is not None:
             self.partitions.note_waiting(wall_time, (job for _, job in self._drafts.live_jobs()))
-        shard_capacities = self._capacity_view.of_pass(now, self._served_teams)
+        shard_capacities = self._capacity_view.build(now, self._served_teams)
         self._waiting_gangs.place(wall_time, shard_capacities)
         pending = self._array_order.pending(wall_time)
         eligible = self._array_order.eligible(wall_time, pending)
@@ -273,15 +275,15 @@
     def _review_machines(self, now: Seconds, wall_time: Seconds) -> None:
         """Detect machines that have started, are unknown or must be terminated."""
         statuses: dict[MachineId, MachineStatus] = {}
-        silences: dict[MachineId, Silence] = {}
+        silences: dict[MachineId, ReportGap] = {}
         for shard in self._observed.owned():
             statuses.update(shard.machines)
-            others_reported = shard.latest.heard_ago_s < self._heartbeat_s
+            others_reported = shard.latest_status.heard_ago_s < self._heartbeat_s
             # Each status lists all machines without contact, not only the changed ones. An old
             # status understates how long the machines have been without contact.
-            for machine_id, silent in shard.latest.silent.items():
+            for machine_id, silent in shard.latest_status.silent.items():
                 if not self._observed.has_moved(machine_id, shard):
-                    silence = Silence(silent.silent_s, silent.urgent, others_reported)
+                    silence = ReportGap(silent.silent_s, silent.urgent, others_reported)
                     silences[machine_id] = silence
         self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
 
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -134,7 +134,7 @@
         """Assign slots to a gang and draft its placement."""
         by_name = {shard.shard: shard for shard in shard_capacities}
         for capacity in slots.capacities:
-            by_name[capacity.shard].take([capacity], gang.job.resources)
+            by_name[capacity.shard].reserve([capacity], gang.job.resources)
         self._shard_reservation.record_placement(
             wall_time, {capacity.shard for capacity in slots.capacities}
         )
@@ -161,7 +161,7 @@
         accelerator machines that started first occupied them for minutes.
         """
         starting = {Zone(zone): ShardCapacity(ShardName(zone), []) for zone in self._zones}
-        for capacity in self._provisioner.coming(wall_time):
+        for capacity in self._provisioner.expected_machines(wall_time):
             if capacity.total.gpus == 0 and capacity.zone in starting:
                 starting[capacity.zone].add(capacity)
         return [
@@ -178,9 +178,9 @@
     if not spec.same_zone and slots >= spec.task_count:
         remaining = spec.task_count
         for zone in zones:
-            remaining -= zone.take_most(spec, remaining)
+            remaining -= zone.reserve_up_to(spec, remaining)
         return True
     if zones and zones[0].idle_slots(spec) >= spec.task_count:
-        zones[0].take_most(spec, spec.task_count)
+        zones[0].reserve_up_to(spec, spec.task_count)
         return True
     return False
