--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -142,7 +142,7 @@
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_PAUSE_S)
-            self._leadership.wake()
+            self._leadership.request_pass()
         except Exception:
             log.exception("event=provisioning_crashed request=%s", name)
         finally:
@@ -154,7 +154,7 @@
             if status == 200:
                 leader.machines_deleted(machines)
                 # What was on them can start elsewhere once the records say that they are gone.
-                self._leadership.wake(at_once=True)
+                self._leadership.request_pass(urgent=True)
             else:
                 log.info("event=deletion_failed count=%d status=%d", len(machines), status)
                 await anyio.sleep(FAILURE_PAUSE_S)
@@ -168,7 +168,7 @@
         try:
             if status == 200:
                 leader.catalog(parse_catalog(answer))
-                self._leadership.wake()
+                self._leadership.request_pass()
                 return True
         except Exception as err:  # noqa: BLE001 a bad catalogue must not end the other calls
             log.error("event=catalog_malformed error=%s", err)
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -30,7 +30,7 @@
 from dapplewick.controller.supervision import run_supervised
 from dapplewick.controller.user_api import UserApi
 from dapplewick.controller.worker_endpoint import WorkerEndpoint
-from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange
 from dapplewick.coordination.election import Election
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.leader_isolation import LeaderIsolation
@@ -39,7 +39,7 @@
 from dapplewick.coordination.presence import Presence
 from dapplewick.coordination.shard_assignment import ShardAssigner
 from dapplewick.coordination.status_confirmations import StatusConfirmations
-from dapplewick.coordination.wake import Wake
+from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.invariants import InvariantCounts
 from dapplewick.core.leader.planner import LeaderPlanner
@@ -123,7 +123,7 @@
         self._owned_shards = OwnedShards(
             self.identity, self.cache, self.assigner, self.estimates, deployment, self.tuning
         )
-        self.gossip_wake = Wake()
+        self.gossip_wake = WakeSignal()
         self.records = RecordFollower(
             self.identity,
             self.state,
@@ -163,7 +163,7 @@
             write_rates=budgets.writes_per_s,
             rng=self._random,
         )
-        self.cancellations = CancellationWatch(
+        self.cancellations = CancellationExchange(
             self.identity.incarnation, self.links, self.settings.deployment.count
         )
         self.confirmations = StatusConfirmations(self.cache)
@@ -275,7 +275,7 @@
             election=self.election,
             leadership=self.leadership,
             assigner=self.assigner,
-            silence=self.peers.silence,
+            silence=self.peers.reachability,
             isolation=LeaderIsolation(self.cache, self.identity.name),
             owned_shards=self._owned_shards,
             confirmations=self.confirmations,
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -18,8 +18,8 @@
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.leader_isolation import LeaderIsolation
 from dapplewick.coordination.leadership import Leadership
-from dapplewick.coordination.peer_silence import PeerSilence
-from dapplewick.coordination.shard_assignment import OwnersView, ShardAssigner
+from dapplewick.coordination.peer_reachability import PeerReachability
+from dapplewick.coordination.shard_assignment import OwnerReachability, ShardAssigner
 from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmations
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.conditional_write import ConditionalWrite
@@ -54,7 +54,7 @@
     election: Election
     leadership: Leadership
     assigner: ShardAssigner
-    silence: PeerSilence
+    silence: PeerReachability
     isolation: LeaderIsolation
     owned_shards: OwnedShards
     confirmations: StatusConfirmations
@@ -105,10 +105,10 @@
         await self.election.campaign(owns_shards=bool(self.owned_shards.schedulers))
 
     def _hears_no_peer(self) -> bool:
-        return self.isolation.hears_no_peer(self._silent_controllers(self.now()))
+        return self.isolation.has_no_peer_contact(self._silent_controllers(self.now()))
 
     def _silent_controllers(self, now: Seconds) -> frozenset[ControllerName]:
-        return self.silence.silent(now, self.records.cache.controllers)
+        return self.silence.unreachable(now, self.records.cache.controllers)
 
     async def _rest(self) -> None:
         """Wait for something to plan; leave the processor to others unless work waits for it."""
@@ -122,8 +122,8 @@
 
     async def _lead(self) -> None:
         """Make one planning pass, and write what it decides."""
-        epoch = await self.election.settle_epoch()
-        self.election.note_planned(epoch)
+        epoch = await self.election.prepare_epoch()
+        self.election.record_planned_epoch(epoch)
         now = self.now()
         planner = self.leadership.planner
         if planner is None:
@@ -134,7 +134,7 @@
         view = self._view_owners(planner, now)
         if self._is_isolated(view, now):
             await self.election.step_down(epoch)
-            self.isolation.note_step_down(now)
+            self.isolation.record_step_down(now)
             return
         await self._assign_shards(view, epoch, now)
         self._take_own_statuses(planner, now)
@@ -142,20 +142,20 @@
         self._pass_took_s = self.now() - now
         await self.writer.write(epoch, now, changes)
 
-    def _view_owners(self, planner: LeaderPlanner, now: Seconds) -> OwnersView:
-        return OwnersView(
-            unreachable=planner.unreachable_shards(),
-            unheard=planner.unheard_shards(now),
-            silent_controllers=self._silent_controllers(now),
+    def _view_owners(self, planner: LeaderPlanner, now: Seconds) -> OwnerReachability:
+        return OwnerReachability(
+            shards_without_machine_contact=planner.unreachable_shards(),
+            shards_without_owner_contact=planner.unheard_shards(now),
+            unreachable_controllers=self._silent_controllers(now),
         )
 
-    def _is_isolated(self, view: OwnersView, now: Seconds) -> bool:
+    def _is_isolated(self, view: OwnerReachability, now: Seconds) -> bool:
         """Whether neither a peer nor a worker reaches this leader, and another should lead."""
         populated = {
             name for name, scheduler in self.owned_shards.schedulers.items() if scheduler.machines
         }
         return self.isolation.should_step_down(
-            now, view.silent_controllers, populated, view.unreachable
+            now, view.unreachable_controllers, populated, view.shards_without_machine_contact
         )
 
     def _attach_partitions(self, planner: LeaderPlanner) -> None:
@@ -163,9 +163,11 @@
         if service is not None:
             service.lead(planner)
         planner.partitions = service.rebalancer if service is not None else None
-        self.assigner.wanted = service.wanted_shards() if service is not None else []
+        self.assigner.partition_shards = service.wanted_shards() if service is not None else []
 
-    async def _assign_shards(self, view: OwnersView, epoch: FencingToken, now: Seconds) -> None:
+    async def _assign_shards(
+        self, view: OwnerReachability, epoch: FencingToken, now: Seconds
+    ) -> None:
         """Write the new owners of shards, each by itself."""
         for assignment in self.assigner.changes(now, view):
             key = SHARDS + assignment.shard
@@ -186,7 +188,7 @@
     def _take_own_statuses(self, planner: LeaderPlanner, now: Seconds) -> None:
         """Give the planner the statuses of this process's own shards."""
         for name, scheduler in self.owned_shards.schedulers.items():
-            base = self.confirmations.base(name, scheduler.token)
+            base = self.confirmations.confirmed_number(name, scheduler.token)
             number = planner.shard_status(now, scheduler.status(now, base))
             self.confirmations.confirm(
                 name, Confirmation(scheduler.token, self.identity.incarnation, number)
--- a/src/dapplewick/controller/partition_host.py
+++ b/src/dapplewick/controller/partition_host.py
@@ -46,7 +46,7 @@
 
     def wake_leader(self, at_once: bool = False) -> None:
         """Ask for a planning pass; at once if work waits for it."""
-        self.leadership.wake(at_once)
+        self.leadership.request_pass(at_once)
 
     def limits_now(self) -> StateLimits:
         """How large values and transactions may be."""
--- a/src/dapplewick/controller/partition_switch.py
+++ b/src/dapplewick/controller/partition_switch.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dapplewick.controller.partition_host import PartitionHost
-from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
+from dapplewick.storage.formats import CURRENT_FORMAT, PARTITIONS_FORMAT
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import partition_of
 
@@ -60,4 +60,4 @@
 
 def understood_format(partitions: PartitionService | None) -> int:
     """The newest format of records that a controller says it understands."""
-    return PARTITIONS_FORMAT if partitions is not None else FORMAT_NOW
+    return PARTITIONS_FORMAT if partitions is not None else CURRENT_FORMAT
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -68,7 +68,7 @@
         elif kind == peers.KIND_STATUS_CONFIRMATION:
             self._hear_confirmation(message)
         elif kind == peers.KIND_GOSSIP:
-            self.exchange.hear_gossip(message)
+            self.exchange.receive_gossip(message)
         return None
 
     def _hear_shard_status(self, message: dict[str, Any]) -> None:
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -11,7 +11,7 @@
 from dapplewick.controller.budgets import Budgets
 from dapplewick.controller.core_notifier import CoreNotifier
 from dapplewick.coordination.identity import Identity
-from dapplewick.coordination.wake import Wake
+from dapplewick.coordination.wake import WakeSignal
 from dapplewick.storage.errors import (
     OutcomeUnknownError,
     RequestRefusedError,
@@ -49,7 +49,7 @@
         notifier: CoreNotifier,
         *,
         budgets: Budgets,
-        gossip_wake: Wake,
+        gossip_wake: WakeSignal,
         now: Callable[[], Seconds],
         rng: random.Random,
     ) -> None:
@@ -141,7 +141,7 @@
         except RevisionCompactedError:
             await self._load()
             return
-        self.cache.follow(changes.events, changes.revision)
+        self.cache.apply_events(changes.events, changes.revision)
         self.current_at = max(self.current_at, sent_at)
         self.mark_contact()
         self.apply_changed()
--- a/src/dapplewick/controller/record_limits.py
+++ b/src/dapplewick/controller/record_limits.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from dapplewick.config import StateLimits
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.watch_cache import WatchCache
 
 
@@ -23,6 +23,6 @@
         What controllers of the older version read can't be cut, so until the format is raised a
         value may be as large as it was.
         """
-        if self._cache.format >= FORMAT_NOW:
+        if self._cache.format >= CURRENT_FORMAT:
             return self._lowest
         return msgspec.structs.replace(self._limits, txn_ops=self._lowest.txn_ops)
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -65,4 +65,4 @@
         # Cut off alone, this controller sends its users elsewhere. In an outage for all it stays:
         # being taken out would cost seconds more when the state service is back. Contacts are
         # a renewal apart at most, so in an outage no peer still claims one by now.
-        return not self.peers.any_reaches_state_service(now)
+        return not self.peers.any_peer_reaches_state_service(now)
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -13,7 +13,7 @@
 from dapplewick.coordination.status_confirmations import StatusConfirmations
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import peers
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.transport.peer import PeerLink
 from dapplewick.types import NEVER_S, ControllerName, Seconds, ShardName
 
@@ -83,7 +83,7 @@
         record = self._records.cache.leader
         link = self._links.get(ControllerName(record.controller)) if record is not None else None
         if link is not None:
-            base = self._confirmations.base(scheduler.shard, scheduler.token)
+            base = self._confirmations.confirmed_number(scheduler.shard, scheduler.token)
             status = scheduler.status(now, base)
-            status.controller, status.version = self._identity.name, FORMAT_NOW
+            status.controller, status.version = self._identity.name, CURRENT_FORMAT
             link.post(f"{status.kind}:{scheduler.shard}", peers.encode(status))
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -48,7 +48,7 @@
             "node": self.identity.name,
             "version": __version__,
             "ready": self.records.ready,
-            "lease_left_s": round(max(0.0, self.presence.lease_until - now), 1),
+            "lease_left_s": round(max(0.0, self.presence.lease_valid_until - now), 1),
             "records_age_s": round(now - self.records.current_at, 1),
             "leader": cache.leader.controller if cache.leader is not None else None,
             "epoch": cache.version(LEADER),
@@ -101,7 +101,7 @@
                 "granted": sum(len(tasks) for tasks in job.assignments.values()),
                 "running": self.peers.running_tasks(job_id),
             }
-            for job_id, job in self.records.cache.each_live()
+            for job_id, job in self.records.cache.iter_live_jobs()
             if job.spec.is_service and job.open
         }
 
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -22,7 +22,7 @@
     RequestRefusedError,
     TransactionConflictError,
 )
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.job_records import CANCELLED, DONE, JobRecord, chunk_tasks
 from dapplewick.storage.keys import JOBS
 from dapplewick.storage.state_client import StateClient
@@ -155,10 +155,10 @@
         cache = self._records.cache
         if job_id in cache.jobs:
             return await self._state_or(job_id, UNAVAILABLE)
-        if spec.is_service and cache.format < FORMAT_NOW:
+        if spec.is_service and cache.format < CURRENT_FORMAT:
             # The record decides, so all controllers answer alike; not what this one last read.
             await self._records.current()
-            if cache.format < FORMAT_NOW:
+            if cache.format < CURRENT_FORMAT:
                 return NOT_YET
         if not cache.types:
             return UNAVAILABLE
@@ -179,7 +179,7 @@
             spec = msgspec.structs.replace(spec, types=known)
         job = JobRecord(spec, self._wall_time())
         shards, room = self._partitions.shard_names(), self._limits.now().value_bytes
-        if cache.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
+        if cache.format >= CURRENT_FORMAT and not spec.is_gang and job.may_exceed(shards, room):
             job.chunk_size = chunk_tasks(spec.task_count, shards, room)
         return job
 
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -8,10 +8,10 @@
 
 from dapplewick.config import WorkerTimes
 from dapplewick.controller.record_follower import RecordFollower
-from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.leadership import Leadership
-from dapplewick.coordination.peer_exchange import HeardOwner, PeerExchange
+from dapplewick.coordination.peer_exchange import PeerExchange, ReportedOwner
 from dapplewick.coordination.presence import Presence
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol.errors import MalformedMessageError
@@ -46,7 +46,7 @@
     presence: Presence
     leadership: Leadership
     peers: PeerExchange
-    cancellations: CancellationWatch
+    cancellations: CancellationExchange
     worker_times: WorkerTimes
     now: Callable[[], Seconds]
 
@@ -62,7 +62,7 @@
         now = self.now()
         name = self.records.cache.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.schedulers.get(name)
-        heard = self.peers.heard_owner(name)
+        heard = self.peers.reported_owner(name)
         if (
             scheduler is not None
             and scheduler.token >= heard.token
@@ -78,7 +78,7 @@
         # keep them up only as long as that is still in time. A lease counts from when the
         # heartbeat was sent, so neither a heartbeat held back nor a process that stands still
         # here adds to it; a hanging machine goes on only within it.
-        told_at = self.cancellations.known_at(now)
+        told_at = self.cancellations.complete_as_of(now)
         times = self.worker_times
         max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
         if now - max(self.records.current_at, told_at) >= max_age_s:
@@ -99,7 +99,7 @@
         token = scheduler.token_for(heartbeat.machine)
         return Response(200, encode_heartbeat_response(token, commands))
 
-    def _refer_to_owner(self, name: ShardName, heard: HeardOwner) -> Response:
+    def _refer_to_owner(self, name: ShardName, heard: ReportedOwner) -> Response:
         """Name the newest owner that is known, if it is another controller that is there."""
         cache = self.records.cache
         shard = cache.shards.get(name)
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -70,7 +70,7 @@
                 raise ValueError("not a cancellation")
 
 
-class CancellationWatch:
+class CancellationExchange:
     """One controller's side of the exchange; a state machine without I/O.
 
     Times are seconds of the steady clock of the controller that the field or argument names.
@@ -110,7 +110,7 @@
             cancelled=listed if ready else [],
         )
 
-    def hear(
+    def receive(
         self,
         now: Seconds,
         own_name: ControllerName,
@@ -133,7 +133,7 @@
         self._questions[peer] = Question(message.incarnation, message.at)
         self._reads[peer] = PeerRead(now, message.revision)
         for version, job in message.cancelled:
-            cache.told_cancelled(job, version)
+            cache.apply_announced_cancellation(job, version)
         # A list that begins after what we have read may lack some.
         if (
             message.complete
@@ -142,7 +142,7 @@
         ):
             self._answered[peer] = max(question.at, self._answered.get(peer, question.at))
 
-    def known_at(self, now: Seconds) -> Seconds:
+    def complete_as_of(self, now: Seconds) -> Seconds:
         """The time by which all cancellations that other controllers had told are known here.
 
         It is far in the past while a peer has not answered yet, or can't be asked.
--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -128,7 +128,7 @@
             epoch,
         )
 
-    async def settle_epoch(self) -> FencingToken:
+    async def prepare_epoch(self) -> FencingToken:
         """Settle the epoch under which to plan now.
 
         A write without an answer may still come as long as the leader's key is what it was: no
@@ -156,7 +156,7 @@
             self._read_epoch = epoch
         return epoch
 
-    def note_planned(self, epoch: FencingToken) -> None:
+    def record_planned_epoch(self, epoch: FencingToken) -> None:
         """Remember that this process plans under an epoch."""
         self._planned_epoch = max(self._planned_epoch, epoch)
 
--- a/src/dapplewick/coordination/leader_isolation.py
+++ b/src/dapplewick/coordination/leader_isolation.py
@@ -13,7 +13,7 @@
 
 # Between two times that one process steps down: where several controllers hear nobody, each leads
 # in turn, and few epochs are to be spent on that.
-STEP_DOWN_PAUSE_S = 60.0
+STEP_DOWN_COOLDOWN_S = 60.0
 
 
 class LeaderIsolation:
@@ -24,15 +24,15 @@
         self._own_name = own_name
         self._stepped_down_at = NEVER_S
 
-    def hears_no_peer(self, silent_controllers: Set[ControllerName]) -> bool:
+    def has_no_peer_contact(self, unreachable_controllers: Set[ControllerName]) -> bool:
         """Whether other controllers are present, and none of them is heard."""
         others = self._cache.controllers.keys() - {self._own_name}
-        return bool(others) and others <= silent_controllers
+        return bool(others) and others <= unreachable_controllers
 
     def should_step_down(
         self,
         now: Seconds,
-        silent_controllers: Set[ControllerName],
+        unreachable_controllers: Set[ControllerName],
         populated_shards: Set[ShardName],
         unreachable_shards: Set[ShardName],
     ) -> bool:
@@ -40,18 +40,18 @@
 
         Args:
             now: The steady clock.
-            silent_controllers: The present controllers that this one does not hear.
+            unreachable_controllers: The present controllers that this one does not hear.
             populated_shards: The shards of this process that have machines. Only they tell whether
                 workers reach it: without any it can't know, and leads on.
             unreachable_shards: All shards whose owner hears none of its machines.
         """
         return (
-            now - self._stepped_down_at >= STEP_DOWN_PAUSE_S
-            and self.hears_no_peer(silent_controllers)
+            now - self._stepped_down_at >= STEP_DOWN_COOLDOWN_S
+            and self.has_no_peer_contact(unreachable_controllers)
             and bool(populated_shards)
             and populated_shards <= unreachable_shards
         )
 
-    def note_step_down(self, now: Seconds) -> None:
+    def record_step_down(self, now: Seconds) -> None:
         """Note that this process has given up the leader's key."""
         self._stepped_down_at = now
--- a/src/dapplewick/coordination/leadership.py
+++ b/src/dapplewick/coordination/leadership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dapplewick.coordination.wake import Wake
+from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.leader.planner import LeaderPlanner
 
 
@@ -17,15 +17,15 @@
 
     def __init__(self) -> None:
         self.planner: LeaderPlanner | None = None
-        self.pass_wake = Wake()
-        self.urgent_wake = Wake()
+        self.pass_wake = WakeSignal()
+        self.urgent_wake = WakeSignal()
 
-    def wake(self, at_once: bool = False) -> None:
+    def request_pass(self, urgent: bool = False) -> None:
         """Ask for a planning pass.
 
         Args:
-            at_once: work waits for it, so the leader is not to rest before it.
+            urgent: work waits for it, so the leader is not to rest before it.
         """
         self.pass_wake.set()
-        if at_once:
+        if urgent:
             self.urgent_wake.set()
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -9,11 +9,11 @@
 import anyio
 from msgspec import UnsetType
 
-from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange, CancellationMessage
 from dapplewick.coordination.identity import Identity
-from dapplewick.coordination.peer_silence import PeerSilence
+from dapplewick.coordination.peer_reachability import PeerReachability
 from dapplewick.coordination.records import Records
-from dapplewick.coordination.wake import Wake
+from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import peers
 from dapplewick.protocol.peers import (
@@ -23,7 +23,7 @@
     ShardStatus,
     StatusConfirmation,
 )
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import SHARDS
 from dapplewick.transport.http import Request, Response
 from dapplewick.transport.peer import PeerLink
@@ -40,18 +40,18 @@
 class PeerContact(NamedTuple):
     """What a peer told last of its way to the state service."""
 
-    at_s: Seconds  # when it told it, by this process's steady clock
+    received_at: Seconds  # when it told it, by this process's steady clock
     reaches_state_service: bool
 
 
-class HeardOwner(NamedTuple):
+class ReportedOwner(NamedTuple):
     """The owner of a shard with the newest token that a peer has told of."""
 
     token: FencingToken
     controller: ControllerName
 
 
-NO_OWNER_HEARD = HeardOwner(FencingToken(0), ControllerName(""))
+NO_REPORTED_OWNER = ReportedOwner(FencingToken(0), ControllerName(""))
 
 
 class PeerExchange:
@@ -62,10 +62,10 @@
         identity: Identity,
         links: Mapping[ControllerName, PeerLink],
         records: Records,
-        cancellations: CancellationWatch,
+        cancellations: CancellationExchange,
         schedulers: Mapping[ShardName, ShardScheduler],
         *,
-        wake: Wake,
+        wake: WakeSignal,
         now: Callable[[], Seconds],
         rng: random.Random,
     ) -> None:
@@ -78,8 +78,8 @@
         self._now = now
         self._random = rng
         self.contacts: dict[ControllerName, PeerContact] = {}
-        self.silence = PeerSilence(identity.name)
-        self.heard_owners: dict[ShardName, HeardOwner] = {}
+        self.reachability = PeerReachability(identity.name)
+        self.reported_owners: dict[ShardName, ReportedOwner] = {}
         self.running: dict[ControllerName, dict[JobId, int]] = {}  # tasks of each job
 
     async def run(self) -> None:
@@ -89,13 +89,13 @@
                 await self._wake.wait()
                 await anyio.sleep(GOSSIP_AFTER_CANCELLATION_S)
             self._wake.clear()
-            self.silence.listen(self._now(), self._records.cache.controllers)
+            self.reachability.record_presence(self._now(), self._records.cache.controllers)
             self._post_gossip()
 
     def _post_gossip(self) -> None:
         gossip = Gossip(
             controller=self._identity.name,
-            version=FORMAT_NOW,
+            version=CURRENT_FORMAT,
             running=self._count_running(),
             shards=self._known_owners(),
             reaches_state_service=self._now() - self._records.contact_at < CONTACT_S,
@@ -123,7 +123,7 @@
             for name, shard in cache.shards.items()
         }
 
-    def hear_gossip(self, message: Mapping[str, Any]) -> None:
+    def receive_gossip(self, message: Mapping[str, Any]) -> None:
         """Take over what a peer tells.
 
         Raises:
@@ -131,31 +131,31 @@
         """
         gossip = peers.decode(message, Gossip)
         controller = gossip.controller
-        self.silence.hear(self._now(), controller)
+        self.reachability.record_contact(self._now(), controller)
         self.contacts[controller] = PeerContact(self._now(), gossip.reaches_state_service)
         self.running[controller] = gossip.running
         for shard, (token, owner) in gossip.shards.items():
-            if token > self.heard_owner(shard).token:
-                self.heard_owners[shard] = HeardOwner(token, owner)
+            if token > self.reported_owner(shard).token:
+                self.reported_owners[shard] = ReportedOwner(token, owner)
         if "heard" in message:  # the first versions tell nothing of cancellations
             cancellations = peers.decode(message, CancellationMessage)
-            self._cancellations.hear(
+            self._cancellations.receive(
                 self._now(), self._identity.name, controller, cancellations, self._records.cache
             )
         self._records.apply_changed()
 
-    def heard_owner(self, shard: ShardName) -> HeardOwner:
+    def reported_owner(self, shard: ShardName) -> ReportedOwner:
         """The owner of a shard by the peers' word, which may be newer than the records read."""
-        return self.heard_owners.get(shard, NO_OWNER_HEARD)
+        return self.reported_owners.get(shard, NO_REPORTED_OWNER)
 
     def running_tasks(self, job: JobId) -> int:
         """How many tasks of a job run on the machines of all shards, as far as known."""
         return sum(counts.get(job, 0) for counts in self.running.values())
 
-    def any_reaches_state_service(self, now: Seconds) -> bool:
+    def any_peer_reaches_state_service(self, now: Seconds) -> bool:
         """Whether a peer claims to reach the state service now."""
         return any(
-            now - contact.at_s < CONTACT_CLAIM_S and contact.reaches_state_service
+            now - contact.received_at < CONTACT_CLAIM_S and contact.reaches_state_service
             for contact in self.contacts.values()
         )
 
@@ -171,7 +171,7 @@
             token=status.token,
             incarnation=self._identity.incarnation,
             number=number,
-            version=FORMAT_NOW,
+            version=CURRENT_FORMAT,
         )
         link.post(f"{confirmation.kind}:{status.shard}", peers.encode(confirmation))
 
@@ -186,7 +186,7 @@
             controller
             for controller, contact in self.contacts.items()
             if contact.reaches_state_service
-            and now - contact.at_s < FORWARD_TO_WITHIN_S
+            and now - contact.received_at < FORWARD_TO_WITHIN_S
             and controller in self._links
         ]
         if not eligible:
--- a/src/dapplewick/coordination/peer_silence.py
+++ b/src/dapplewick/coordination/peer_reachability.py
@@ -8,8 +8,8 @@
 from dapplewick.storage.controller_records import ControllerRecord
 from dapplewick.types import ControllerName, Seconds
 
-SILENT_S = 6.0  # each controller tells its peers of itself about once a second
-PAUSE_S = 3.0  # if this process itself stood still for longer, the others are not to blame
+PEER_TIMEOUT_S = 6.0  # each controller tells its peers of itself about once a second
+MAX_OWN_STALL_S = 3.0  # if this process itself stood still for longer, the others are not to blame
 
 
 class _PresentSince(NamedTuple):
@@ -19,7 +19,7 @@
     at: Seconds
 
 
-class PeerSilence:
+class PeerReachability:
     """For how long each present controller was not heard on its connection to this one.
 
     A refused connection does not show that a controller is dead: its presence record stands as
@@ -33,9 +33,11 @@
         self._listened_at: Seconds | None = None
         self._listening_since: Seconds = 0.0
 
-    def listen(self, now: Seconds, present: Mapping[ControllerName, ControllerRecord]) -> None:
+    def record_presence(
+        self, now: Seconds, present: Mapping[ControllerName, ControllerRecord]
+    ) -> None:
         """Note who is present; to be called about once a second."""
-        if self._listened_at is None or now - self._listened_at > PAUSE_S:
+        if self._listened_at is None or now - self._listened_at > MAX_OWN_STALL_S:
             self._listening_since = now
         self._listened_at = now
         for name, record in present.items():
@@ -43,18 +45,19 @@
             if since is None or since.incarnation != record.incarnation:
                 self._present_since[name] = _PresentSince(record.incarnation, now)
 
-    def hear(self, now: Seconds, controller: ControllerName) -> None:
+    def record_contact(self, now: Seconds, controller: ControllerName) -> None:
         """Note that a controller was heard."""
         self._heard_at[controller] = now
 
-    def silent(
+    def unreachable(
         self, now: Seconds, present: Mapping[ControllerName, ControllerRecord]
     ) -> frozenset[ControllerName]:
         """The present controllers that were not heard for a while."""
         return frozenset(
             name
             for name, record in present.items()
-            if name != self._own_name and now - self._heard_or_new(now, name, record) > SILENT_S
+            if name != self._own_name
+            and now - self._heard_or_new(now, name, record) > PEER_TIMEOUT_S
         )
 
     def _heard_or_new(
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -33,7 +33,7 @@
 
     Attributes:
         lease: the lease's number at the state service; None while there is none.
-        lease_until: up to when the lease is certain to hold, by the steady clock, in seconds.
+        lease_valid_until: up to when the lease is certain to hold, by the steady clock, in seconds.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._now = now
         self._random = rng
         self.lease: int | None = None
-        self.lease_until = NEVER_S
+        self.lease_valid_until = NEVER_S
 
     def lease_valid(self) -> bool:
         """Whether the lease is certain to hold now."""
-        return self._now() < self.lease_until
+        return self._now() < self.lease_valid_until
 
     async def run(self) -> None:
         """Get the lease and the record, and renew them for ever."""
@@ -88,7 +88,7 @@
         else:
             await self._state.renew(self.lease)
         # Counted from when the request was sent, less what clocks may drift.
-        self.lease_until = sent_at + TTL_S * 0.998 - 0.1
+        self.lease_valid_until = sent_at + TTL_S * 0.998 - 0.1
         self._records.mark_contact()
 
     async def _announce(self) -> None:
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -20,8 +20,8 @@
     """Why a shard gets a new owner."""
 
     NO_OWNER = "no_owner"  # or its owner's incarnation is not present
-    UNREACHABLE = "unreachable"  # its owner hears none of its machines
-    UNHEARD = "unheard"  # the leader does not hear its owner
+    MACHINES_UNREACHABLE = "unreachable"  # its owner hears none of its machines
+    OWNER_UNREACHABLE = "unheard"  # the leader does not hear its owner
     UNEVEN = "uneven"  # its owner has much more to do than another controller
 
 
@@ -33,33 +33,35 @@
     reason: AssignmentReason
 
 
-class OwnersView(NamedTuple):
-    """What the leader knows of the owners, beside their presence.
+class OwnerReachability(NamedTuple):
+    """Reachability of the shard owners, beyond their presence records, as the leader sees it.
 
     Attributes:
-        unreachable: shards whose owner hears none of its machines: it may have lost the way to
-            them alone, and another may hear them.
-        unheard: shards whose owner the leader has not heard for long, though it is present.
-        silent_controllers: present controllers that the leader does not hear now. They are given
-            no shard: it would be unheard too.
+        shards_without_machine_contact: shards whose owner has no contact with any of their
+            machines. The fault may lie between this owner and the machines, in which case another
+            controller can reach them.
+        shards_without_owner_contact: shards whose owner is present, but from which the leader has
+            received nothing for too long.
+        unreachable_controllers: present controllers from which the leader currently receives
+            nothing. They are assigned no shard, because the leader would not reach its owner.
     """
 
-    unreachable: Set[ShardName]
-    unheard: Set[ShardName]
-    silent_controllers: Set[ControllerName]
+    shards_without_machine_contact: Set[ShardName]
+    shards_without_owner_contact: Set[ShardName]
+    unreachable_controllers: Set[ControllerName]
 
 
 class ShardAssigner:
     """The leader's choice of owners; a shard changes hands only for a reason.
 
     Attributes:
-        wanted: the shards of partitions that are to be there.
+        partition_shards: the shards of partitions that are to be there.
     """
 
     def __init__(self, cache: WatchCache, zones: list[str], own_name: ControllerName) -> None:
         self._cache = cache
         self._zones = [ShardName(zone) for zone in zones]
-        self.wanted: list[ShardName] = []
+        self.partition_shards: list[ShardName] = []
         self._own_name = own_name
         self._uneven_since: Seconds | None = None
         self._moved_at: dict[ShardName, Seconds] = {}
@@ -67,9 +69,9 @@
     def shards(self) -> list[ShardName]:
         """List every shard that has or needs an owner: of the zones, and of their partitions."""
         partitions = [shard for shard in self._cache.shards if partition_of(shard)]
-        return list(dict.fromkeys([*self._zones, *self.wanted, *partitions]))
+        return list(dict.fromkeys([*self._zones, *self.partition_shards, *partitions]))
 
-    def changes(self, now: Seconds, view: OwnersView) -> list[ShardAssignment]:
+    def changes(self, now: Seconds, view: OwnerReachability) -> list[ShardAssignment]:
         """Choose the shards that get a new owner now.
 
         Args:
@@ -86,12 +88,24 @@
                 orphans.append(name)
             else:
                 load[owner] += 1
-        eligible = load.keys() - view.silent_controllers or load.keys()
+        eligible = load.keys() - view.unreachable_controllers or load.keys()
         if orphans:
             return self._assign_orphans(orphans, load, eligible)
         return (
-            self._reassign(now, load, eligible, view.unreachable, AssignmentReason.UNREACHABLE)
-            or self._reassign(now, load, eligible, view.unheard, AssignmentReason.UNHEARD)
+            self._reassign(
+                now,
+                load,
+                eligible,
+                view.shards_without_machine_contact,
+                AssignmentReason.MACHINES_UNREACHABLE,
+            )
+            or self._reassign(
+                now,
+                load,
+                eligible,
+                view.shards_without_owner_contact,
+                AssignmentReason.OWNER_UNREACHABLE,
+            )
             or self._even_out(now, load, eligible)
         )
 
--- a/src/dapplewick/coordination/status_confirmations.py
+++ b/src/dapplewick/coordination/status_confirmations.py
@@ -30,7 +30,7 @@
         """A leader has this shard's statuses up to a number; another incarnation has none."""
         self.confirmed[shard] = confirmation
 
-    def base(self, shard: ShardName, token: FencingToken) -> int:
+    def confirmed_number(self, shard: ShardName, token: FencingToken) -> int:
         """The number of the newest status under `token` that the present leader has confirmed."""
         confirmation = self.confirmed.get(shard, NOTHING_CONFIRMED)
         leader = self._cache.leader
--- a/src/dapplewick/coordination/wake.py
+++ b/src/dapplewick/coordination/wake.py
@@ -5,7 +5,7 @@
 import anyio
 
 
-class Wake:
+class WakeSignal:
     """An event for one waiting loop. What is set before the loop waits is not lost."""
 
     def __init__(self) -> None:
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -58,7 +58,7 @@
         """The accelerators that unfinished work wants; notes its priority and what goes with it."""
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
-        for _, job in self.cache.each_live():
+        for _, job in self.cache.iter_live_jobs():
             spec = job.spec
             if spec.gpus > 0 and job.open:
                 # Where users have objectives for other classes only, nothing is kept from those
@@ -167,7 +167,7 @@
     def _count_tasks(self) -> _TaskCounts:
         fresh = waiting = 0
         in_the_way = -1
-        for job_id, job in self.cache.each_live():
+        for job_id, job in self.cache.iter_live_jobs():
             spec = job.spec
             if spec.is_gang and job.open and job.gang is None:
                 waiting += spec.task_count
--- a/src/dapplewick/core/leader/capacity_view.py
+++ b/src/dapplewick/core/leader/capacity_view.py
@@ -57,7 +57,7 @@
     def _machines(self, now: Seconds, shard: ObservedShard) -> list[MachineCapacity]:
         """The machines of a shard that may get work; a machine is built only if it is new."""
         capacities = []
-        drains = self._cache.transfers.drains
+        drains = self._cache.transfers.draining_transfer
         for machine_id, status in shard.machines.items():
             record = self._cache.machines.get(machine_id)
             if record is None or record.terminating or not status.usable:
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -14,7 +14,7 @@
 
 from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
 from dapplewick.storage.encoding import encoded_size
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.job_records import DONE, JobRecord, chunk_tasks
 from dapplewick.storage.keys import CHUNKS, GANG_PLACEMENTS, JOBS
 from dapplewick.storage.watch_cache import WatchCache
@@ -68,7 +68,7 @@
             return []
         pieces = self._split_placement(job_id, job, priority)
         value = job.dump(self._value_bytes)
-        if self._cache.format >= FORMAT_NOW and encoded_size(value) > self._value_bytes:
+        if self._cache.format >= CURRENT_FORMAT and encoded_size(value) > self._value_bytes:
             return []  # it is cut first; what is not written is found again
         return [*pieces, ConditionalWrite(JOBS + job_id, value, job.main_version, priority)]
 
@@ -109,7 +109,7 @@
         They name the attempt: what a leader that ended on the way left behind is not read.
         """
         gang = job.gang
-        if gang is None or gang.placement_keys or self._cache.format < FORMAT_NOW:
+        if gang is None or gang.placement_keys or self._cache.format < CURRENT_FORMAT:
             return []
         if encoded_size(job.dump()) <= self._value_bytes:
             return []
@@ -131,9 +131,9 @@
         for its size: it keeps the placement, since tasks may still be there, and once the limit
         has fallen it could not be written.
         """
-        if self._cache.format < FORMAT_NOW:
+        if self._cache.format < CURRENT_FORMAT:
             return
-        for job_id, job in self._cache.each_live():
+        for job_id, job in self._cache.iter_live_jobs():
             gang = job.gang
             if gang is None or gang.placement_keys or len(gang.placements) < LONG_GANG_TASKS:
                 continue
@@ -153,10 +153,10 @@
         changed. Each of these writes is small, so this goes on also when the limit has fallen.
         """
         self._converting = set()
-        if self._cache.format < FORMAT_NOW:
+        if self._cache.format < CURRENT_FORMAT:
             return []
         changes: list[ConditionalWrite] = []
-        for job_id, job in self._cache.each_live():
+        for job_id, job in self._cache.iter_live_jobs():
             if (
                 job.chunk_size
                 or job.spec.is_gang
@@ -197,7 +197,7 @@
     def _may_outgrow(self, job_id: JobId, job: JobRecord) -> bool:
         known = self._outgrows.get(job_id)
         if known is None:
-            known = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
+            known = self._outgrows[job_id] = job.may_exceed(self._shard_names, self._value_bytes)
         return known
 
     def leftovers(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -43,7 +43,7 @@
         self._checked_at = now
         holders = {
             job_id: job
-            for job_id, job in self._cache.each_live()
+            for job_id, job in self._cache.iter_live_jobs()
             if not job.open and (job.assignments or job.gang is not None)
         }
         self._held_s = {job: held for job, held in self._held_s.items() if job in holders}
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from dapplewick.storage.conditional_write import ConditionalWrite
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import MACHINES
 from dapplewick.storage.machine_records import BOOTING, MachineGroupRecord
 from dapplewick.storage.watch_cache import WatchCache
@@ -66,11 +66,11 @@
 
     def is_oversized(self, group: MachineGroupRecord) -> bool:
         """Whether a group has more machines than the lower limit lets a value hold."""
-        return len(group.machines) > self.most_machines(group.machines, bool(group.floors))
+        return len(group.machines) > self.most_machines(group.machines, bool(group.min_tokens))
 
     def pieces(self, group: MachineGroupRecord, machines: list[str]) -> list[MachineGroupRecord]:
         """These machines of a group, in as many groups as they need."""
-        most = self.most_machines(machines, bool(group.floors))
+        most = self.most_machines(machines, bool(group.min_tokens))
         return [
             _piece(group, machines[first : first + most]) for first in range(0, len(machines), most)
         ]
@@ -95,7 +95,7 @@
     def begin(self) -> None:
         """Choose the group that is split in this pass, if any is too large."""
         self.name = None
-        if self._cache.format >= FORMAT_NOW:
+        if self._cache.format >= CURRENT_FORMAT:
             oversized = (name for name in self._cache.groups if self._is_oversized(name))
             self.name = next(oversized, None)
 
@@ -177,7 +177,7 @@
         for name, draft in self._drafts.items():
             if name == self._splitter.name or name in self._transaction_groups:
                 continue
-            if self._cache.format >= FORMAT_NOW and self._limits.is_oversized(draft.group):
+            if self._cache.format >= CURRENT_FORMAT and self._limits.is_oversized(draft.group):
                 continue  # it is split in one of the next passes
             changes.append(self._change(name))
         return changes + self._splitter.changes(self._drafts)
@@ -198,7 +198,7 @@
         """Draft that a machine's group does not list it any more."""
         group = self._edit(self._cache.group_of[machine_id], priority)
         group.machines.pop(machine_id, None)
-        group.floors.pop(machine_id, None)
+        group.min_tokens.pop(machine_id, None)
 
     def add(
         self,
@@ -257,7 +257,7 @@
         name = self._cache.group_of[next(iter(floors))]
         group = self._cache.groups[name]
         # Another group that lists a machine would bring it back to where it came from.
-        listed_once = all(self._cache.in_one_group(machine) for machine in floors)
+        listed_once = all(self._cache.is_in_one_group(machine) for machine in floors)
         is_busy = name in self._drafts or name == self._splitter.name
         if is_busy or self._limits.is_oversized(group) or not listed_once:
             return []
@@ -274,7 +274,7 @@
         moved = list(floors)[: most - len(joined.machines)]
         for machine in moved:
             joined.machines[machine] = group.machines[machine]
-            joined.floors[machine] = floors[machine]
+            joined.min_tokens[machine] = floors[machine]
             group = group.without(machine)
         self._drafts[name] = GroupDraft(group, WritePriority.NORMAL)
         self._transaction_groups[name] = self._transaction_groups[target] = transaction_group
@@ -286,7 +286,7 @@
         if draft is None:
             old = self._cache.groups[name]
             copy = msgspec.structs.replace(
-                old, machines=dict(old.machines), floors=dict(old.floors)
+                old, machines=dict(old.machines), min_tokens=dict(old.min_tokens)
             )
             draft = GroupDraft(copy, priority)
         else:
@@ -340,5 +340,5 @@
     return msgspec.structs.replace(
         group,
         machines={m: group.machines[m] for m in machines},
-        floors={m: group.floors[m] for m in machines if m in group.floors},
+        min_tokens={m: group.min_tokens[m] for m in machines if m in group.min_tokens},
     )
--- a/src/dapplewick/core/leader/machine_types.py
+++ b/src/dapplewick/core/leader/machine_types.py
@@ -7,7 +7,7 @@
 from dapplewick.protocol.cloud import MachineType, encode_machine_types
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.encoding import encoded_size
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import TYPE_KEYS, TYPES
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.storage.write_priority import WritePriority
@@ -60,7 +60,7 @@
         }:
             return []
         value = encode_machine_types(self.catalog)
-        if encoded_size(value) <= self._value_bytes or self._cache.format < FORMAT_NOW:
+        if encoded_size(value) <= self._value_bytes or self._cache.format < CURRENT_FORMAT:
             return [self._write(TYPES, value)]
         changes = [
             self._write(TYPE_KEYS + machine_type.name, item)
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -313,7 +313,7 @@
         """
         understood = min(
             (
-                self._cache.understood.get(ControllerName(name), FIRST_FORMAT)
+                self._cache.supported_formats.get(ControllerName(name), FIRST_FORMAT)
                 for name in self._names
             ),
             default=FIRST_FORMAT,
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -79,7 +79,7 @@
             machine_type = self._cache.types.get(record.type)
             if machine_type is None or record.up or record.terminating:
                 continue
-            if wall_time - record.at < OVERDUE_TIMES * machine_type.boot_s:
+            if wall_time - record.provisioned_at < OVERDUE_TIMES * machine_type.boot_s:
                 capacities.append(_empty(machine_id, machine_type, record.zone, record.spot))
         for name, request in self._cache.provisioning_requests.items():
             machine_type = self._cache.types.get(request.type)
@@ -148,7 +148,11 @@
         """One request for each pool of which machines are wanted."""
         return [
             ProvisioningRequest(
-                type=pool.machine_type, zone=pool.zone, spot=pool.spot, count=count, at=self._now
+                type=pool.machine_type,
+                zone=pool.zone,
+                spot=pool.spot,
+                count=count,
+                requested_at=self._now,
             )
             for pool, count in self._asked.items()
         ]
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -88,7 +88,7 @@
     def _reconcile_gangs(self, now: Seconds, owned: dict[ShardName, ObservedShard]) -> None:
         lowest_priority = self._lowest_array_priority()
         reserved_since: dict[JobId, Seconds] = {}
-        for job_id, job in list(self._cache.each_live()):
+        for job_id, job in list(self._cache.iter_live_jobs()):
             gang = job.gang
             if gang is None:
                 continue
@@ -105,7 +105,7 @@
         return min(
             (
                 job.spec.priority
-                for _, job in self._cache.each_live()
+                for _, job in self._cache.iter_live_jobs()
                 if job.open and not (job.spec.is_gang or job.spec.is_service)
             ),
             default=GANG_PRIORITY,
@@ -119,11 +119,11 @@
             draft = self._drafts.edit(job_id, WritePriority.URGENT)
             draft.stage, draft.done, draft.gang, draft.assignments = DONE, set(), None, {}
             log.info("event=job_done job=%s", job_id)
-        elif (gang.over or not job.open) and all(state == GANG_CLEAR for state in states):
+        elif (gang.ending or not job.open) and all(state == GANG_CLEAR for state in states):
             self._drafts.edit(job_id, WritePriority.NORMAL).gang = None
-        elif job.open and not gang.over and GANG_BAD in states:
+        elif job.open and not gang.ending and GANG_BAD in states:
             log.info("event=gang_ended job=%s attempt=%d", job_id, gang.attempt)
-            ended = msgspec.structs.replace(gang, over=True)
+            ended = msgspec.structs.replace(gang, ending=True)
             self._drafts.edit(job_id, WritePriority.NORMAL).gang = ended
         else:
             return False
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -82,7 +82,7 @@
             return False
         if self._shards.has_moved(machine_id, shard):
             return False
-        if self._cache.transfers.drains(machine_id) is not None:
+        if self._cache.transfers.draining_transfer(machine_id) is not None:
             return False
         return idle_s > self._provisioner.idle_limit_s(record.type) or status.leaving
 
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -133,7 +133,7 @@
             return False
         if not job.spec.is_gang:
             return not job.done and self._shards.placed(job_id) == 0
-        if job.gang is None or job.gang.over:
+        if job.gang is None or job.gang.ending:
             return True
         return any(
             shard.reserved(job_id, job.gang.attempt) is not None
@@ -150,7 +150,7 @@
         unmet: Sequence[CapacityRequest],
     ) -> WaitReason:
         spec = job.spec
-        if job.gang is not None and not job.gang.over:
+        if job.gang is not None and not job.gang.ending:
             return WaitReason.RESERVED_SLOTS_BUSY
         if any(job.assignments.values()):
             return WaitReason.IN_SHARD_QUEUE
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -149,7 +149,7 @@
     def is_wanted(self, job_id: JobId) -> bool:
         """Whether a gang's attempt is to go on: it is not over, and its job is open."""
         job = self._cache.jobs.get(job_id)
-        return job is not None and job.open and job.gang is not None and not job.gang.over
+        return job is not None and job.open and job.gang is not None and not job.gang.ending
 
     # The start of all tasks together, once all slots are idle
 
@@ -201,6 +201,6 @@
             record is None
             or record.terminating
             or record.shard != self._shard
-            or self._cache.transfers.drains(machine_id) is not None
+            or self._cache.transfers.draining_transfer(machine_id) is not None
             or (machine is not None and machine.spot_notice_s is not None)
         )
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -46,7 +46,7 @@
 
     def note_usable(self, now: Seconds, machine: Machine) -> bool:
         """Whether new work may go to this machine; a change is noted for the leader."""
-        is_drained = self._cache.transfers.drains(machine.id) is not None
+        is_drained = self._cache.transfers.draining_transfer(machine.id) is not None
         is_usable = not is_drained and self._is_fit_for_work(now, machine)
         if is_usable != machine.was_usable:
             machine.was_usable = is_usable
@@ -56,7 +56,7 @@
 
     def is_only_drained(self, now: Seconds, machine: Machine) -> bool:
         """Whether nothing but a transfer keeps new work from this machine."""
-        is_drained = self._cache.transfers.drains(machine.id) is not None
+        is_drained = self._cache.transfers.draining_transfer(machine.id) is not None
         return is_drained and self._is_fit_for_work(now, machine)
 
     def _is_fit_for_work(self, now: Seconds, machine: Machine) -> bool:
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -117,7 +117,9 @@
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
-        is_drained = machine.drain or self._cache.transfers.drains(machine.id) is not None
+        is_drained = (
+            machine.drain or self._cache.transfers.draining_transfer(machine.id) is not None
+        )
         if machine.spot_notice_s is None and not machine.slow and not is_drained:
             return False
         eligible = (m for m in self._others(machine) if self._constraints.allow(spec, m))
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -204,7 +204,7 @@
             self._hand_over(machine)
         elif machine is not None:
             self._health.note_usable(now, machine)
-        elif record.shard == self.shard and record.up and record.floor:
+        elif record.shard == self.shard and record.up and record.min_token:
             # Handed over to us: if it is never heard, it is to be seen as silent.
             self._machines.get_or_add(machine_id, now)
 
@@ -304,7 +304,7 @@
         return []
 
     def _forgets(self, now: Seconds, machine: Machine, has_commands: bool) -> list[Command]:
-        is_drained = self.cache.transfers.drains(machine.id) is not None
+        is_drained = self.cache.transfers.draining_transfer(machine.id) is not None
         return self._exits.forget_stored(now, machine, is_drained or has_commands)
 
     def _note_busy(self, now: Seconds, machine: Machine, had_tasks: bool) -> None:
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -194,7 +194,7 @@
             return False
         return any(
             not job.open and (self._shard in job.assignments or job.gang is not None)
-            for _, job in self._cache.each_live()
+            for _, job in self._cache.iter_live_jobs()
         )
 
     def _drained_machines(self) -> list[MachineId]:
@@ -204,7 +204,7 @@
         """
         return [
             machine_id
-            for machine_id in self._cache.transfers.drained()
+            for machine_id in self._cache.transfers.draining_machines()
             if (machine := self._machines.by_id.get(machine_id)) is not None
             and machine.reconciled
             and machine_id not in self._unreconciled
@@ -242,7 +242,7 @@
         """Jobs that are over, are assigned here, and of which nothing is on a machine."""
         over = [
             job_id
-            for job_id, job in self._cache.each_live()
+            for job_id, job in self._cache.iter_live_jobs()
             if not job.open and self._shard in job.assignments
         ]
         if not over or self._unreconciled:
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -95,7 +95,7 @@
     def _is_gang_wanted(self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord) -> bool:
         return (
             job.gang is not None
-            and not job.gang.over
+            and not job.gang.ending
             and job.gang.attempt == task_attempt.attempt
             and task.job in self._reservations.by_job
         )
--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -12,7 +12,7 @@
 from dapplewick.partitions.transfer_drafts import PLAN, TransferDrafts
 from dapplewick.storage.transfers import (
     COMPLETE,
-    COUNT_MOST,
+    MAX_TRANSFER_MACHINES,
     OVERDUE,
     REQUESTED,
     TransferRecord,
@@ -30,7 +30,9 @@
         wall_time: Unix time, in seconds.
     """
     ended = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
-    return ended and bool(plan.partitions) and wall_time < record.at + plan.hold_commands_s
+    return (
+        ended and bool(plan.partitions) and wall_time < record.requested_at + plan.hold_commands_s
+    )
 
 
 class Imbalance:
@@ -175,7 +177,7 @@
             return
         generation = self._drafts.coming_generation
         transfer = TransferId(f"p-{generation}-{self._cache.revision}")
-        count = min(count, COUNT_MOST)
+        count = min(count, MAX_TRANSFER_MACHINES)
         self._drafts.request(
             transfer,
             TransferRecord(generation, source, target, type_, count, REQUESTED, wall_time, until),
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -50,7 +50,7 @@
             return []
         unwanted -= {ShardName(r.target) for r in self._drafts.open_records().values()}
         unwanted = {shard for shard in unwanted if not self._index.has_any(shard)}
-        for _, job in self._cache.each_live():
+        for _, job in self._cache.iter_live_jobs():
             unwanted -= job.assignments.keys()
             if job.gang is not None:
                 unwanted -= job.gang.shards()
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -9,7 +9,7 @@
 from dapplewick.errors import DapplewickError
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
-from dapplewick.storage.transfers import CANCELLED, COUNT_MOST, REQUESTED, TransferRecord
+from dapplewick.storage.transfers import CANCELLED, MAX_TRANSFER_MACHINES, REQUESTED, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TransferId, partition_of, shard_name, zone_of
 
@@ -101,8 +101,12 @@
 
 def _count(message: Mapping[str, object]) -> int:
     count = message.get("count")
-    if isinstance(count, bool) or not isinstance(count, int) or not 0 < count <= COUNT_MOST:
-        raise TransferRefusedError(f"count: a number from 1 to {COUNT_MOST} is needed")
+    if (
+        isinstance(count, bool)
+        or not isinstance(count, int)
+        or not 0 < count <= MAX_TRANSFER_MACHINES
+    ):
+        raise TransferRefusedError(f"count: a number from 1 to {MAX_TRANSFER_MACHINES} is needed")
     return count
 
 
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -95,7 +95,7 @@
             moved=record.moved,
             state=record.state,
             origin=record.origin,
-            left_s=round(max(0.0, record.until - self._wall_time), 1) if record.open else 0.0,
+            left_s=round(max(0.0, record.overdue_at - self._wall_time), 1) if record.open else 0.0,
             waits_for=waits_for,
         )
 
@@ -136,7 +136,7 @@
             return f"{tasks}, expected to end in {max(0.0, last):.0f} s"
         gangs = [
             job_id
-            for job_id, job in self._cache.each_live()
+            for job_id, job in self._cache.iter_live_jobs()
             if job.gang is not None and any(m == machine_id for _, m in job.gang.placements)
         ]
         if gangs:
--- a/src/dapplewick/partitions/draining.py
+++ b/src/dapplewick/partitions/draining.py
@@ -13,7 +13,7 @@
 from dapplewick.storage.transfers import (
     CANCELLED,
     DRAINING,
-    MACHINES_MOST,
+    MAX_DRAINING_MACHINES,
     OVERDUE,
     REQUESTED,
     TransferRecord,
@@ -68,7 +68,7 @@
         plan finds by itself what it misses.
         """
         record = self._drafts.open_records()[transfer]
-        if wall_time < record.until:
+        if wall_time < record.overdue_at:
             return False
         log.info(
             "event=transfer_overdue transfer=%s moved=%d count=%d draining=%s",
@@ -94,8 +94,8 @@
             moved=0,
             draining=[],
             state=REQUESTED,
-            at=wall_time,
-            until=wall_time + plan.move_within_s,
+            requested_at=wall_time,
+            overdue_at=wall_time + plan.move_within_s,
             origin=AGAIN,
         )
         successor = TransferId(f"{transfer}-again")
@@ -107,7 +107,7 @@
         record = self._drafts.record(transfer)
         if record is None or not record.open or record.missing <= 0:
             return
-        if len(record.draining) >= MACHINES_MOST:
+        if len(record.draining) >= MAX_DRAINING_MACHINES:
             return
         taken = {MachineId(m) for r in self._drafts.open_records().values() for m in r.draining}
         waited_for = {
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -12,7 +12,11 @@
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.protocol.peers import MachineStatus
 from dapplewick.storage.machine_records import MachineRecord
-from dapplewick.storage.transfers import COUNT_MOST, MACHINES_MOST, TransferRecord
+from dapplewick.storage.transfers import (
+    MAX_DRAINING_MACHINES,
+    MAX_TRANSFER_MACHINES,
+    TransferRecord,
+)
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName
 
@@ -66,7 +70,7 @@
                 any more, as with a long task, keep none back.
         """
         candidates = self._candidates(transfer, avoid, taken)
-        room = min(transfer.missing, MACHINES_MOST - len(transfer.draining))
+        room = min(transfer.missing, MAX_DRAINING_MACHINES - len(transfer.draining))
         busy_left = self._busy_left(transfer, len(candidates), waited_for)
         chosen: list[MachineId] = []
         names_bytes = sum(len(machine) + 3 for machine in transfer.draining)
@@ -89,7 +93,7 @@
         for machine_id in self._looked_at(transfer):
             if machine_id in taken or machine_id in avoid:
                 continue
-            if self._cache.transfers.drains(machine_id) is not None:
+            if self._cache.transfers.draining_transfer(machine_id) is not None:
                 continue
             wait = self._expected_wait(machine_id, self._cache.machines[machine_id])
             if wait is not None:
@@ -104,8 +108,8 @@
             return there
         shard = self._shards.get(ShardName(transfer.source))
         idle = shard.latest.idle if shard is not None else {}
-        known_idle = [machine for machine in idle if machine in there][:MACHINES_MOST]
-        draw = random.Random(transfer.generation * COUNT_MOST + transfer.moved)
+        known_idle = [machine for machine in idle if machine in there][:MAX_DRAINING_MACHINES]
+        draw = random.Random(transfer.generation * MAX_TRANSFER_MACHINES + transfer.moved)
         return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE_SIZE)])
 
     def _busy_left(
--- a/src/dapplewick/partitions/target_solving.py
+++ b/src/dapplewick/partitions/target_solving.py
@@ -73,7 +73,7 @@
         host, plan = self._host, self._plan_in_force.plan
         self._index.refresh()
         wall_time = host.wall_time()
-        jobs = [job for _, job in host.cache.each_live()]
+        jobs = [job for _, job in host.cache.iter_live_jobs()]
         demand = measure(plan, host.settings.deployment.teams, jobs, host.estimates, wall_time)
         minute = int(wall_time // 60) % DAY_MINUTES
         return Problem(plan, minute, supply(host.cache, self._index), demand, holdings(self._index))
--- a/src/dapplewick/storage/cluster_records.py
+++ b/src/dapplewick/storage/cluster_records.py
@@ -9,7 +9,7 @@
 
 from dapplewick.protocol.cloud import MachineType, decode_machine_types
 from dapplewick.storage.controller_records import ControllerRecord, LeaderRecord
-from dapplewick.storage.formats import FIRST_FORMAT, FORMAT_NOW, FormatRecord
+from dapplewick.storage.formats import CURRENT_FORMAT, FIRST_FORMAT, FormatRecord
 from dapplewick.types import ControllerName
 
 Name = TypeVar("Name", bound=str)
@@ -38,18 +38,18 @@
 
     Attributes:
         present: the records of controllers whose lease holds.
-        understood: the format that each controller understood when it was last seen.
+        supported_formats: the format that each controller understood when it was last seen.
     """
 
     def __init__(self) -> None:
         self.present: dict[ControllerName, ControllerRecord] = {}
-        self.understood: dict[ControllerName, int] = {}
+        self.supported_formats: dict[ControllerName, int] = {}
 
     def put(self, name: str, value: Any, _version: int) -> None:
         """A controller is present."""
         record = msgspec.convert(value, type=ControllerRecord)
         self.present[ControllerName(name)] = record
-        self.understood[ControllerName(name)] = record.version
+        self.supported_formats[ControllerName(name)] = record.version
 
     def remove(self, name: str) -> None:
         """A controller's lease has expired, or it has left."""
@@ -57,7 +57,9 @@
 
     def upgraded(self) -> set[ControllerName]:
         """Controllers that were seen with a version that understands all of ours."""
-        return {name for name, version in self.understood.items() if version >= FORMAT_NOW}
+        return {
+            name for name, version in self.supported_formats.items() if version >= CURRENT_FORMAT
+        }
 
 
 class MachineTypes:
--- a/src/dapplewick/storage/formats.py
+++ b/src/dapplewick/storage/formats.py
@@ -6,7 +6,7 @@
 
 # What a controller understands. A version that says nothing of itself is of the first one, and
 # until the record of the format says otherwise only what that understands is written or sent.
-FIRST_FORMAT, FORMAT_NOW = 2, 3
+FIRST_FORMAT, CURRENT_FORMAT = 2, 3
 PARTITIONS_FORMAT = 4  # with partitions of zones; announced only where they are switched on
 
 
--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -25,14 +25,14 @@
     Attributes:
         attempt: the gang's attempt.
         placements: shard and machine of each task.
-        over: it is to end and be cleared.
+        ending: it is to end and be cleared.
         preempt: it may take the place of tasks of a lower priority.
         placement_keys: of how many keys the placements are to be read, if they are not here.
     """
 
     attempt: int
     placements: list[tuple[str, str]] = msgspec.field(name="places")
-    over: bool = msgspec.field(name="over", default=False)
+    ending: bool = msgspec.field(name="over", default=False)
     preempt: bool = False
     placement_keys: int = msgspec.field(name="shares", default=0)
 
@@ -179,7 +179,7 @@
             return self.gang
         return msgspec.structs.replace(self.gang, placements=[])
 
-    def outgrows(self, shard_names: list[str], value_bytes: int) -> bool:
+    def may_exceed(self, shard_names: list[str], value_bytes: int) -> bool:
         """Whether its record, as one value, may come to have more bytes than this."""
         max_bytes = encoded_size(
             msgspec.to_builtins(
--- a/src/dapplewick/storage/machine_groups.py
+++ b/src/dapplewick/storage/machine_groups.py
@@ -60,7 +60,7 @@
         moved = (
             old is not None
             and new is not None
-            and (old.partition, old.floors) != (new.partition, new.floors)
+            and (old.partition, old.min_tokens) != (new.partition, new.min_tokens)
         )
         for text in {**before, **after}:
             machine = MachineId(text)
--- a/src/dapplewick/storage/machine_records.py
+++ b/src/dapplewick/storage/machine_records.py
@@ -14,22 +14,22 @@
         type: the machine's type.
         zone: where it is.
         spot: whether the cloud may take it away.
-        at: when it was provisioned, in seconds since the epoch; 0 once it has come up.
+        provisioned_at: when it was provisioned, in seconds since the epoch; 0 once it has come up.
         up: a heartbeat came of its worker, so launches there are allowed from now on. One that is
             terminating counts as up: it may have been.
         terminating: its deletion is decided and is never taken back.
         partition: the partition of the zone that it belongs to; empty if there is none.
-        floor: commands to its worker carry at least this fencing token.
+        min_token: commands to its worker carry at least this fencing token.
     """
 
     type: str
     zone: str
     spot: bool
-    at: float
+    provisioned_at: float
     up: bool = False
     terminating: bool = False
     partition: str = ""
-    floor: int = 0
+    min_token: int = 0
 
     @property
     def shard(self) -> ShardName:
@@ -53,7 +53,7 @@
         machines: the state of each machine, and for one that boots the time at which it was
             provisioned after it, in seconds since the epoch.
         partition: the partition of the zone that they belong to; empty if there is none.
-        floors: for machines that came from another partition, the least fencing token for their
+        min_tokens: for machines that came from another partition, the least fencing token for their
             workers: more than any owner before has used.
     """
 
@@ -62,14 +62,14 @@
     spot: bool
     machines: dict[str, str]
     partition: str = msgspec.field(name="share", default="")
-    floors: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
+    min_tokens: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
 
     def without(self, machine: str) -> MachineGroupRecord:
         """The group after a machine has left it."""
         return msgspec.structs.replace(
             self,
             machines={m: text for m, text in self.machines.items() if m != machine},
-            floors={m: floor for m, floor in self.floors.items() if m != machine},
+            min_tokens={m: floor for m, floor in self.min_tokens.items() if m != machine},
         )
 
     def record(self, machine: str) -> MachineRecord:
@@ -84,22 +84,22 @@
             type=self.type,
             zone=self.zone,
             spot=self.spot,
-            at=float(text[1:] or 0),
+            provisioned_at=float(text[1:] or 0),
             up=state != BOOTING,
             terminating=state == TERMINATING,
             partition=self.partition,
-            floor=self.floors.get(machine, 0),
+            min_token=self.min_tokens.get(machine, 0),
         )
 
 
 class ProvisioningRequest(msgspec.Struct):
     """A request for `count` machines that the cloud has yet to answer.
 
-    `at` is when it was written, in seconds since the epoch.
+    `requested_at` is when it was written, in seconds since the epoch.
     """
 
     type: str
     zone: str
     spot: bool
     count: int
-    at: float = msgspec.field(name="at")
+    requested_at: float = msgspec.field(name="at")
--- a/src/dapplewick/storage/transfers.py
+++ b/src/dapplewick/storage/transfers.py
@@ -16,8 +16,8 @@
 REQUESTED, DRAINING = "requested", "draining"
 COMPLETE, CANCELLED, OVERDUE = "complete", "cancelled", "overdue"
 STATES = (REQUESTED, DRAINING, COMPLETE, CANCELLED, OVERDUE)
-MACHINES_MOST = 60  # of one transfer that are drained at the same time
-COUNT_MOST = 100_000
+MAX_DRAINING_MACHINES = 60  # of one transfer that are drained at the same time
+MAX_TRANSFER_MACHINES = 100_000
 
 
 class TransferRecord(msgspec.Struct, omit_defaults=True):
@@ -30,9 +30,9 @@
         type: their type.
         count: how many are to go over.
         state: one of `STATES`.
-        at: when it was requested, in seconds since the epoch.
-        until: when it is overdue if it is not complete: it ends then, and what is missing is asked
-            for anew; in seconds since the epoch.
+        requested_at: when it was requested, in seconds since the epoch.
+        overdue_at: when it is overdue if it is not complete: it ends then, and what is
+            missing is asked for anew; in seconds since the epoch.
         moved: how many have gone.
         draining: machines that get no new work until they are empty.
         origin: who asked for it: the plan, or an operator.
@@ -47,8 +47,8 @@
     type: str
     count: int
     state: str
-    at: float = msgspec.field(name="at")
-    until: float = msgspec.field(name="until")
+    requested_at: float = msgspec.field(name="at")
+    overdue_at: float = msgspec.field(name="until")
     moved: int = 0
     draining: list[str] = []
     origin: str = "plan"
@@ -58,9 +58,9 @@
             raise ValueError(f"state: unknown: {self.state!r}")
         if self.source == self.target:
             raise ValueError("target: the same part as source")
-        if not 0 < self.count <= COUNT_MOST:
-            raise ValueError(f"count: must be from 1 to {COUNT_MOST}")
-        if self.moved < 0 or len(self.draining) > MACHINES_MOST:
+        if not 0 < self.count <= MAX_TRANSFER_MACHINES:
+            raise ValueError(f"count: must be from 1 to {MAX_TRANSFER_MACHINES}")
+        if self.moved < 0 or len(self.draining) > MAX_DRAINING_MACHINES:
             raise ValueError("draining: more machines than a transfer may drain")
         if len(set(self.draining)) < len(self.draining):
             raise ValueError("draining: a machine is named twice")
@@ -112,11 +112,11 @@
             del self._draining[machine]
         return changed
 
-    def drains(self, machine: MachineId) -> TransferId | None:
+    def draining_transfer(self, machine: MachineId) -> TransferId | None:
         """The transfer for which a machine gets no new work."""
         return self._draining.get(machine)
 
-    def drained(self) -> Iterable[MachineId]:
+    def draining_machines(self) -> Iterable[MachineId]:
         """Every machine that gets no new work for a transfer."""
         return self._draining.keys()
 
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -79,7 +79,7 @@
             pieces add to this list, so it is never replaced.
         shards: the shards with an owner.
         controllers: the controllers that are present.
-        understood: the format that each controller understood when it was last seen.
+        supported_formats: the format that each controller understood when it was last seen.
         provisioning_requests: requests for machines that the cloud has yet to answer.
         machine_types: the types of machines, in one key or several.
         transfers: moves of machines between partitions.
@@ -105,7 +105,7 @@
         self.group_of = self._machine_groups.group_of
         self._controllers = ControllerRecords()
         self.controllers = self._controllers.present
-        self.understood = self._controllers.understood
+        self.supported_formats = self._controllers.supported_formats
         self._shards = RecordTable(ShardRecord, ShardName)
         self.shards = self._shards.records
         self._provisioning_requests = RecordTable(ProvisioningRequest, str)
@@ -143,7 +143,7 @@
             self.put(key, value, version)
         self.revision = Revision(max(self.revision, revision))
 
-    def follow(self, events: Iterable[Event], revision: int) -> None:
+    def apply_events(self, events: Iterable[Event], revision: int) -> None:
         """Take over an answer to a watch.
 
         Answers may overtake one another: what one tells up to the revision that was read already
@@ -193,7 +193,7 @@
         """Every cancellation known here that is newer than a revision, with its version."""
         return self._jobs.cancellations.since(since)
 
-    def told_cancelled(self, job_id: JobId, version: int) -> None:
+    def apply_announced_cancellation(self, job_id: JobId, version: int) -> None:
         """A peer that has read it tells of a cancellation, which may not have come here yet."""
         if self.versions.get(JOBS + job_id, 0) >= version:
             return
@@ -230,7 +230,7 @@
         """Controllers that were seen with a version that understands all of ours."""
         return self._controllers.upgraded()
 
-    def in_one_group(self, machine: MachineId) -> bool:
+    def is_in_one_group(self, machine: MachineId) -> bool:
         """Whether just one group lists a machine: two do while an oversized one is copied."""
         return self._machine_groups.is_in_one_group(machine)
 
@@ -242,9 +242,11 @@
     def token_for(self, machine: MachineId, shard_token: FencingToken) -> FencingToken:
         """The fencing token that commands to a machine's worker carry, from its shard's owner."""
         record = self.machines.get(machine)
-        return FencingToken(max(shard_token, record.floor)) if record is not None else shard_token
+        return (
+            FencingToken(max(shard_token, record.min_token)) if record is not None else shard_token
+        )
 
-    def each_live(self) -> Iterator[tuple[JobId, JobRecord]]:
+    def iter_live_jobs(self) -> Iterator[tuple[JobId, JobRecord]]:
         """Every live job with its record, in the order in which they came."""
         for job_id in self.live_jobs:
             yield job_id, self.jobs[job_id]
--- a/tests/compatibility/test_partition_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec import UNSET
 
-from dapplewick.storage.formats import FORMAT_NOW, PARTITIONS_FORMAT
+from dapplewick.storage.formats import CURRENT_FORMAT, PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, SHARDS, TRANSFERS
 from dapplewick.types import partition_of
 from standins import World, now
@@ -39,7 +39,7 @@
             found.append(key)
         if isinstance(value, dict) and ("floors" in value or "share" in value):
             found.append(key)
-        if key == FORMAT and value["version"] > FORMAT_NOW:
+        if key == FORMAT and value["version"] > CURRENT_FORMAT:
             found.append(key)
     return found
 
@@ -139,8 +139,8 @@
     play_moves(world, script, 60.0)
     assert traces(world) == []
     assert said[0]["status"] == 404
-    assert world.state.keys[FORMAT][0] == {"version": FORMAT_NOW}
-    assert FORMAT_NOW < PARTITIONS_FORMAT
+    assert world.state.keys[FORMAT][0] == {"version": CURRENT_FORMAT}
+    assert CURRENT_FORMAT < PARTITIONS_FORMAT
 
 
 def test_switched_off_nothing_of_partitions_is_loaded() -> None:
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -18,7 +18,7 @@
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.encoding import encoded_size
-from dapplewick.storage.formats import FIRST_FORMAT, FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT, FIRST_FORMAT
 from dapplewick.storage.job_records import GangPlacement, JobRecord, chunk_tasks
 from dapplewick.storage.keys import CHUNKS, CONTROLLERS, FORMAT, JOBS, MACHINES
 from dapplewick.storage.ranges import unpack
@@ -130,15 +130,15 @@
     cache = WatchCache()
     assert cache.format == FIRST_FORMAT
     for version, (name, says) in enumerate(
-        [("a", FORMAT_NOW), ("b", None), ("b", FORMAT_NOW), ("a", None)], start=1
+        [("a", CURRENT_FORMAT), ("b", None), ("b", CURRENT_FORMAT), ("a", None)], start=1
     ):
         value = {"boot": str(version), "zone": "z"} | ({"version": says} if says else {})
         cache.put(CONTROLLERS + name, value, version)
     assert cache.upgraded_controllers == {"b"}  # one that came back old is old
-    cache.put(FORMAT, {"version": FORMAT_NOW}, 9)
+    cache.put(FORMAT, {"version": CURRENT_FORMAT}, 9)
     cache.put(FORMAT, {"version": FIRST_FORMAT}, 10)
     cache.remove(FORMAT, 11)
-    assert cache.format == FORMAT_NOW  # it never goes back
+    assert cache.format == CURRENT_FORMAT  # it never goes back
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -323,7 +323,7 @@
     """Its record is larger than the lower limit allows: once that has fallen, a cancellation,
     which keeps the places, was refused until the gang had ended."""
     cache = WatchCache()
-    cache.put(FORMAT, {"version": FORMAT_NOW}, 1)
+    cache.put(FORMAT, {"version": CURRENT_FORMAT}, 1)
     job = JobRecord(spec(60, 1.0, 10.0, is_gang=True), 0.0)
     placements = [("a", f"vm-{n:06d}") for n in range(60)]
     job.gang = GangPlacement(77, placements)
@@ -368,7 +368,7 @@
 
 def test_a_group_of_machines_is_cut_at_once_and_none_is_lost() -> None:
     cache = WatchCache()
-    cache.put(FORMAT, {"version": FORMAT_NOW}, 1)
+    cache.put(FORMAT, {"version": CURRENT_FORMAT}, 1)
     machines = {f"vm-{n:06d}": "u" if n % 3 else "b17" for n in range(150)}
     value = {"type": "c8", "zone": "a", "spot": False, "machines": machines}
     cache.put(MACHINES + "r-1", value, 2)
@@ -444,7 +444,7 @@
 
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(JobRecord, "outgrows", lambda _, __, ___: False)
+    patch.setattr(JobRecord, "may_exceed", lambda _, __, ___: False)
     patch.setattr(JobWrites, "convert", lambda _: [])
 
 
--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from dapplewick.controller.controller import Controller
-from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange, CancellationMessage
 from dapplewick.protocol import peers
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.protocol.state_service import Event
@@ -422,27 +422,31 @@
 def test_a_malformed_list_of_cancellations_cancels_nothing(change: dict[str, Any]) -> None:
     peer, cache = ControllerName("b"), WatchCache()
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
-    watch = CancellationWatch("boot-a", [peer], 2)
-    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
+    watch = CancellationExchange("boot-a", [peer], 2)
+    message = CancellationExchange("boot-b", [ControllerName("a")], 2).message(
+        5.0, WatchCache(), True
+    )
 
     def hear_malformed() -> None:
         malformed = peers.decode(peers.encode(message) | change, CancellationMessage)
-        watch.hear(6.0, ControllerName("a"), peer, malformed, cache)
+        watch.receive(6.0, ControllerName("a"), peer, malformed, cache)
 
     with pytest.raises(msgspec.ValidationError):
         hear_malformed()
     assert cache.jobs[JobId(JOB)].open
     assert cache.cancellations(0) == []
-    assert watch.known_at(7.0) < 0
+    assert watch.complete_as_of(7.0) < 0
 
 
 def test_a_list_of_cancellations_is_taken_over() -> None:
     """The same message, well-formed: what the test before changes is what matters."""
     peer, cache = ControllerName("b"), WatchCache()
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
-    message = CancellationWatch("boot-b", [ControllerName("a")], 2).message(5.0, WatchCache(), True)
+    message = CancellationExchange("boot-b", [ControllerName("a")], 2).message(
+        5.0, WatchCache(), True
+    )
     listed = peers.decode(peers.encode(message) | {"cancelled": [[7, JOB]]}, CancellationMessage)
-    CancellationWatch("boot-a", [peer], 2).hear(6.0, ControllerName("a"), peer, listed, cache)
+    CancellationExchange("boot-a", [peer], 2).receive(6.0, ControllerName("a"), peer, listed, cache)
     assert not cache.jobs[JobId(JOB)].open
     assert cache.cancellations(0) == [(7, JOB)]
 
@@ -460,10 +464,10 @@
     )
     late = [Event(n + 1, put=key, value=value) for n, key in enumerate(keys)]
     removals = [Event(len(keys) + n + 1, delete=key) for n, key in enumerate(keys)]
-    cache.follow([*late, *removals], 20 * len(keys))
-    cache.follow([], 40 * len(keys))
+    cache.apply_events([*late, *removals], 20 * len(keys))
+    cache.apply_events([], 40 * len(keys))
     cache.remove(f"{PROVISIONING_REQUESTS}last", 40 * len(keys) + 1)
-    cache.follow(late, len(keys))
+    cache.apply_events(late, len(keys))
     assert cache.provisioning_requests == {}
     assert cache.versions == {}
     assert cache.revision == 40 * len(keys)
@@ -483,7 +487,7 @@
     cache = WatchCache()
     for n in range(1, 60_000):
         cache.remove(f"{PROVISIONING_REQUESTS}{n}", n)
-        cache.follow([], n)
+        cache.apply_events([], n)
     assert len(cache._key_versions.removals) <= MIN_REMEMBERED_REMOVALS + 1
 
 
--- a/tests/simulation/test_cancellations.py
+++ b/tests/simulation/test_cancellations.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange
 from dapplewick.storage.watch_cache import WatchCache
 from standins import WORKERS, World, now
 from support.scenarios import (
@@ -139,47 +139,47 @@
     def __init__(self) -> None:
         self.caches = {name: WatchCache() for name in "ab"}
         self.watches = {
-            "a": CancellationWatch("boot-a", ["b"], 2),  # type: ignore[list-item]
-            "b": CancellationWatch("boot-b", ["a"], 2),  # type: ignore[list-item]
+            "a": CancellationExchange("boot-a", ["b"], 2),  # type: ignore[list-item]
+            "b": CancellationExchange("boot-b", ["a"], 2),  # type: ignore[list-item]
         }
 
     def tell(self, at: float, sender: str, heard_at: float, ready: bool = True) -> None:
         receiver = "b" if sender == "a" else "a"
         message = self.watches[sender].message(at, self.caches[sender], ready)
-        self.watches[receiver].hear(heard_at, receiver, sender, message, self.caches[receiver])  # type: ignore[arg-type]
+        self.watches[receiver].receive(heard_at, receiver, sender, message, self.caches[receiver])  # type: ignore[arg-type]
 
 
 def test_the_age_of_what_is_known_counts_from_the_request() -> None:
     talk = Talk()
-    assert talk.watches["a"].known_at(100.0) < 0  # nothing was ever heard
+    assert talk.watches["a"].complete_as_of(100.0) < 0  # nothing was ever heard
     talk.tell(100.0, "a", 103.0)
-    assert talk.watches["a"].known_at(104.0) < 0  # asked, not answered
+    assert talk.watches["a"].complete_as_of(104.0) < 0  # asked, not answered
     talk.tell(107.0, "b", 109.0)
-    assert talk.watches["a"].known_at(110.0) == 100.0
+    assert talk.watches["a"].complete_as_of(110.0) == 100.0
     talk.tell(120.0, "b", 121.0)  # an answer to the same question is no newer
-    assert talk.watches["a"].known_at(122.0) == 100.0
-    assert CancellationWatch("x", [], 1).known_at(5.0) == 5.0  # alone: it told all itself
-    assert CancellationWatch("x", [], 2).known_at(5.0) < 0  # one that can't be asked
+    assert talk.watches["a"].complete_as_of(122.0) == 100.0
+    assert CancellationExchange("x", [], 1).complete_as_of(5.0) == 5.0  # alone: it told all itself
+    assert CancellationExchange("x", [], 2).complete_as_of(5.0) < 0  # one that can't be asked
 
 
 def test_who_has_not_read_the_records_or_lists_too_little_assures_nothing() -> None:
     talk = Talk()
     talk.tell(1.0, "a", 1.0)
     talk.tell(2.0, "b", 2.0, ready=False)
-    assert talk.watches["a"].known_at(3.0) < 0
+    assert talk.watches["a"].complete_as_of(3.0) < 0
     # The list begins after what the other has read: one that it needs may be missing.
     talk = Talk()
     talk.caches["b"].revision = talk.caches["a"].revision = 50  # type: ignore[assignment]
     talk.tell(1.0, "a", 1.0)
     talk.caches["a"].revision = 10  # type: ignore[assignment]
     talk.tell(2.0, "b", 2.0)
-    assert talk.watches["a"].known_at(3.0) < 0
+    assert talk.watches["a"].complete_as_of(3.0) < 0
     # A request of another incarnation is not this one's.
     talk = Talk()
     talk.tell(1.0, "a", 1.0)
-    talk.watches["a"] = CancellationWatch("boot-2", ["b"], 2)  # type: ignore[list-item]
+    talk.watches["a"] = CancellationExchange("boot-2", ["b"], 2)  # type: ignore[list-item]
     talk.tell(2.0, "b", 2.0)
-    assert talk.watches["a"].known_at(3.0) < 0
+    assert talk.watches["a"].complete_as_of(3.0) < 0
 
 
 def test_what_a_peer_tells_stays_until_the_record_itself_comes() -> None:
@@ -189,7 +189,7 @@
     bench.assign("run-1", spec(1, 1.0, 10.0), 0.0)
     assert len(bench.heartbeat(machine, 1.0)) == 1
     version = bench.cache.jobs["run-1"].version  # type: ignore[index]
-    bench.cache.told_cancelled("run-1", version + 5)  # type: ignore[arg-type]
+    bench.cache.apply_announced_cancellation("run-1", version + 5)  # type: ignore[arg-type]
     bench.scheduler.job_changed(2.0, "run-1")  # type: ignore[arg-type]
     assert [o.op for o in bench.heartbeat(machine, 2.0)] == ["stop"]
     # A record that is older than what the peer told changes nothing.
--- a/tests/simulation/test_fleet_size.py
+++ b/tests/simulation/test_fleet_size.py
@@ -6,7 +6,7 @@
 import cbor2
 
 from dapplewick.protocol import peers
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.transport.peer import MAX_FRAME
 from standins import World
@@ -21,7 +21,7 @@
     """Machines that an earlier leader rented: all up, half in each zone."""
     state = world.state
     state.ledger += 1
-    state.keys[FORMAT] = ({"version": FORMAT_NOW}, state.ledger, None)
+    state.keys[FORMAT] = ({"version": CURRENT_FORMAT}, state.ledger, None)
     for first in range(0, MACHINES_UP, GROUP):
         names = [f"vm-{n:06d}" for n in range(first, min(MACHINES_UP, first + GROUP))]
         zone = world.zones[first // GROUP % len(world.zones)]
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -145,7 +145,7 @@
                 view.seen = Revision(self.revision)
                 view.latest.drained = [
                     m
-                    for m in self.cache.transfers.drained()
+                    for m in self.cache.transfers.draining_machines()
                     if self.cache.machines[m].shard == view.shard
                 ]
             self.machine_lifecycle.begin()
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -15,7 +15,7 @@
 import simulation.test_requests as requests
 import simulation.test_team_limits as team_limits
 import simulation.test_unheard_shards as unheard_shards
-from dapplewick.coordination.cancellation_exchange import CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange
 from dapplewick.coordination.election import Election
 from dapplewick.coordination.leader_isolation import LeaderIsolation
 from dapplewick.core.leader.array_order import ArrayOrder
@@ -34,14 +34,14 @@
 
 
 def a_lie_about_what_is_known(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(CancellationWatch, "known_at", lambda _, at: at)
+    patch.setattr(CancellationExchange, "complete_as_of", lambda _, at: at)
 
 
 def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
     async def settle(self: Election) -> Any:
         return self._records.cache.version(LEADER)
 
-    patch.setattr(Election, "settle_epoch", settle)
+    patch.setattr(Election, "prepare_epoch", settle)
 
 
 def stale_heartbeats_place_tasks(patch: pytest.MonkeyPatch) -> None:
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -291,7 +291,7 @@
     controller.identity.incarnation = "n0-1"
     controller.records.ready = True
     controller.records.current_at = controller.records.contact_at = now()
-    controller.presence.lease, controller.presence.lease_until = 7, now() + 5.0
+    controller.presence.lease, controller.presence.lease_valid_until = 7, now() + 5.0
     revision = max((version for _, _, version in records), default=0)
     controller.cache.reload({key: (value, version) for key, value, version in records}, revision)
     assert not controller.cache.unreadable
@@ -352,10 +352,10 @@
             [
                 controller.peers.contacts,
                 controller.peers.running,
-                controller.peers.heard_owners,
+                controller.peers.reported_owners,
                 controller.confirmations.confirmed,
                 cancelled,
-                controller.cancellations.known_at(now()),
+                controller.cancellations.complete_as_of(now()),
                 [job.stage for job in controller.cache.jobs.values()],
             ]
         )
--- a/tests/support/machine_store.py
+++ b/tests/support/machine_store.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.watch_cache import WatchCache
 
@@ -25,7 +25,7 @@
         self.cache = WatchCache()
         self.revision = 0
         self.keys: dict[str, tuple[Any, int]] = {}
-        self.write(FORMAT, {"version": FORMAT_NOW})
+        self.write(FORMAT, {"version": CURRENT_FORMAT})
         self.write(MACHINES + "r-1", group(count))
         self.machines = dict(self.cache.machines)
 
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import FORMAT
 from standins import NEXT, World, now
 from support.scenarios import leader, run_script
@@ -182,7 +182,7 @@
                 group.start_soon(fall)
                 submit_services(world)
         await anyio.sleep(world.random.uniform(5.0, 9.0))
-        assert world.state.keys[FORMAT][0] == {"version": FORMAT_NOW}
+        assert world.state.keys[FORMAT][0] == {"version": CURRENT_FORMAT}
         if lowered_after is None:
             submit_services(world)
             await anyio.sleep(world.random.uniform(0.0, 10.0))
--- a/tests/unit/test_leader_isolation.py
+++ b/tests/unit/test_leader_isolation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dapplewick.coordination.leader_isolation import STEP_DOWN_PAUSE_S, LeaderIsolation
+from dapplewick.coordination.leader_isolation import STEP_DOWN_COOLDOWN_S, LeaderIsolation
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.observed_shard import UNREACHABLE_S, ObservedShards
 from dapplewick.protocol.peers import ShardStatus
@@ -48,14 +48,14 @@
 
 def test_a_controller_that_is_alone_leads_on() -> None:
     assert not isolation(LEADER).should_step_down(0.0, set(), {OWN}, {OWN})
-    assert not isolation(LEADER).hears_no_peer({PEER})
+    assert not isolation(LEADER).has_no_peer_contact({PEER})
 
 
 def test_a_leader_steps_down_again_only_after_a_pause() -> None:
     leader = isolation(LEADER, PEER)
-    leader.note_step_down(100.0)
-    assert not leader.should_step_down(100.0 + STEP_DOWN_PAUSE_S - 1.0, {PEER}, {OWN}, {OWN})
-    assert leader.should_step_down(100.0 + STEP_DOWN_PAUSE_S, {PEER}, {OWN}, {OWN})
+    leader.record_step_down(100.0)
+    assert not leader.should_step_down(100.0 + STEP_DOWN_COOLDOWN_S - 1.0, {PEER}, {OWN}, {OWN})
+    assert leader.should_step_down(100.0 + STEP_DOWN_COOLDOWN_S, {PEER}, {OWN}, {OWN})
 
 
 def status_of(heard_ago_s: float, described: int) -> ShardStatus:
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -96,7 +96,7 @@
             for revision, key, value, gone in self.log
             if cache.revision < revision <= end
         ]
-        cache.follow(events, end)
+        cache.apply_events(events, end)
 
 
 class Worker:
@@ -129,7 +129,7 @@
         worker.token = token
         if not settled:
             return
-        free = self.cache.transfers.drains(machine) is None
+        free = self.cache.transfers.draining_transfer(machine) is None
         if start and free and record.up and not record.terminating:
             worker.running.add(self.shard)
         self.heard[machine] = set(worker.running)
@@ -152,7 +152,7 @@
         }
         drained = [
             machine
-            for machine in self.cache.transfers.drained()
+            for machine in self.cache.transfers.draining_machines()
             if self.heard.get(machine) == set()
         ]
         view.apply(
--- a/tests/unit/test_watch_cache.py
+++ b/tests/unit/test_watch_cache.py
@@ -125,7 +125,7 @@
         if not self.answers:
             return
         events, revision = self.answers[which % len(self.answers)]
-        self.cache.follow(events, revision)
+        self.cache.apply_events(events, revision)
         for event in events:
             key = event.put if event.put is not None else event.delete
             assert key is not None
@@ -170,7 +170,7 @@
         if not versions:
             return
         version = versions[-1 if latest else 0]
-        self.cache.told_cancelled(job_id, version)
+        self.cache.apply_announced_cancellation(job_id, version)
         self.told[job_id] = max(version, self.told.get(job_id, 0))
 
     def learn(self, key: str, version: int, value: Any) -> None:
@@ -237,5 +237,5 @@
         Event(2, delete=key),
         Event(3, put=key, value=value),
     )
-    cache.follow([put, removal, later_put], 3)
+    cache.apply_events([put, removal, later_put], 3)
     assert key not in cache.versions
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -108,7 +108,7 @@
     cache.changed_machines.clear()
     cache.put("dw/m/r-1", group | {"machines": {"vm-1": "u", "vm-2": "b101"}}, 3)
     assert cache.changed_machines == ["vm-1"]
-    assert cache.machines[MachineId("vm-2")].at == 101.0
+    assert cache.machines[MachineId("vm-2")].provisioned_at == 101.0
     assert cache.machines[MachineId("vm-1")].up
     assert not cache.machines[MachineId("vm-2")].up
     cache.changed_machines.clear()
