--- a/src/dapplewick/coordination/__init__.py
+++ b/src/dapplewick/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""How controllers agree: presence, election, assignment of shards and exchange with peers."""
+"""Coordination of controllers: presence, election, shard assignment and gossip with peers."""
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -1,13 +1,15 @@
-"""What a controller knows of cancellations while it can't read the records.
-
-A worker's lease may be kept up only by a controller that can't have missed a cancellation for
-long. The records tell of all of them; in an outage nobody reads these. But users are told of a
-cancellation only by controllers, and each of them has it in its watch cache before it tells. So
-once every other controller has listed all that its watch cache has, none told before can be missed.
-
-How old that is counts from when the question was sent: messages carry the sender's time, and the
-answer names the newest time that it had heard. A lost message, a peer that is not heard, or one
-that has not read the records since it started leaves the age growing; nothing rests on speed.
+"""Exchange of cancellations between controllers while the state service can't be read.
+
+A controller may renew a worker's lease only if it can't have missed a cancellation for long. The
+records in the state service contain every cancellation, but can't be read during an outage. Only
+controllers acknowledge a cancellation to users, and each has the cancellation in its watch cache
+before it does so. Therefore, once every other controller has sent all cancellations in its watch
+cache, this controller knows every cancellation that was acknowledged before.
+
+The age of this knowledge counts from the time at which this controller sent its message: each
+message carries the sender's time, and the reply contains the newest time received from each peer.
+If a message is lost, a peer is unreachable, or a peer has not read the records since it started,
+the age keeps growing. Slow messages therefore can't make the knowledge appear too recent.
 """
 
 from __future__ import annotations
@@ -22,89 +24,107 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, JobId, Revision, Seconds
 
-HEARD_WITHIN_S = 10.0  # a peer not heard for longer is not waited for with what it has not read
-MAX_LISTED = 2000  # cancellations in one message; with more of them it assures nothing
+# Messages repeat the cancellations that a peer has not read only while the last message from this
+# peer is not older than this.
+PEER_CONTACT_WINDOW_S = 10.0
+# Cancellations in one message. A message that would need more contains none, and is marked as
+# incomplete.
+MAX_LISTED_CANCELLATIONS = 2000
 
 
-class Question(NamedTuple):
-    """A peer's question, by which its answers are told from those to earlier ones."""
+class MessageStamp(NamedTuple):
+    """Identifies a message of a peer, so that a reply can acknowledge this message."""
 
-    incarnation: str
-    at: Seconds  # by the asking controller's steady clock
+    incarnation: str  # of the sender
+    at: Seconds  # when the message was sent, by the sender's steady clock
 
 
-class PeerRead(NamedTuple):
-    """Up to which revision a peer said that it had read the records."""
+class PeerRevision(NamedTuple):
+    """The revision up to which a peer reported to have read the records."""
 
-    heard_at: Seconds  # by this controller's steady clock
+    received_at: Seconds  # by this controller's steady clock
     revision: Revision
 
 
-NO_QUESTION = Question("", 0.0)
+NO_STAMP = MessageStamp("", 0.0)
 
 
 class CancellationMessage(msgspec.Struct):
-    """What a controller tells its peers of cancellations; at the same time a question to them.
-
-    It stands in the same map as `dapplewick.protocol.peers.Gossip`.
+    """The cancellations that a controller knows, and acknowledgements of its peers' messages.
+
+    Every message is also a request for the peers' cancellations. It is encoded in the same map as
+    `dapplewick.protocol.peers.Gossip`.
+
+    Attributes:
+        at: when the message was sent, by the sender's steady clock.
+        incarnation: the sender's incarnation.
+        revision: the revision up to which the sender has read the records.
+        heard: the stamp of the newest message received from each peer.
+        complete: whether `cancelled` contains every cancellation newer than `since` that the
+            sender knows.
+        since: the revision after which `cancelled` begins.
+        cancelled: the version and the job of each cancellation.
     """
 
     at: Seconds
     incarnation: str = msgspec.field(name="boot")
     revision: Revision
-    heard: dict[ControllerName, Question]  # the newest question of each peer
-    complete: bool  # whether the list is all that is known and is newer than `since`
+    heard: dict[ControllerName, MessageStamp]
+    complete: bool
     since: Revision
     cancelled: list[tuple[int, JobId]]
 
     def __post_init__(self) -> None:
-        """Refuse a list that no controller sends, whole: what it names would count as cancelled.
+        """Reject a list that no controller sends, because its jobs would count as cancelled.
 
         Raises:
-            ValueError: it is too long, or an entry is not a cancellation.
+            ValueError: the list is too long, or an entry is not a cancellation.
         """
-        if len(self.cancelled) > MAX_LISTED:
-            raise ValueError("too many cancellations")
+        if len(self.cancelled) > MAX_LISTED_CANCELLATIONS:
+            raise ValueError("cancelled: more entries than a message may list")
         for version, job in self.cancelled:
             if not 0 < version < MAX_COUNT or not JOB_ID.match(job):
-                raise ValueError("not a cancellation")
+                raise ValueError("cancelled: an entry has a malformed version or job id")
 
 
 class CancellationExchange:
-    """One controller's side of the exchange; a state machine without I/O.
+    """One controller's side of the exchange: a state machine without I/O.
 
-    Times are seconds of the steady clock of the controller that the field or argument names.
+    Times are in seconds, by the steady clock of the controller given with the field or argument.
     """
 
     def __init__(self, incarnation: str, peers: Iterable[ControllerName], count: int) -> None:
         self._incarnation = incarnation
         self._peers = frozenset(peers)
-        # Who is not named among the peers can't be asked, and may tell users of cancellations.
-        self._all_named = len(self._peers) + 1 >= count
-        self._questions: dict[ControllerName, Question] = {}
-        self._reads: dict[ControllerName, PeerRead] = {}
-        self._answered: dict[ControllerName, Seconds] = {}
+        # A controller that is missing from the peers gets no messages, but may acknowledge
+        # cancellations to users.
+        self._knows_all_controllers = len(self._peers) + 1 >= count
+        self._latest_stamps: dict[ControllerName, MessageStamp] = {}
+        self._peer_revisions: dict[ControllerName, PeerRevision] = {}
+        self._acknowledged_at: dict[ControllerName, Seconds] = {}
 
     def message(self, now: Seconds, cache: WatchCache, ready: bool) -> CancellationMessage:
-        """Make what to tell the peers now; at the same time a question to them.
+        """Create the message to send to all peers now.
 
         Args:
             now: the steady clock of this process.
-            cache: what this controller has read of the records.
-            ready: whether it has read the records since it started.
+            cache: this controller's copy of the records.
+            ready: whether this controller has read the records since it started.
         """
         recent = [
-            read.revision for read in self._reads.values() if now - read.heard_at < HEARD_WITHIN_S
+            reported.revision
+            for reported in self._peer_revisions.values()
+            if now - reported.received_at < PEER_CONTACT_WINDOW_S
         ]
         since = min(recent, default=cache.revision)
         listed = cache.cancellations(since)
-        if len(listed) > MAX_LISTED:
+        if len(listed) > MAX_LISTED_CANCELLATIONS:
             ready = False
         return CancellationMessage(
             at=now,
             incarnation=self._incarnation,
             revision=cache.revision,
-            heard=dict(self._questions),
+            heard=dict(self._latest_stamps),
             complete=ready,
             since=since,
             cancelled=listed if ready else [],
@@ -118,35 +138,38 @@
         message: CancellationMessage,
         cache: WatchCache,
     ) -> None:
-        """Take over a peer's message; what it lists goes into the watch cache.
+        """Process a peer's message, and add the listed cancellations to the watch cache.
 
         Args:
             now: the steady clock of this process.
             own_name: this controller.
-            peer: the sender; one that is not of this deployment is ignored.
-            message: what the peer tells.
+            peer: the sender; a message from outside this deployment is ignored.
+            message: the peer's message.
             cache: this controller's copy of the records.
         """
         if peer not in self._peers:
-            return  # not of this deployment
-        question = message.heard.get(own_name, NO_QUESTION)
-        self._questions[peer] = Question(message.incarnation, message.at)
-        self._reads[peer] = PeerRead(now, message.revision)
+            return
+        acknowledged = message.heard.get(own_name, NO_STAMP)
+        self._latest_stamps[peer] = MessageStamp(message.incarnation, message.at)
+        self._peer_revisions[peer] = PeerRevision(now, message.revision)
         for version, job in message.cancelled:
             cache.apply_announced_cancellation(job, version)
-        # A list that begins after what we have read may lack some.
+        # The message acknowledges the one stamped `acknowledged`. A list that begins after the
+        # revision read here may lack cancellations in between.
         if (
             message.complete
-            and question.incarnation == self._incarnation
+            and acknowledged.incarnation == self._incarnation
             and message.since <= cache.revision
         ):
-            self._answered[peer] = max(question.at, self._answered.get(peer, question.at))
+            self._acknowledged_at[peer] = max(
+                acknowledged.at, self._acknowledged_at.get(peer, acknowledged.at)
+            )
 
     def complete_as_of(self, now: Seconds) -> Seconds:
-        """The time by which all cancellations that other controllers had told are known here.
+        """The time up to which every cancellation acknowledged by other controllers is known here.
 
-        It is far in the past while a peer has not answered yet, or can't be asked.
+        `NEVER_S` while a peer has not yet replied, or a controller is missing from the peers.
         """
-        if not self._all_named:
+        if not self._knows_all_controllers:
             return NEVER_S
-        return min((self._answered.get(peer, NEVER_S) for peer in self._peers), default=now)
+        return min((self._acknowledged_at.get(peer, NEVER_S) for peer in self._peers), default=now)
