--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -1,7 +1,7 @@
 """Election of the leader, the epoch under which it plans, and its fenced writes.
 
-The epoch is the version of the leader's key. Every write of a leader is conditional on it, so that
-nothing that was planned under an earlier epoch can be written under a later one.
+The epoch is the version of the leader's key. Every write of a leader is conditional on the epoch,
+so a change that was planned under an earlier epoch can't be written under a later one.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
 
 class WriteRates(NamedTuple):
-    """Writes a second that a controller may make."""
+    """Limits on the keys that a controller writes per second, as a follower and as the leader."""
 
     following: float
     leading: float
 
 
 class Election:
-    """Makes this process the leader where there is none, and writes as the leader."""
+    """Makes this process the leader if the cluster has none, and does the leader's writes."""
 
     def __init__(
         self,
@@ -62,12 +62,14 @@
         self._leadership = leadership
         self._write_rates = write_rates
         self._random = rng
-        self._read_epoch = FencingToken(0)  # the epoch after whose beginning the records were read
-        self._planned_epoch = FencingToken(0)  # the newest under which this process planned
-        self._doubted_epoch = FencingToken(0)  # one under which a write may still come late
+        # The records were read after this epoch had begun.
+        self._synced_epoch = FencingToken(0)
+        self._planned_epoch = FencingToken(0)  # the newest epoch under which this process planned
+        # A write under this epoch has an unknown outcome and may still be applied.
+        self._uncertain_epoch = FencingToken(0)
 
     def is_leader(self) -> bool:
-        """Whether the leader's key names this process, and its lease holds."""
+        """Whether the leader's key names this process, and the lease of this process is valid."""
         record = self._records.cache.leader
         return (
             record is not None
@@ -77,49 +79,57 @@
         )
 
     async def campaign(self, *, owns_shards: bool) -> None:
-        """Try to become leader: the key must not exist, or be of an earlier incarnation.
+        """Try to become the leader.
+
+        Does nothing if another controller or this incarnation holds the leader's key, or if the
+        presence lease is not valid. A key of an earlier incarnation of this controller is
+        overwritten.
+
+        Args:
+            owns_shards: whether this controller owns shards. If so, it waits first, so that
+                controllers without shards are elected preferentially.
 
         Raises:
-            RequestRefusedError: the state service did not take the write.
-            TransactionConflictError: another was quicker.
-            OutcomeUnknownError: the write may have been done.
-            LeaseExpiredError: the presence lease is gone.
+            RequestRefusedError: the state service rejected the write.
+            TransactionConflictError: another controller wrote the key first.
+            OutcomeUnknownError: the write may have been applied.
+            LeaseExpiredError: the presence lease has expired.
         """
         record = self._records.cache.leader
-        mine = (
+        is_own_old_key = (
             record is not None
             and record.controller == self._identity.name
             and record.incarnation != self._identity.incarnation
         )
         has_lease = self._presence.lease is not None and self._presence.lease_valid()
-        if (record is not None and not mine) or not has_lease:
+        if (record is not None and not is_own_old_key) or not has_lease:
             return
         if owns_shards:
-            # Controllers without a shard lead by preference.
+            # Controllers without a shard campaign first.
             await anyio.sleep(0.3 + self._random.random() * 0.2)
             if self._records.cache.leader is not record:
-                return  # another was quicker
+                return  # another controller wrote the key first
         await self._write_leader()
 
     def begin_term(self, planner: LeaderPlanner, epoch: FencingToken) -> None:
-        """Lead from now on, with this planner."""
+        """Start leading with this planner, at the write rate of a leader."""
         self._leadership.planner = planner
         self._state.writes.rate_per_s = self._write_rates.leading
         log.info("event=leadership_acquired controller=%s epoch=%d", self._identity.name, epoch)
 
     def resign(self) -> None:
-        """Stop to lead: the key is another's, or the lease may have expired."""
+        """Stop leading: another process holds the key, or the lease may have expired."""
         log.info("event=leadership_lost controller=%s", self._identity.name)
         self._leadership.planner = None
         self._state.writes.rate_per_s = self._write_rates.following
 
     async def step_down(self, epoch: FencingToken) -> None:
-        """Give up the leader's key, which ends the epoch, so that another may lead.
+        """Remove the leader's key, which ends the epoch, so that another controller can lead.
 
         Raises:
-            TransactionConflictError: the epoch has ended already.
-            OutcomeUnknownError: the key may be gone, or may go late.
-            RequestRefusedError: the state service did not take the write.
+            TransactionConflictError: the epoch has already ended.
+            OutcomeUnknownError: the key may have been removed, or may still be removed later.
+            RequestRefusedError: the state service rejected the write.
         """
         await self.write(epoch, [ConditionalWrite(LEADER, None, int(epoch), WritePriority.URGENT)])
         log.info(
@@ -129,48 +139,50 @@
         )
 
     async def prepare_epoch(self) -> FencingToken:
-        """Settle the epoch under which to plan now.
+        """Return an epoch under which it is safe to plan, and begin a new one if necessary.
 
-        A write without an answer may still come as long as the leader's key is what it was: no
-        plan is made on what it may change, also where writing the key anew failed at first.
-        A new term that finds its old key, as after an outage, begins a new epoch all the same:
-        attempts and provisioning requests are named after it. And the records are read once after
-        an epoch has begun: until then an earlier leader, or an earlier incarnation of this one,
-        could write.
+        A write with an unknown outcome may still be applied until the leader's key changes.
+        Planning continues only after the key was rewritten, even if rewriting it fails at first.
+        A new term of the same process also begins a new epoch if its old key still exists, for
+        example after an outage, because attempts and provisioning requests are named after the
+        epoch. After an epoch has begun the records are read once, because an earlier leader, or an
+        earlier incarnation of this one, could write until then.
 
         Raises:
-            RequestRefusedError: another epoch has begun, or the state service refused.
+            RequestRefusedError: another epoch has begun, or the state service rejected a request.
             TransactionConflictError: the leader's key has changed.
             OutcomeUnknownError: the leader's key may have been written.
-            LeaseExpiredError: the presence lease is gone.
+            LeaseExpiredError: the presence lease has expired.
         """
         epoch = self._epoch()
-        renamed = self._leadership.planner is None and epoch <= self._planned_epoch
-        if renamed or epoch == self._doubted_epoch:
+        is_used_epoch = self._leadership.planner is None and epoch <= self._planned_epoch
+        if is_used_epoch or epoch == self._uncertain_epoch:
             await self._write_leader()
             epoch = self._epoch()
-        if epoch != self._read_epoch:
+        if epoch != self._synced_epoch:
             await self._records.current()
             if epoch != self._epoch():
-                raise RequestRefusedError("another epoch has begun")
-            self._read_epoch = epoch
+                raise RequestRefusedError("another epoch began while the records were read")
+            self._synced_epoch = epoch
         return epoch
 
     def record_planned_epoch(self, epoch: FencingToken) -> None:
-        """Remember that this process plans under an epoch."""
+        """Record that this process has planned under an epoch."""
         self._planned_epoch = max(self._planned_epoch, epoch)
 
     async def write(self, epoch: FencingToken, changes: Sequence[ConditionalWrite]) -> None:
-        """Write records as the leader: only as long as the epoch and the records still hold.
+        """Write records as the leader, on condition that neither epoch nor records have changed.
 
-        The epoch is the one that was planned under. The watch cache may show another leader's by
-        now, and a write under that would pass for the other's.
+        Args:
+            epoch: the epoch under which the changes were planned. The watch cache may meanwhile
+                contain the epoch of another leader, under which these changes must not be written.
+            changes: the records to write or to remove, in one transaction.
 
         Raises:
             TransactionConflictError: the epoch or a record has changed.
-            OutcomeUnknownError: the write may have been done, or may come late.
-            RequestRefusedError: it was not done.
-            ValueTooLargeError: the state service does not take values of this size.
+            OutcomeUnknownError: the write may have been applied, or may still be applied later.
+            RequestRefusedError: nothing was written.
+            ValueTooLargeError: the state service does not accept values of this size.
         """
         conditions = {LEADER: int(epoch)}
         for change in changes:
@@ -184,10 +196,11 @@
             await self._records.current()
             raise
         except OutcomeUnknownError:
-            # The write may still be applied later. Writing the leader key anew ends that: the
-            # write's condition on the old epoch can't hold any more. Then we look again.
+            # The write may still be applied later. Rewriting the leader's key prevents this,
+            # because the write is conditional on the old epoch. `prepare_epoch` does so, and reads
+            # the records again.
             log.info("event=write_outcome_unknown keys=%d", len(changes))
-            self._doubted_epoch = epoch
+            self._uncertain_epoch = epoch
             raise
         log.debug("event=write_committed revision=%d keys=%s", version, ",".join(conditions))
         for key, value in puts.items():
@@ -200,7 +213,7 @@
         return FencingToken(self._records.cache.version(LEADER))
 
     async def _write_leader(self) -> None:
-        """Write the leader's key anew, which begins an epoch."""
+        """Write the leader's key, which begins a new epoch."""
         assert self._presence.lease is not None
         value = msgspec.to_builtins(LeaderRecord(self._identity.name, self._identity.incarnation))
         version = await self._state.transaction(
--- a/src/dapplewick/coordination/identity.py
+++ b/src/dapplewick/coordination/identity.py
@@ -1,4 +1,4 @@
-"""Who a controller process is among the controllers of its deployment."""
+"""The identity of a controller process within its deployment."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 
 @dataclass
 class Identity:
-    """The name of a controller, and the incarnation that tells this process from earlier ones."""
+    """The identity of a controller process.
+
+    Attributes:
+        name: the name of the controller in the settings.
+        zone: the zone in which the controller runs.
+        incarnation: distinguishes this process from earlier processes of the same controller.
+    """
 
     name: ControllerName
     zone: str
--- a/src/dapplewick/coordination/leader_isolation.py
+++ b/src/dapplewick/coordination/leader_isolation.py
@@ -1,7 +1,8 @@
-"""Whether a leader hears nobody, and should let another controller lead.
+"""Detection of an isolated leader, which should let another controller lead.
 
-Leading needs the state service alone, and so does presence. A leader that hears neither its peers
-nor the workers of its own shards can neither plan nor serve, and yet it would keep all shards.
+Leadership and presence depend only on the state service. A leader without contact to its peers and
+to the workers of its own shards can neither plan nor serve, and yet it would keep its role and its
+shards.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, Seconds, ShardName
 
-# Between two times that one process steps down: where several controllers hear nobody, each leads
-# in turn, and few epochs are to be spent on that.
+# Minimum time after which the same process steps down again. If several controllers are isolated,
+# each of them leads in turn, and the cool-down limits the number of epochs that this uses.
 STEP_DOWN_COOLDOWN_S = 60.0
 
 
 class LeaderIsolation:
-    """Decides when a leader steps down, over all terms of one process."""
+    """Decides when a leader steps down. One instance serves all terms of a process."""
 
     def __init__(self, cache: WatchCache, own_name: ControllerName) -> None:
         self._cache = cache
@@ -25,7 +26,7 @@
         self._stepped_down_at = NEVER_S
 
     def has_no_peer_contact(self, unreachable_controllers: Set[ControllerName]) -> bool:
-        """Whether other controllers are present, and none of them is heard."""
+        """Whether other controllers are present, and all of them are unreachable."""
         others = self._cache.controllers.keys() - {self._own_name}
         return bool(others) and others <= unreachable_controllers
 
@@ -39,11 +40,11 @@
         """Whether this process, which leads, should let another controller lead.
 
         Args:
-            now: The steady clock.
-            unreachable_controllers: The present controllers that this one does not hear.
-            populated_shards: The shards of this process that have machines. Only they tell whether
-                workers reach it: without any it can't know, and leads on.
-            unreachable_shards: All shards whose owner hears none of its machines.
+            now: The steady clock, in seconds.
+            unreachable_controllers: The present controllers that are unreachable from this one.
+            populated_shards: The shards of this process that have machines. Only these show
+                whether workers reach this process. Without any, the leader does not step down.
+            unreachable_shards: All shards whose owner has no contact with any of their machines.
         """
         return (
             now - self._stepped_down_at >= STEP_DOWN_COOLDOWN_S
@@ -53,5 +54,5 @@
         )
 
     def record_step_down(self, now: Seconds) -> None:
-        """Note that this process has given up the leader's key."""
+        """Record that this process has removed its leader's key, which starts the cool-down."""
         self._stepped_down_at = now
--- a/src/dapplewick/coordination/leadership.py
+++ b/src/dapplewick/coordination/leadership.py
@@ -1,4 +1,4 @@
-"""Whether this process plans as the leader now, and what wakes its planning."""
+"""Whether this process currently leads, and the signals that start its planning passes."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 
 
 class Leadership:
-    """The planner of the present term, if this process leads.
+    """The planner of the current term, if this process leads.
 
     Attributes:
-        planner: the planner of the present term; None while this process does not lead.
-        pass_wake: there is something to plan.
-        urgent_wake: work waits for it, so that the leader does not rest first.
+        planner: the planner of the current term; None while this process does not lead.
+        pass_wake: set when a change requires a planning pass.
+        urgent_wake: set when work is waiting for the next pass, which ends the delay between
+            passes.
     """
 
     def __init__(self) -> None:
@@ -21,10 +22,10 @@
         self.urgent_wake = WakeSignal()
 
     def request_pass(self, urgent: bool = False) -> None:
-        """Ask for a planning pass.
+        """Request a planning pass.
 
         Args:
-            urgent: work waits for it, so the leader is not to rest before it.
+            urgent: whether work is waiting for the pass, so that it begins without the usual delay.
         """
         self.pass_wake.set()
         if urgent:
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What controllers tell one another without being asked, and users' requests put to a peer."""
+"""Gossip between controllers, and forwarding of users' requests to a peer."""
 
 from __future__ import annotations
 
@@ -31,21 +31,25 @@
 
 GOSSIP_INTERVAL_S = 1.0
 GOSSIP_AFTER_CANCELLATION_S = 0.1
-CONTACT_S = 2.5  # a controller that reached the state service in this time says so to its peers
-FORWARD_TO_WITHIN_S = 2.5  # a peer that said so in this time is asked in our place
+# Gossip reports the state service as reachable if it answered within this time.
+STATE_CONTACT_MAX_AGE_S = 2.5
+# Requests are forwarded only to peers that reported within this time that they reach the state
+# service.
+FORWARD_REPORT_MAX_AGE_S = 2.5
 FORWARDED_TIMEOUT_S = 1.0
-CONTACT_CLAIM_S = 1.5  # how long a peer's word that it reaches the state service counts as now
+# A peer's report that it reaches the state service counts as current for this time.
+REPORT_MAX_AGE_S = 1.5
 
 
 class PeerContact(NamedTuple):
-    """What a peer told last of its way to the state service."""
+    """A peer's last report on whether it reaches the state service."""
 
-    received_at: Seconds  # when it told it, by this process's steady clock
+    received_at: Seconds  # by this process's steady clock
     reaches_state_service: bool
 
 
 class ReportedOwner(NamedTuple):
-    """The owner of a shard with the newest token that a peer has told of."""
+    """The owner of a shard with the newest fencing token that any peer has reported."""
 
     token: FencingToken
     controller: ControllerName
@@ -55,7 +59,14 @@
 
 
 class PeerExchange:
-    """Gossip with the peers, and what is known by it."""
+    """Sends gossip to the peers, and keeps the state received from them.
+
+    Attributes:
+        contacts: each peer's last report on its contact with the state service.
+        reachability: the last contact with each present controller.
+        reported_owners: the newest owner of each shard that any peer has reported.
+        running: the number of running tasks of each job, by the controller that reported it.
+    """
 
     def __init__(
         self,
@@ -80,10 +91,10 @@
         self.contacts: dict[ControllerName, PeerContact] = {}
         self.reachability = PeerReachability(identity.name)
         self.reported_owners: dict[ShardName, ReportedOwner] = {}
-        self.running: dict[ControllerName, dict[JobId, int]] = {}  # tasks of each job
+        self.running: dict[ControllerName, dict[JobId, int]] = {}
 
     async def run(self) -> None:
-        """Tell the peers once a second, and soon after a cancellation, for ever."""
+        """Send gossip once per `GOSSIP_INTERVAL_S` and soon after a cancellation; never returns."""
         while True:
             with anyio.move_on_after(GOSSIP_INTERVAL_S):
                 await self._wake.wait()
@@ -98,7 +109,7 @@
             version=CURRENT_FORMAT,
             running=self._count_running(),
             shards=self._known_owners(),
-            reaches_state_service=self._now() - self._records.contact_at < CONTACT_S,
+            reaches_state_service=self._now() - self._records.contact_at < STATE_CONTACT_MAX_AGE_S,
         )
         cancellations = self._cancellations.message(
             self._now(), self._records.cache, self._records.ready
@@ -124,7 +135,7 @@
         }
 
     def receive_gossip(self, message: Mapping[str, Any]) -> None:
-        """Take over what a peer tells.
+        """Process a peer's gossip.
 
         Raises:
             ValueError: the message is malformed.
@@ -137,7 +148,7 @@
         for shard, (token, owner) in gossip.shards.items():
             if token > self.reported_owner(shard).token:
                 self.reported_owners[shard] = ReportedOwner(token, owner)
-        if "heard" in message:  # the first versions tell nothing of cancellations
+        if "heard" in message:  # the first versions send no cancellations
             cancellations = peers.decode(message, CancellationMessage)
             self._cancellations.receive(
                 self._now(), self._identity.name, controller, cancellations, self._records.cache
@@ -145,22 +156,22 @@
         self._records.apply_changed()
 
     def reported_owner(self, shard: ShardName) -> ReportedOwner:
-        """The owner of a shard by the peers' word, which may be newer than the records read."""
+        """The newest owner of a shard that peers reported; may be newer than the watch cache."""
         return self.reported_owners.get(shard, NO_REPORTED_OWNER)
 
     def running_tasks(self, job: JobId) -> int:
-        """How many tasks of a job run on the machines of all shards, as far as known."""
+        """The number of running tasks of a job in all shards, by the newest reports."""
         return sum(counts.get(job, 0) for counts in self.running.values())
 
     def any_peer_reaches_state_service(self, now: Seconds) -> bool:
-        """Whether a peer claims to reach the state service now."""
+        """Whether any peer has recently reported that it reaches the state service."""
         return any(
-            now - contact.received_at < CONTACT_CLAIM_S and contact.reaches_state_service
+            now - contact.received_at < REPORT_MAX_AGE_S and contact.reaches_state_service
             for contact in self.contacts.values()
         )
 
     def confirm_status(self, status: ShardStatus, number: int) -> None:
-        """Tell a shard's owner up to which number this leader has the shard's statuses."""
+        """Confirm to a shard's owner that this leader has the shard's statuses up to `number`."""
         if isinstance(status.controller, UnsetType):
             return
         link = self._links.get(status.controller)
@@ -176,17 +187,18 @@
         link.post(f"{confirmation.kind}:{status.shard}", peers.encode(confirmation))
 
     async def forward(self, request: Request) -> Response | None:
-        """Put a user's request to a peer that reaches the state service.
+        """Forward a user's request to a random peer that reaches the state service.
 
         Returns:
-            The peer's answer; None if no peer reaches the state service or answers in time.
+            The peer's answer; None if no peer reaches the state service, or the peer does not
+            answer in time or reports that it is unavailable.
         """
         now = self._now()
         eligible = [
             controller
             for controller, contact in self.contacts.items()
             if contact.reaches_state_service
-            and now - contact.received_at < FORWARD_TO_WITHIN_S
+            and now - contact.received_at < FORWARD_REPORT_MAX_AGE_S
             and controller in self._links
         ]
         if not eligible:
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -1,4 +1,4 @@
-"""A controller's presence: its record under a lease of the state service."""
+"""Presence of a controller: a record that exists as long as the controller renews its lease."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
 
 
 class Presence:
-    """Keeps the presence record of this process and the lease that it hangs on.
+    """Maintains the presence record of this process and the lease to which it is attached.
 
     Attributes:
-        lease: the lease's number at the state service; None while there is none.
-        lease_valid_until: up to when the lease is certain to hold, by the steady clock, in seconds.
+        lease: the id of the lease in the state service; None while this process holds none.
+        lease_valid_until: the time until which the lease is guaranteed to be valid, by the steady
+            clock, in seconds.
     """
 
     def __init__(
@@ -56,14 +57,14 @@
         self.lease_valid_until = NEVER_S
 
     def lease_valid(self) -> bool:
-        """Whether the lease is certain to hold now."""
+        """Whether the lease is guaranteed to be valid now."""
         return self._now() < self.lease_valid_until
 
     async def run(self) -> None:
-        """Get the lease and the record, and renew them for ever."""
+        """Acquire the lease, store the record and renew the lease periodically; never returns."""
         while True:
             try:
-                await self._keep()
+                await self._renew_or_register()
             except LeaseExpiredError:
                 log.info("event=presence_lease_expired controller=%s", self._identity.name)
                 self.lease = None
@@ -77,26 +78,28 @@
                 continue
             await anyio.sleep(RENEW_INTERVAL_S)
 
-    async def _keep(self) -> None:
-        """Renew the lease, or get a new one and store the record under it."""
+    async def _renew_or_register(self) -> None:
+        """Renew the lease, or acquire a new one and store the record under it."""
         sent_at = self._now()
         if self.lease is not None and self._is_overwritten():
             log.info("event=presence_overwritten controller=%s", self._identity.name)
             self.lease = None
         if self.lease is None:
-            await self._announce()
+            await self._register()
         else:
             await self._state.renew(self.lease)
-        # Counted from when the request was sent, less what clocks may drift.
+        # The lease runs at the earliest from when the request was sent. The deductions cover
+        # clock drift.
         self.lease_valid_until = sent_at + TTL_S * 0.998 - 0.1
         self._records.mark_contact()
 
-    async def _announce(self) -> None:
+    async def _register(self) -> None:
         """Store the presence record under a new lease."""
         lease = await self._state.new_lease(int(TTL_S * 1000))
         key = CONTROLLERS + self._identity.name
-        # A late write of an earlier incarnation, or of ours without an answer, replaces
-        # only what it knew of: without the condition it took a controller out.
+        # The condition on the version read here keeps a delayed write, of an earlier incarnation
+        # or of an unanswered request of this one, from replacing a newer record. Without it, such
+        # a write removed a running controller from the present ones.
         _, before = await self._state.get(key)
         record = ControllerRecord(
             self._identity.incarnation, self._identity.zone, self._format_version
@@ -109,7 +112,7 @@
         self._records.stored(key, value, version)
 
     def _is_overwritten(self) -> bool:
-        """Whether another incarnation of this controller has overwritten its presence."""
+        """Whether the presence record is missing or belongs to another incarnation."""
         record = self._records.cache.controllers.get(self._identity.name)
         return self._records.ready and (
             record is None or record.incarnation != self._identity.incarnation
--- a/src/dapplewick/coordination/records.py
+++ b/src/dapplewick/coordination/records.py
@@ -1,4 +1,4 @@
-"""What coordination needs of the controller's copy of the records."""
+"""The interface through which coordination uses the controller's copy of the records."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Records(Protocol):
-    """A watch cache, and how it is kept up to date."""
+    """A watch cache and the operations that keep it up to date."""
 
     @property
     def cache(self) -> WatchCache:
@@ -18,33 +18,33 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the records were read at least once since this process started."""
+        """Whether the records have been read at least once since this process started."""
         ...
 
     @property
     def contact_at(self) -> Seconds:
-        """When the state service answered last, by the steady clock."""
+        """The time of the last answer of the state service, by the steady clock."""
         ...
 
     def mark_contact(self) -> None:
-        """Note that the state service has answered just now."""
+        """Record that the state service has just answered."""
         ...
 
     def stored(self, key: str, value: object, version: int) -> None:
-        """Take over a write of this process that is known to be done."""
+        """Apply a write of this process that is known to have succeeded to the watch cache."""
         ...
 
     def apply_changed(self) -> None:
-        """Tell the cores of records that have changed in the watch cache."""
+        """Notify the planner and the shard schedulers of records that changed in the cache."""
         ...
 
     async def current(self) -> Seconds:
-        """Return once the watch cache is known to be as new as when this was called.
+        """Return once the watch cache contains every change made before this call.
 
         Returns:
-            When the changes were asked for, by the steady clock.
+            When the changes were requested from the state service, by the steady clock.
 
         Raises:
-            RequestRefusedError: they could not be read.
+            RequestRefusedError: the changes could not be read.
         """
         ...
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -1,4 +1,4 @@
-"""Which controller owns which shard."""
+"""Assignment of shards to controllers by the leader."""
 
 from __future__ import annotations
 
@@ -10,23 +10,34 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, Seconds, ShardName, partition_of, zone_of
 
-REASSIGNMENT_PAUSE_S = 20.0  # a shard changes hands for silent workers at most this often
-STEADY_S = 20.0  # a controller that came back gets a shard again after this time
-EMPTY_STEADY_S = 1.0  # and sooner one without machines, which loses nothing by a new owner
-LEADING_LOAD = 1  # leading is as much work as a shard
+# Minimum time between two reassignments of the same shard because its machines or its owner are
+# unreachable.
+REASSIGNMENT_COOLDOWN_S = 20.0
+# A shard is moved to even out the load only after the load has been uneven for this long, for
+# example since a controller came back.
+REBALANCE_DELAY_S = 20.0
+EMPTY_SHARD_REBALANCE_DELAY_S = 1.0  # the same for a shard without machines, which loses nothing
+LEADER_LOAD_SHARDS = 1  # load of the leader's role, in shards
 
 
 class AssignmentReason(StrEnum):
-    """Why a shard gets a new owner."""
+    """Why a shard gets a new owner.
 
-    NO_OWNER = "no_owner"  # or its owner's incarnation is not present
-    MACHINES_UNREACHABLE = "unreachable"  # its owner hears none of its machines
-    OWNER_UNREACHABLE = "unheard"  # the leader does not hear its owner
-    UNEVEN = "uneven"  # its owner has much more to do than another controller
+    Attributes:
+        NO_OWNER: the shard has no owner, or its owner's incarnation is not present.
+        MACHINES_UNREACHABLE: the owner has no contact with any of the shard's machines.
+        OWNER_UNREACHABLE: the leader has no contact with the owner.
+        UNEVEN: the owner has much more load than another controller.
+    """
+
+    NO_OWNER = "no_owner"
+    MACHINES_UNREACHABLE = "unreachable"
+    OWNER_UNREACHABLE = "unheard"
+    UNEVEN = "uneven"
 
 
 class ShardAssignment(NamedTuple):
-    """A shard's new owner."""
+    """The assignment of a shard to a new owner."""
 
     shard: ShardName
     record: ShardRecord
@@ -52,10 +63,10 @@
 
 
 class ShardAssigner:
-    """The leader's choice of owners; a shard changes hands only for a reason.
+    """Chooses the owners of shards for the leader. Every reassignment has an `AssignmentReason`.
 
     Attributes:
-        partition_shards: the shards of partitions that are to be there.
+        partition_shards: the shards of the partitions that must exist, beside those of the zones.
     """
 
     def __init__(self, cache: WatchCache, zones: list[str], own_name: ControllerName) -> None:
@@ -63,11 +74,11 @@
         self._zones = [ShardName(zone) for zone in zones]
         self.partition_shards: list[ShardName] = []
         self._own_name = own_name
-        self._uneven_since: Seconds | None = None
+        self._imbalanced_since: Seconds | None = None
         self._moved_at: dict[ShardName, Seconds] = {}
 
     def shards(self) -> list[ShardName]:
-        """List every shard that has or needs an owner: of the zones, and of their partitions."""
+        """List every shard that has or needs an owner, of the zones and of their partitions."""
         partitions = [shard for shard in self._cache.shards if partition_of(shard)]
         return list(dict.fromkeys([*self._zones, *self.partition_shards, *partitions]))
 
@@ -76,21 +87,21 @@
 
         Args:
             now: the steady clock of this process, in seconds.
-            view: what is known of the present owners.
+            view: the reachability of the present owners.
         """
         load: dict[ControllerName, int] = dict.fromkeys(self._cache.controllers, 0)
         if self._own_name in load:
-            load[self._own_name] = LEADING_LOAD
-        orphans: list[ShardName] = []
+            load[self._own_name] = LEADER_LOAD_SHARDS
+        unowned: list[ShardName] = []
         for name in self.shards():
             owner = self._present_owner(name)
             if owner is None:
-                orphans.append(name)
+                unowned.append(name)
             else:
                 load[owner] += 1
         eligible = load.keys() - view.unreachable_controllers or load.keys()
-        if orphans:
-            return self._assign_orphans(orphans, load, eligible)
+        if unowned:
+            return self._assign_unowned(unowned, load, eligible)
         return (
             self._reassign(
                 now,
@@ -106,32 +117,32 @@
                 view.shards_without_owner_contact,
                 AssignmentReason.OWNER_UNREACHABLE,
             )
-            or self._even_out(now, load, eligible)
+            or self._rebalance(now, load, eligible)
         )
 
     def _present_owner(self, name: ShardName) -> ControllerName | None:
-        """The owner of a shard, if the incarnation that got it is still there."""
+        """The owner of a shard, if the incarnation that it was assigned to is still present."""
         shard = self._cache.shards.get(name)
         if shard is None:
             return None
         owner = ControllerName(shard.owner)
         controller = self._cache.controllers.get(owner)
-        # A controller that was started again knows nothing of its earlier incarnation: its
-        # shard is assigned anew, under a new token.
+        # A restarted controller has no state of its earlier incarnation. Its shard is reassigned
+        # under a new fencing token.
         is_present = controller is not None and controller.incarnation == shard.incarnation
         return owner if is_present else None
 
-    def _assign_orphans(
+    def _assign_unowned(
         self,
-        orphans: list[ShardName],
+        unowned: list[ShardName],
         load: dict[ControllerName, int],
         eligible: Set[ControllerName],
     ) -> list[ShardAssignment]:
-        """Give each shard without an owner to the controller that is preferred for it."""
+        """Assign each shard without an owner to the controller that is preferred for it."""
         assigned: list[ShardAssignment] = []
         if not load:
-            return assigned  # there is nobody to own them
-        for name in orphans:
+            return assigned  # no controller is present
+        for name in unowned:
             owner = min(eligible, key=lambda n: self._preference(n, name, load))
             load[owner] += 1
             assigned.append(self._assignment(name, owner, AssignmentReason.NO_OWNER))
@@ -151,10 +162,10 @@
         shards: Set[ShardName],
         reason: AssignmentReason,
     ) -> list[ShardAssignment]:
-        """Move one of these shards to another controller, if it was not moved just now."""
+        """Reassign the first of these shards that has another candidate and is not in cool-down."""
         for name in sorted(shards & self._cache.shards.keys()):
             others = eligible - {ControllerName(self._cache.shards[name].owner)}
-            if others and now - self._moved_at.get(name, NEVER_S) >= REASSIGNMENT_PAUSE_S:
+            if others and now - self._moved_at.get(name, NEVER_S) >= REASSIGNMENT_COOLDOWN_S:
                 self._moved_at[name] = now
                 owner = min(others, key=lambda n: self._preference(n, name, load))
                 return [self._assignment(name, owner, reason)]
@@ -163,7 +174,7 @@
     def _preference(
         self, controller: ControllerName, shard: ShardName, load: dict[ControllerName, int]
     ) -> tuple[object, ...]:
-        """Sort owners: least loaded first, preferably not the leader, preferably in the zone."""
+        """Sort key of owners: load, then not the leader, then in the shard's zone, then name."""
         return (
             load[controller],
             controller == self._own_name,
@@ -171,23 +182,25 @@
             controller,
         )
 
-    def _even_out(
+    def _rebalance(
         self, now: Seconds, load: dict[ControllerName, int], eligible: Set[ControllerName]
     ) -> list[ShardAssignment]:
-        """Move one shard from the most to the least loaded, once that was so for a while."""
+        """Move one shard from the most to the least loaded controller if the imbalance persists."""
         if not load or max(load.values()) - min(load[name] for name in eligible) < 2:
-            self._uneven_since = None
+            self._imbalanced_since = None
             return []
-        if self._uneven_since is None:
-            self._uneven_since = now
-        most = max(load, key=lambda n: (load[n], n))
-        owned = [p for p in self.shards() if self._cache.shards[p].owner == most]
+        if self._imbalanced_since is None:
+            self._imbalanced_since = now
+        most_loaded = max(load, key=lambda n: (load[n], n))
+        owned = [name for name in self.shards() if self._cache.shards[name].owner == most_loaded]
         if not owned:
             return []
         shard = owned[-1]
-        full = any(m.up and m.shard == shard for m in self._cache.machines.values())
-        if now - self._uneven_since < (STEADY_S if full else EMPTY_STEADY_S):
+        has_machines = any(m.up and m.shard == shard for m in self._cache.machines.values())
+        if now - self._imbalanced_since < (
+            REBALANCE_DELAY_S if has_machines else EMPTY_SHARD_REBALANCE_DELAY_S
+        ):
             return []
-        self._uneven_since = None
-        least = min(eligible, key=lambda n: self._preference(n, shard, load))
-        return [self._assignment(shard, least, AssignmentReason.UNEVEN)]
+        self._imbalanced_since = None
+        least_loaded = min(eligible, key=lambda n: self._preference(n, shard, load))
+        return [self._assignment(shard, least_loaded, AssignmentReason.UNEVEN)]
--- a/src/dapplewick/coordination/status_confirmations.py
+++ b/src/dapplewick/coordination/status_confirmations.py
@@ -1,4 +1,4 @@
-"""Up to which status of a shard the present leader has them."""
+"""Which shard statuses of this controller the current leader has received."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 
 
 class Confirmation(NamedTuple):
-    """The newest status of a shard that a leader has confirmed."""
+    """A leader's confirmation that it has a shard's statuses up to a number."""
 
-    token: FencingToken  # of the owner that sent it
+    token: FencingToken  # of the owner that sent the status
     incarnation: str  # of the leader
-    number: int
+    number: int  # of the newest status that the leader has
 
 
 NOTHING_CONFIRMED = Confirmation(FencingToken(0), "", 0)
 
 
 class StatusConfirmations:
-    """The confirmations of the statuses of this controller's shards."""
+    """The newest confirmation for each shard that this controller owns."""
 
     def __init__(self, cache: WatchCache) -> None:
         self._cache = cache
         self.confirmed: dict[ShardName, Confirmation] = {}
 
     def confirm(self, shard: ShardName, confirmation: Confirmation) -> None:
-        """A leader has this shard's statuses up to a number; another incarnation has none."""
+        """Record a leader's confirmation. It is valid only for the incarnation that sent it."""
         self.confirmed[shard] = confirmation
 
     def confirmed_number(self, shard: ShardName, token: FencingToken) -> int:
-        """The number of the newest status under `token` that the present leader has confirmed."""
+        """The number of the newest status under `token` that the current leader has confirmed.
+
+        0 if it has confirmed none.
+        """
         confirmation = self.confirmed.get(shard, NOTHING_CONFIRMED)
         leader = self._cache.leader
         is_same_pair = (
--- a/src/dapplewick/coordination/wake.py
+++ b/src/dapplewick/coordination/wake.py
@@ -1,4 +1,4 @@
-"""A signal that wakes one loop, and that can be cleared again."""
+"""A resettable event that wakes one loop."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class WakeSignal:
-    """An event for one waiting loop. What is set before the loop waits is not lost."""
+    """A resettable event for one waiting loop; a signal set before the loop waits is kept."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
 
     def set(self) -> None:
-        """Wake the loop, now or when it waits next."""
+        """Wake the loop now, or let its next wait return at once."""
         self._event.set()
 
     def clear(self) -> None:
-        """Forget what was set until now."""
+        """Reset the signal."""
         self._event = anyio.Event()
 
     async def wait(self) -> None:
