--- a/src/dapplewick/storage/__init__.py
+++ b/src/dapplewick/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Records in the state service: their keys and formats, the client and the watch cache."""
+"""Records in the state service: keys, formats, the client and the watch cache."""
--- a/src/dapplewick/storage/cancellations.py
+++ b/src/dapplewick/storage/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations of jobs in the order of their versions, and those that only peers have told of."""
+"""Cancellations of jobs, ordered by version, and those known only from messages of peers."""
 
 from __future__ import annotations
 
@@ -10,31 +10,36 @@
 
 
 class Cancellations:
-    """Every cancellation that a controller knows of."""
+    """Every cancellation that a controller knows, from records or from peers."""
 
     def __init__(self) -> None:
         self._by_version: list[tuple[int, JobId]] = []
-        self._announced: dict[JobId, int] = {}  # by peers, before the records came here
+        # The newest version that peers have announced; the record itself may not be read yet.
+        self._announced: dict[JobId, int] = {}
 
     def since(self, revision: int) -> list[tuple[int, JobId]]:
-        """Every cancellation that is newer than a revision, with its version."""
+        """List every cancellation newer than a revision, each with its version."""
         return self._by_version[bisect_right(self._by_version, (revision, _AFTER_ALL_JOBS)) :]
 
     def add(self, job_id: JobId, version: int) -> None:
-        """A job is cancelled as of a version of its record."""
+        """Add a job that is cancelled as of this version of its record."""
         insort(self._by_version, (version, job_id))
 
-    def announce(self, job_id: JobId, version: int) -> bool:
-        """A peer tells of a cancellation; False if one as new was announced before."""
+    def record_announced(self, job_id: JobId, version: int) -> bool:
+        """Record a cancellation announced by a peer.
+
+        Returns:
+            False if the same or a newer cancellation of the job was already announced.
+        """
         if self._announced.get(job_id, 0) >= version:
             return False
         self._announced[job_id] = version
         return True
 
     def is_announced_after(self, job_id: JobId, version: int) -> bool:
-        """Whether a peer told of a cancellation that is newer than this version of the record.
+        """Whether a peer announced a cancellation that is newer than this version of the record.
 
-        If not, the record itself says how the job stands: the announcement is forgotten.
+        If not, the record contains the job's current stage, and the announcement is dropped.
         """
         if self._announced.get(job_id, 0) > version:
             return True
--- a/src/dapplewick/storage/cluster_records.py
+++ b/src/dapplewick/storage/cluster_records.py
@@ -1,4 +1,4 @@
-"""The smaller records that the watch cache holds: types, controllers, leader and format."""
+"""Smaller records of the watch cache: machine types, controllers, leader, format and plan."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordTable(Generic[Name, Record]):
-    """Records of one kind, one in a key, by the name that follows the key's prefix."""
+    """Records of one kind with one key each, by the name that follows the key's prefix."""
 
     def __init__(self, record_type: type[Record], as_name: Callable[[str], Name]) -> None:
         self.records: dict[Name, Record] = {}
@@ -25,20 +25,21 @@
         self._as_name = as_name
 
     def put(self, name: str, value: Any, _version: int) -> None:
-        """Take over a record."""
+        """Store a record."""
         self.records[self._as_name(name)] = msgspec.convert(value, type=self._record_type)
 
     def remove(self, name: str) -> None:
-        """A record is gone."""
+        """Remove a record."""
         self.records.pop(self._as_name(name), None)
 
 
 class ControllerRecords:
-    """Controllers that are present, and what each understood when it was last seen.
+    """The presence records of controllers, and the newest format that each supports.
 
     Attributes:
-        present: the records of controllers whose lease holds.
-        supported_formats: the format that each controller understood when it was last seen.
+        present: the records of controllers whose lease is valid.
+        supported_formats: the newest format that each controller supported when it was last
+            present.
     """
 
     def __init__(self) -> None:
@@ -46,58 +47,58 @@
         self.supported_formats: dict[ControllerName, int] = {}
 
     def put(self, name: str, value: Any, _version: int) -> None:
-        """A controller is present."""
+        """Store the record of a present controller."""
         record = msgspec.convert(value, type=ControllerRecord)
         self.present[ControllerName(name)] = record
         self.supported_formats[ControllerName(name)] = record.version
 
     def remove(self, name: str) -> None:
-        """A controller's lease has expired, or it has left."""
+        """Remove a controller whose lease has expired or that has left."""
         self.present.pop(ControllerName(name), None)
 
     def upgraded(self) -> set[ControllerName]:
-        """Controllers that were seen with a version that understands all of ours."""
+        """Controllers that supported at least this version's format when they were last present."""
         return {
             name for name, version in self.supported_formats.items() if version >= CURRENT_FORMAT
         }
 
 
 class MachineTypes:
-    """The types of machines, in one key or, where they are too many for a value, in several.
+    """The machine types, in one common key or, if they exceed a value's size, one key per type.
 
     Attributes:
-        types: all types by name; those with a key of their own win.
+        types: all types by name; a type's own key takes precedence over the common key.
     """
 
     def __init__(self) -> None:
         self.types: dict[str, MachineType] = {}
-        self._common_types: dict[str, MachineType] = {}  # of the one key
-        self._keyed_types: dict[str, MachineType] = {}  # with a key of their own
+        self._common_types: dict[str, MachineType] = {}  # in the common key
+        self._keyed_types: dict[str, MachineType] = {}  # with one key per type
 
     def put_common(self, _name: str, value: Any, _version: int) -> None:
-        """Take over the one key's types."""
+        """Store the types of the common key."""
         self._common_types = {t.name: t for t in decode_machine_types(value)}
         self.types = self._common_types | self._keyed_types
 
     def put_keyed(self, name: str, value: Any, _version: int) -> None:
-        """Take over a type that has a key of its own."""
+        """Store a type that has its own key."""
         for machine_type in decode_machine_types([value]):
             self._keyed_types[name] = machine_type
         self.types = self._common_types | self._keyed_types
 
     def remove_keyed(self, name: str) -> None:
-        """A type's own key is gone."""
+        """Remove a type whose own key was removed."""
         self._keyed_types.pop(name, None)
         self.types = self._common_types | self._keyed_types
 
 
 class ClusterRecords:
-    """Records of which there is one: the leader, the format and the operators' plan.
+    """Records that exist once per cluster: the leader, the format and the operators' plan.
 
     Attributes:
-        leader: who leads, and in which incarnation; None if nobody does.
-        format: what every controller understands. It never goes back.
-        partition_plan: the plan as it was stored: the partitions' package reads it.
+        leader: the leader and its incarnation; None if the cluster has no leader.
+        format: the newest format that every controller supports; it never decreases.
+        partition_plan: the partition plan as stored; the `partitions` package decodes it.
     """
 
     def __init__(self) -> None:
@@ -106,17 +107,17 @@
         self.partition_plan: Any = None
 
     def put_leader(self, _name: str, value: Any, _version: int) -> None:
-        """A controller was elected."""
+        """Store the elected leader."""
         self.leader = msgspec.convert(value, type=LeaderRecord)
 
     def remove_leader(self, _name: str) -> None:
-        """The leader's lease has expired, or it has resigned."""
+        """Remove the leader, whose lease has expired or which has stepped down."""
         self.leader = None
 
     def put_format(self, _name: str, value: Any, _version: int) -> None:
-        """The format was raised."""
+        """Raise the format; a lower one is ignored."""
         self.format = max(self.format, msgspec.convert(value, type=FormatRecord).version)
 
     def put_partition_plan(self, _name: str, value: Any, _version: int) -> None:
-        """The operators have stored a plan."""
+        """Store the operators' partition plan."""
         self.partition_plan = value
--- a/src/dapplewick/storage/conditional_write.py
+++ b/src/dapplewick/storage/conditional_write.py
@@ -1,4 +1,4 @@
-"""A write that is applied only if the records are still as they were read."""
+"""A write that is applied only if the records have not changed since they were read."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class Precondition(NamedTuple):
-    """Another key that must still have this version; version 0 means that it does not exist."""
+    """Another key that must still have this version; 0 if it must not exist."""
 
     key: str
     version: int
 
 
 class ConditionalWrite(NamedTuple):
-    """A record to write, or to remove, if its key still has the version that was read.
+    """A record to write or remove on condition that its key still has the version that was read.
 
     Attributes:
         key: The key in the state service.
         value: The record as plain data; None removes the key.
         expected_version: The version that the key must still have; 0 if it must not exist.
-        priority: Its rank among the writes of a pass.
-        preconditions: Other keys that must be unchanged too.
-        transaction_group: Writes in a row with the same text here go into one transaction. Empty
-            if this write may go alone.
+        priority: The rank among the writes of one planning pass.
+        preconditions: Other keys that must be unchanged as well.
+        transaction_group: Consecutive writes with the same group are written in one transaction.
+            Empty if this write may be written alone.
     """
 
     key: str
--- a/src/dapplewick/storage/controller_records.py
+++ b/src/dapplewick/storage/controller_records.py
@@ -1,4 +1,4 @@
-"""Records of controllers: presence, leadership and the owners of shards."""
+"""Records of controllers: presence, leadership and ownership of shards."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ShardRecord(msgspec.Struct):
-    """Which controller owns a shard, and in which incarnation.
+    """The controller that owns a shard, and its incarnation.
 
     The version of the record is the owner's fencing token.
     """
@@ -18,17 +18,17 @@
 
 
 class ControllerRecord(msgspec.Struct):
-    """A controller that is present: the record hangs on its lease."""
+    """A present controller. The record is attached to its lease and is removed with it."""
 
     incarnation: str = msgspec.field(name="boot")
     zone: str
-    version: int = FIRST_FORMAT  # what this controller understands
+    version: int = FIRST_FORMAT  # the newest format that this controller supports
 
 
 class LeaderRecord(msgspec.Struct):
-    """Which controller leads, and in which incarnation.
+    """The controller that leads, and its incarnation.
 
-    The version of the record is the epoch on which all that the leader writes is conditional.
+    The version of the record is the epoch. Every write of the leader is conditional on it.
     """
 
     controller: str = msgspec.field(name="node")
--- a/src/dapplewick/storage/encoding.py
+++ b/src/dapplewick/storage/encoding.py
@@ -1,4 +1,4 @@
-"""How values are sent to the state service."""
+"""Encoding of values for the state service."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def encoded_size(value: Any) -> int:
-    """How many bytes a value has as it is sent."""
+    """The size in bytes of a value as it is sent to the state service."""
     return len(msgspec.json.encode(value))
--- a/src/dapplewick/storage/errors.py
+++ b/src/dapplewick/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of calls of the state service, by what they mean for the caller."""
+"""Errors of state service calls, by what the caller can conclude from them."""
 
 from __future__ import annotations
 
@@ -6,28 +6,30 @@
 
 
 class StateServiceError(DapplewickError):
-    """A call of the state service that did not do what was asked; a note names the call."""
+    """A state service call failed, or its outcome is unknown; a note names the call."""
 
 
 class RequestRefusedError(StateServiceError):
-    """The request was not carried out and never will be: it may be made again at once.
+    """The request was not carried out and never will be, so it can be retried at once.
 
-    It was not sent, went over a budget, or was answered with a status that says so.
+    The request was not sent, exceeded a budget, or was answered with a status that rejects it.
     """
 
 
 class OutcomeUnknownError(StateServiceError):
-    """The request may or may not have been carried out, or may still be.
+    """The request may have been carried out, or may still be carried out later.
 
-    No whole answer came, or one that cannot be parsed. A write must not be taken for failed: what
-    is stored has to be read again, and a late write made impossible by a change of its condition.
+    The answer is missing, incomplete or malformed. A write must not be treated as failed. The
+    caller must read the records again, and must change a key on which the write is conditional to
+    prevent the write from being applied late.
     """
 
 
 class TransactionConflictError(StateServiceError):
-    """A compare-and-swap condition of the transaction does not hold: nothing was written.
+    """A compare-and-swap condition of the transaction does not hold, so nothing was written.
 
-    The caller knew old versions of the keys in `failed` and has to read the newer ones.
+    Attributes:
+        failed: the keys whose versions have changed. The caller must read their newer versions.
     """
 
     def __init__(self, failed: list[str]) -> None:
@@ -36,15 +38,15 @@
 
 
 class ValueTooLargeError(RequestRefusedError):
-    """A value or the transaction is larger than the state service takes: nothing was written.
+    """A value or the transaction exceeds the limits of the state service; nothing was written.
 
-    Made again as it is, it is refused again.
+    Retrying the same transaction fails again.
     """
 
 
 class LeaseExpiredError(StateServiceError):
-    """The lease has expired, and the keys that hung on it are gone: a new one is needed."""
+    """The lease has expired and its keys were removed; the caller needs a new lease."""
 
 
 class RevisionCompactedError(StateServiceError):
-    """The changes since the revision asked for are no longer kept: all keys are to be listed."""
+    """Changes since the requested revision are no longer kept; the caller must list all keys."""
--- a/src/dapplewick/storage/formats.py
+++ b/src/dapplewick/storage/formats.py
@@ -1,16 +1,16 @@
-"""Formats of records and messages, which let versions run side by side."""
+"""Formats of records and messages, which let different versions of dapplewick run together."""
 
 from __future__ import annotations
 
 import msgspec
 
-# What a controller understands. A version that says nothing of itself is of the first one, and
-# until the record of the format says otherwise only what that understands is written or sent.
+# A controller that does not report a format supports the first one. Until the format record raises
+# the format, only the first one is written and sent.
 FIRST_FORMAT, CURRENT_FORMAT = 2, 3
-PARTITIONS_FORMAT = 4  # with partitions of zones; announced only where they are switched on
+PARTITIONS_FORMAT = 4  # adds partitions of zones; reported only if partitions are enabled
 
 
 class FormatRecord(msgspec.Struct):
-    """The format that every controller understands. It never goes back."""
+    """The newest format that every controller supports; it never decreases."""
 
     version: int
--- a/src/dapplewick/storage/job_assembly.py
+++ b/src/dapplewick/storage/job_assembly.py
@@ -1,4 +1,4 @@
-"""Jobs as the watch cache puts them together of their keys, in whatever order those change."""
+"""Assembly of jobs in the watch cache from their keys, which may change in any order."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 
 
 class JobAssembly:
-    """All jobs: each is its record joined with the chunks and gang placements kept beside it.
+    """All jobs, each joined from its record and its separately stored chunks and placements.
 
     Attributes:
-        jobs: the jobs as they stand, put together.
-        live_jobs: jobs that are open or of which something remains, in the order they came.
+        jobs: the current state of each job, joined from all of its keys.
+        live_jobs: jobs that are open, or that still have assignments, a gang, chunks or
+            placements, in the order in which they became live; an ordered set.
         chunks: chunks of arrays, by job and number.
         placements: pieces of the placements of long gangs, by job and number.
-        cancellations: every cancellation, in the order of versions.
+        cancellations: every known cancellation, ordered by version.
     """
 
     def __init__(self) -> None:
@@ -36,14 +37,14 @@
         self.chunks: dict[JobId, dict[int, Chunk]] = {}
         self.placements: dict[JobId, dict[int, GangPlacementPart]] = {}
         self.cancellations = Cancellations()
-        self._main_records: dict[JobId, JobRecord] = {}  # as written, without their other keys
+        self._main_records: dict[JobId, JobRecord] = {}  # without the other keys
 
     def put_record(self, name: str, value: Any, version: int) -> None:
-        """Take over a job's record; `name` is the job's id."""
+        """Store a job's record; `name` is the job's id."""
         job_id = JobId(name)
         job = JobRecord.load(value, version)
         if self.cancellations.is_announced_after(job_id, version):
-            job.stage = CANCELLED  # an older version came after a peer told of a newer one
+            job.stage = CANCELLED  # this version is older than the cancellation
         before = self.jobs.get(job_id)
         if job.stage == CANCELLED and (before is None or before.stage != CANCELLED):
             self.cancellations.add(job_id, version)
@@ -51,32 +52,32 @@
         self._join(job_id)
 
     def remove_record(self, name: str) -> None:
-        """A job's record is gone."""
+        """Remove a job whose record was removed."""
         job_id = JobId(name)
         self.jobs.pop(job_id, None)
         self._main_records.pop(job_id, None)
         self.live_jobs.pop(job_id, None)
 
     def put_chunk(self, name: str, value: Any, version: int) -> None:
-        """Take over a chunk of an array; `name` is the job's id and the chunk's number."""
+        """Store a chunk of an array; `name` is the job's id and the chunk's number."""
         job_id, number = split_numbered_key(name)
         chunk = Chunk(value, version)
         self.chunks.setdefault(job_id, {})[number] = chunk
         self._join(job_id)
 
     def remove_chunk(self, name: str) -> None:
-        """A chunk of an array is gone."""
+        """Remove a chunk of an array."""
         self._remove_numbered(self.chunks, name)
 
     def put_placement(self, name: str, value: Any, _version: int) -> None:
-        """Take over a piece of a gang's placement; `name` is the job's id and its number."""
+        """Store a piece of a gang's placement; `name` is the job's id and the piece's number."""
         job_id, number = split_numbered_key(name)
         pieces = self.placements.setdefault(job_id, {})
         pieces[number] = msgspec.convert(value, type=GangPlacementPart)
         self._join(job_id)
 
     def remove_placement(self, name: str) -> None:
-        """A piece of a gang's placement is gone."""
+        """Remove a piece of a gang's placement."""
         self._remove_numbered(self.placements, name)
 
     def _remove_numbered(
@@ -86,23 +87,23 @@
         if not number.isdigit():
             return
         job_id = JobId(job)
-        left = pieces.get(job_id, {})
-        left.pop(int(number), None)
-        if not left:
+        remaining = pieces.get(job_id, {})
+        remaining.pop(int(number), None)
+        if not remaining:
             pieces.pop(job_id, None)
         self._join(job_id)
 
     def cancel_before_record(self, job_id: JobId, version: int) -> bool:
-        """A peer that has read it tells of a cancellation whose record has not come here.
+        """Apply a cancellation announced by a peer before the record of this version is read here.
 
-        Until it comes the record that is here counts as cancelled; its version stays, so nothing
-        can be written over it.
+        Until then the older record in the cache counts as cancelled. It keeps its own version, so
+        a write that is conditional on this version can't overwrite the cancellation.
 
         Returns:
-            Whether the job was open here, and is cancelled now.
+            Whether the job was open in this cache before.
         """
         job = self.jobs.get(job_id)
-        if not self.cancellations.announce(job_id, version):
+        if not self.cancellations.record_announced(job_id, version):
             return False
         if job is None or not job.open:
             return False
@@ -114,7 +115,7 @@
         return True
 
     def _join(self, job_id: JobId) -> None:
-        """Put a job together of its keys, in whatever order they changed."""
+        """Join a job from its keys, whichever of them is already present."""
         main = self._main_records.get(job_id)
         if main is None:
             return
