--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -1,4 +1,4 @@
-"""Records of jobs: what was asked, what is done, and who may run what."""
+"""Records of jobs: the spec, the completed tasks, and the shards to which tasks are assigned."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from dapplewick.storage.ranges import pack, unpack
 from dapplewick.types import Revision, zone_of
 
-OPEN, DONE, CANCELLED = "open", "done", "cancelled"  # stages of a job, as they are stored
+OPEN, DONE, CANCELLED = "open", "done", "cancelled"  # stored stages of a job
 
-# What a record's other fields and its quotes take beside sets of tasks, and each shard's name
-# beside its own bytes.
-_FRAME_BYTES = 40
-_NAME_FRAME_BYTES = 8
+# Bytes of a record's other fields and quotes beside the sets of tasks, and bytes of quotes and
+# separators that are added to each shard's name.
+_RECORD_OVERHEAD_BYTES = 40
+_NAME_OVERHEAD_BYTES = 8
 
 
 class GangPlacement(msgspec.Struct, omit_defaults=True):
-    """Where an attempt of a gang is held or runs.
+    """Where an attempt of a gang has reservations or runs.
 
     Attributes:
         attempt: the gang's attempt.
-        placements: shard and machine of each task.
-        ending: it is to end and be cleared.
-        preempt: it may take the place of tasks of a lower priority.
-        placement_keys: of how many keys the placements are to be read, if they are not here.
+        placements: the shard and the machine of each task.
+        ending: whether the attempt must end and release its machines.
+        preempt: whether the attempt may preempt tasks of lower priority.
+        placement_keys: the number of keys in which the placements are stored; 0 if they are
+            stored here.
     """
 
     attempt: int
@@ -37,7 +38,7 @@
     placement_keys: int = msgspec.field(name="shares", default=0)
 
     def shards(self) -> set[str]:
-        """The shards in which its tasks are."""
+        """The shards that contain tasks of the gang."""
         return {shard for shard, _ in self.placements}
 
 
@@ -57,18 +58,18 @@
 
 
 class GangPlacementPart(msgspec.Struct):
-    """A piece of the placement of a long gang, in a key of its own."""
+    """A piece of the placement of a long gang, stored in its own key."""
 
     attempt: int
     placements: list[tuple[str, str]] = msgspec.field(name="places")
 
 
 class Chunk:
-    """Some of an array's tasks, in a key of their own: which are done, and who may run what.
+    """A range of an array's tasks, stored in its own key: completed and assigned tasks.
 
     Attributes:
         value: the chunk as it is stored.
-        done: the tasks that are done.
+        done: the completed tasks.
         assignments: the tasks that each shard may run.
         version: the version of the chunk's key.
     """
@@ -84,37 +85,37 @@
 
 
 def number_bytes(tasks: int) -> int:
-    """How many bytes each task number takes at most in a set written as ranges."""
+    """The maximum number of bytes of one task number in a set written as ranges."""
     return len(str(max(1, tasks - 1))) + 1
 
 
 def chunk_tasks(tasks: int, shard_names: list[str], value_bytes: int) -> int:
-    """How many tasks a chunk may hold, in the worst order in which they can be done."""
-    rest = value_bytes - _FRAME_BYTES - _names_bytes(shard_names)
-    return max(1, rest // number_bytes(tasks))
+    """How many tasks fit into a chunk, even if they are completed in the worst order."""
+    available_bytes = value_bytes - _RECORD_OVERHEAD_BYTES - _names_bytes(shard_names)
+    return max(1, available_bytes // number_bytes(tasks))
 
 
 def _names_bytes(shard_names: list[str]) -> int:
-    return sum(len(name.encode()) + _NAME_FRAME_BYTES for name in shard_names)
+    return sum(len(name.encode()) + _NAME_OVERHEAD_BYTES for name in shard_names)
 
 
 class JobRecord:
-    """A job: what was asked, what is done, and who may run what.
+    """A job: its spec, its completed tasks, and the shards to which tasks are assigned.
 
-    Where its tasks' numbers may outgrow a value they are kept in chunks of `chunk_size` tasks,
-    with keys of their own; the record itself then says only what was asked and how it stands.
+    If the task numbers may exceed the size of one value, they are stored in chunks of `chunk_size`
+    tasks with one key each. The record itself then contains only the spec, the stage and the gang.
 
     Attributes:
-        spec: what was asked.
-        resources: what each task takes.
+        spec: the job as it was submitted.
+        resources: the resources of each task.
         stage: `OPEN`, `DONE` or `CANCELLED`.
-        submitted_at: in seconds since the epoch.
-        done: the tasks that are done, while the job is open.
+        submitted_at: in seconds since the Unix epoch.
+        done: the completed tasks, while the job is open.
         assignments: the tasks that each shard may run.
-        gang: where a gang is held or runs; None if it is not.
-        chunk_size: how many tasks a chunk has; 0: there are none.
+        gang: where the gang has reservations or runs; None if it does neither.
+        chunk_size: the number of tasks in a chunk; 0 if the job has no chunks.
         chunk_versions: the version of each chunk's key.
-        version: the version of the newest of its keys.
+        version: the newest version among the job's keys.
         main_version: the version of the record itself.
     """
 
@@ -145,10 +146,14 @@
         self.version = self.main_version = Revision(0)
 
     def dump(self, value_bytes: int = 0) -> Any:
-        """The record as it is written.
+        """Encode the record for writing.
 
-        Of a job that is over the assignments only say what may still be there: where they don't
-        fit into `value_bytes`, each is widened to all between its first and its last.
+        The assignments of a job that is done or cancelled only show which tasks may still run. If
+        the record exceeds `value_bytes`, each shard's assignment is widened to the range from its
+        first to its last task.
+
+        Args:
+            value_bytes: the maximum size of a value; 0 for no limit.
         """
         is_whole = not self.chunk_size
         assignments = {
@@ -174,25 +179,27 @@
         return value
 
     def _short_gang(self) -> GangPlacement | None:
-        """The gang's placement without what is kept in keys of its own."""
+        """The gang's placement, without the placements that are stored in separate keys."""
         if self.gang is None or not self.gang.placement_keys:
             return self.gang
         return msgspec.structs.replace(self.gang, placements=[])
 
     def may_exceed(self, shard_names: list[str], value_bytes: int) -> bool:
-        """Whether its record, as one value, may come to have more bytes than this."""
+        """Whether the record, stored as one value, may ever exceed `value_bytes`."""
         max_bytes = encoded_size(
             msgspec.to_builtins(
                 _RawJob(spec=self.spec, stage=CANCELLED, submitted_at=self.submitted_at)
             )
         )
         if not self.spec.is_gang:
-            max_bytes += self.spec.task_count * number_bytes(self.spec.task_count) + _FRAME_BYTES
+            max_bytes += (
+                self.spec.task_count * number_bytes(self.spec.task_count) + _RECORD_OVERHEAD_BYTES
+            )
             max_bytes += _names_bytes(shard_names)
         return max_bytes > value_bytes
 
     def chunk_value(self, number: int) -> Any:
-        """What a chunk's key holds; None if nothing is to be said of its tasks."""
+        """The value of a chunk's key; None if no task of the chunk is completed or assigned."""
         low, high = number * self.chunk_size, (number + 1) * self.chunk_size
 
         def in_chunk(tasks: set[int]) -> str:
@@ -205,12 +212,12 @@
         return msgspec.to_builtins(raw) or None
 
     def chunk_values(self) -> dict[int, Any]:
-        """All of its chunks that say anything."""
+        """The values of all chunks that are not empty, by number."""
         count = -(-self.spec.task_count // self.chunk_size)
         return {n: v for n in range(count) if (v := self.chunk_value(n)) is not None}
 
     def chunks_changed(self, old: JobRecord) -> set[int]:
-        """The chunks in which this draft differs."""
+        """The numbers of the chunks in which this draft differs from `old`."""
         tasks = self.done ^ old.done
         for shard in self.assignments.keys() | old.assignments.keys():
             tasks |= self.assigned(shard) ^ old.assigned(shard)
@@ -218,11 +225,11 @@
 
     @classmethod
     def load(cls, value: Any, version: int) -> JobRecord:
-        """Read a record as it is stored.
+        """Decode a stored record.
 
         Raises:
-            msgspec.ValidationError: it is malformed.
-            ValueError: a set of tasks in it is malformed.
+            msgspec.ValidationError: the record is malformed.
+            ValueError: a set of tasks in the record is malformed.
         """
         raw = msgspec.convert(value, type=_RawJob)
         job = cls(raw.spec, raw.submitted_at)
@@ -235,7 +242,7 @@
         return job
 
     def copy(self) -> JobRecord:
-        """A draft of its next version."""
+        """Copy the job as the draft of its next version."""
         job = JobRecord(self.spec, self.submitted_at)
         job.stage = self.stage
         job.done = set(self.done)
@@ -249,18 +256,18 @@
 
     @property
     def done_count(self) -> int:
-        """How many of its tasks are done."""
+        """The number of completed tasks."""
         return self.spec.task_count if self.stage == DONE else len(self.done)
 
     @property
     def open(self) -> bool:
-        """Whether it is neither done nor cancelled."""
+        """Whether the job is neither done nor cancelled."""
         return self.stage == OPEN
 
     def task_version(self, index: int) -> int:
-        """The version of the key that says who may run a task.
+        """The version of the key that contains the assignment of a task.
 
-        Other keys of the same job may change before it and after it.
+        Other keys of the same job may have older or newer versions.
         """
         if not self.chunk_size:
             return self.version
@@ -271,7 +278,7 @@
         return self.assignments.get(shard, set())
 
     def assigned_in_zone(self, zone: str) -> int:
-        """How many tasks the shards of a zone may run together."""
+        """The number of tasks assigned to all shards of a zone."""
         return sum(
             len(tasks) for shard, tasks in self.assignments.items() if zone_of(shard) == zone
         )
--- a/src/dapplewick/storage/key_versions.py
+++ b/src/dapplewick/storage/key_versions.py
@@ -1,17 +1,17 @@
-"""What the watch cache knows of each key's version, of removals and of unreadable values."""
+"""Versions of keys in the watch cache, including removed keys and malformed values."""
 
 from __future__ import annotations
 
-MIN_REMEMBERED_REMOVALS = 500  # removed keys that are remembered before any of them is dropped
+MIN_REMEMBERED_REMOVALS = 500  # removals are pruned only above this number
 
 
 class KeyVersions:
-    """The newest version that is known of each key.
+    """The newest known version of each key.
 
     Attributes:
-        versions: the version of each key whose value was taken over.
-        unreadable: the version of each key whose newest value cannot be parsed.
-        removals: removals that are newer than the revision that was read, by their versions.
+        versions: the version of each key's newest decoded value.
+        unreadable: the version of each key whose newest value can't be decoded.
+        removals: the version of each removal that was newer than the revision read so far.
     """
 
     def __init__(self) -> None:
@@ -20,37 +20,41 @@
         self.removals: dict[str, int] = {}
         self._max_removals = MIN_REMEMBERED_REMOVALS
 
-    def stored(self, key: str) -> int:
-        """The newest version of a key that was seen with a value; 0 if none was."""
+    def stored_version(self, key: str) -> int:
+        """The newest version of a key's values, decoded or not; 0 if the key has none."""
         return max(self.versions.get(key, 0), self.unreadable.get(key, 0))
 
-    def known(self, key: str, revision: int) -> int:
-        """The newest version up to which a key is known, with all read up to a revision.
+    def known_version(self, key: str, revision: int) -> int:
+        """The newest version up to which a key is known.
 
-        All up to the revision that was read is known, so a key that is not here was not there
-        at that revision. Without this a write of our own, known done only after a listing that
-        lacks its key, brought the removed key back for good.
+        All changes up to `revision` have been read, so a key that is missing here did not exist at
+        that revision. Without this rule, an own write that was confirmed only after a listing
+        without its key had been read restored the removed key permanently.
+
+        Args:
+            key: the key.
+            revision: the revision up to which all changes have been read.
         """
-        return self.stored(key) or max(self.removals.get(key, 0), revision)
+        return self.stored_version(key) or max(self.removals.get(key, 0), revision)
 
-    def note_readable(self, key: str, version: int) -> None:
-        """A key's value was taken over."""
+    def record_readable(self, key: str, version: int) -> None:
+        """Record that a key's value was decoded and stored in the cache."""
         self.unreadable.pop(key, None)
         self.versions[key] = version
 
-    def note_removed(self, key: str, version: int, revision: int) -> None:
-        """A key was removed; remembered until all up to its removal has been read.
+    def record_removed(self, key: str, version: int, revision: int) -> None:
+        """Record a removal, at least until all changes up to its version have been read.
 
-        The watch may tell of an earlier removal after the newest one is known: the newest stands.
+        The watch may deliver an earlier removal after a newer one; the newer one is kept.
         """
         self.versions.pop(key, None)
         self.unreadable.pop(key, None)
         if version > revision:
             self.removals[key] = max(version, self.removals.get(key, 0))
             if len(self.removals) > self._max_removals:
-                self._forget_removals(revision)
+                self._prune_removals(revision)
 
-    def _forget_removals(self, revision: int) -> None:
-        """Drop removals up to the revision that was read: their keys are known not to be there."""
+    def _prune_removals(self, revision: int) -> None:
+        """Drop removals up to the revision read, at which their keys are known not to exist."""
         self.removals = {key: v for key, v in self.removals.items() if v > revision}
         self._max_removals = max(MIN_REMEMBERED_REMOVALS, 2 * len(self.removals))
--- a/src/dapplewick/storage/keys.py
+++ b/src/dapplewick/storage/keys.py
@@ -5,11 +5,11 @@
 from dapplewick.types import JobId
 
 ROOT = "dw/"
-PREFIX_LENGTH = len(ROOT) + 2  # of a prefix that names a family of records: "dw/j/"
+PREFIX_LENGTH = len(ROOT) + 2  # of the prefix of a kind of records, such as "dw/j/"
 FORMAT = ROOT + "format"
-CHUNKS = ROOT + "d/"  # an array's done and assigned tasks, in pieces
-GANG_PLACEMENTS = ROOT + "g/"  # the placement of a long gang, in pieces
-TYPE_KEYS = ROOT + "t/"  # types, where they are too many for one value
+CHUNKS = ROOT + "d/"  # completed and assigned tasks of arrays, in chunks
+GANG_PLACEMENTS = ROOT + "g/"  # placements of long gangs, in pieces
+TYPE_KEYS = ROOT + "t/"  # machine types with one key each, if they exceed one value
 LEADER = ROOT + "leader"
 TYPES = ROOT + "types"
 JOBS = ROOT + "j/"
@@ -17,12 +17,12 @@
 SHARDS = ROOT + "p/"
 CONTROLLERS = ROOT + "n/"
 PROVISIONING_REQUESTS = ROOT + "b/"
-PARTITION_PLAN = ROOT + "shares"  # the operators' plan of partitions, if they have stored one
-TRANSFERS = ROOT + "s/"  # machines that change from one partition to another
+PARTITION_PLAN = ROOT + "shares"  # the operators' partition plan, if stored
+TRANSFERS = ROOT + "s/"  # transfers of machines between partitions
 
 
 def job_of(key: str) -> JobId | None:
-    """The job that a key tells something of; None for keys of other kinds."""
+    """The job to which a key belongs; None if the key does not belong to a job."""
     if key.startswith(JOBS):
         return JobId(key[len(JOBS) :])
     if key.startswith((CHUNKS, GANG_PLACEMENTS)):
@@ -32,10 +32,10 @@
 
 
 def split_numbered_key(name: str) -> tuple[JobId, int]:
-    """The job that a numbered key belongs to, and the number.
+    """The job to which a numbered key belongs, and the number.
 
     Raises:
-        ValueError: the name has no number.
+        ValueError: the name does not end in a number.
     """
     job, _, number = name.rpartition("/")
     return JobId(job), int(number)
--- a/src/dapplewick/storage/machine_groups.py
+++ b/src/dapplewick/storage/machine_groups.py
@@ -1,4 +1,4 @@
-"""Machines as the watch cache reads them from the records of their groups."""
+"""Machines in the watch cache, derived from the records of their groups."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class MachineGroups:
-    """All machine groups, and what the newest group that lists a machine says of it.
+    """All machine groups, and each machine as in the newest group that lists it.
+
+    Each machine whose record or group changes is appended to `changed_machines`.
 
     Attributes:
         groups: the groups' records, by name.
-        machines: the machines.
-        group_of: the group whose record counts for each machine.
-
-    Each machine of which something changes is added to the list `changed_machines`.
+        machines: the machines' records.
+        group_of: the newest group that lists each machine, whose record takes precedence.
     """
 
     def __init__(self, changed_machines: list[MachineId]) -> None:
@@ -30,7 +30,7 @@
         self._changed_machines = changed_machines
 
     def put(self, name: str, value: Any, version: int) -> None:
-        """Take over a group's record."""
+        """Store a group's record, and update its machines."""
         group = msgspec.convert(value, type=MachineGroupRecord)
         old = self.groups.pop(name, None)
         self.groups[name] = group
@@ -38,33 +38,33 @@
         self._update(name, old, group)
 
     def remove(self, name: str) -> None:
-        """A group's record is gone."""
+        """Remove a group's record, and update its machines."""
         old = self.groups.pop(name, None)
         self._versions.pop(name, None)
         self._update(name, old, None)
 
     def is_in_one_group(self, machine: MachineId) -> bool:
-        """Whether just one group lists a machine: two do while an oversized one is copied."""
+        """Whether exactly one group lists a machine; two do while an oversized group is split."""
         return len(self._groups_listing.get(machine, ())) == 1
 
     def _update(
         self, name: str, old: MachineGroupRecord | None, new: MachineGroupRecord | None
     ) -> None:
-        """Bring the machines up to date after a group's record has changed or is gone.
+        """Update the machines after a group's record was changed or removed.
 
-        A machine may be listed by two groups while an oversized one is copied: the newer record
-        counts, in whatever order they are read.
+        While an oversized group is split, a machine may be listed by two groups. The newer record
+        takes precedence, independent of the order in which the records are read.
         """
         before = old.machines if old is not None else {}
         after = new.machines if new is not None else {}
-        moved = (
+        is_moved = (
             old is not None
             and new is not None
             and (old.partition, old.min_tokens) != (new.partition, new.min_tokens)
         )
         for text in {**before, **after}:
             machine = MachineId(text)
-            is_same = before.get(text) == after.get(text) and not moved
+            is_same = before.get(text) == after.get(text) and not is_moved
             if is_same and self.group_of.get(machine) == name:
                 continue
             listing = self._groups_listing.setdefault(machine, set())
@@ -75,7 +75,7 @@
             self._resolve(machine, listing)
 
     def _resolve(self, machine: MachineId, listing: set[str]) -> None:
-        """Take over what the newest group that lists a machine says of it."""
+        """Update a machine from the newest group that lists it."""
         record: MachineRecord | None = None
         if listing:
             newest = max(listing, key=self._versions.__getitem__)
--- a/src/dapplewick/storage/machine_records.py
+++ b/src/dapplewick/storage/machine_records.py
@@ -1,4 +1,4 @@
-"""Records of machines and of requests for more of them."""
+"""Records of machines, machine groups and provisioning requests."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
-    """A machine, as its group's record tells it.
+    """A machine, as decoded from its group's record.
 
     Attributes:
         type: the machine's type.
-        zone: where it is.
-        spot: whether the cloud may take it away.
-        provisioned_at: when it was provisioned, in seconds since the epoch; 0 once it has come up.
-        up: a heartbeat came of its worker, so launches there are allowed from now on. One that is
-            terminating counts as up: it may have been.
-        terminating: its deletion is decided and is never taken back.
-        partition: the partition of the zone that it belongs to; empty if there is none.
-        min_token: commands to its worker carry at least this fencing token.
+        zone: the machine's zone.
+        spot: whether the cloud may reclaim the machine.
+        provisioned_at: when the machine was provisioned, in seconds since the Unix epoch; 0 after
+            it has booted.
+        up: whether its worker has sent a heartbeat, after which tasks may be launched there. A
+            terminating machine counts as up, because it may have been.
+        terminating: whether its deletion was decided, which is final.
+        partition: its partition of the zone; empty if it belongs to none.
+        min_token: the minimum fencing token of commands to its worker.
     """
 
     type: str
@@ -37,24 +38,24 @@
         return shard_name(self.zone, self.partition)
 
 
-BOOTING, UP, TERMINATING = "b", "u", "d"  # the first letter of a machine's text in its group
+BOOTING, UP, TERMINATING = "b", "u", "d"  # state letters; the first letter of a machine's entry
 
 
 class MachineGroupRecord(msgspec.Struct, omit_defaults=True):
-    """Machines of one kind in one zone, in one record.
+    """Machines of the same type, zone and price class, in one record.
 
-    A write for each change of each machine would use up the state service's budget while hundreds
-    of them come up.
+    With one record per machine, the writes for hundreds of booting machines would exhaust the
+    write budget of the state service.
 
     Attributes:
         type: the machines' type.
-        zone: where they are.
-        spot: whether the cloud may take them away.
-        machines: the state of each machine, and for one that boots the time at which it was
-            provisioned after it, in seconds since the epoch.
-        partition: the partition of the zone that they belong to; empty if there is none.
-        min_tokens: for machines that came from another partition, the least fencing token for their
-            workers: more than any owner before has used.
+        zone: the machines' zone.
+        spot: whether the cloud may reclaim the machines.
+        machines: the entry of each machine: its state letter, and for a booting machine also the
+            time at which it was provisioned, in seconds since the Unix epoch.
+        partition: the machines' partition of the zone; empty if they belong to none.
+        min_tokens: the minimum fencing token of commands to machines that were transferred from
+            another partition. It exceeds every token that a previous owner has used.
     """
 
     type: str
@@ -65,7 +66,7 @@
     min_tokens: dict[str, int] = msgspec.field(name="floors", default_factory=dict)
 
     def without(self, machine: str) -> MachineGroupRecord:
-        """The group after a machine has left it."""
+        """Copy the group without one of its machines."""
         return msgspec.structs.replace(
             self,
             machines={m: text for m, text in self.machines.items() if m != machine},
@@ -73,10 +74,10 @@
         )
 
     def record(self, machine: str) -> MachineRecord:
-        """What the group says of one of its machines.
+        """Decode the record of one of the group's machines.
 
         Raises:
-            ValueError: the time at which it was provisioned cannot be read.
+            ValueError: the provisioning time in the machine's entry is malformed.
         """
         text = self.machines[machine]
         state = text[:1]
@@ -93,9 +94,9 @@
 
 
 class ProvisioningRequest(msgspec.Struct):
-    """A request for `count` machines that the cloud has yet to answer.
+    """A request for `count` machines that the cloud has not answered yet.
 
-    `requested_at` is when it was written, in seconds since the epoch.
+    `requested_at` is when the record was written, in seconds since the Unix epoch.
     """
 
     type: str
--- a/src/dapplewick/storage/ranges.py
+++ b/src/dapplewick/storage/ranges.py
@@ -1,4 +1,4 @@
-"""Sets of task numbers as short texts: "0-57,60"."""
+"""Encoding of sets of task numbers as ranges, such as "0-57,60"."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def pack(numbers: Iterable[int]) -> str:
-    """Write a set of numbers that are not negative as ranges, in ascending order."""
+    """Encode a set of non-negative numbers as ranges in ascending order."""
     ranges: list[str] = []
     first = last = -2
     for number in sorted(numbers):
@@ -22,7 +22,7 @@
 
 
 def unpack(text: str) -> set[int]:
-    """Read what `pack` wrote.
+    """Decode a set of numbers that `pack` encoded.
 
     Raises:
         ValueError: the text is malformed.
--- a/src/dapplewick/storage/rate_limiter.py
+++ b/src/dapplewick/storage/rate_limiter.py
@@ -1,4 +1,4 @@
-"""A token bucket that keeps calls within a service's limits."""
+"""A token bucket that keeps calls within the rate limits of a service."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class RateLimiter:
-    """A bucket of requests, filled at a rate, that holds a second's worth or a least burst.
+    """A token bucket whose capacity is one second of its rate, but at least a minimum burst.
 
     Attributes:
-        rate_per_s: requests that come back to the bucket in a second.
+        rate_per_s: the number of requests added to the bucket per second.
     """
 
     def __init__(self, rate_per_s: float, min_burst: float = 0.0) -> None:
         self.rate_per_s = rate_per_s
         self._min_burst = min_burst
-        self._level = max(rate_per_s, min_burst)
-        self._level_at = -1e9  # by the event loop's clock, in seconds
+        self._available = max(rate_per_s, min_burst)
+        self._updated_at = -1e9  # event loop time, in seconds
 
     def available(self) -> float:
-        """How many requests may be made now; negative after more were made than there were."""
+        """The number of requests available now; negative if the bucket is overdrawn."""
         capacity = max(self.rate_per_s, self._min_burst)
-        elapsed_s = anyio.current_time() - self._level_at
-        return min(capacity, self._level + elapsed_s * self.rate_per_s)
+        elapsed_s = anyio.current_time() - self._updated_at
+        return min(capacity, self._available + elapsed_s * self.rate_per_s)
 
     def exhaust(self) -> None:
-        """The service itself says that it is too much: nothing is left for now."""
-        self._level = min(0.0, self.available())
-        self._level_at = anyio.current_time()
-
-    def acquire_unconditionally(self, amount: float) -> None:
-        """Take an amount whether it is there or not; what is missing delays later requests."""
-        self._level = self.available() - amount
-        self._level_at = anyio.current_time()
-
-    def try_acquire(self, amount: float = 1.0) -> bool:
-        """Take an amount if it is there; False, and nothing taken, if it is not."""
-        self._level = self.available()
-        self._level_at = anyio.current_time()
-        if self._level < amount:
+        """Empty the bucket, because the service itself rejected a request as over its limit."""
+        self._available = min(0.0, self.available())
+        self._updated_at = anyio.current_time()
+
+    def acquire_unconditionally(self, count: float) -> None:
+        """Acquire requests even if this overdraws the bucket, which delays later requests."""
+        self._available = self.available() - count
+        self._updated_at = anyio.current_time()
+
+    def try_acquire(self, count: float = 1.0) -> bool:
+        """Acquire requests if all are available; otherwise acquire none and return False."""
+        self._available = self.available()
+        self._updated_at = anyio.current_time()
+        if self._available < count:
             return False
-        self._level -= amount
+        self._available -= count
         return True
--- a/src/dapplewick/storage/read_checks.py
+++ b/src/dapplewick/storage/read_checks.py
@@ -1,7 +1,7 @@
-"""Reads of the newest changes, each shared by all who wait for one.
+"""Reads of the newest changes, each shared by all callers that wait for it.
 
-Whoever must not answer from an old copy of the records waits for a read that begins after it
-asked. A read for each of them would use up the budget of requests to the state service.
+A caller that must not answer from a stale copy of the records waits for a read that begins after
+its call. A separate read for each caller would exhaust the request budget of the state service.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class _Read:
-    """One read of the changes that is yet to begin or is under way."""
+    """A read of the changes that is pending or in progress."""
 
     def __init__(self) -> None:
         self.finished = anyio.Event()
@@ -24,28 +24,28 @@
 
 
 class ReadChecks:
-    """Reads the changes when somebody waits for that, one read after the other, with pauses."""
+    """Reads the changes while callers wait, one read at a time with a delay after each."""
 
     def __init__(
         self,
         read: Callable[[], Awaitable[None]],
         clock: Callable[[], Seconds],
-        pause_s: Seconds,
+        delay_s: Seconds,
     ) -> None:
         self._read = read
         self._clock = clock
-        self._pause_s = pause_s
+        self._delay_s = delay_s
         self._pending: _Read | None = None
         self._wakeup = anyio.Event()
 
     async def current(self) -> Seconds:
-        """Return once all changes up to this call were read.
+        """Return once all changes up to this call have been read.
 
         Returns:
-            When they were asked for, by the clock given.
+            When the changes were requested, by the clock of this object, in seconds.
 
         Raises:
-            RequestRefusedError: they can't be read.
+            RequestRefusedError: the changes could not be read.
         """
         read = self._pending
         if read is None:
@@ -57,19 +57,19 @@
         return read.requested_at
 
     async def run(self) -> None:
-        """Serve those who wait, for ever."""
+        """Serve waiting callers; never returns."""
         while True:
             if self._pending is None:
                 self._wakeup = anyio.Event()
                 await self._wakeup.wait()
             read, self._pending = self._pending, None
             assert read is not None
-            await self._carry_out(read)
-            await anyio.sleep(self._pause_s)
+            await self._execute(read)
+            await anyio.sleep(self._delay_s)
 
-    async def _carry_out(self, read: _Read) -> None:
-        # Until the read is known to have succeeded it counts as failed: whatever ends it, an
-        # answer that can't be parsed included, nobody is left waiting or takes it for a success.
+    async def _execute(self, read: _Read) -> None:
+        # The read counts as failed until it has succeeded. Whatever ends it, including a malformed
+        # answer, the callers are released and don't treat it as successful.
         read.error = RequestRefusedError("the changes could not be read")
         read.requested_at = self._clock()
         try:
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -1,4 +1,4 @@
-"""The client of the state service."""
+"""Client of the state service."""
 
 from __future__ import annotations
 
@@ -33,42 +33,42 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 1.5
-LISTING_TIMEOUT_S = 5.0  # for each page
-PAGE_ITEMS = 500  # the most that the service gives in a page
+LISTING_TIMEOUT_S = 5.0  # per page
+PAGE_ITEMS = 500  # maximum page size of the service
 
 KEYS_TARGET = "/keys"
 CHANGES_TARGET = "/changes"
 TRANSACTION_TARGET = "/multi"
 LEASES_TARGET = "/leases"
-NO_SUCH_LEASE = b"no such lease"  # in the body of a 400
+NO_SUCH_LEASE = b"no such lease"  # in the body of a response with status 400
 
 Decoded = TypeVar("Decoded")
 Failure = TypeVar("Failure", bound=StateServiceError)
 
 
 class KeyValue(NamedTuple):
-    """What a key holds, and the revision that wrote it; version 0 if there is no such key."""
+    """The value of a key and the revision that wrote it; version 0 if the key does not exist."""
 
     value: Any
     version: int
 
 
 class Listing(NamedTuple):
-    """All keys with a prefix, and a revision from which changes are to be followed."""
+    """All keys with a prefix, and the revision after which to read their changes."""
 
     items: dict[str, KeyValue]
     revision: int
 
 
 class StateClient:
-    """Calls of the state service. Over the budget a call is refused here, not there.
+    """Calls the state service. A call that exceeds a budget is refused by the client itself.
 
-    Every call raises RequestRefusedError if it was not carried out, and OutcomeUnknownError if no
-    usable answer came.
+    Every call raises RequestRefusedError if it was not carried out, and OutcomeUnknownError if the
+    answer is missing or malformed.
 
     Attributes:
         calls: the budget of requests.
-        writes: the budget of keys written or removed.
+        writes: the budget of keys that are written or removed.
     """
 
     def __init__(
@@ -84,9 +84,11 @@
         try:
             status, answer = await self._http.request(method, target, body, timeout_s)
         except RequestNotSentError as err:
-            raise _noted(RequestRefusedError(str(err)), f"{method} {target}: not sent") from None
+            raise _with_note(
+                RequestRefusedError(str(err)), f"{method} {target}: not sent"
+            ) from None
         except HttpError as err:
-            raise _noted(OutcomeUnknownError(str(err)), f"{method} {target}: lost") from None
+            raise _with_note(OutcomeUnknownError(str(err)), f"{method} {target}: lost") from None
         if status == HTTPStatus.TOO_MANY_REQUESTS:
             (self.writes if target == TRANSACTION_TARGET else self.calls).exhaust()
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
@@ -95,7 +97,7 @@
 
     @staticmethod
     def _decoded(decoder: msgspec.json.Decoder[Decoded], answer: bytes) -> Decoded:
-        """What a 200 says. One that can't be parsed tells nothing: it is as if it were lost."""
+        """Decode the body of a response with status 200. A malformed one counts as lost."""
         try:
             return decoder.decode(answer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as err:
@@ -107,7 +109,7 @@
             raise RequestRefusedError("over the request budget")
 
     async def get(self, key: str) -> KeyValue:
-        """The value and version of a key; version 0 if there is none."""
+        """Read the value and version of a key; version 0 if the key does not exist."""
         self._acquire_call()
         target = f"{KEYS_TARGET}/{key}"
         status, answer = await self._call("GET", target, None)
@@ -119,7 +121,7 @@
         return KeyValue(item.value, item.version)
 
     async def listing(self, prefix: str) -> Listing:
-        """All keys with a prefix, and a revision from which changes are to be followed."""
+        """List all keys with a prefix, and the revision after which to read their changes."""
         items: dict[str, KeyValue] = {}
         since = ""
         first_revision: int | None = None
@@ -139,30 +141,35 @@
             if not page.more:
                 return Listing(items, first_revision)
             if not page.items:
-                # Taken for the end, all keys that come after would count as removed.
+                # If this page counted as the last, all later keys would count as removed.
                 error = RequestRefusedError("a page without items that is not the last")
-                raise _noted(error, f"GET {target}")
+                raise _with_note(error, f"GET {target}")
 
     async def changes(self, prefix: str, since: int, wait_ms: int) -> Changes:
-        """The changes of keys with a prefix after a revision; waits up to `wait_ms` for one.
+        """Read the changes of keys with a prefix after a revision, waiting for the first one.
+
+        Args:
+            prefix: the prefix of the keys.
+            since: the revision after which to read.
+            wait_ms: how long the service waits for a change, in milliseconds.
 
         Raises:
-            RevisionCompactedError: they are no longer kept.
-            RequestRefusedError: also if the answer is older than what was read.
+            RevisionCompactedError: the service no longer keeps these changes.
+            RequestRefusedError: as for every call, or the answer's revision is older than `since`.
         """
         self._acquire_call()
         target = f"{CHANGES_TARGET}?starts={prefix}&since={since}&wait_ms={wait_ms}"
         status, answer = await self._call("GET", target, None, wait_ms / 1000 + CALL_TIMEOUT_S)
         if status == HTTPStatus.GONE:
-            raise _noted(RevisionCompactedError(), f"GET {target}")
+            raise _with_note(RevisionCompactedError(), f"GET {target}")
         if status != HTTPStatus.OK:
             raise _refused("GET", target, status)
-        found = self._decoded(CHANGES_DECODER, answer)
-        if found.revision < since:
-            # Nothing is known to be current by an answer that is older than what was read.
+        changes = self._decoded(CHANGES_DECODER, answer)
+        if changes.revision < since:
+            # An answer that is older than `since` does not prove that the copy is current.
             error = RequestRefusedError("the answer is older than the question")
-            raise _noted(error, f"GET {target}: answered with revision {found.revision}")
-        return found
+            raise _with_note(error, f"GET {target}: answered with revision {changes.revision}")
+        return changes
 
     async def transaction(
         self,
@@ -176,21 +183,22 @@
         """Change keys atomically if all conditions hold.
 
         Args:
-            conditions: the version that each of these keys must have; 0: it must not be there.
+            conditions: the version that each of these keys must have; 0 if it must not exist.
             puts: values to write.
             deletes: keys to remove.
-            leases: the lease on which a written key hangs.
-            urgent: leadership or presence hangs on it, so it may overdraw the budgets.
+            leases: the lease to which each written key is attached.
+            urgent: leadership or presence depends on the transaction, so it may overdraw the
+                budgets.
 
         Returns:
             The revision of the change.
 
         Raises:
             TransactionConflictError: a condition does not hold.
-            ValueTooLargeError: the service takes no value or transaction of this size.
+            ValueTooLargeError: a value or the transaction exceeds the limits of the service.
             LeaseExpiredError: a lease has expired.
             RequestRefusedError: nothing was written.
-            OutcomeUnknownError: it may have been written, or may be yet.
+            OutcomeUnknownError: the changes may have been written, or may still be written later.
         """
         deletes = deletes or []
         self._acquire_writes(len(puts) + len(deletes), urgent=urgent)
@@ -201,32 +209,34 @@
         raise self._transaction_error(status, answer, [*puts, *deletes])
 
     def _transaction_error(self, status: int, answer: bytes, keys: list[str]) -> StateServiceError:
-        """What a status other than 200 means for the keys of a transaction."""
+        """The error for a transaction that was answered with a status other than 200."""
         if status == HTTPStatus.CONFLICT:
             return TransactionConflictError(
                 self._decoded(TRANSACTION_RESULT_DECODER, answer).failed
             )
         listed = ",".join(keys)
         if status == HTTPStatus.BAD_REQUEST and NO_SUCH_LEASE in answer:
-            return _noted(LeaseExpiredError(), f"POST {TRANSACTION_TARGET}: keys {listed}")
+            return _with_note(LeaseExpiredError(), f"POST {TRANSACTION_TARGET}: keys {listed}")
         log.error(
             "event=state_request_rejected status=%d answer=%r keys=%s", status, answer[:200], listed
         )
         if status == HTTPStatus.BAD_REQUEST:
-            return _noted(ValueTooLargeError(str(status)), f"POST {TRANSACTION_TARGET}: {listed}")
+            return _with_note(
+                ValueTooLargeError(str(status)), f"POST {TRANSACTION_TARGET}: {listed}"
+            )
         return _refused("POST", TRANSACTION_TARGET, status)
 
-    def _acquire_writes(self, amount: int, *, urgent: bool) -> None:
+    def _acquire_writes(self, count: int, *, urgent: bool) -> None:
         if urgent:
             self.calls.acquire_unconditionally(1.0)
-            self.writes.acquire_unconditionally(amount)
+            self.writes.acquire_unconditionally(count)
             return
         self._acquire_call()
-        if amount and not self.writes.try_acquire(amount):
+        if count and not self.writes.try_acquire(count):
             raise RequestRefusedError("over the write budget")
 
     async def new_lease(self, ttl_ms: int) -> int:
-        """Ask for a lease that expires this long after its last renewal."""
+        """Create a lease that expires `ttl_ms` milliseconds after its last renewal."""
         self._acquire_call()
         status, answer = await self._call("POST", LEASES_TARGET, encode_lease_request(ttl_ms))
         if status != HTTPStatus.OK:
@@ -237,23 +247,24 @@
         """Renew a lease.
 
         Raises:
-            LeaseExpiredError: it has expired.
+            LeaseExpiredError: the lease has expired.
         """
-        # Renewals come before everything else: they are sent also when the budget is used up.
+        # Renewals have precedence over all other requests, so they are sent even if the budget is
+        # exhausted.
         self.calls.try_acquire()
         target = f"{LEASES_TARGET}/{lease}/renew"
         status, _ = await self._call("POST", target, b"{}")
         if status == HTTPStatus.NOT_FOUND:
-            raise _noted(LeaseExpiredError(), f"lease {lease}")
+            raise _with_note(LeaseExpiredError(), f"lease {lease}")
         if status != HTTPStatus.OK:
             raise _refused("POST", target, status)
 
 
 def _refused(method: str, target: str, status: int) -> RequestRefusedError:
-    return _noted(RequestRefusedError(str(status)), f"{method} {target}: status {status}")
+    return _with_note(RequestRefusedError(str(status)), f"{method} {target}: status {status}")
 
 
-def _noted(error: Failure, note: str) -> Failure:
-    """An error with a note of the call, which tracebacks show; its text stays short for logs."""
+def _with_note(error: Failure, note: str) -> Failure:
+    """Add a note of the call to an error for tracebacks; the message stays short for logs."""
     error.add_note(note)
     return error
--- a/src/dapplewick/storage/transactions.py
+++ b/src/dapplewick/storage/transactions.py
@@ -1,4 +1,4 @@
-"""Cutting writes into transactions that the state service takes."""
+"""Splitting of writes into transactions within the limits of the state service."""
 
 from __future__ import annotations
 
@@ -11,37 +11,40 @@
 
 log = logging.getLogger(__name__)
 
-# Of values in a transaction, which may hold 64 KiB with all around them.
-TRANSACTION_BYTES = 48 * 1024
+# Bytes of values in a transaction. The service accepts 64 KiB, including keys and conditions.
+MAX_TRANSACTION_BYTES = 48 * 1024
 
 
 Change = TypeVar("Change")
 
 
 def split_into_transactions(
-    changes: Iterable[Change], sized: Callable[[Change], int], limits: StateLimits
+    changes: Iterable[Change], size_of: Callable[[Change], int], limits: StateLimits
 ) -> Iterator[list[Change]]:
-    """Cut changes into transactions that the state service takes.
+    """Split changes into transactions that the state service accepts.
 
-    One whose value is too large by itself is left out: with it every transaction that it came in
-    would be refused. Changes in a row that name the same `transaction_group` go into one.
+    A change whose value alone exceeds the limits is dropped and logged, because the service would
+    reject every transaction that contains it. Consecutive changes of the same `transaction_group`
+    are written in one transaction.
 
     Args:
-        changes: what is to be written, in this order.
-        sized: the bytes of a change's value.
-        limits: what the state service takes.
+        changes: the changes to write, in this order.
+        size_of: returns the size of a change's value in bytes.
+        limits: the limits of the state service.
     """
     batch: list[Change] = []
     total = 0
-    numbered = enumerate(changes)
-    for _, run in groupby(numbered, key=lambda item: _group_of(item[1]) or item[0]):
-        unit = [change for _, change in run]
-        sizes = [sized(change) for change in unit]
+    numbered_changes = enumerate(changes)
+    for _, members in groupby(
+        numbered_changes, key=lambda item: _transaction_group(item[1]) or item[0]
+    ):
+        unit = [change for _, change in members]
+        sizes = [size_of(change) for change in unit]
         if max(sizes) > limits.value_kb * 1024 or len(unit) > limits.txn_ops:
             log.error("event=value_too_large bytes=%d change=%.120r", max(sizes), unit[0])
             continue
         overflows = (
-            len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > TRANSACTION_BYTES
+            len(batch) + len(unit) > limits.txn_ops or total + sum(sizes) > MAX_TRANSACTION_BYTES
         )
         if batch and overflows:
             yield batch
@@ -52,20 +55,21 @@
         yield batch
 
 
-def first_whole_groups(changes: list[Change], most: int) -> list[Change]:
-    """The first changes, at most so many, without part of those that go into one transaction.
+def first_whole_groups(changes: list[Change], limit: int) -> list[Change]:
+    """The first changes up to a limit, without incomplete transaction groups at the end.
 
-    Of a machine group that is split, one piece alone would lose the machines of the others.
+    If only one piece of a split machine group were written, the machines of the other pieces would
+    be lost.
     """
-    if most >= len(changes):
+    if limit >= len(changes):
         return changes
-    cut_group = _group_of(changes[most])
-    while cut_group and most > 0 and _group_of(changes[most - 1]) == cut_group:
-        most -= 1
-    return changes[:most]
+    cut_group = _transaction_group(changes[limit])
+    while cut_group and limit > 0 and _transaction_group(changes[limit - 1]) == cut_group:
+        limit -= 1
+    return changes[:limit]
 
 
-def _group_of(change: object) -> str:
-    """The transaction in which a change must be written with others; empty if it stands alone."""
+def _transaction_group(change: object) -> str:
+    """The transaction group of a change; empty if it may be written alone."""
     group: str = getattr(change, "transaction_group", "")
     return group
--- a/src/dapplewick/storage/transfers.py
+++ b/src/dapplewick/storage/transfers.py
@@ -1,7 +1,8 @@
-"""Transfers of machines between the partitions of a zone, as the state service keeps them.
+"""Records of transfers of machines between the partitions of a zone.
 
-A transfer names the machines that it drains. Each is handed over by itself, once it is proven
-empty: one transaction moves it to a group of the receiving partition and takes it off the transfer.
+A transfer lists the machines that it drains. Each machine is handed over separately once it is
+proven to be empty: one transaction moves the machine to a group of the receiving partition and
+removes it from the transfer.
 """
 
 from __future__ import annotations
@@ -16,29 +17,29 @@
 REQUESTED, DRAINING = "requested", "draining"
 COMPLETE, CANCELLED, OVERDUE = "complete", "cancelled", "overdue"
 STATES = (REQUESTED, DRAINING, COMPLETE, CANCELLED, OVERDUE)
-MAX_DRAINING_MACHINES = 60  # of one transfer that are drained at the same time
+MAX_DRAINING_MACHINES = 60  # of one transfer at the same time
 MAX_TRANSFER_MACHINES = 100_000
 
 
 class TransferRecord(msgspec.Struct, omit_defaults=True):
-    """One move of machines from a shard to another one of the same zone.
+    """A transfer of machines from one shard to another in the same zone.
 
     Attributes:
-        generation: orders the transfers of a zone: a later one wins over an earlier one.
-        source: the shard that gives machines.
+        generation: orders the transfers of a zone; a later one has precedence.
+        source: the shard that releases machines.
         target: the shard that receives them.
-        type: their type.
-        count: how many are to go over.
+        type: the machines' type.
+        count: the number of machines to transfer.
         state: one of `STATES`.
-        requested_at: when it was requested, in seconds since the epoch.
-        overdue_at: when it is overdue if it is not complete: it ends then, and what is
-            missing is asked for anew; in seconds since the epoch.
-        moved: how many have gone.
+        requested_at: when the transfer was requested, in seconds since the Unix epoch.
+        overdue_at: when an incomplete transfer ends as overdue, and the remaining machines are
+            requested again; in seconds since the Unix epoch.
+        moved: the number of machines transferred so far.
         draining: machines that get no new work until they are empty.
-        origin: who asked for it: the plan, or an operator.
+        origin: who requested the transfer: the plan or an operator.
 
     Raises:
-        ValueError: a field is out of bounds; the text names it.
+        ValueError: a field is out of bounds; the message names the field.
     """
 
     generation: int
@@ -67,17 +68,17 @@
 
     @property
     def open(self) -> bool:
-        """Whether machines may still be drained for it."""
+        """Whether the transfer may still drain machines."""
         return self.state in (REQUESTED, DRAINING)
 
     @property
     def missing(self) -> int:
-        """How many more machines have to be found for it."""
+        """The number of machines that remain to be selected."""
         return max(0, self.count - self.moved - len(self.draining))
 
 
 class Transfers:
-    """All transfers that are known, and which machine is drained for which of them."""
+    """All transfers, and the transfer for which each machine is drained."""
 
     def __init__(self) -> None:
         self._records: dict[TransferId, TransferRecord] = {}
@@ -92,7 +93,11 @@
         return self._records
 
     def put(self, name: TransferId, record: TransferRecord) -> list[MachineId]:
-        """Take over a record; gives the machines whose standing may have changed."""
+        """Store a transfer.
+
+        Returns:
+            The machines that are or were drained for the transfer.
+        """
         changed = self.remove(name)
         self._records[name] = record
         if record.open:
@@ -102,7 +107,11 @@
         return list(dict.fromkeys(changed))
 
     def remove(self, name: TransferId) -> list[MachineId]:
-        """A record is gone; gives the machines that it drained."""
+        """Remove a transfer.
+
+        Returns:
+            The machines that were drained for the transfer.
+        """
         record = self._records.pop(name, None)
         if record is None:
             return []
@@ -113,26 +122,26 @@
         return changed
 
     def draining_transfer(self, machine: MachineId) -> TransferId | None:
-        """The transfer for which a machine gets no new work."""
+        """The transfer that drains a machine; None if no transfer does."""
         return self._draining.get(machine)
 
     def draining_machines(self) -> Iterable[MachineId]:
-        """Every machine that gets no new work for a transfer."""
+        """All machines that are drained for a transfer."""
         return self._draining.keys()
 
 
 class TransferKeys:
-    """Takes over changes of the transfers' keys, and notes the machines that they concern."""
+    """Applies changes of the transfers' keys, and collects the affected machines."""
 
     def __init__(self, transfers: Transfers, changed_machines: list[MachineId]) -> None:
         self._transfers = transfers
         self._changed_machines = changed_machines
 
     def put(self, name: str, value: Any, _version: int) -> None:
-        """Take over a transfer's record."""
+        """Decode and store a transfer's record."""
         record = msgspec.convert(value, type=TransferRecord)
         self._changed_machines += self._transfers.put(TransferId(name), record)
 
     def remove(self, name: str) -> None:
-        """A transfer's record is gone."""
+        """Remove a transfer's record."""
         self._changed_machines += self._transfers.remove(TransferId(name))
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -1,4 +1,4 @@
-"""The watch cache: each controller's copy of all records, kept up to date by watches."""
+"""The watch cache: a controller's copy of all records, kept up to date by watches."""
 
 from __future__ import annotations
 
@@ -52,38 +52,41 @@
 
 
 class _KeyHandlers(NamedTuple):
-    """What takes over the puts (name, value, version) and removals (name) of some keys."""
+    """Handlers of puts (name, value, version) and removals (name) of one kind of keys."""
 
     put: Callable[[str, Any, int], None]
-    remove: Callable[[str], None] | None = None  # None: removals change nothing but versions
+    remove: Callable[[str], None] | None = None  # None: a removal changes only the version
 
 
 class WatchCache:
-    """A copy of all records, brought up to date by changes in any order or repeated.
+    """A copy of all records, updated by changes that may arrive out of order or repeatedly.
 
-    The records are kept by pieces that own their state; the dictionaries given here are theirs,
-    to be read only.
+    Separate components own the records. The dictionaries of this class belong to them and must
+    only be read.
 
     Attributes:
-        revision: all changes up to this revision of the state service are known.
-        versions: the version of each key that is here.
-        unreadable: keys whose newest value cannot be parsed, with its version.
-        jobs: all jobs, put together of their keys.
-        live_jobs: jobs that are open or of which something remains, in the order they came.
+        revision: the revision of the state service up to which all changes have been applied.
+        versions: the version of each key in the cache.
+        unreadable: the version of each key whose newest value can't be decoded.
+        jobs: all jobs, each joined from its keys.
+        live_jobs: jobs that are open, or that still have assignments, a gang, chunks or
+            placements, in the order in which they became live.
         chunks: chunks of arrays, by job and number.
         placements: pieces of the placements of long gangs, by job and number.
-        machines: all machines, as the newest group that lists them says.
+        machines: all machines, as in the newest group that lists each.
         groups: records of machine groups, by name.
-        group_of: the group whose record counts for a machine.
-        changed_machines: machines that have changed; cleared by whoever tells the cores. The
-            pieces add to this list, so it is never replaced.
+        group_of: the newest group that lists each machine, whose record takes precedence.
+        changed_machines: machines that have changed since the planner and the shard schedulers were
+            last notified. The notifying code clears this list. It is never replaced, because the
+            components append to it.
         shards: the shards with an owner.
-        controllers: the controllers that are present.
-        supported_formats: the format that each controller understood when it was last seen.
-        provisioning_requests: requests for machines that the cloud has yet to answer.
-        machine_types: the types of machines, in one key or several.
-        transfers: moves of machines between partitions.
-        listeners: called with each key that has changed.
+        controllers: the present controllers.
+        supported_formats: the newest format that each controller supported when it was last
+            present.
+        provisioning_requests: requests for machines that the cloud has not answered yet.
+        machine_types: the machine types, from the common key and from keys per type.
+        transfers: transfers of machines between partitions.
+        listeners: callbacks that are called with each changed key.
     """
 
     def __init__(self) -> None:
@@ -115,7 +118,7 @@
         self._handlers = self._key_handlers()
 
     def _key_handlers(self) -> dict[str, _KeyHandlers]:
-        """What takes over changes, by prefix or, where there is one record, by key."""
+        """The handlers, by prefix, or by key for records that exist only once."""
         jobs, types, cluster = self._jobs, self.machine_types, self._cluster
         requests = self._provisioning_requests
         transfers = TransferKeys(self.transfers, self.changed_machines)
@@ -136,7 +139,7 @@
         }
 
     def reload(self, items: Mapping[str, tuple[Any, int]], revision: int) -> None:
-        """Take over a full listing that was begun at a revision."""
+        """Apply a full listing begun at this revision, and remove older keys that it lacks."""
         for key in [k for k, v in self.versions.items() if k not in items and v <= revision]:
             self._remove(key, revision)
         for key, (value, version) in items.items():
@@ -144,14 +147,18 @@
         self.revision = Revision(max(self.revision, revision))
 
     def apply_events(self, events: Iterable[Event], revision: int) -> None:
-        """Take over an answer to a watch.
+        """Apply the answer to a watch request.
 
-        Answers may overtake one another: what one tells up to the revision that was read already
-        is passed over, since a newer removal may be forgotten here by then.
+        Answers may arrive out of order. Events up to the revision that has already been read are
+        skipped, because a newer removal of the same key may have been pruned by then.
+
+        Args:
+            events: the changes in the answer.
+            revision: the revision up to which the answer is complete.
         """
-        read = self.revision
+        read_revision = self.revision
         for event in events:
-            if event.version <= read:
+            if event.version <= read_revision:
                 continue
             if event.put is not None:
                 self.put(event.put, event.value, event.version)
@@ -160,29 +167,29 @@
         self.revision = Revision(max(self.revision, revision))
 
     def put(self, key: str, value: Any, version: int) -> None:
-        """Take over a key's value, unless something newer is known of the key."""
-        if self._key_versions.known(key, self.revision) >= version:
+        """Store a key's value, unless a newer value or removal of the key is known."""
+        if self._key_versions.known_version(key, self.revision) >= version:
             return
         try:
             handlers = self._handlers.get(key[:PREFIX_LENGTH]) or self._handlers.get(key)
             if handlers is not None:
                 handlers.put(key[PREFIX_LENGTH:], value, version)
         except (msgspec.ValidationError, ValueError, TypeError) as err:
-            # The record before it stands, but is not the newest: users are not told of it.
+            # The previous record is kept. As it is outdated, users get no answers from it.
             log.error("event=record_malformed key=%s error=%s", key, err)
             self.unreadable[key] = version
             return
-        self._key_versions.note_readable(key, version)
+        self._key_versions.record_readable(key, version)
         for listener in self.listeners:
             listener(key)
 
     def remove(self, key: str, version: int) -> None:
-        """Take over a key's removal, unless a newer value is known."""
-        if self._key_versions.stored(key) <= version:
+        """Remove a key, unless a newer value is known."""
+        if self._key_versions.stored_version(key) <= version:
             self._remove(key, version)
 
     def _remove(self, key: str, version: int) -> None:
-        self._key_versions.note_removed(key, version, self.revision)
+        self._key_versions.record_removed(key, version, self.revision)
         handlers = self._handlers.get(key[:PREFIX_LENGTH]) or self._handlers.get(key)
         if handlers is not None and handlers.remove is not None:
             handlers.remove(key[PREFIX_LENGTH:])
@@ -190,11 +197,11 @@
             listener(key)
 
     def cancellations(self, since: int) -> list[tuple[int, JobId]]:
-        """Every cancellation known here that is newer than a revision, with its version."""
+        """List every known cancellation newer than a revision, each with its version."""
         return self._jobs.cancellations.since(since)
 
     def apply_announced_cancellation(self, job_id: JobId, version: int) -> None:
-        """A peer that has read it tells of a cancellation, which may not have come here yet."""
+        """Apply a cancellation that a peer has announced and that may not be in the cache yet."""
         if self.versions.get(JOBS + job_id, 0) >= version:
             return
         if self._jobs.cancel_before_record(job_id, version):
@@ -202,51 +209,51 @@
                 listener(JOBS + job_id)
 
     def version(self, key: str) -> int:
-        """The version of a key; 0 if it is not here."""
+        """The version of a key; 0 if the key is not in the cache."""
         return self.versions.get(key, 0)
 
     @property
     def types(self) -> dict[str, MachineType]:
-        """All types of machines, by name."""
+        """All machine types, by name."""
         return self.machine_types.types
 
     @property
     def leader(self) -> LeaderRecord | None:
-        """Who leads, and in which incarnation; None if nobody does."""
+        """The leader and its incarnation; None if the cluster has no leader."""
         return self._cluster.leader
 
     @property
     def format(self) -> int:
-        """What every controller understands."""
+        """The newest format that every controller supports."""
         return self._cluster.format
 
     @property
     def partition_plan(self) -> Any:
-        """The operators' plan of partitions as it was stored; None if there is none."""
+        """The operators' partition plan as stored; None if none is stored."""
         return self._cluster.partition_plan
 
     @property
     def upgraded_controllers(self) -> set[ControllerName]:
-        """Controllers that were seen with a version that understands all of ours."""
+        """Controllers that supported at least this version's format when they were last present."""
         return self._controllers.upgraded()
 
     def is_in_one_group(self, machine: MachineId) -> bool:
-        """Whether just one group lists a machine: two do while an oversized one is copied."""
+        """Whether exactly one group lists a machine; two do while an oversized group is split."""
         return self._machine_groups.is_in_one_group(machine)
 
     def shard_of(self, machine: MachineId, zone: str) -> ShardName:
-        """The shard that schedules a machine; the zone's own for one that is not known here."""
+        """The shard that schedules a machine; the zone's own shard if the machine is unknown."""
         record = self.machines.get(machine)
         return record.shard if record is not None else ShardName(zone)
 
     def token_for(self, machine: MachineId, shard_token: FencingToken) -> FencingToken:
-        """The fencing token that commands to a machine's worker carry, from its shard's owner."""
+        """The fencing token of commands from the shard's owner to a machine's worker."""
         record = self.machines.get(machine)
         return (
             FencingToken(max(shard_token, record.min_token)) if record is not None else shard_token
         )
 
     def iter_live_jobs(self) -> Iterator[tuple[JobId, JobRecord]]:
-        """Every live job with its record, in the order in which they came."""
+        """Iterate over the live jobs and their records, in the order in which they became live."""
         for job_id in self.live_jobs:
             yield job_id, self.jobs[job_id]
--- a/src/dapplewick/storage/write_priority.py
+++ b/src/dapplewick/storage/write_priority.py
@@ -1,4 +1,4 @@
-"""The order in which the leader's writes go to the state service."""
+"""The order in which the leader's writes are sent to the state service."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class WritePriority(IntEnum):
-    """The rank of a write: lower ones are written first.
+    """The rank of a write: lower ranks are written first.
 
-    The request budget of the state service may cut off the end of a pass's writes; what was cut
-    off is found again by the next pass.
+    If the writes of a planning pass exceed the write budget of the state service, the last ones
+    are not sent. The next pass plans them again.
     """
 
-    URGENT = 0  # what ends jobs and tasks, or proves that machines are gone
-    NORMAL = 1  # what users wait for: assignments, gang placements, machines that came up
-    LOW = 2  # what only tidies up, and machines that go back because they are idle
-    PROGRESS = 3  # completed tasks of unfinished jobs, which are kept only for a restart
+    URGENT = 0  # ends of jobs and tasks, and evidence that machines are gone
+    NORMAL = 1  # visible to users: assignments, gang placements, machines that have booted
+    LOW = 2  # cleanup, and deletion of idle machines
+    PROGRESS = 3  # completed tasks of open jobs, needed only after a restart
