--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -9,7 +9,7 @@
 The age of this knowledge counts from the time at which this controller sent its message: each
 message carries the sender's time, and the reply contains the newest time received from each peer.
 If a message is lost, a peer is unreachable, or a peer has not read the records since it started,
-the age keeps growing. Slow messages therefore can't make the knowledge appear too recent.
+the age keeps growing. No conclusion depends on how fast messages arrive.
 """
 
 from __future__ import annotations
@@ -24,11 +24,10 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, JobId, Revision, Seconds
 
-# Messages repeat the cancellations that a peer has not read only while the last message from this
-# peer is not older than this.
+# The revision after which a message lists cancellations is the lowest that any peer has reported.
+# Peers without contact for longer than this are ignored.
 PEER_CONTACT_WINDOW_S = 10.0
-# Cancellations in one message. A message that would need more contains none, and is marked as
-# incomplete.
+# A message that would list more cancellations lists none and is marked as incomplete.
 MAX_LISTED_CANCELLATIONS = 2000
 
 
@@ -40,7 +39,7 @@
 
 
 class PeerRevision(NamedTuple):
-    """The revision up to which a peer reported to have read the records."""
+    """The revision up to which a peer had read the records when it sent its last message."""
 
     received_at: Seconds  # by this controller's steady clock
     revision: Revision
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -88,8 +88,8 @@
             await self._register()
         else:
             await self._state.renew(self.lease)
-        # The lease runs at the earliest from when the request was sent. The deductions cover
-        # clock drift.
+        # The service renewed the lease after the request was sent, so this time is a lower bound.
+        # The deductions cover clock drift.
         self.lease_valid_until = sent_at + TTL_S * 0.998 - 0.1
         self._records.mark_contact()
 
--- a/src/dapplewick/storage/transactions.py
+++ b/src/dapplewick/storage/transactions.py
@@ -23,9 +23,9 @@
 ) -> Iterator[list[Change]]:
     """Split changes into transactions that the state service accepts.
 
-    A change whose value alone exceeds the limits is dropped and logged, because the service would
-    reject every transaction that contains it. Consecutive changes of the same `transaction_group`
-    are written in one transaction.
+    Consecutive changes of the same `transaction_group` are written in one transaction. A change or
+    group is dropped and logged if it contains a value above the size limit or too many keys,
+    because the service would reject every transaction that contains it.
 
     Args:
         changes: the changes to write, in this order.
