--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What controllers tell one another without being asked, and users' requests put to a peer."""
+"""Gossip between controllers, and forwarding of users' requests to a peer."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import anyio
 from msgspec import UnsetType
 
-from dapplewick.coordination.cancellation_exchange import CancellationMessage, CancellationWatch
+from dapplewick.coordination.cancellation_exchange import CancellationExchange, CancellationMessage
 from dapplewick.coordination.identity import Identity
-from dapplewick.coordination.peer_silence import PeerSilence
+from dapplewick.coordination.peer_reachability import PeerReachability
 from dapplewick.coordination.records import Records
-from dapplewick.coordination.wake import Wake
+from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import peers
 from dapplewick.protocol.peers import (
@@ -23,7 +23,7 @@
     ShardStatus,
     StatusConfirmation,
 )
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import SHARDS
 from dapplewick.transport.http import Request, Response
 from dapplewick.transport.peer import PeerLink
@@ -31,41 +31,52 @@
 
 GOSSIP_INTERVAL_S = 1.0
 GOSSIP_AFTER_CANCELLATION_S = 0.1
-CONTACT_S = 2.5  # a controller that reached the state service in this time says so to its peers
-FORWARD_TO_WITHIN_S = 2.5  # a peer that said so in this time is asked in our place
+# Gossip reports the state service as reachable if it answered within this time.
+STATE_CONTACT_MAX_AGE_S = 2.5
+# Requests are forwarded only to peers that reported within this time that they reach the state
+# service.
+FORWARD_REPORT_MAX_AGE_S = 2.5
 FORWARDED_TIMEOUT_S = 1.0
-CONTACT_CLAIM_S = 1.5  # how long a peer's word that it reaches the state service counts as now
+# A peer's report that it reaches the state service counts as current for this time.
+REPORT_MAX_AGE_S = 1.5
 
 
 class PeerContact(NamedTuple):
-    """What a peer told last of its way to the state service."""
+    """A peer's last report on whether it reaches the state service."""
 
-    at_s: Seconds  # when it told it, by this process's steady clock
+    received_at: Seconds  # by this process's steady clock
     reaches_state_service: bool
 
 
-class HeardOwner(NamedTuple):
-    """The owner of a shard with the newest token that a peer has told of."""
+class ReportedOwner(NamedTuple):
+    """The owner of a shard with the newest fencing token that any peer has reported."""
 
     token: FencingToken
     controller: ControllerName
 
 
-NO_OWNER_HEARD = HeardOwner(FencingToken(0), ControllerName(""))
+NO_REPORTED_OWNER = ReportedOwner(FencingToken(0), ControllerName(""))
 
 
 class PeerExchange:
-    """Gossip with the peers, and what is known by it."""
+    """Sends gossip to the peers, and keeps the state received from them.
+
+    Attributes:
+        contacts: each peer's last report on its contact with the state service.
+        reachability: the last contact with each present controller.
+        reported_owners: the newest owner of each shard that any peer has reported.
+        running: the number of running tasks of each job, by the controller that reported it.
+    """
 
     def __init__(
         self,
         identity: Identity,
         links: Mapping[ControllerName, PeerLink],
         records: Records,
-        cancellations: CancellationWatch,
+        cancellations: CancellationExchange,
         schedulers: Mapping[ShardName, ShardScheduler],
         *,
-        wake: Wake,
+        wake: WakeSignal,
         now: Callable[[], Seconds],
         rng: random.Random,
     ) -> None:
@@ -78,27 +89,27 @@
         self._now = now
         self._random = rng
         self.contacts: dict[ControllerName, PeerContact] = {}
-        self.silence = PeerSilence(identity.name)
-        self.heard_owners: dict[ShardName, HeardOwner] = {}
-        self.running: dict[ControllerName, dict[JobId, int]] = {}  # tasks of each job
+        self.reachability = PeerReachability(identity.name)
+        self.reported_owners: dict[ShardName, ReportedOwner] = {}
+        self.running: dict[ControllerName, dict[JobId, int]] = {}
 
     async def run(self) -> None:
-        """Tell the peers once a second, and soon after a cancellation, for ever."""
+        """Send gossip once per `GOSSIP_INTERVAL_S` and soon after a cancellation; never returns."""
         while True:
             with anyio.move_on_after(GOSSIP_INTERVAL_S):
                 await self._wake.wait()
                 await anyio.sleep(GOSSIP_AFTER_CANCELLATION_S)
             self._wake.clear()
-            self.silence.listen(self._now(), self._records.cache.controllers)
+            self.reachability.record_presence(self._now(), self._records.cache.controllers)
             self._post_gossip()
 
     def _post_gossip(self) -> None:
         gossip = Gossip(
             controller=self._identity.name,
-            version=FORMAT_NOW,
+            version=CURRENT_FORMAT,
             running=self._count_running(),
             shards=self._known_owners(),
-            reaches_state_service=self._now() - self._records.contact_at < CONTACT_S,
+            reaches_state_service=self._now() - self._records.contact_at < STATE_CONTACT_MAX_AGE_S,
         )
         cancellations = self._cancellations.message(
             self._now(), self._records.cache, self._records.ready
@@ -123,44 +134,44 @@
             for name, shard in cache.shards.items()
         }
 
-    def hear_gossip(self, message: Mapping[str, Any]) -> None:
-        """Take over what a peer tells.
+    def receive_gossip(self, message: Mapping[str, Any]) -> None:
+        """Process a peer's gossip.
 
         Raises:
             ValueError: the message is malformed.
         """
         gossip = peers.decode(message, Gossip)
         controller = gossip.controller
-        self.silence.hear(self._now(), controller)
+        self.reachability.record_contact(self._now(), controller)
         self.contacts[controller] = PeerContact(self._now(), gossip.reaches_state_service)
         self.running[controller] = gossip.running
         for shard, (token, owner) in gossip.shards.items():
-            if token > self.heard_owner(shard).token:
-                self.heard_owners[shard] = HeardOwner(token, owner)
-        if "heard" in message:  # the first versions tell nothing of cancellations
+            if token > self.reported_owner(shard).token:
+                self.reported_owners[shard] = ReportedOwner(token, owner)
+        if "heard" in message:  # the first versions send no cancellations
             cancellations = peers.decode(message, CancellationMessage)
-            self._cancellations.hear(
+            self._cancellations.receive(
                 self._now(), self._identity.name, controller, cancellations, self._records.cache
             )
         self._records.apply_changed()
 
-    def heard_owner(self, shard: ShardName) -> HeardOwner:
-        """The owner of a shard by the peers' word, which may be newer than the records read."""
-        return self.heard_owners.get(shard, NO_OWNER_HEARD)
+    def reported_owner(self, shard: ShardName) -> ReportedOwner:
+        """The newest owner of a shard that peers reported; may be newer than the watch cache."""
+        return self.reported_owners.get(shard, NO_REPORTED_OWNER)
 
     def running_tasks(self, job: JobId) -> int:
-        """How many tasks of a job run on the machines of all shards, as far as known."""
+        """The number of running tasks of a job in all shards, by the newest reports."""
         return sum(counts.get(job, 0) for counts in self.running.values())
 
-    def any_reaches_state_service(self, now: Seconds) -> bool:
-        """Whether a peer claims to reach the state service now."""
+    def any_peer_reaches_state_service(self, now: Seconds) -> bool:
+        """Whether any peer has recently reported that it reaches the state service."""
         return any(
-            now - contact.at_s < CONTACT_CLAIM_S and contact.reaches_state_service
+            now - contact.received_at < REPORT_MAX_AGE_S and contact.reaches_state_service
             for contact in self.contacts.values()
         )
 
     def confirm_status(self, status: ShardStatus, number: int) -> None:
-        """Tell a shard's owner up to which number this leader has the shard's statuses."""
+        """Confirm to a shard's owner that this leader has the shard's statuses up to `number`."""
         if isinstance(status.controller, UnsetType):
             return
         link = self._links.get(status.controller)
@@ -171,22 +182,23 @@
             token=status.token,
             incarnation=self._identity.incarnation,
             number=number,
-            version=FORMAT_NOW,
+            version=CURRENT_FORMAT,
         )
         link.post(f"{confirmation.kind}:{status.shard}", peers.encode(confirmation))
 
     async def forward(self, request: Request) -> Response | None:
-        """Put a user's request to a peer that reaches the state service.
+        """Forward a user's request to a random peer that reaches the state service.
 
         Returns:
-            The peer's answer; None if no peer reaches the state service or answers in time.
+            The peer's answer; None if no peer reaches the state service, or the peer does not
+            answer in time or reports that it is unavailable.
         """
         now = self._now()
         eligible = [
             controller
             for controller, contact in self.contacts.items()
             if contact.reaches_state_service
-            and now - contact.at_s < FORWARD_TO_WITHIN_S
+            and now - contact.received_at < FORWARD_REPORT_MAX_AGE_S
             and controller in self._links
         ]
         if not eligible:
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -62,7 +62,7 @@
         """Count the wanted accelerators; update the priority and needs of their work."""
         wanted = cpus = ram_gb = 0.0
         self.priority = -1
-        for _, job in self.cache.each_live():
+        for _, job in self.cache.iter_live_jobs():
             spec = job.spec
             if spec.gpus > 0 and job.open:
                 # If only other classes have objectives, no resources are kept from their work for
@@ -177,7 +177,7 @@
     def _count_tasks(self) -> _TaskCounts:
         new = waiting = 0
         blocking_priority = -1
-        for job_id, job in self.cache.each_live():
+        for job_id, job in self.cache.iter_live_jobs():
             spec = job.spec
             if spec.is_gang and job.open and job.gang is None:
                 waiting += spec.task_count
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from dapplewick.storage.conditional_write import ConditionalWrite
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import MACHINES
 from dapplewick.storage.machine_records import BOOTING, MachineGroupRecord
 from dapplewick.storage.watch_cache import WatchCache
@@ -73,11 +73,11 @@
 
     def is_oversized(self, group: MachineGroupRecord) -> bool:
         """Whether a group has too many machines, as after the value size limit was lowered."""
-        return len(group.machines) > self.max_machines(group.machines, bool(group.floors))
+        return len(group.machines) > self.max_machines(group.machines, bool(group.min_tokens))
 
     def split(self, group: MachineGroupRecord, machines: list[str]) -> list[MachineGroupRecord]:
         """Distribute these machines of a group over as many groups as needed."""
-        max_machines = self.max_machines(machines, bool(group.floors))
+        max_machines = self.max_machines(machines, bool(group.min_tokens))
         return [
             _subset(group, machines[first : first + max_machines])
             for first in range(0, len(machines), max_machines)
@@ -108,7 +108,7 @@
     def begin(self) -> None:
         """Start a pass: choose the group to split, if any is too large."""
         self.group_name = None
-        if self._cache.format >= FORMAT_NOW:
+        if self._cache.format >= CURRENT_FORMAT:
             oversized = (name for name in self._cache.groups if self._is_oversized(name))
             self.group_name = next(oversized, None)
 
@@ -195,7 +195,7 @@
         for name, draft in self._drafts.items():
             if name == self._splitter.group_name or name in self._transaction_groups:
                 continue
-            if self._cache.format >= FORMAT_NOW and self._limits.is_oversized(draft.group):
+            if self._cache.format >= CURRENT_FORMAT and self._limits.is_oversized(draft.group):
                 continue  # to be split in a later pass
             changes.append(self._draft_write(name))
         return changes + self._splitter.changes(self._drafts)
@@ -216,7 +216,7 @@
         """Draft the removal of a machine from its group."""
         group = self._edit(self._cache.group_of[machine_id], priority)
         group.machines.pop(machine_id, None)
-        group.floors.pop(machine_id, None)
+        group.min_tokens.pop(machine_id, None)
 
     def add(
         self,
@@ -276,7 +276,7 @@
         name = self._cache.group_of[next(iter(floors))]
         group = self._cache.groups[name]
         # If another group also lists a machine, its record would undo the move.
-        listed_once = all(self._cache.in_one_group(machine) for machine in floors)
+        listed_once = all(self._cache.is_in_one_group(machine) for machine in floors)
         is_busy = name in self._drafts or name == self._splitter.group_name
         if is_busy or self._limits.is_oversized(group) or not listed_once:
             return []
@@ -293,7 +293,7 @@
         moved = list(floors)[: max_machines - len(target_group.machines)]
         for machine in moved:
             target_group.machines[machine] = group.machines[machine]
-            target_group.floors[machine] = floors[machine]
+            target_group.min_tokens[machine] = floors[machine]
             group = group.without(machine)
         self._drafts[name] = GroupDraft(group, WritePriority.NORMAL)
         self._transaction_groups[name] = self._transaction_groups[target_name] = transaction_group
@@ -305,7 +305,7 @@
         if draft is None:
             old = self._cache.groups[name]
             copy = msgspec.structs.replace(
-                old, machines=dict(old.machines), floors=dict(old.floors)
+                old, machines=dict(old.machines), min_tokens=dict(old.min_tokens)
             )
             draft = GroupDraft(copy, priority)
         else:
@@ -359,5 +359,5 @@
     return msgspec.structs.replace(
         group,
         machines={m: group.machines[m] for m in machines},
-        floors={m: group.floors[m] for m in machines if m in group.floors},
+        min_tokens={m: group.min_tokens[m] for m in machines if m in group.min_tokens},
     )
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -316,7 +316,7 @@
         """
         understood = min(
             (
-                self._cache.understood.get(ControllerName(name), FIRST_FORMAT)
+                self._cache.supported_formats.get(ControllerName(name), FIRST_FORMAT)
                 for name in self._controller_names
             ),
             default=FIRST_FORMAT,
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -92,7 +92,7 @@
             machine_type = self._cache.types.get(record.type)
             if machine_type is None or record.up or record.terminating:
                 continue
-            if wall_time - record.at < OVERDUE_BOOT_FACTOR * machine_type.boot_s:
+            if wall_time - record.provisioned_at < OVERDUE_BOOT_FACTOR * machine_type.boot_s:
                 capacities.append(
                     _empty_machine(machine_id, machine_type, record.zone, record.spot)
                 )
@@ -169,7 +169,11 @@
         """One provisioning request for each pool from which machines are requested."""
         return [
             ProvisioningRequest(
-                type=pool.machine_type, zone=pool.zone, spot=pool.spot, count=count, at=self._now
+                type=pool.machine_type,
+                zone=pool.zone,
+                spot=pool.spot,
+                count=count,
+                requested_at=self._now,
             )
             for pool, count in self._requested.items()
         ]
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -150,7 +150,7 @@
     def is_active(self, job_id: JobId) -> bool:
         """Whether a gang's attempt should continue: it is not over, and its job is open."""
         job = self._cache.jobs.get(job_id)
-        return job is not None and job.open and job.gang is not None and not job.gang.over
+        return job is not None and job.open and job.gang is not None and not job.gang.ending
 
     # Start of all tasks of a gang together
 
@@ -206,6 +206,6 @@
             record is None
             or record.terminating
             or record.shard != self._shard
-            or self._cache.transfers.drains(machine_id) is not None
+            or self._cache.transfers.draining_transfer(machine_id) is not None
             or (machine is not None and machine.spot_notice_s is not None)
         )
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -50,7 +50,7 @@
 
     def update_usable(self, now: Seconds, machine: Machine) -> bool:
         """Update whether new work may be sent to a machine; report a change to the leader."""
-        is_drained = self._cache.transfers.drains(machine.id) is not None
+        is_drained = self._cache.transfers.draining_transfer(machine.id) is not None
         is_usable = not is_drained and self._is_healthy(now, machine)
         if is_usable != machine.was_usable:
             machine.was_usable = is_usable
@@ -60,7 +60,7 @@
 
     def is_healthy_but_drained(self, now: Seconds, machine: Machine) -> bool:
         """Whether a transfer is the only reason to send no new work to this machine."""
-        is_drained = self._cache.transfers.drains(machine.id) is not None
+        is_drained = self._cache.transfers.draining_transfer(machine.id) is not None
         return is_drained and self._is_healthy(now, machine)
 
     def _is_healthy(self, now: Seconds, machine: Machine) -> bool:
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -205,7 +205,7 @@
             self._drop_transferred_machine(machine)
         elif machine is not None:
             self._health.update_usable(now, machine)
-        elif record.shard == self.shard and record.up and record.floor:
+        elif record.shard == self.shard and record.up and record.min_token:
             # Transferred to this shard. The entry makes sure that the machine is reported as
             # without contact if it never sends a heartbeat.
             self._machines.get_or_add(machine_id, now)
@@ -308,7 +308,7 @@
         return []
 
     def _forget_commands(self, now: Seconds, machine: Machine, has_commands: bool) -> list[Command]:
-        is_drained = self.cache.transfers.drains(machine.id) is not None
+        is_drained = self.cache.transfers.draining_transfer(machine.id) is not None
         return self._exits.forget_stored(now, machine, is_drained or has_commands)
 
     def _update_idle_since(self, now: Seconds, machine: Machine, had_tasks: bool) -> None:
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -99,7 +99,7 @@
     ) -> bool:
         return (
             job.gang is not None
-            and not job.gang.over
+            and not job.gang.ending
             and job.gang.attempt == task_attempt.attempt
             and task.job in self._reservations.by_job
         )
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -145,7 +145,7 @@
                 view.seen_revision = Revision(self.revision)
                 view.latest_status.drained = [
                     m
-                    for m in self.cache.transfers.drained()
+                    for m in self.cache.transfers.draining_machines()
                     if self.cache.machines[m].shard == view.shard
                 ]
             self.machine_lifecycle.begin()
