--- a/src/dapplewick/client.py
+++ b/src/dapplewick/client.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dapplewick.config import SettingsError, host_port
-from dapplewick.controller.user_api import PATH
+from dapplewick.controller.user_api import JOBS_PATH
 from dapplewick.errors import DapplewickError
 from dapplewick.protocol.peers import KIND_CONTROLLER_STATUS, KIND_PARTITION_COMMAND
 from dapplewick.transport.http_client import HttpClient, HttpError
@@ -50,7 +50,7 @@
     Raises:
         ClientError: the controller can't be reached, or refuses.
     """
-    return await _call(at, "POST", PATH, job)
+    return await _call(at, "POST", JOBS_PATH, job)
 
 
 async def poll(at: str, job_id: str) -> dict[str, Any]:
@@ -59,7 +59,7 @@
     Raises:
         ClientError: the controller can't be reached, or refuses.
     """
-    return await _call(at, "GET", f"{PATH}/{job_id}", None)
+    return await _call(at, "GET", f"{JOBS_PATH}/{job_id}", None)
 
 
 async def cancel(at: str, job_id: str) -> dict[str, Any]:
@@ -68,7 +68,7 @@
     Raises:
         ClientError: the controller can't be reached, or refuses.
     """
-    return await _call(at, "POST", f"{PATH}/{job_id}/abort", b"")
+    return await _call(at, "POST", f"{JOBS_PATH}/{job_id}/abort", b"")
 
 
 async def status(at: str) -> dict[str, Any]:
--- a/src/dapplewick/controller/overload.py
+++ b/src/dapplewick/controller/overload.py
@@ -18,12 +18,12 @@
     """Measures by how much a timer of this process is late.
 
     Attributes:
-        late_s: how late it was, fading.
+        lag_s: how late it was, fading.
     """
 
     def __init__(self, now: Callable[[], Seconds]) -> None:
         self._now = now
-        self.late_s: Seconds = 0.0
+        self.lag_s: Seconds = 0.0
         self._due_at: Seconds = NOTHING_DUE_S
 
     async def run(self) -> None:
@@ -31,14 +31,14 @@
         while True:
             self._due_at = self._now() + SAMPLE_INTERVAL_S
             await anyio.sleep(SAMPLE_INTERVAL_S)
-            self.late_s = max(self._now() - self._due_at, self.late_s * FADING)
+            self.lag_s = max(self._now() - self._due_at, self.lag_s * FADING)
 
     def overload_s(self) -> Seconds:
         """How far this process is behind: it stood still, or has more to do than it can.
 
         It is known at once, in the turn in which the process goes on.
         """
-        return max(self.late_s, self._now() - self._due_at)
+        return max(self.lag_s, self._now() - self._due_at)
 
     def is_overloaded(self) -> bool:
         """Whether this process is too far behind to take anything from users."""
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -8,7 +8,7 @@
 from dapplewick.controller.latencies import Latencies
 from dapplewick.controller.overload import OverloadMonitor
 from dapplewick.controller.record_follower import RecordFollower
-from dapplewick.controller.user_api import NO_METHOD, NO_PATH, PATH, UserApi
+from dapplewick.controller.user_api import JOBS_PATH, NO_METHOD, NO_PATH, UserApi
 from dapplewick.controller.worker_endpoint import WorkerEndpoint
 from dapplewick.coordination.peer_exchange import PeerExchange
 from dapplewick.transport.http import Request, Response
@@ -46,13 +46,13 @@
                 return NO_METHOD
             return HEALTHY if self.is_healthy() else UNHEALTHY
         begun_at = self.now()
-        if self.overload.is_overloaded() and path.startswith(PATH):
+        if self.overload.is_overloaded() and path.startswith(JOBS_PATH):
             # Answering costs most of what a refusal does not, and workers' leases need it.
             return OVERLOADED
         answer = await self.user_api.handle(request)
         if answer is None:
             return NO_PATH
-        self.latencies.record("submit" if path == PATH else "poll", self.now() - begun_at)
+        self.latencies.record("submit" if path == JOBS_PATH else "poll", self.now() - begun_at)
         return answer
 
     def is_healthy(self) -> bool:
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-PATH = "/v2/runs"
+JOBS_PATH = "/v2/runs"
 MAX_CANCEL_TRIES = 4
 RETRY_AFTER_S = 1
 
@@ -84,13 +84,13 @@
     async def answer(self, request: Request) -> Response | None:
         """Answer a request under our path by this controller alone; None if it is another's."""
         path = request.target.partition("?")[0]
-        if path == PATH:
+        if path == JOBS_PATH:
             if request.method != "POST":
                 return NO_METHOD
             return await self._guard(lambda: self.submit(request))
-        if not path.startswith(PATH + "/"):
+        if not path.startswith(JOBS_PATH + "/"):
             return None
-        job, slash, verb = path[len(PATH) + 1 :].partition("/")
+        job, slash, verb = path[len(JOBS_PATH) + 1 :].partition("/")
         if not slash:
             if request.method != "GET":
                 return NO_METHOD
@@ -129,10 +129,10 @@
             return "no allowed machine type is offered in its zone"
         # All tasks of a gang, and all replicas of a service, are to run at the same time.
         all_at_once = spec.is_gang or spec.is_service
-        if all_at_once and len(zones) * spec.zone_cap < spec.task_count:
+        if all_at_once and len(zones) * spec.max_tasks_per_zone < spec.task_count:
             return "it can't be spread over so few zones"
         one_zone = spec.same_zone or spec.zone is not None
-        if all_at_once and spec.zone_cap < spec.task_count and one_zone:
+        if all_at_once and spec.max_tasks_per_zone < spec.task_count and one_zone:
             return "it can't be both in one zone and spread over several"
         together = spec.task_count if all_at_once else 1
         for limit, each in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -170,7 +170,9 @@
         # A partition that is kept for its teams goes before what all use; else idle slots decide.
         shards.sort(key=lambda s: (s.teams is None, -s.idle_slots(spec)))
         self._shards = shards
-        self._zone_left = {s.zone: spec.zone_cap - job.assigned_in_zone(s.zone) for s in shards}
+        self._zone_left = {
+            s.zone: spec.max_tasks_per_zone - job.assigned_in_zone(s.zone) for s in shards
+        }
         self.counts: dict[ShardName, int] = {}
         self.left = wanted
 
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -169,7 +169,10 @@
             return dict.fromkeys(zones, spec.task_count) if zones else None
         if not spec.spread:
             return None
-        return {zone: max(0, spec.zone_cap - job.assigned_in_zone(zone)) for zone in self._zones}
+        return {
+            zone: max(0, spec.max_tasks_per_zone - job.assigned_in_zone(zone))
+            for zone in self._zones
+        }
 
     def _array_requests(
         self, wall_time: Seconds, alike: list[PendingArray]
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -43,7 +43,7 @@
         patience_s: A longer wait is cut short by preempting work of lower priority.
     """
     shards = list(shards)
-    if spec.zone_cap >= spec.task_count:
+    if spec.max_tasks_per_zone >= spec.task_count:
         slots = _place_in_one_shard(spec, shards, limit_s, patience_s)
         if slots is not None:
             return slots
@@ -124,10 +124,10 @@
     idle: dict[Zone, int] = {}
     for shard in shards:
         idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle_slots(spec)
-    if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.task_count:
+    if sum(min(slots, spec.max_tasks_per_zone) for slots in idle.values()) < spec.task_count:
         return None
     chosen: list[MachineCapacity] = []
-    left = dict.fromkeys(idle, spec.zone_cap)
+    left = dict.fromkeys(idle, spec.max_tasks_per_zone)
     for shard in sorted(shards, key=lambda s: -s.idle_slots(spec)):
         most = min(spec.task_count - len(chosen), left[shard.zone], shard.idle_slots(spec))
         if most > 0:
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -58,7 +58,7 @@
     def _nothing_is_awaited(self, now: Seconds) -> bool:
         """Whether every shard is heard, and every machine was heard by its shard."""
         return self._contacts.all_fresh(now) and all(
-            not shard.latest.unreconciled and not shard.latest.silent
+            not shard.latest.unreconciled and not shard.latest.machine_contact_gaps
             for shard in self._shards.owned()
         )
 
--- a/src/dapplewick/core/leader/machine_offers.py
+++ b/src/dapplewick/core/leader/machine_offers.py
@@ -99,7 +99,9 @@
                 for spot in (True, False) if spec.spot else (False,):
                     pool = MachinePool(machine_type.name, zone, spot)
                     if pool not in pending and self._may_have(now, pool, asked):
-                        price = machine_type.spot_price if spot else machine_type.price
+                        price = (
+                            machine_type.hourly_spot_price if spot else machine_type.hourly_price
+                        )
                         offers.append(MachineOffer(machine_type, zone, spot, price))
         return offers
 
@@ -114,7 +116,7 @@
         known = self._catalog.get(machine_type) or self._cache.types.get(machine_type)
         if known is None:
             return 0.0
-        return known.spot_price if spot else known.price
+        return known.hourly_spot_price if spot else known.hourly_price
 
     def hourly_spending(self) -> float:
         """What an hour of all machines costs, with those that are asked for."""
@@ -137,10 +139,10 @@
         """
         types = self._catalog or self._cache.types
         known = types.get(machine_type)
-        if known is None or known.price <= 0:
+        if known is None or known.hourly_price <= 0:
             return average_limit_s
-        average_price = sum(t.price for t in types.values()) / len(types)
-        return average_limit_s * min(IDLE_TIMES, average_price / known.price)
+        average_price = sum(t.hourly_price for t in types.values()) / len(types)
+        return average_limit_s * min(IDLE_TIMES, average_price / known.hourly_price)
 
     def boot_limit_s(self, machine_type: str) -> Seconds:
         """How long a machine may take to come up before it is given up."""
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -7,7 +7,13 @@
 
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.machine_capacity import MachineCapacity
-from dapplewick.protocol.peers import GANG_HELD, GangStatus, JobStatus, MachineStatus, ShardStatus
+from dapplewick.protocol.peers import (
+    GANG_RESERVED,
+    GangStatus,
+    JobStatus,
+    MachineStatus,
+    ShardStatus,
+)
 from dapplewick.storage.keys import SHARDS
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, JobId, MachineId, Revision, Seconds, ShardName, zone_of
@@ -85,7 +91,7 @@
     def reserved(self, job_id: JobId, attempt: int) -> GangStatus | None:
         """The status of a gang's attempt, if it has slots here that are only reserved."""
         status = self.gangs.get(job_id)
-        if status is None or status.attempt != attempt or status.state != GANG_HELD:
+        if status is None or status.attempt != attempt or status.state != GANG_RESERVED:
             return None
         return status
 
@@ -141,7 +147,9 @@
         network. The records say which are up: an owner that has heard none of them since it took
         over the shard describes none in its statuses.
         """
-        quiet = {shard.shard for shard in self.owned() if shard.latest.heard_ago_s > UNREACHABLE_S}
+        quiet = {
+            shard.shard for shard in self.owned() if shard.latest.last_contact_age_s > UNREACHABLE_S
+        }
         if not quiet:
             return quiet
         up = Counter(
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -275,12 +275,12 @@
         silences: dict[MachineId, Silence] = {}
         for shard in self._observed.owned():
             statuses.update(shard.machines)
-            others_heard = shard.latest.heard_ago_s < self._heartbeat_s
+            others_heard = shard.latest.last_contact_age_s < self._heartbeat_s
             # What a shard has not heard for long is told in full each time; a status that is
             # itself old says less than its age.
-            for machine_id, silent in shard.latest.silent.items():
+            for machine_id, silent in shard.latest.machine_contact_gaps.items():
                 if not self._observed.has_moved(machine_id, shard):
-                    silence = Silence(silent.silent_s, silent.urgent, others_heard)
+                    silence = Silence(silent.gap_s, silent.urgent, others_heard)
                     silences[machine_id] = silence
         self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
 
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -162,7 +162,7 @@
         if request.zone_limits is not None:
             limits = {zone: request.zone_limits.get(zone, 0) for zone in self._zones}
         else:
-            limit = spec.zone_cap if request.together and spec.spread else count
+            limit = spec.max_tasks_per_zone if request.together and spec.spread else count
             limits = dict.fromkeys(self._zones, limit)
         return self._provide(spec, count, limits)
 
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -9,7 +9,7 @@
 from dapplewick.core.leader.job_drafts import JobDrafts
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
 from dapplewick.core.priorities import GANG_PRIORITY
-from dapplewick.protocol.peers import GANG_BAD, GANG_CLEAR, GANG_DONE, GANG_HELD
+from dapplewick.protocol.peers import GANG_DONE, GANG_FAILED, GANG_RESERVED, GANG_STOPPED
 from dapplewick.storage.job_records import DONE, GangPlacement, JobRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.storage.write_priority import WritePriority
@@ -95,7 +95,7 @@
             states = _gang_states(job_id, job, gang, owned)
             if self._end_attempt(job_id, job, gang, states):
                 continue
-            if GANG_HELD in states and not gang.preempt and job.spec.priority > lowest_priority:
+            if GANG_RESERVED in states and not gang.preempt and job.spec.priority > lowest_priority:
                 reserved_since[job_id] = self._reserved_since.get(job_id, now)
                 if now - reserved_since[job_id] > self._patience_s:
                     self._preempt(job_id, gang)
@@ -119,9 +119,9 @@
             draft = self._drafts.edit(job_id, WritePriority.URGENT)
             draft.stage, draft.done, draft.gang, draft.assignments = DONE, set(), None, {}
             log.info("event=job_done job=%s", job_id)
-        elif (gang.over or not job.open) and all(state == GANG_CLEAR for state in states):
+        elif (gang.over or not job.open) and all(state == GANG_STOPPED for state in states):
             self._drafts.edit(job_id, WritePriority.NORMAL).gang = None
-        elif job.open and not gang.over and GANG_BAD in states:
+        elif job.open and not gang.over and GANG_FAILED in states:
             log.info("event=gang_ended job=%s attempt=%d", job_id, gang.attempt)
             ended = msgspec.structs.replace(gang, over=True)
             self._drafts.edit(job_id, WritePriority.NORMAL).gang = ended
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -102,7 +102,7 @@
         cost_s += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
         if spec.image not in machine.images:
             machine_type = self._cache.types.get(machine.type)
-            rate = machine_type.fetch_rate if machine_type is not None else UNKNOWN_FETCH_RATE
+            rate = machine_type.fetch_gb_per_s if machine_type is not None else UNKNOWN_FETCH_RATE
             cost_s += spec.image_gb / max(LEAST_FETCH_RATE, rate)
             cost_s += machine.fetches()
         # What was heard long ago is heard again soon; the start goes out in the answer.
@@ -173,10 +173,10 @@
         """Whether a machine costs much more than the cheapest on which all of this fits."""
         types = self._cache.types
         machine_type = types.get(machine.type)
-        prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
+        prices = [t.hourly_price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         if machine_type is None or not prices:
             return False
-        return machine_type.price > DRAIN_PRICE * min(prices)
+        return machine_type.hourly_price > DRAIN_PRICE * min(prices)
 
     def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -26,18 +26,18 @@
     Machine,
 )
 from dapplewick.protocol.peers import (
-    GANG_BAD,
-    GANG_BUSY,
-    GANG_CLEAR,
     GANG_DONE,
-    GANG_HELD,
-    GANG_ON,
+    GANG_FAILED,
+    GANG_RESERVED,
+    GANG_STARTED,
+    GANG_STOPPED,
+    GANG_STOPPING,
     GangState,
     GangStatus,
     JobStatus,
+    MachineContactGap,
     MachineStatus,
     ShardStatus,
-    SilentMachine,
     TaskEnd,
 )
 from dapplewick.storage.watch_cache import WatchCache
@@ -53,7 +53,7 @@
 class _Unused(NamedTuple):
     """Machines that are not heard, or have nothing to do."""
 
-    silent: dict[MachineId, SilentMachine]
+    silent: dict[MachineId, MachineContactGap]
     idle: dict[MachineId, Seconds]
     heard_ago_s: Seconds  # since the last heartbeat of any machine; -1 if there is no machine
 
@@ -113,9 +113,9 @@
             machines=machines,
             jobs=jobs,
             gangs=gangs,
-            silent=unused.silent,
+            machine_contact_gaps=unused.silent,
             idle=unused.idle,
-            heard_ago_s=unused.heard_ago_s,
+            last_contact_age_s=unused.heard_ago_s,
             drained_jobs=self._drained_jobs(),
             unreconciled=len(self._unreconciled),
             estimates=self._estimates.dump(),
@@ -160,7 +160,7 @@
 
     def _unused(self, now: Seconds) -> _Unused:
         """One pass over all machines: which are silent, and which are idle."""
-        silent: dict[MachineId, SilentMachine] = {}
+        silent: dict[MachineId, MachineContactGap] = {}
         idle: dict[MachineId, Seconds] = {}
         heard_ago_s = -1.0
         listening_since = self._health.listening_since
@@ -175,7 +175,7 @@
             if silent_s > QUIET_S:
                 # Replicas can start elsewhere only once it is gone: it is waited for less.
                 is_urgent = self._may_have_cancelled(machine) or machine.has_replicas()
-                silent[machine.id] = SilentMachine(round(silent_s, 1), is_urgent)
+                silent[machine.id] = MachineContactGap(round(silent_s, 1), is_urgent)
             is_up = record.up and not record.terminating
             if is_up and (heard_ago_s < 0.0 or silent_s < heard_ago_s):
                 heard_ago_s = silent_s
@@ -284,18 +284,18 @@
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
         if not self._reservations.is_wanted(job_id):
-            return GANG_BUSY if self._may_be_there(job_id, reservation) else GANG_CLEAR
+            return GANG_STOPPING if self._may_be_there(job_id, reservation) else GANG_STOPPED
         if reservation.failure or any(self._is_failing(m) for m in reservation.indices_on):
-            return GANG_BAD
+            return GANG_FAILED
         if reservation.launched >= reservation.placements.keys():
-            return GANG_ON
+            return GANG_STARTED
         if any(
             (m := self._machines.by_id.get(i)) is not None and m.slow
             for i in reservation.indices_on
         ):
             # Nothing more is started there, and it would be kept for this gang for ever.
-            return GANG_BAD
-        return GANG_HELD
+            return GANG_FAILED
+        return GANG_RESERVED
 
     def _is_failing(self, machine_id: MachineId) -> bool:
         machine = self._machines.by_id.get(machine_id)
@@ -313,7 +313,7 @@
         return False
 
     def _wait(self, now: Seconds, reservation: GangReservation, state: GangState) -> Seconds:
-        if state != GANG_HELD or reservation.ready:
+        if state != GANG_RESERVED or reservation.ready:
             return 0.0
         wait_s = reservation.wait_s
         if now - reservation.wait_at > WAIT_S:
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -30,11 +30,11 @@
 STEADY_S = 30.0  # a replica that ran for as long did not fail at once
 LEAST_RUN_S = 0.5  # of a run time that is learned from
 
-MACHINE_FAILURES: Final = (ExitCause.ERROR, ExitCause.NO_SUCH)  # these count against the machine
+MACHINE_FAILURES: Final = (ExitCause.ERROR, ExitCause.NOT_FOUND)  # these count against the machine
 NO_FAILURES: Final = (
-    ExitCause.HALTED,
-    ExitCause.FULL,
-    ExitCause.PEERS,
+    ExitCause.STOPPED,
+    ExitCause.INSUFFICIENT_RESOURCES,
+    ExitCause.GANG_MEMBER_LOST,
 )  # not the task's fault: it is not paused
 
 
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -113,11 +113,9 @@
             return "the owner of the giving share has not been heard yet"
         if shard.seen < self._cache.version(TRANSFERS + name):
             return f"the owner of the giving share was last heard {self._age(shard)} ago"
-        silence = shard.latest.silent.get(machine_id)
-        if silence is not None and silence.silent_s > SILENT_S:
-            return (
-                f"it has been silent for {silence.silent_s:.0f} s, so that nothing is proven of it"
-            )
+        silence = shard.latest.machine_contact_gaps.get(machine_id)
+        if silence is not None and silence.gap_s > SILENT_S:
+            return f"it has been silent for {silence.gap_s:.0f} s, so that nothing is proven of it"
         status = shard.machines.get(machine_id)
         if status is None or not status.reconciled:
             return "it has not reported to its present owner yet"
--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -31,9 +31,9 @@
     cpus: float = 0.0
     gpus: float = msgspec.field(name="accelerators", default=0.0)
     ram_gb: float = msgspec.field(name="ram_gb", default=0.0)
-    fetch_rate: float = msgspec.field(name="fetch_gb_per_s", default=0.1)
-    price: float = msgspec.field(name="hourly", default=1.0)
-    spot_price: float = msgspec.field(name="low_price", default=1.0)
+    fetch_gb_per_s: float = msgspec.field(name="fetch_gb_per_s", default=0.1)
+    hourly_price: float = msgspec.field(name="hourly", default=1.0)
+    hourly_spot_price: float = msgspec.field(name="low_price", default=1.0)
     boot_s: float = msgspec.field(name="ready_s", default=60.0)
     zones: list[str] = msgspec.field(name="yards", default_factory=list)
 
--- a/src/dapplewick/protocol/job_spec.py
+++ b/src/dapplewick/protocol/job_spec.py
@@ -84,6 +84,6 @@
         )
 
     @property
-    def zone_cap(self) -> int:
+    def max_tasks_per_zone(self) -> int:
         """How many tasks may be in one zone."""
         return (self.task_count + 1) // 2 if self.spread else self.task_count
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -72,12 +72,12 @@
 
 # How a gang's attempt stands in a shard, as its owner tells the leader.
 GangState = Literal["held", "on", "bad", "done", "busy", "clear"]
-GANG_HELD: Final = "held"  # slots are reserved, and not all starts were sent
-GANG_ON: Final = "on"  # all starts were sent
-GANG_BAD: Final = "bad"  # this attempt can't succeed
+GANG_RESERVED: Final = "held"  # slots are reserved, and not all starts were sent
+GANG_STARTED: Final = "on"  # all starts were sent
+GANG_FAILED: Final = "bad"  # this attempt can't succeed
 GANG_DONE: Final = "done"  # a task of it has the result
-GANG_BUSY: Final = "busy"  # no longer wanted, but some task is or may be on its machine
-GANG_CLEAR: Final = "clear"  # no longer wanted, and on no machine
+GANG_STOPPING: Final = "busy"  # no longer wanted, but some task is or may be on its machine
+GANG_STOPPED: Final = "clear"  # no longer wanted, and on no machine
 
 
 class GangStatus(msgspec.Struct, array_like=True, frozen=True):
@@ -88,10 +88,10 @@
     remaining_wait_s: Seconds
 
 
-class SilentMachine(msgspec.Struct, array_like=True, frozen=True):
+class MachineContactGap(msgspec.Struct, array_like=True, frozen=True):
     """A machine that has not been heard from for a while."""
 
-    silent_s: Seconds
+    gap_s: Seconds
     urgent: bool  # replicas or cancelled tasks wait for the proof that it is gone
 
 
@@ -112,9 +112,9 @@
     machines: dict[MachineId, MachineStatus | None]
     jobs: dict[JobId, JobStatus | None]
     gangs: dict[JobId, GangStatus | None]
-    silent: dict[MachineId, SilentMachine]
+    machine_contact_gaps: dict[MachineId, MachineContactGap] = msgspec.field(name="silent")
     idle: dict[MachineId, Seconds]
-    heard_ago_s: Seconds = msgspec.field(name="heard_ago")  # -1: the shard has no machine
+    last_contact_age_s: Seconds = msgspec.field(name="heard_ago")  # -1: the shard has no machine
     drained_jobs: list[JobId] = msgspec.field(name="clear")
     unreconciled: int = msgspec.field(name="unheard", default=0)
     estimates: dict[str, tuple[float, int]]
--- a/src/dapplewick/protocol/state_service.py
+++ b/src/dapplewick/protocol/state_service.py
@@ -49,7 +49,7 @@
 class Lease(msgspec.Struct):
     """The name of a new lease."""
 
-    lease: int = msgspec.field(name="hold")
+    lease_id: int = msgspec.field(name="hold")
 
 
 KEY_ITEM_DECODER = msgspec.json.Decoder(KeyItem)
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -21,7 +21,7 @@
     Zone,
 )
 
-MAX_COUNT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
+COUNTER_LIMIT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
 MAX_INDEX_DIGITS = 9
 KNOWN_TASKS = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
 
@@ -43,13 +43,13 @@
     """Why a task has exited, in the words of the wire."""
 
     DONE = "done"
-    HALTED = "halted"  # by a command
-    PEERS = "peers"  # another task of its gang is gone
-    ALONE = "alone"  # its gang was not complete in time
+    STOPPED = "halted"  # by a command
+    GANG_MEMBER_LOST = "peers"  # another task of its gang is gone
+    GANG_INCOMPLETE = "alone"  # its gang was not complete in time
     ERROR = "error"
-    FULL = "full"  # start refused: not enough free resources
-    IN_USE = "in_use"  # start refused: the task is there with another attempt
-    NO_SUCH = "no_such"  # start refused: no such job or task
+    INSUFFICIENT_RESOURCES = "full"  # start refused: not enough free resources
+    ALREADY_PRESENT = "in_use"  # start refused: the task is there with another attempt
+    NOT_FOUND = "no_such"  # start refused: no such job or task
 
 
 class CommandKind(StrEnum):
@@ -156,7 +156,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
         raise MalformedMessageError(str(err)) from None
     for value in (body.shift, body.tally, body.baton):
-        if not 0 <= value < MAX_COUNT:
+        if not 0 <= value < COUNTER_LIMIT:
             raise MalformedMessageError("shift, tally or baton: out of range")
     tasks = [
         TaskStatus(parse_task(p.piece), Attempt(p.try_), p.stage, p.cause, bool(p.saved))
@@ -186,7 +186,7 @@
         grace: for stops: the seconds within which the task may save.
     """
 
-    op: str
+    kind: str
     task: TaskRef
     attempt: Attempt
     grace: Seconds = 0.0
@@ -206,11 +206,11 @@
     items: list[dict[str, Any]] = []
     for command in commands:
         item: dict[str, Any] = {
-            "verb": _VERBS[command.op],
+            "verb": _VERBS[command.kind],
             "piece": f"{command.task.job}/{command.task.number}",
             "try": command.attempt,
         }
-        if command.op == _STOP:
+        if command.kind == _STOP:
             item["wind_down_s"] = command.grace
         items.append(item)
     return msgspec.json.encode({"baton": token, "orders": items})
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -231,7 +231,7 @@
         status, answer = await self._call("POST", LEASES_TARGET, encode_lease_request(ttl_ms))
         if status != HTTPStatus.OK:
             raise _refused("POST", LEASES_TARGET, status)
-        return self._decoded(LEASE_DECODER, answer).lease
+        return self._decoded(LEASE_DECODER, answer).lease_id
 
     async def renew(self, lease: int) -> None:
         """Renew a lease.
--- a/tests/simulation/test_cancellations.py
+++ b/tests/simulation/test_cancellations.py
@@ -191,7 +191,7 @@
     version = bench.cache.jobs["run-1"].version  # type: ignore[index]
     bench.cache.told_cancelled("run-1", version + 5)  # type: ignore[arg-type]
     bench.scheduler.job_changed(2.0, "run-1")  # type: ignore[arg-type]
-    assert [o.op for o in bench.heartbeat(machine, 2.0)] == ["stop"]
+    assert [o.kind for o in bench.heartbeat(machine, 2.0)] == ["stop"]
     # A record that is older than what the peer told changes nothing.
     old = bench.cache.jobs["run-1"].copy()  # type: ignore[index]
     old.stage = "open"
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -232,7 +232,7 @@
         await anyio.sleep(5)
         controller = world.controllers["n0"]
         for overload_s in (0.0, 3.0, 0.0):
-            controller.overload.late_s = overload_s
+            controller.overload.lag_s = overload_s
             answers = [
                 await controller.handle(Request(method, path, b"", False))
                 for method, path in [("GET", "/healthz"), ("GET", "/v2/runs/run-000001")]
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -197,7 +197,7 @@
     (task,) = starts(bench.heartbeat(machine, 1.0))
     first = bench.on[machine][task]
     bench.heartbeat(machine, 2.0)
-    assert [o.op for o in ended(bench, machine, task, cause, 40.0)] == ["forget"]
+    assert [o.kind for o in ended(bench, machine, task, cause, 40.0)] == ["forget"]
     bench.scheduler.tick(40.3)
     assert starts(bench.heartbeat(machine, 41.0)) == [task]
     assert bench.on[machine][task] != first
@@ -256,7 +256,7 @@
     bench.heartbeat(machine, 1.5)
     bench.assign("run-2", service(1, cpus=2.0), 2.0)
     commands = bench.heartbeat(machine, 2.5)
-    assert [o.op for o in commands] == ["stop", "stop"]
+    assert [o.kind for o in commands] == ["stop", "stop"]
     assert starts(bench.heartbeat(machine, 3.0)) == []  # they are still there
     for n, order in enumerate(commands):
         assert starts(ended(bench, machine, order.task, "halted", 3.5 + n / 10)) == []
@@ -264,10 +264,10 @@
     # Work of the same priority, and services, are not stopped.
     bench.assign("run-3", service(1, cpus=3.0), 5.0)
     bench.scheduler.tick(5.0)
-    assert all(o.op != "stop" or o.task.job == "run-1" for o in bench.heartbeat(machine, 5.5))
+    assert all(o.kind != "stop" or o.task.job == "run-1" for o in bench.heartbeat(machine, 5.5))
     bench.assign("run-4", service(1, cpus=2.0, priority=1), 6.0)
     bench.scheduler.tick(6.0)
-    assert not [o for o in bench.heartbeat(machine, 6.5) if o.op == "stop"]
+    assert not [o for o in bench.heartbeat(machine, 6.5) if o.kind == "stop"]
 
 
 def test_replicas_are_spread_over_machines() -> None:
@@ -301,7 +301,7 @@
 
     bench.heartbeat(on, 2.0)
     bench.heartbeat(other, 2.0)
-    assert [o.op for o in notice(3.0, 12.0)] == ["stop"]
+    assert [o.kind for o in notice(3.0, 12.0)] == ["stop"]
     bench.scheduler.tick(3.2)
     assert starts(bench.heartbeat(other, 3.5)) == []
     ended(bench, on, task, "halted", 4.0, 11.0)
@@ -311,8 +311,10 @@
 
 def test_a_dear_machine_is_not_kept_for_replicas_alone() -> None:
     bench = Bench(1)
-    dear = MachineType(name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, price=20.0, zones=["a"])
-    cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, price=0.5, zones=["a"])
+    dear = MachineType(
+        name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, hourly_price=20.0, zones=["a"]
+    )
+    cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, hourly_price=0.5, zones=["a"])
     bench.put(TYPES, encode_machine_types([cheap, dear]))
     large = MachineId("vm-large")
     value = {"type": "dear", "zone": "a", "spot": False, "machines": {large: "u"}}
@@ -332,7 +334,7 @@
             large, TypeName("dear"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", tasks
         )
         commands = bench.scheduler.handle_heartbeat(at, said, True)
-        bench.on[large] |= {o.task: o.attempt for o in commands if o.op == "start"}
+        bench.on[large] |= {o.task: o.attempt for o in commands if o.kind == "start"}
         return commands
 
     heartbeat(0.0)
@@ -345,7 +347,7 @@
         if step == 5:
             bench.store({other}, at)
         bench.scheduler.tick(at)
-        if any(o.op == "stop" for o in heartbeat(at + 0.5)):
+        if any(o.kind == "stop" for o in heartbeat(at + 0.5)):
             stopped = at
             break
     assert 60.0 < stopped < 110.0
@@ -409,15 +411,15 @@
     while at < 6.0:
         at += 0.25
         bench.scheduler.tick(at)
-    heard_nothing = bench.scheduler.status(at).silent
-    assert {machine.silent_s for machine in heard_nothing.values()} == {5.5}
+    heard_nothing = bench.scheduler.status(at).machine_contact_gaps
+    assert {machine.gap_s for machine in heard_nothing.values()} == {5.5}
     assert all(machine.urgent for machine in heard_nothing.values())
     bench.scheduler.tick(at + 5.0)
-    assert bench.scheduler.status(at + 5.0).silent == {}
+    assert bench.scheduler.status(at + 5.0).machine_contact_gaps == {}
     while at < 13.0:
         at += 0.25
         bench.scheduler.tick(at + 5.0)
-    assert bench.scheduler.status(at + 5.0).silent.keys() == set(bench.names)
+    assert bench.scheduler.status(at + 5.0).machine_contact_gaps.keys() == set(bench.names)
 
 
 @pytest.mark.parametrize(
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -399,7 +399,7 @@
             elif kind == "records are old":
                 controller.records.current_at = -1e9
             elif kind == "falls behind":
-                controller.overload.late_s = 9.0
+                controller.overload.lag_s = 9.0
         return {"answers": out, "sent": link.posted, "asked": service.asked}
 
     return _in_time(scene)
--- a/tests/support/shard_bench.py
+++ b/tests/support/shard_bench.py
@@ -175,7 +175,7 @@
         for task in done:
             self.on[name].pop(task, None)
         for order in commands:
-            if order.op == "start":
+            if order.kind == "start":
                 self.on[name][order.task] = order.attempt
         return commands
 
@@ -191,7 +191,7 @@
 
 
 def starts(commands: list[Command]) -> list[TaskRef]:
-    return [o.task for o in commands if o.op == "start"]
+    return [o.task for o in commands if o.kind == "start"]
 
 
 def calls(work: Callable[[], Any]) -> int:
--- a/tests/unit/test_leader_isolation.py
+++ b/tests/unit/test_leader_isolation.py
@@ -62,7 +62,7 @@
     """A shard's status that describes some of its machines."""
     machines = {f"vm-{n}": machine_status((4.0, 0.0, 64.0)) for n in range(described)}
     status = shard_status(machines, 1, 0.0)
-    status.heard_ago_s = heard_ago_s
+    status.last_contact_age_s = heard_ago_s
     return status
 
 
--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -226,7 +226,7 @@
     """While a deployment starts, hundreds are missing: a fixed number a pass cost half a minute."""
     cache = WatchCache()
     kinds = [
-        MachineType(name=f"k{n}", cpus=4.0, ram_gb=64.0, price=1.0 + n, zones=["a", "b"])
+        MachineType(name=f"k{n}", cpus=4.0, ram_gb=64.0, hourly_price=1.0 + n, zones=["a", "b"])
         for n in range(4)
     ]
     need = CapacityRequest(spec(3000, 4.0, 30.0), 3000, False)
@@ -273,9 +273,9 @@
         )
         return bench.scheduler.handle_heartbeat(at, heartbeat, False)
 
-    assert [o.op for o in failed(1.0)] == ["forget"]
+    assert [o.kind for o in failed(1.0)] == ["forget"]
     # The forget was lost: the same exit is reported once more, after the task was assigned.
-    assert [o.op for o in failed(1.5)] == ["forget"]
+    assert [o.kind for o in failed(1.5)] == ["forget"]
     del bench.on[machine][task]
     assert starts(bench.heartbeat(machine, 2.0)) == [task]
 
@@ -397,7 +397,7 @@
     bench.put(JOBS + "run-g", record.dump())
     bench.scheduler.job_changed(1.0, JobId("run-g"))
     short = next(n for n in bench.names if len(bench.on[n]) == 4)
-    stops = [o.task for o in bench.heartbeat(short, 2.0) if o.op == "stop"]
+    stops = [o.task for o in bench.heartbeat(short, 2.0) if o.kind == "stop"]
     assert len(stops) == 4
     halted = {t: bench.on[short].pop(t) for t in stops}
     bench.sequence += 1
--- a/tests/unit/test_wait_reasons.py
+++ b/tests/unit/test_wait_reasons.py
@@ -14,7 +14,7 @@
 from dapplewick.core.leader.wait_reasons import LONG_WAIT_S, REPORT_S, WaitingGroup, WaitReason
 from dapplewick.protocol.cloud import encode_machine_types
 from dapplewick.protocol.job_spec import JobSpec
-from dapplewick.protocol.peers import GANG_HELD, GangStatus
+from dapplewick.protocol.peers import GANG_RESERVED, GangStatus
 from dapplewick.storage.job_records import GangPlacement, JobRecord
 from dapplewick.storage.keys import JOBS, PROVISIONING_REQUESTS, TYPES
 from dapplewick.storage.watch_cache import WatchCache
@@ -77,7 +77,7 @@
         (
             lambda: reported(
                 record(spec(1, 4.0, 10.0, is_gang=True), gang=PLACED),
-                gang=GangStatus(5, GANG_HELD, 9.0),
+                gang=GangStatus(5, GANG_RESERVED, 9.0),
             ),
             WaitReason.RESERVED_SLOTS_BUSY,
         ),
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -112,7 +112,7 @@
                 [],
             )
             commands = scheduler.handle_heartbeat(float(turn), heartbeat, may_launch=turn == 2)
-            counts[name] += sum(order.op == "start" for order in commands)
+            counts[name] += sum(order.kind == "start" for order in commands)
         scheduler.job_changed(float(turn), JobId("run-array"))
         scheduler.tick(float(turn))
     return counts
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -172,7 +172,7 @@
     assert [w is not None and w.preempt for w in waits] == [False, False, False, True]
     assert waits[-1] is not None
     assert waits[-1].attempt == first.attempt
-    stops = [o for name in bench.names for o in bench.heartbeat(name, 9.0) if o.op == "stop"]
+    stops = [o for name in bench.names for o in bench.heartbeat(name, 9.0) if o.kind == "stop"]
     assert len(stops) == 8
 
 
