--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from dapplewick.protocol.job_spec import JOB_ID
+from dapplewick.protocol.job_spec import JOB_ID_PATTERN
 from dapplewick.protocol.workers import COUNTER_LIMIT
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, JobId, Revision, Seconds
@@ -66,7 +66,7 @@
         if len(self.cancelled) > MAX_LISTED:
             raise ValueError("too many cancellations")
         for version, job in self.cancelled:
-            if not 0 < version < COUNTER_LIMIT or not JOB_ID.match(job):
+            if not 0 < version < COUNTER_LIMIT or not JOB_ID_PATTERN.match(job):
                 raise ValueError("not a cancellation")
 
 
--- a/src/dapplewick/protocol/job_spec.py
+++ b/src/dapplewick/protocol/job_spec.py
@@ -12,7 +12,7 @@
     Resources,
 )
 
-JOB_ID = re.compile(r"run-[A-Za-z0-9_-]{1,100}\Z")
+JOB_ID_PATTERN = re.compile(r"run-[A-Za-z0-9_-]{1,100}\Z")
 
 
 PlacementKey = tuple[Any, ...]
--- a/src/dapplewick/protocol/users.py
+++ b/src/dapplewick/protocol/users.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dapplewick.protocol.errors import MalformedMessageError
-from dapplewick.protocol.job_spec import JOB_ID, JobSpec
+from dapplewick.protocol.job_spec import JOB_ID_PATTERN, JobSpec
 from dapplewick.types import (
     JobId,
 )
@@ -85,7 +85,7 @@
 
 def _job_id(body: dict[str, Any]) -> JobId:
     job = _text(body, "name_id")
-    if not JOB_ID.match(job):
+    if not JOB_ID_PATTERN.match(job):
         raise MalformedMessageError("name_id: not a job id")
     return JobId(job)
 
