--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -28,15 +28,15 @@
 
 log = logging.getLogger(__name__)
 
-STEP_S = 0.1  # how often is looked for something to call the cloud for
-NO_LEADER_STEP_S = 0.3  # and where this controller does not lead
+POLL_INTERVAL_S = 0.1  # how often is looked for something to call the cloud for
+NON_LEADER_EXTRA_DELAY_S = 0.3  # and where this controller does not lead
 CATALOG_INTERVAL_S = 45.0
 LIST_INTERVAL_S = 10.0
 CALL_TIMEOUT_S = 6.0
-FAILURE_PAUSE_S = 1.0
-MAX_DELETIONS = 100  # machines in one call
+FAILURE_BACKOFF_S = 1.0
+MAX_DELETIONS_PER_CALL = 100  # machines in one call
 PAGE_SIZE = 500  # machines in one page of the list
-MAX_LISTED = 20_000  # machines; with more of them the rest is left for the next list
+MAX_LISTED_MACHINES = 20_000  # machines; with more of them the rest is left for the next list
 
 
 class CloudConnection(Protocol):
@@ -79,25 +79,25 @@
 
     async def run(self) -> None:
         """Call the cloud whenever this controller leads, for ever."""
-        catalog_at = list_at = NEVER_S
+        catalog_requested_at = list_requested_at = NEVER_S
         async with anyio.create_task_group() as group:
             while True:
-                await anyio.sleep(STEP_S)
+                await anyio.sleep(POLL_INTERVAL_S)
                 leader = self._leadership.planner
                 if leader is None or not self._presence.lease_valid():
-                    catalog_at = list_at = NEVER_S
-                    await anyio.sleep(NO_LEADER_STEP_S)
+                    catalog_requested_at = list_requested_at = NEVER_S
+                    await anyio.sleep(NON_LEADER_EXTRA_DELAY_S)
                     continue
                 now = self._now()
                 self._start_provisioning(group, leader)
                 self._start_deletion(group, leader)
-                if now - catalog_at > CATALOG_INTERVAL_S and self._budget.try_acquire():
-                    catalog_at = now
-                    if not await self._catalog(leader):
-                        catalog_at = now - CATALOG_INTERVAL_S + FAILURE_PAUSE_S
-                if now - list_at > LIST_INTERVAL_S and self._budget.try_acquire():
-                    list_at = now
-                    await self._list(leader)
+                if now - catalog_requested_at > CATALOG_INTERVAL_S and self._budget.try_acquire():
+                    catalog_requested_at = now
+                    if not await self._refresh_catalog(leader):
+                        catalog_requested_at = now - CATALOG_INTERVAL_S + FAILURE_BACKOFF_S
+                if now - list_requested_at > LIST_INTERVAL_S and self._budget.try_acquire():
+                    list_requested_at = now
+                    await self._refresh_machine_list(leader)
 
     def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         for name in self._cache.provisioning_requests:
@@ -113,7 +113,7 @@
             if record.terminating
             and machine not in leader.machine_lifecycle.deleted
             and machine not in self._deleting
-        ][:MAX_DELETIONS]
+        ][:MAX_DELETIONS_PER_CALL]
         if terminating and self._budget.try_acquire():
             self._deleting.update(terminating)
             group.start_soon(self._delete, leader, terminating)
@@ -141,7 +141,7 @@
                 leader.provisioning_answered(name, None)
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
-                await anyio.sleep(FAILURE_PAUSE_S)
+                await anyio.sleep(FAILURE_BACKOFF_S)
             self._leadership.wake()
         except Exception:
             log.exception("event=provisioning_crashed request=%s", name)
@@ -157,13 +157,13 @@
                 self._leadership.wake(at_once=True)
             else:
                 log.info("event=deletion_failed count=%d status=%d", len(machines), status)
-                await anyio.sleep(FAILURE_PAUSE_S)
+                await anyio.sleep(FAILURE_BACKOFF_S)
         except Exception:
             log.exception("event=deletion_crashed")
         finally:
             self._deleting.difference_update(machines)
 
-    async def _catalog(self, leader: LeaderPlanner) -> bool:
+    async def _refresh_catalog(self, leader: LeaderPlanner) -> bool:
         status, answer = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
@@ -174,7 +174,7 @@
             log.error("event=catalog_malformed error=%s", err)
         return False
 
-    async def _list(self, leader: LeaderPlanner) -> None:
+    async def _refresh_machine_list(self, leader: LeaderPlanner) -> None:
         machines: list[ListedMachine] = []
         since = ""
         try:
@@ -185,7 +185,7 @@
                     return
                 page = parse_machine_list(answer)
                 machines += page.machines
-                if not page.more or not page.machines or len(machines) > MAX_LISTED:
+                if not page.more or not page.machines or len(machines) > MAX_LISTED_MACHINES:
                     break
                 since = page.machines[-1].machine
             leader.machines_listed(self._now(), MachineList(machines))
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -20,7 +20,7 @@
 from dapplewick.controller.overload import OverloadMonitor
 from dapplewick.controller.owned_shards import OwnedShards
 from dapplewick.controller.partition_host import PartitionHost
-from dapplewick.controller.partition_switch import PartitionSwitch, understood_format
+from dapplewick.controller.partition_switch import PartitionSwitch, supported_format
 from dapplewick.controller.peer_endpoint import PeerEndpoint
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.record_limits import RecordLimits
@@ -58,7 +58,7 @@
     from dapplewick.partitions.service import PartitionService
 
 MIN_WRITE_BURST = 6.0  # users come at once, so each controller may accept some at once
-PEER_BACKLOG = 64
+PEER_LISTEN_BACKLOG = 64
 
 
 class Controller:
@@ -91,13 +91,13 @@
             f"{time.time_ns():x}-{self._random.getrandbits(32):x}",
         )
         budgets = budgets_of(settings.deployment)
-        self._connect_services(connect, budgets)
-        self._follow_records(budgets)
-        self._join_peers(link, partitions, budgets)
-        self._open_endpoints(partitions)
-        self._set_up_loops()
+        self._create_service_clients(connect, budgets)
+        self._create_record_tracking(budgets)
+        self._create_peer_coordination(link, partitions, budgets)
+        self._create_endpoints(partitions)
+        self._create_loops()
 
-    def _connect_services(
+    def _create_service_clients(
         self, connect: Callable[[str, int], HttpClient], budgets: Budgets
     ) -> None:
         """Make the clients of the state service and the cloud."""
@@ -111,7 +111,7 @@
         self.cloud = connect(*host_port(outside.cloud, "outside.cloud"))
         self.cloud_budget = RateLimiter(budgets.cloud_calls_per_s)
 
-    def _follow_records(self, budgets: Budgets) -> None:
+    def _create_record_tracking(self, budgets: Budgets) -> None:
         """Make what reads the records, and what is told of them."""
         deployment = self.settings.deployment
         self.cache = WatchCache()
@@ -135,7 +135,7 @@
             rng=self._random,
         )
 
-    def _join_peers(
+    def _create_peer_coordination(
         self,
         link: Callable[[str, int], PeerLink],
         partitions: PartitionService | None,
@@ -150,7 +150,7 @@
             self.identity,
             self.state,
             self.records,
-            format_version=understood_format(partitions),
+            format_version=supported_format(partitions),
             now=self.now,
             rng=self._random,
         )
@@ -178,12 +178,12 @@
             rng=self._random,
         )
 
-    def _open_endpoints(self, partitions: PartitionService | None) -> None:
+    def _create_endpoints(self, partitions: PartitionService | None) -> None:
         """Make what answers peers, operators and HTTP requests."""
         deployment = self.settings.deployment
         self.latencies = Latencies()
         self.overload = OverloadMonitor(self.now)
-        self.partitions = self._switch_partitions(partitions)
+        self.partitions = self._create_partition_switch(partitions)
         user_api = UserApi(
             deployment,
             self.records,
@@ -206,7 +206,7 @@
             leadership=self.leadership,
             now=self.now,
         )
-        self._open_http(user_api)
+        self._create_http_endpoints(user_api)
         self._peer_endpoint = PeerEndpoint(
             leadership=self.leadership,
             exchange=self.peers,
@@ -217,7 +217,7 @@
             now=self.now,
         )
 
-    def _open_http(self, user_api: UserApi) -> None:
+    def _create_http_endpoints(self, user_api: UserApi) -> None:
         """Make what answers HTTP requests of workers, users and the platform."""
         worker_endpoint = WorkerEndpoint(
             identity=self.identity,
@@ -240,7 +240,7 @@
             now=self.now,
         )
 
-    def _switch_partitions(self, partitions: PartitionService | None) -> PartitionSwitch:
+    def _create_partition_switch(self, partitions: PartitionService | None) -> PartitionSwitch:
         host = PartitionHost(
             settings=self.settings,
             estimates=self.estimates,
@@ -256,7 +256,7 @@
         )
         return PartitionSwitch(partitions, host, self.cache, self.settings.deployment.zones)
 
-    def _set_up_loops(self) -> None:
+    def _create_loops(self) -> None:
         """Make what plans, ticks and calls the cloud."""
         self.shard_loop = ShardLoop(
             self.identity,
@@ -352,25 +352,25 @@
         deployment = self.settings.deployment
         max_clients = max_client_sockets(deployment)
         host, port = host_port(self.settings.client_listen, "client_listen")
-        clients = await anyio.create_tcp_listener(
+        client_listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=max_clients
         )
         host, port = host_port(self.settings.peer_listen, "peer_listen")
         peer_listener = await anyio.create_tcp_listener(
-            local_host=host, local_port=port, backlog=PEER_BACKLOG
+            local_host=host, local_port=port, backlog=PEER_LISTEN_BACKLOG
         )
         max_peers = 8 + 4 * deployment.count
 
-        def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> Awaitable[None]:
-            return serve_connection(stream, self.handle, mark)
+        def serve(stream: anyio.abc.ByteStream, set_idle: IdleCallback) -> Awaitable[None]:
+            return serve_connection(stream, self.handle, set_idle)
 
-        def hear(stream: anyio.abc.ByteStream, _mark: IdleCallback) -> Awaitable[None]:
+        def receive(stream: anyio.abc.ByteStream, _set_idle: IdleCallback) -> Awaitable[None]:
             return receive_frames(stream, self.on_request)
 
         async with anyio.create_task_group() as group:
             group.start_soon(self.run_loops)
-            group.start_soon(ConnectionAcceptor(max_peers, hear).run, peer_listener)
-            await ConnectionAcceptor(max_clients, serve).run(clients)
+            group.start_soon(ConnectionAcceptor(max_peers, receive).run, peer_listener)
+            await ConnectionAcceptor(max_clients, serve).run(client_listener)
 
     async def run_loops(self) -> None:
         """Run all that a controller does besides answering, until cancelled."""
--- a/src/dapplewick/controller/core_notifier.py
+++ b/src/dapplewick/controller/core_notifier.py
@@ -32,7 +32,7 @@
         if any(key.startswith(SHARDS) for key in keys):
             self._owned_shards.update(now)
         jobs = dict.fromkeys(job for key in keys if (job := job_of(key)) is not None)
-        if self._leadership.planner is not None and any(map(self._is_new_service, jobs)):
+        if self._leadership.planner is not None and any(map(self._is_unassigned_service, jobs)):
             self._leadership.urgent_wake.set()
         for scheduler in self._owned_shards.schedulers.values():
             for job_id in jobs:
@@ -41,7 +41,7 @@
                 scheduler.machine_changed(now, machine)
         self._leadership.pass_wake.set()
 
-    def _is_new_service(self, job_id: JobId) -> bool:
+    def _is_unassigned_service(self, job_id: JobId) -> bool:
         """Users wait for its first replicas: the leader does not rest first."""
         job = self._cache.jobs.get(job_id)
         return job is not None and job.spec.is_service and job.open and not job.assignments
--- a/src/dapplewick/controller/job_states.py
+++ b/src/dapplewick/controller/job_states.py
@@ -23,7 +23,7 @@
 
 # Users wait 2 s for the answer to a question. What rests on an older read is not told any more:
 # the process stood still or is short of processor time, and others have told newer things since.
-ANSWER_AGE_S = 2.0
+MAX_READ_AGE_S = 2.0
 
 
 class UnreadableJobError(RequestRefusedError):
@@ -65,22 +65,22 @@
         job = self._records.cache.jobs.get(job_id)
         if job is not None and not job.open:
             return job
-        return await self.read_anew(job_id)
+        return await self.read_latest(job_id)
 
-    async def read_anew(self, job_id: JobId, *, for_change: bool = False) -> JobRecord | None:
+    async def read_latest(self, job_id: JobId, *, for_change: bool = False) -> JobRecord | None:
         """A job as it stands by a read that begins now; None if there is none.
 
         The age of the read does not matter for a final state, nor for a job that is read to be
         changed: the write names the version that it replaces.
         """
-        asked_at = await self._records.current()
-        job = self.latest(job_id)
-        lasting = job is not None and (for_change or not job.open)
-        if not lasting and self._records.now() - asked_at > ANSWER_AGE_S:
+        requested_at = await self._records.current()
+        job = self.cached(job_id)
+        is_age_irrelevant = job is not None and (for_change or not job.open)
+        if not is_age_irrelevant and self._records.now() - requested_at > MAX_READ_AGE_S:
             raise RequestRefusedError("the records were read too long ago")
         return job
 
-    def latest(self, job_id: JobId) -> JobRecord | None:
+    def cached(self, job_id: JobId) -> JobRecord | None:
         """A job by what was read so far, where a read or a write of it has just ended."""
         if JOBS + job_id in self._records.cache.unreadable:
             raise UnreadableJobError(job_id)
--- a/src/dapplewick/controller/latencies.py
+++ b/src/dapplewick/controller/latencies.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_MS, HIGHEST_MS, DIGITS = 1, 3_600_000, 2
+MIN_MS, MAX_MS, SIGNIFICANT_DIGITS = 1, 3_600_000, 2
 
 
 class LatencySummary(TypedDict):
@@ -28,10 +28,10 @@
         """Count one duration, in seconds; what is out of range counts as the nearest bound."""
         histogram = self._histograms.get(name)
         if histogram is None:
-            histogram = self._histograms[name] = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
-        histogram.record_value(min(HIGHEST_MS, max(LOWEST_MS, round(seconds * 1000))))
+            histogram = self._histograms[name] = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
+        histogram.record_value(min(MAX_MS, max(MIN_MS, round(seconds * 1000))))
 
-    def view(self) -> dict[str, LatencySummary]:
+    def summarize(self) -> dict[str, LatencySummary]:
         """Summarise every histogram."""
         return {
             name: {
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -35,14 +35,16 @@
 
 log = logging.getLogger(__name__)
 
-NOT_READY_S = 0.1
+NOT_READY_POLL_INTERVAL_S = 0.1
 CAMPAIGN_INTERVAL_S = 0.3  # a controller that does not lead looks this often whether it should
-ISOLATED_CAMPAIGN_S = 3.0  # one that hears no peer lets the others campaign first for this long
+ISOLATED_CAMPAIGN_DELAY_S = (
+    3.0  # one that hears no peer lets the others campaign first for this long
+)
 MAX_PASS_INTERVAL_S = 0.5  # a pass begins this long after the last one, also when nothing changed
-MIN_REST_S = 0.25
-MAX_REST_S = 0.8
+MIN_PASS_DELAY_S = 0.25
+MAX_PASS_DELAY_S = 0.8
 # After a pass the leader leaves the processor alone for this times as long, within the limits.
-REST_FACTOR = 20.0
+PASS_DELAY_FACTOR = 20.0
 
 
 @dataclass(eq=False, kw_only=True)
@@ -64,14 +66,14 @@
     now: Callable[[], Seconds]
     wall_time: Callable[[], Seconds]
     rng: random.Random
-    _pass_took_s: Seconds = field(default=0.0, init=False)
+    _last_pass_duration_s: Seconds = field(default=0.0, init=False)
 
     async def run(self) -> None:
         """Lead or campaign for ever. A pass that breaks is logged and followed by the next."""
         while True:
             try:
                 if not self.records.ready:
-                    await anyio.sleep(NOT_READY_S)
+                    await anyio.sleep(NOT_READY_POLL_INTERVAL_S)
                     continue
                 await self._lead_or_campaign()
             except (
@@ -88,7 +90,7 @@
             if self.leadership.planner is None:
                 await anyio.sleep(CAMPAIGN_INTERVAL_S)
             else:
-                await self._rest()
+                await self._wait_for_next_pass()
 
     async def _lead_or_campaign(self) -> None:
         if not self.election.is_leader():
@@ -100,23 +102,25 @@
 
     async def _campaign(self) -> None:
         """Try to become leader, after those that hear their peers."""
-        if self.records.cache.leader is None and self._hears_no_peer():
-            await anyio.sleep(ISOLATED_CAMPAIGN_S)
+        if self.records.cache.leader is None and self._has_no_peer_contact():
+            await anyio.sleep(ISOLATED_CAMPAIGN_DELAY_S)
         await self.election.campaign(owns_shards=bool(self.owned_shards.schedulers))
 
-    def _hears_no_peer(self) -> bool:
+    def _has_no_peer_contact(self) -> bool:
         return self.isolation.hears_no_peer(self._silent_controllers(self.now()))
 
     def _silent_controllers(self, now: Seconds) -> frozenset[ControllerName]:
         return self.silence.silent(now, self.records.cache.controllers)
 
-    async def _rest(self) -> None:
+    async def _wait_for_next_pass(self) -> None:
         """Wait for something to plan; leave the processor to others unless work waits for it."""
         with anyio.move_on_after(MAX_PASS_INTERVAL_S):
             self.leadership.pass_wake.clear()
             await self.leadership.pass_wake.wait()
-        rest_s = max(MIN_REST_S, min(MAX_REST_S, REST_FACTOR * self._pass_took_s))
-        with anyio.move_on_after(rest_s):
+        delay_s = max(
+            MIN_PASS_DELAY_S, min(MAX_PASS_DELAY_S, PASS_DELAY_FACTOR * self._last_pass_duration_s)
+        )
+        with anyio.move_on_after(delay_s):
             await self.leadership.urgent_wake.wait()
         self.leadership.urgent_wake.clear()
 
@@ -131,43 +135,43 @@
             self.election.begin_term(planner, epoch)
         planner.epoch = epoch
         self._attach_partitions(planner)
-        view = self._view_owners(planner, now)
-        if self._is_isolated(view, now):
+        snapshot = self._owners_snapshot(planner, now)
+        if self._is_isolated(snapshot, now):
             await self.election.step_down(epoch)
             self.isolation.note_step_down(now)
             return
-        await self._assign_shards(view, epoch, now)
-        self._take_own_statuses(planner, now)
+        await self._assign_shards(snapshot, epoch, now)
+        self._apply_own_shard_statuses(planner, now)
         changes = planner.plan(now, self.wall_time())
-        self._pass_took_s = self.now() - now
+        self._last_pass_duration_s = self.now() - now
         await self.writer.write(epoch, now, changes)
 
-    def _view_owners(self, planner: LeaderPlanner, now: Seconds) -> OwnersView:
+    def _owners_snapshot(self, planner: LeaderPlanner, now: Seconds) -> OwnersView:
         return OwnersView(
             unreachable=planner.unreachable_shards(),
             unheard=planner.unheard_shards(now),
             silent_controllers=self._silent_controllers(now),
         )
 
-    def _is_isolated(self, view: OwnersView, now: Seconds) -> bool:
+    def _is_isolated(self, snapshot: OwnersView, now: Seconds) -> bool:
         """Whether neither a peer nor a worker reaches this leader, and another should lead."""
         populated = {
             name for name, scheduler in self.owned_shards.schedulers.items() if scheduler.machines
         }
         return self.isolation.should_step_down(
-            now, view.silent_controllers, populated, view.unreachable
+            now, snapshot.silent_controllers, populated, snapshot.unreachable
         )
 
     def _attach_partitions(self, planner: LeaderPlanner) -> None:
-        service = self.partitions.in_charge()
+        service = self.partitions.active_service()
         if service is not None:
             service.lead(planner)
         planner.partitions = service.rebalancer if service is not None else None
         self.assigner.wanted = service.wanted_shards() if service is not None else []
 
-    async def _assign_shards(self, view: OwnersView, epoch: FencingToken, now: Seconds) -> None:
+    async def _assign_shards(self, snapshot: OwnersView, epoch: FencingToken, now: Seconds) -> None:
         """Write the new owners of shards, each by itself."""
-        for assignment in self.assigner.changes(now, view):
+        for assignment in self.assigner.changes(now, snapshot):
             key = SHARDS + assignment.shard
             log.info(
                 "event=shard_assigned shard=%s controller=%s reason=%s",
@@ -183,11 +187,11 @@
             )
             await self.election.write(epoch, [change])
 
-    def _take_own_statuses(self, planner: LeaderPlanner, now: Seconds) -> None:
+    def _apply_own_shard_statuses(self, planner: LeaderPlanner, now: Seconds) -> None:
         """Give the planner the statuses of this process's own shards."""
         for name, scheduler in self.owned_shards.schedulers.items():
             base = self.confirmations.base(name, scheduler.token)
-            number = planner.shard_status(now, scheduler.status(now, base))
+            status_number = planner.shard_status(now, scheduler.status(now, base))
             self.confirmations.confirm(
-                name, Confirmation(scheduler.token, self.identity.incarnation, number)
+                name, Confirmation(scheduler.token, self.identity.incarnation, status_number)
             )
--- a/src/dapplewick/controller/leader_writer.py
+++ b/src/dapplewick/controller/leader_writer.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-PROGRESS_RESERVE = 0.3  # of a second's writes are left by progress for what users wait for
+URGENT_WRITE_RESERVE = 0.3  # of a second's writes are left by progress for what users wait for
 
 
 class LeaderWriter:
@@ -49,7 +49,7 @@
         for batch in split_into_transactions(
             self._within_budget(changes),
             lambda change: encoded_size(change.value),
-            self._limits.now(),
+            self._limits.current(),
         ):
             await self._write_batch(epoch, now, batch)
 
@@ -58,15 +58,15 @@
 
         It is found again by the next pass, or overtaken by more.
         """
-        level = self._write_budget.available()
+        available = self._write_budget.available()
         # What users wait for, and what ends tasks, goes before what is only kept for a restart.
         urgent_count = sum(change.priority < WritePriority.PROGRESS for change in changes)
-        progress_room = int(level - PROGRESS_RESERVE * self._write_budget.rate_per_s)
-        room = min(int(level), max(urgent_count, progress_room))
-        if room >= len(changes):
+        limit_with_reserve = int(available - URGENT_WRITE_RESERVE * self._write_budget.rate_per_s)
+        limit = min(int(available), max(urgent_count, limit_with_reserve))
+        if limit >= len(changes):
             return changes
-        log.debug("event=writes_deferred count=%d", len(changes) - room)
-        return first_whole_groups(changes, room)
+        log.debug("event=writes_deferred count=%d", len(changes) - limit)
+        return first_whole_groups(changes, limit)
 
     async def _write_batch(
         self, epoch: FencingToken, now: Seconds, batch: Sequence[ConditionalWrite]
@@ -79,8 +79,8 @@
         try:
             await self._election.write(epoch, batch)
         except ValueTooLargeError:
-            has_group = any(change.transaction_group for change in batch)
-            if len(batch) == 1 or has_group:
+            has_transaction_group = any(change.transaction_group for change in batch)
+            if len(batch) == 1 or has_transaction_group:
                 log.error("event=value_rejected key=%s", batch[0].key)
                 return
             for change in batch:
--- a/src/dapplewick/controller/partition_host.py
+++ b/src/dapplewick/controller/partition_host.py
@@ -50,7 +50,7 @@
 
     def limits_now(self) -> StateLimits:
         """How large values and transactions may be."""
-        return self.limits.now()
+        return self.limits.current()
 
     def stored(self, key: str, value: object, version: int) -> None:
         """Take over a write of this process that is known to be done."""
--- a/src/dapplewick/controller/partition_switch.py
+++ b/src/dapplewick/controller/partition_switch.py
@@ -31,11 +31,11 @@
         self._host = host
         self._cache = cache
         self._zones = zones
-        self._dissolver: PartitionService | None = None
+        self._dissolving_service: PartitionService | None = None
         if service is not None:
             service.attach(host)
 
-    def in_charge(self) -> PartitionService | None:
+    def active_service(self) -> PartitionService | None:
         """The service that moves machines between partitions now.
 
         Where partitions are switched off, but some are left from before, one without a plan brings
@@ -44,20 +44,20 @@
         if self.service is not None:
             return self.service
         if not self._cache.transfers and not any(map(partition_of, self._cache.shards)):
-            self._dissolver = None
-        elif self._dissolver is None:
+            self._dissolving_service = None
+        elif self._dissolving_service is None:
             # Loaded only here: controllers without partitions do without it and its solver.
             from dapplewick.partitions.service import PartitionService
 
-            self._dissolver = PartitionService(None)
-            self._dissolver.attach(self._host)
-        return self._dissolver
+            self._dissolving_service = PartitionService(None)
+            self._dissolving_service.attach(self._host)
+        return self._dissolving_service
 
     def shard_names(self) -> list[str]:
         """The shards that records of jobs may have to name."""
         return self._zones if self.service is None else self.service.shard_names(self._zones)
 
 
-def understood_format(partitions: PartitionService | None) -> int:
+def supported_format(partitions: PartitionService | None) -> int:
     """The newest format of records that a controller says it understands."""
     return PARTITIONS_FORMAT if partitions is not None else FORMAT_NOW
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -64,23 +64,23 @@
         if kind == peers.KIND_CONTROLLER_STATUS:
             return self.status.describe()
         if kind == peers.KIND_SHARD_STATUS:
-            self._hear_shard_status(message)
+            self._receive_shard_status(message)
         elif kind == peers.KIND_STATUS_CONFIRMATION:
-            self._hear_confirmation(message)
+            self._receive_confirmation(message)
         elif kind == peers.KIND_GOSSIP:
             self.exchange.hear_gossip(message)
         return None
 
-    def _hear_shard_status(self, message: dict[str, Any]) -> None:
+    def _receive_shard_status(self, message: dict[str, Any]) -> None:
         planner = self.leadership.planner
         if planner is None:
             return
         status = peers.decode(message, ShardStatus)
-        number = planner.shard_status(self.now(), status)
+        status_number = planner.shard_status(self.now(), status)
         self.leadership.pass_wake.set()
-        self.exchange.confirm_status(status, number)
+        self.exchange.confirm_status(status, status_number)
 
-    def _hear_confirmation(self, message: dict[str, Any]) -> None:
+    def _receive_confirmation(self, message: dict[str, Any]) -> None:
         reply = peers.decode(message, StatusConfirmation)
         self.confirmations.confirm(
             reply.shard, Confirmation(reply.token, reply.incarnation, reply.number)
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -26,8 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_MS = 4000
-STANDBY_WATCH_GAP_S = 0.4  # a controller that neither leads nor owns a shard follows in these steps
+WATCH_TIMEOUT_MS = 4000
+STANDBY_WATCH_DELAY_S = (
+    0.4  # a controller that neither leads nor owns a shard follows in these steps
+)
 
 
 class RecordFollower:
@@ -57,7 +59,7 @@
         self._state = state
         self.cache = cache
         self._notifier = notifier
-        self._watch_gap_s = budgets.watch_gap_s
+        self._watch_delay_s = budgets.watch_delay_s
         self._gossip_wake = gossip_wake
         self.now = now
         self._random = rng
@@ -65,8 +67,8 @@
         self.current_at: Seconds = NEVER_S
         self.contact_at: Seconds = NEVER_S
         self._changed_keys: list[str] = []
-        self._read_checks = ReadChecks(lambda: self._follow(0), now, budgets.check_interval_s)
-        cache.listeners.append(self._on_key)
+        self._read_checks = ReadChecks(lambda: self._poll_changes(0), now, budgets.check_interval_s)
+        cache.listeners.append(self._on_key_changed)
 
     async def current(self) -> Seconds:
         """Return once the watch cache is known to be as new as when this was called.
@@ -89,10 +91,10 @@
             try:
                 if not self.ready:
                     await self._load()
-                await self._follow(WATCH_MS)
+                await self._poll_changes(WATCH_TIMEOUT_MS)
                 # What changes meanwhile comes with the next answer, in one request.
                 is_active = self._notifier.is_active()
-                await anyio.sleep(self._watch_gap_s if is_active else STANDBY_WATCH_GAP_S)
+                await anyio.sleep(self._watch_delay_s if is_active else STANDBY_WATCH_DELAY_S)
             except (RequestRefusedError, OutcomeUnknownError) as err:
                 log.debug("event=watch_failed error=%s", err)
                 await anyio.sleep(0.2 + self._random.random() * 0.3)
@@ -118,7 +120,7 @@
         self.cache.changed_machines.clear()
         self._notifier.notify(self.now(), keys, machines)
 
-    def _on_key(self, key: str) -> None:
+    def _on_key_changed(self, key: str) -> None:
         self._changed_keys.append(key)
 
     async def _load(self) -> None:
@@ -133,7 +135,7 @@
             name = self._identity.name
             log.info("event=controller_ready controller=%s revision=%d", name, revision)
 
-    async def _follow(self, wait_ms: int) -> None:
+    async def _poll_changes(self, wait_ms: int) -> None:
         """Bring the watch cache up to the newest changes."""
         sent_at = self.now()
         try:
--- a/src/dapplewick/controller/record_limits.py
+++ b/src/dapplewick/controller/record_limits.py
@@ -17,7 +17,7 @@
         self._lowest = limits.lowest()
         self._cache = cache
 
-    def now(self) -> StateLimits:
+    def current(self) -> StateLimits:
         """How large values and transactions may be.
 
         What controllers of the older version read can't be cut, so until the format is raised a
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -17,7 +17,7 @@
 HEARTBEAT_PATH = "/checkin"
 HEALTH_PATH = "/healthz"
 # A controller that did not reach the state service for so long, while a peer did, is unhealthy.
-UNHEALTHY_S = 5.0
+MAX_CONTACT_AGE_S = 5.0
 
 HEALTHY = Response(200)
 UNHEALTHY = Response(503, b"{}", 1)
@@ -45,14 +45,14 @@
             if request.method != "GET":
                 return NO_METHOD
             return HEALTHY if self.is_healthy() else UNHEALTHY
-        begun_at = self.now()
+        started_at = self.now()
         if self.overload.is_overloaded() and path.startswith(JOBS_PATH):
             # Answering costs most of what a refusal does not, and workers' leases need it.
             return OVERLOADED
         answer = await self.user_api.handle(request)
         if answer is None:
             return NO_PATH
-        self.latencies.record("submit" if path == JOBS_PATH else "poll", self.now() - begun_at)
+        self.latencies.record("submit" if path == JOBS_PATH else "poll", self.now() - started_at)
         return answer
 
     def is_healthy(self) -> bool:
@@ -60,7 +60,7 @@
         if not self.records.ready or self.overload.is_overloaded():
             return False
         now = self.now()
-        if now - self.records.contact_at < UNHEALTHY_S:
+        if now - self.records.contact_at < MAX_CONTACT_AGE_S:
             return True
         # Cut off alone, this controller sends its users elsewhere. In an outage for all it stays:
         # being taken out would cost seconds more when the state service is back. Contacts are
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -19,14 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWED_S = 6.0  # an open watch answers sooner than that, unless there is an outage
-MIN_TICK_S = 0.2  # shards tick, and tell what changed, this often
+MAX_CURRENT_RECORD_AGE_S = 6.0  # an open watch answers sooner than that, unless there is an outage
+MIN_TICK_DELAY_S = 0.2  # shards tick, and tell what changed, this often
 # Or less often where that costs much; heartbeats steal what joined no queue yet.
-MAX_TICK_S = 0.5
-TICK_REST_FACTOR = 40.0  # after a tick this times its length passes
-IDLE_S = 0.5  # and without a shard
-STATUS_IDLE_S = 1.5
-STATUS_SLACK = 0.9  # of the time between statuses: the ticks are not exactly as far apart
+MAX_TICK_DELAY_S = 0.5
+TICK_DELAY_FACTOR = 40.0  # after a tick this times its length passes
+NO_SHARD_POLL_INTERVAL_S = 0.5  # and without a shard
+UNCHANGED_STATUS_INTERVAL_S = 1.5
+STATUS_INTERVAL_TOLERANCE = (
+    0.9  # of the time between statuses: the ticks are not exactly as far apart
+)
 
 
 class ShardLoop:
@@ -56,21 +58,27 @@
 
     async def run(self) -> None:
         """Tick for ever. A scheduler that breaks is logged, and keeps no other back."""
-        gap_s = MIN_TICK_S
+        tick_delay_s = MIN_TICK_DELAY_S
         while True:
-            await anyio.sleep(gap_s if self._schedulers else IDLE_S)
+            await anyio.sleep(tick_delay_s if self._schedulers else NO_SHARD_POLL_INTERVAL_S)
             now = self._now()
             for name, scheduler in list(self._schedulers.items()):
                 try:
-                    self._tick(now, name, scheduler, gap_s)
+                    self._tick(now, name, scheduler, tick_delay_s)
                 except Exception:
                     log.exception("event=shard_tick_failed shard=%s", name)
-            gap_s = max(MIN_TICK_S, min(MAX_TICK_S, TICK_REST_FACTOR * (self._now() - now)))
+            tick_delay_s = max(
+                MIN_TICK_DELAY_S, min(MAX_TICK_DELAY_S, TICK_DELAY_FACTOR * (self._now() - now))
+            )
 
-    def _tick(self, now: Seconds, name: ShardName, scheduler: ShardScheduler, gap_s: float) -> None:
-        scheduler.tick(now, self._wall_time(), now - self._records.current_at < FOLLOWED_S)
-        due_s = gap_s if scheduler.dirty else STATUS_IDLE_S
-        if now - self._status_sent_at.get(name, NEVER_S) >= due_s * STATUS_SLACK:
+    def _tick(
+        self, now: Seconds, name: ShardName, scheduler: ShardScheduler, tick_delay_s: float
+    ) -> None:
+        scheduler.tick(
+            now, self._wall_time(), now - self._records.current_at < MAX_CURRENT_RECORD_AGE_S
+        )
+        due_s = tick_delay_s if scheduler.dirty else UNCHANGED_STATUS_INTERVAL_S
+        if now - self._status_sent_at.get(name, NEVER_S) >= due_s * STATUS_INTERVAL_TOLERANCE:
             self._status_sent_at[name] = now
             self.send_status(now, scheduler)
 
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -20,14 +20,14 @@
 
 log = logging.getLogger(__name__)
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 SCRIPT_VARIABLE = "DAPPLEWICK_SCRIPT"
 
 
 def configure_logging() -> str | None:
     """Log to standard error at LOG_LEVEL; gives what is wrong with it, if anything is."""
     name = os.environ.get("LOG_LEVEL", "") or "info"
-    level = LEVELS.get(name.lower())
+    level = LOG_LEVELS.get(name.lower())
     logging.basicConfig(
         stream=sys.stderr,
         level=logging.INFO if level is None else level,
@@ -51,14 +51,14 @@
     gc.enable()
 
 
-def raise_file_limit(wanted: int) -> None:
+def raise_file_limit(requested: int) -> None:
     """Where a process may by default open fewer files than its settings allow, ask for those."""
     try:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY:
-            wanted = min(wanted, hard)
-        if soft != resource.RLIM_INFINITY and soft < wanted:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+            requested = min(requested, hard)
+        if soft != resource.RLIM_INFINITY and soft < requested:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (requested, hard))
     except (OSError, ValueError) as err:
         log.info("event=file_limit_unchanged reason=%r", err)
 
@@ -67,7 +67,7 @@
     await Controller(settings, tuning=tuning, partitions=partitions).run()
 
 
-class StartRefusedError(Exception):
+class StartupError(Exception):
     """The process can't start with what it was given; the text says why in one line."""
 
 
@@ -76,7 +76,7 @@
     try:
         return load(path)
     except SettingsError as err:
-        raise StartRefusedError(f"settings: {err}") from None
+        raise StartupError(f"settings: {err}") from None
 
 
 def _load_tuning(path: str | None) -> Tuning:
@@ -90,7 +90,7 @@
     try:
         return load_script(path)
     except ScriptError as err:
-        raise StartRefusedError(f"script: {err}") from None
+        raise StartupError(f"script: {err}") from None
 
 
 def _load_partitions(path: str | None, settings: Settings) -> PartitionService | None:
@@ -110,11 +110,11 @@
     try:
         plan = load_plan(path)
     except PlanError as err:
-        raise StartRefusedError(f"shares: {err}") from None
+        raise StartupError(f"shares: {err}") from None
     teams = (team.name for team in deployment.teams)
-    complaint = unknown_names(plan, teams, deployment.zones, None)
-    if complaint:
-        raise StartRefusedError(f"shares: {path}: {complaint}")
+    problem = unknown_names(plan, teams, deployment.zones, None)
+    if problem:
+        raise StartupError(f"shares: {path}: {problem}")
     return PartitionService(plan)
 
 
@@ -128,13 +128,13 @@
         settings = _load_settings(config)
         tuning = _load_tuning(script)
         partitions = _load_partitions(partition_plan_path, settings)
-    except StartRefusedError as err:
+    except StartupError as err:
         print(f"dapplewick: {err}", file=sys.stderr)
         return 2
     configure_memory()
-    complaint = configure_logging()
-    if complaint:
-        log.error("event=log_level_invalid error=%r", complaint)
+    problem = configure_logging()
+    if problem:
+        log.error("event=log_level_invalid error=%r", problem)
     raise_file_limit(settings.deployment.machine_limits.fd_limit)
     try:
         anyio.run(_run, settings, tuning, partitions, backend_options={"use_uvloop": True})
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -70,7 +70,7 @@
             "owned": {
                 name: _describe_shard(now, scheduler) for name, scheduler in self.schedulers.items()
             },
-            "latencies_ms": self.latencies.view(),
+            "latencies_ms": self.latencies.summarize(),
             **self._describe_violations(),
             **self._describe_waiting(),
         }
--- a/src/dapplewick/controller/supervision.py
+++ b/src/dapplewick/controller/supervision.py
@@ -9,7 +9,7 @@
 
 log = logging.getLogger(__name__)
 
-RESTART_PAUSE_S = 0.5  # before a loop that broke is started again
+RESTART_DELAY_S = 0.5  # before a loop that broke is started again
 
 
 async def run_supervised(name: str, loop: Callable[[], Awaitable[None]]) -> None:
@@ -19,4 +19,4 @@
             await loop()
         except Exception:
             log.exception("event=loop_crashed loop=%s", name)
-            await anyio.sleep(RESTART_PAUSE_S)
+            await anyio.sleep(RESTART_DELAY_S)
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -32,17 +32,19 @@
 log = logging.getLogger(__name__)
 
 JOBS_PATH = "/v2/runs"
-MAX_CANCEL_TRIES = 4
+MAX_CANCEL_ATTEMPTS = 4
 RETRY_AFTER_S = 1
 
-NOT_YET = Response(503, b'{"error":"services begin after the upgrade of all controllers"}', 5)
+SERVICES_NOT_SUPPORTED = Response(
+    503, b'{"error":"services begin after the upgrade of all controllers"}', 5
+)
 UNAVAILABLE = Response(503, b'{"error":"not available now"}', RETRY_AFTER_S)
 NOT_FOUND = Response(404, b'{"error":"no such job"}')
 NO_PATH = Response(404, b'{"error":"no such path"}')
 NO_METHOD = Response(405, b'{"error":"method not allowed"}')
 
 
-def error(status: int, reason: str) -> Response:
+def error_response(status: int, reason: str) -> Response:
     """An answer that tells a user what is wrong."""
     return Response(status, msgspec.json.encode({"error": reason}))
 
@@ -87,21 +89,21 @@
         if path == JOBS_PATH:
             if request.method != "POST":
                 return NO_METHOD
-            return await self._guard(lambda: self.submit(request))
+            return await self._answer_if_available(lambda: self.submit(request))
         if not path.startswith(JOBS_PATH + "/"):
             return None
-        job, slash, verb = path[len(JOBS_PATH) + 1 :].partition("/")
+        job, slash, action = path[len(JOBS_PATH) + 1 :].partition("/")
         if not slash:
             if request.method != "GET":
                 return NO_METHOD
-            return await self._guard(lambda: self.poll(JobId(job)))
-        if verb != "abort":
+            return await self._answer_if_available(lambda: self.poll(JobId(job)))
+        if action != "abort":
             return NO_PATH
         if request.method != "POST":
             return NO_METHOD
-        return await self._guard(lambda: self.abort(JobId(job)))
+        return await self._answer_if_available(lambda: self.abort(JobId(job)))
 
-    async def _guard(self, call: Callable[[], Awaitable[Response]]) -> Response:
+    async def _answer_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
         if not self._records.ready:
             return UNAVAILABLE
         try:
@@ -110,7 +112,7 @@
             log.debug("event=request_unavailable reason=%s", err)
             return UNAVAILABLE
 
-    def _why_never(self, spec: JobSpec) -> str | None:
+    def _infeasibility_reason(self, spec: JobSpec) -> str | None:
         """Why a job can never run, if so."""
         team = self._teams.get(spec.team)
         if team is None:
@@ -119,11 +121,11 @@
             return "unknown zone"
         names = spec.types if spec.types is not None else list(self._records.cache.types)
         types = [t for name in names if (t := self._records.cache.types.get(name)) is not None]
-        fitting = [t for t in types if spec.resources.fits_in(t.resources)]
-        if not fitting:
+        suitable = [t for t in types if spec.resources.fits_in(t.resources)]
+        if not suitable:
             return "a task fits no allowed machine type"
         # A type that names no zones is offered in all of them.
-        zones = {z for t in fitting for z in t.zones or self._deployment.zones}
+        zones = {z for t in suitable for z in t.zones or self._deployment.zones}
         zones &= set(self._deployment.zones if spec.zone is None else [spec.zone])
         if not zones:
             return "no allowed machine type is offered in its zone"
@@ -134,9 +136,9 @@
         one_zone = spec.same_zone or spec.zone is not None
         if all_at_once and spec.max_tasks_per_zone < spec.task_count and one_zone:
             return "it can't be both in one zone and spread over several"
-        together = spec.task_count if all_at_once else 1
-        for limit, each in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
-            if limit > 0 and each * together > limit + 1e-6:
+        concurrent_tasks = spec.task_count if all_at_once else 1
+        for limit, per_task in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
+            if limit > 0 and per_task * concurrent_tasks > limit + 1e-6:
                 return "more than the team's limit"
         return None
 
@@ -147,28 +149,30 @@
             RequestRefusedError: the records can't be read or written now.
         """
         if request.too_large:
-            return error(400, "body over 64 KiB")
+            return error_response(400, "body over 64 KiB")
         try:
             job_id, spec = parse_submission(request.body)
         except MalformedMessageError as err:
-            return error(400, str(err))
+            return error_response(400, str(err))
         cache = self._records.cache
         if job_id in cache.jobs:
-            return await self._state_or(job_id, UNAVAILABLE)
+            return await self._state_or_else(job_id, UNAVAILABLE)
         if spec.is_service and cache.format < FORMAT_NOW:
             # The record decides, so all controllers answer alike; not what this one last read.
             await self._records.current()
             if cache.format < FORMAT_NOW:
-                return NOT_YET
+                return SERVICES_NOT_SUPPORTED
         if not cache.types:
             return UNAVAILABLE
-        reason = self._why_never(spec)
+        reason = self._infeasibility_reason(spec)
         if reason is not None:
-            return await self._refuse(job_id, error(422, reason))
+            return await self._refuse(job_id, error_response(422, reason))
         job = self._new_record(spec)
         value = job.dump()
-        if encoded_size(value) > self._limits.now().value_bytes:
-            return await self._refuse(job_id, error(400, "the texts are too long together"))
+        if encoded_size(value) > self._limits.current().value_bytes:
+            return await self._refuse(
+                job_id, error_response(400, "the texts are too long together")
+            )
         return await self._accept(job_id, spec.task_count, value)
 
     def _new_record(self, spec: JobSpec) -> JobRecord:
@@ -178,9 +182,13 @@
             known = sorted({t for t in spec.types if t in cache.types})
             spec = msgspec.structs.replace(spec, types=known)
         job = JobRecord(spec, self._wall_time())
-        shards, room = self._partitions.shard_names(), self._limits.now().value_bytes
-        if cache.format >= FORMAT_NOW and not spec.is_gang and job.outgrows(shards, room):
-            job.chunk_size = chunk_tasks(spec.task_count, shards, room)
+        shards, max_value_bytes = self._partitions.shard_names(), self._limits.current().value_bytes
+        if (
+            cache.format >= FORMAT_NOW
+            and not spec.is_gang
+            and job.outgrows(shards, max_value_bytes)
+        ):
+            job.chunk_size = chunk_tasks(spec.task_count, shards, max_value_bytes)
         return job
 
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
@@ -196,10 +204,10 @@
             # The job is known, or the answer was lost: of the transaction that accepted it, or
             # of one that was refused since the job is known, and may be over, elsewhere. If no
             # job is found the write may still come late; the user's retry finds it then.
-            return await self._state_or(job_id, UNAVAILABLE)
+            return await self._state_or_else(job_id, UNAVAILABLE)
         self._records.stored(key, value, version)
         log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
-        return self._short(201, job_id, self._states.latest(job_id))
+        return self._state_without_counts(201, job_id, self._states.cached(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
         """Refuse a submission for good, unless its job was accepted before.
@@ -208,13 +216,13 @@
         refusal rests on these alone, as it always does for a job that nobody accepted.
         """
         try:
-            return await self._state_or(job_id, refusal)
+            return await self._state_or_else(job_id, refusal)
         except UnreadableJobError:
             raise
         except RequestRefusedError:
             return refusal
 
-    async def _state_or(self, job_id: JobId, otherwise: Response) -> Response:
+    async def _state_or_else(self, job_id: JobId, otherwise: Response) -> Response:
         """How a job stands, or another answer if there is no such job."""
         job = await self._states.read(job_id)
         if job is None:
@@ -232,7 +240,7 @@
             return JobStage.CANCELLED
         return JobStage.RUNNING if running else JobStage.QUEUED
 
-    def _short(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
+    def _state_without_counts(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
         """How a job stands, without counts, right after a write of it."""
         if job is None:
             return UNAVAILABLE
@@ -244,7 +252,7 @@
         Raises:
             RequestRefusedError: the records can't be read now.
         """
-        return await self._state_or(job_id, NOT_FOUND)
+        return await self._state_or_else(job_id, NOT_FOUND)
 
     async def abort(self, job_id: JobId) -> Response:
         """Cancel a job; one that is over stays as it is.
@@ -253,18 +261,18 @@
             RequestRefusedError: the records can't be read or written now.
         """
         key = JOBS + job_id
-        for _ in range(MAX_CANCEL_TRIES):
-            job = await self._states.read_anew(job_id, for_change=True)
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            job = await self._states.read_latest(job_id, for_change=True)
             if job is None:
                 return NOT_FOUND
             if not job.open:
-                return self._short(200, job_id, job)
+                return self._state_without_counts(200, job_id, job)
             cancelled = JobRecord(job.spec, job.submitted_at)
             cancelled.stage = CANCELLED
             cancelled.assignments = job.assignments
             cancelled.gang = job.gang
             cancelled.chunk_size = job.chunk_size
-            value = cancelled.dump(self._limits.now().value_bytes)
+            value = cancelled.dump(self._limits.current().value_bytes)
             try:
                 version = await self._state.transaction({key: job.main_version}, {key: value})
             except (TransactionConflictError, OutcomeUnknownError):
@@ -272,5 +280,5 @@
                 continue
             self._records.stored(key, value, version)
             log.info("event=job_cancelled job=%s", job_id)
-            return self._short(200, job_id, self._states.latest(job_id))
+            return self._state_without_counts(200, job_id, self._states.cached(job_id))
         return UNAVAILABLE
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -32,8 +32,8 @@
 
 TOO_LARGE = Response(400, b'{"error":"body over 64 KiB"}')
 MALFORMED = Response(400, b'{"error":"malformed report"}')
-CUT_OFF = Response(503, b'{"error":"cut off"}', 1)
-NO_OWNER = Response(503, b'{"error":"no owner"}', 1)
+RECORDS_TOO_OLD = Response(503, b'{"error":"cut off"}', 1)
+OWNER_UNKNOWN = Response(503, b'{"error":"no owner"}', 1)
 
 
 @dataclass(eq=False, kw_only=True)
@@ -62,14 +62,14 @@
         now = self.now()
         name = self.records.cache.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.schedulers.get(name)
-        heard = self.peers.heard_owner(name)
+        latest_owner = self.peers.heard_owner(name)
         if (
             scheduler is not None
-            and scheduler.token >= heard.token
+            and scheduler.token >= latest_owner.token
             and scheduler.token_for(heartbeat.machine) >= heartbeat.token
         ):
             return self._answer_as_owner(now, scheduler, heartbeat)
-        return self._refer_to_owner(name, heard)
+        return self._redirect_to_owner(name, latest_owner)
 
     def _answer_as_owner(
         self, now: Seconds, scheduler: ShardScheduler, heartbeat: Heartbeat
@@ -78,35 +78,35 @@
         # keep them up only as long as that is still in time. A lease counts from when the
         # heartbeat was sent, so neither a heartbeat held back nor a process that stands still
         # here adds to it; a hanging machine goes on only within it.
-        told_at = self.cancellations.known_at(now)
+        cancellations_known_at = self.cancellations.known_at(now)
         times = self.worker_times
         max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
-        if now - max(self.records.current_at, told_at) >= max_age_s:
+        if now - max(self.records.current_at, cancellations_known_at) >= max_age_s:
             scheduler.refuse(now)
-            return CUT_OFF
+            return RECORDS_TOO_OLD
         # A start needs no lease: should there be a newer owner, what this machine is told
         # under our token is on it at its first heartbeat under the newer one, and until
         # then that owner takes it for unreconciled. What the records assign to us is taken
         # back only when we say that it is not here. So in an outage starts go on, as
         # long as no cancellation can have been missed.
-        is_followed = (
+        has_current_records = (
             self.presence.lease_valid() and now - self.records.current_at < MAX_LAUNCH_AGE_S
         )
-        may_launch = is_followed or now - told_at < MAX_LAUNCH_AGE_S
+        may_launch = has_current_records or now - cancellations_known_at < MAX_LAUNCH_AGE_S
         commands = scheduler.handle_heartbeat(now, heartbeat, may_launch)
         if scheduler.dirty:
             self.leadership.pass_wake.set()
         token = scheduler.token_for(heartbeat.machine)
         return Response(200, encode_heartbeat_response(token, commands))
 
-    def _refer_to_owner(self, name: ShardName, heard: HeardOwner) -> Response:
+    def _redirect_to_owner(self, name: ShardName, latest_owner: HeardOwner) -> Response:
         """Name the newest owner that is known, if it is another controller that is there."""
         cache = self.records.cache
         shard = cache.shards.get(name)
         owner = shard.owner if shard is not None else ""
-        if heard.token > cache.version(SHARDS + name):
-            owner = heard.controller
+        if latest_owner.token > cache.version(SHARDS + name):
+            owner = latest_owner.controller
         is_another = owner != "" and owner != self.identity.name
         if is_another and self.records.ready and owner in cache.controllers:
             return Response(421, encode_redirect(owner))
-        return NO_OWNER
+        return OWNER_UNKNOWN
--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -59,7 +59,7 @@
     zone: str = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="borrowed")
     state: str = msgspec.field(name="stage")
-    age: float = msgspec.field(name="held_s")  # in seconds
+    age_s: float = msgspec.field(name="held_s")  # in seconds
     address: str = msgspec.field(name="endpoint", default="")
 
 
--- a/src/dapplewick/protocol/users.py
+++ b/src/dapplewick/protocol/users.py
@@ -46,7 +46,7 @@
 _SHAPES = {shape.value: shape for shape in JobShape}
 
 
-def _amount(body: dict[str, Any], field: str, minimum: float = 0.0) -> float:
+def _number(body: dict[str, Any], field: str, minimum: float = 0.0) -> float:
     value = body.get(field)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise MalformedMessageError(f"{field}: a number is needed")
@@ -59,14 +59,14 @@
     return value
 
 
-def _text(body: dict[str, Any], field: str) -> str:
+def _string(body: dict[str, Any], field: str) -> str:
     value = body.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
         raise MalformedMessageError(f"{field}: a text is needed")
     return value
 
 
-def _flag(body: dict[str, Any], field: str) -> bool:
+def _boolean(body: dict[str, Any], field: str) -> bool:
     value = body.get(field)
     if not isinstance(value, bool):
         raise MalformedMessageError(f"{field}: true or false is needed")
@@ -84,7 +84,7 @@
 
 
 def _job_id(body: dict[str, Any]) -> JobId:
-    job = _text(body, "name_id")
+    job = _string(body, "name_id")
     if not JOB_ID_PATTERN.match(job):
         raise MalformedMessageError("name_id: not a job id")
     return JobId(job)
@@ -141,26 +141,26 @@
     task_count = _task_count(body)
     types = _machine_types(body)
     zone = _zone(body)
-    deadline_s = None if body.get("due_s") is None else _amount(body, "due_s")
+    deadline_s = None if body.get("due_s") is None else _number(body, "due_s")
     spec = JobSpec(
-        job_class=_text(body, "bundle"),
-        team=_text(body, "crew"),
+        job_class=_string(body, "bundle"),
+        team=_string(body, "crew"),
         is_gang=shape == JobShape.GANG,
         priority=priority,
         task_count=task_count,
-        cpus=_amount(body, "cpus"),
-        gpus=_amount(body, "accelerators"),
-        ram_gb=_amount(body, "ram_gb"),
-        image=_text(body, "kit"),
-        image_gb=_amount(body, "image_gb"),
-        estimated_run_s=_amount(body, "expected_s"),
+        cpus=_number(body, "cpus"),
+        gpus=_number(body, "accelerators"),
+        ram_gb=_number(body, "ram_gb"),
+        image=_string(body, "kit"),
+        image_gb=_number(body, "image_gb"),
+        estimated_run_s=_number(body, "expected_s"),
         types=types,
         zone=zone,
-        same_zone=_flag(body, "same_place"),
-        spread=_flag(body, "scatter"),
-        spot=_flag(body, "borrowed"),
-        checkpoint_interval_s=_amount(body, "fold_s"),
-        save_s=_amount(body, "press_s"),
+        same_zone=_boolean(body, "same_place"),
+        spread=_boolean(body, "scatter"),
+        spot=_boolean(body, "borrowed"),
+        checkpoint_interval_s=_number(body, "fold_s"),
+        save_s=_number(body, "press_s"),
         deadline_s=deadline_s,
         is_service=shape == JobShape.SERVICE,
     )
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -22,8 +22,8 @@
 )
 
 COUNTER_LIMIT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
-MAX_INDEX_DIGITS = 9
-KNOWN_TASKS = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
+MAX_TASK_INDEX_DIGITS = 9
+TASK_CACHE_SIZE = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
 
 
 class TaskStage(StrEnum):
@@ -130,7 +130,7 @@
 _HEARTBEAT_DECODER = msgspec.json.Decoder(_HeartbeatBody)
 
 
-@lru_cache(maxsize=KNOWN_TASKS)
+@lru_cache(maxsize=TASK_CACHE_SIZE)
 def parse_task(name: str) -> TaskRef:
     """Read the name of a task.
 
@@ -140,7 +140,7 @@
         MalformedMessageError: it names no task.
     """
     job, slash, index = name.rpartition("/")
-    if not slash or not index.isdigit() or len(index) > MAX_INDEX_DIGITS:
+    if not slash or not index.isdigit() or len(index) > MAX_TASK_INDEX_DIGITS:
         raise MalformedMessageError("piece: not a task")
     return TaskRef(JobId(job), TaskIndex(int(index)))
 
@@ -189,12 +189,12 @@
     kind: str
     task: TaskRef
     attempt: Attempt
-    grace: Seconds = 0.0
+    grace_s: Seconds = 0.0
 
 
 # Plain strings: each response to a heartbeat looks them up, and members of enums are slower.
 _STOP = CommandKind.STOP.value
-_VERBS = {  # of the wire
+_WIRE_VERBS = {  # of the wire
     CommandKind.START.value: "launch",
     _STOP: "kill",
     CommandKind.FORGET.value: "forget",
@@ -206,12 +206,12 @@
     items: list[dict[str, Any]] = []
     for command in commands:
         item: dict[str, Any] = {
-            "verb": _VERBS[command.kind],
+            "verb": _WIRE_VERBS[command.kind],
             "piece": f"{command.task.job}/{command.task.number}",
             "try": command.attempt,
         }
         if command.kind == _STOP:
-            item["wind_down_s"] = command.grace
+            item["wind_down_s"] = command.grace_s
         items.append(item)
     return msgspec.json.encode({"baton": token, "orders": items})
 
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -487,9 +487,9 @@
         elif given["call"] == "delete":
             await calls._delete(leader, [MachineId(name) for name in given["machines"]])
         elif given["call"] == "catalogue":
-            await calls._catalog(leader)
+            await calls._refresh_catalog(leader)
         else:
-            await calls._list(leader)
+            await calls._refresh_machine_list(leader)
         read = [
             leader.provisioned,
             leader.machine_lifecycle.deleted,
