--- a/src/dapplewick/controller/budgets.py
+++ b/src/dapplewick/controller/budgets.py
@@ -54,5 +54,5 @@
     connections of workers and users can't exhaust them.
     """
     reserved = BASE_RESERVED_SOCKETS + 8 * deployment.count
-    state_calls = 2.0 * CALL_TIMEOUT_S * deployment.state.rps / deployment.count
-    return max(MIN_CLIENT_SOCKETS, deployment.machine_limits.fd_limit - int(reserved + state_calls))
+    open_calls = 2.0 * CALL_TIMEOUT_S * deployment.state.rps / deployment.count
+    return max(MIN_CLIENT_SOCKETS, deployment.machine_limits.fd_limit - int(reserved + open_calls))
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -29,7 +29,7 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.1  # between two checks for requests to send
-NON_LEADER_EXTRA_DELAY_S = 0.3  # added to POLL_INTERVAL_S while this controller does not lead
+NON_LEADER_EXTRA_DELAY_S = 0.3  # added to POLL_INTERVAL_S while this controller may not call
 CATALOG_INTERVAL_S = 45.0
 LIST_INTERVAL_S = 10.0
 CALL_TIMEOUT_S = 6.0
@@ -110,8 +110,8 @@
 
     def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
         for name in self._cache.provisioning_requests:
-            new = name not in self._provisioning and name not in leader.provisioned
-            if new and self._budget.try_acquire():
+            is_new = name not in self._provisioning and name not in leader.provisioned
+            if is_new and self._budget.try_acquire():
                 self._provisioning.add(name)
                 group.start_soon(self._provision, leader, name)
 
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -67,6 +67,16 @@
     Components are created in the order of their dependencies: tracking of records, coordination
     with peers, endpoints for requests, and the loops of the leader, the shards and the cloud calls.
     Each component depends only on earlier ones.
+
+    Args:
+        settings: the settings of the deployment and of this controller.
+        connect: creates an HTTP client for a host and a port.
+        link: creates the link to the peer at a host and a port.
+        clock: the monotonic clock, in seconds.
+        wall_time: the wall clock, in seconds since the epoch.
+        seed: the seed of this controller's random numbers.
+        tuning: parameters set by the operators' script; None: the defaults.
+        partitions: the partition service; None: partitions are disabled.
     """
 
     def __init__(
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -104,7 +104,7 @@
     async def _campaign(self) -> None:
         """Try to become leader.
 
-        Without contact to any peer, controllers that have contact get time to campaign first.
+        If this controller has no contact to any peer, it waits first so that others can campaign.
         """
         if self.records.cache.leader is None and self._has_no_peer_contact():
             await anyio.sleep(ISOLATED_CAMPAIGN_DELAY_S)
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -87,7 +87,7 @@
         )
 
     async def _answer_forwarded(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Respond to a user's request that a peer without the state service forwards."""
+        """Respond to a user's request, forwarded by a peer that can't reach the state service."""
         forwarded = peers.decode(message, ForwardedRequest)
         request = Request(forwarded.method, forwarded.target, forwarded.body, False)
         answer = await self.user_api.answer(request) or NO_PATH
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LAUNCH_AGE_S = 9.0  # no task is launched while the records are older
+MAX_LAUNCH_AGE_S = 9.0  # launches need records or known cancellations of a lower age
 CANCELLATION_MARGIN_S = 3.0  # for the delays of a cancellation besides a worker's lease
 
 TOO_LARGE = Response(400, b'{"error":"body over 64 KiB"}')
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -52,14 +52,16 @@
     """The status of a machine, as its shard's owner reports it to the leader.
 
     Attributes:
-        free: the unoccupied resources.
-        ends: the estimated ends of the running tasks.
+        free: the resources that are neither occupied nor reserved.
+        ends: the estimated ends of the tasks that have not exited.
         images: the images that the machine has fetched.
         queued: number of tasks in the queues of the machine's slots.
-        usable: whether tasks may be placed on the machine.
-        reconciled: whether the owner knows the machine's tasks from its heartbeats.
+        usable: whether new tasks may be placed on the machine.
+        reconciled: whether a heartbeat has carried the owner's fencing token; the owner then knows
+            all tasks on the machine.
         leaving: whether the machine has a spot notice, is slow or unreachable, or is drained.
-        faulty: whether too many tasks failed on the machine.
+        faulty: whether tasks of several jobs have failed on the machine, and none has completed
+            since.
     """
 
     free: Resources
@@ -73,13 +75,21 @@
 
 
 class JobStatus(msgspec.Struct, kw_only=True):
-    """The status of a job's array tasks that are assigned to one shard."""
+    """The status of a job's array tasks that are assigned to one shard.
+
+    Attributes:
+        placed: number of assigned tasks that are neither done nor released.
+        running: number of these tasks that are on a machine.
+        done: the indices of completed tasks.
+        released: the indices of tasks that the shard's owner returns to the leader.
+        version: the version of the job record that the owner used.
+    """
 
     placed: int
     running: int
     done: list[int]
     released: list[int] = msgspec.field(name="returned")
-    version: int  # of the job record that the shard's owner used
+    version: int
 
 
 # The state of a gang's attempt in a shard, as the shard's owner reports it to the leader.
@@ -87,11 +97,9 @@
 GANG_RESERVED: Final = "held"  # slots are reserved, but not all start commands were sent
 GANG_STARTED: Final = "on"  # all start commands were sent
 GANG_FAILED: Final = "bad"  # this attempt can't succeed any more
-GANG_DONE: Final = "done"  # a task of the attempt completed with the result
-GANG_STOPPING: Final = (
-    "busy"  # the attempt is no longer scheduled, but a task is or may be on a machine
-)
-GANG_STOPPED: Final = "clear"  # the attempt is no longer scheduled, and no task is on a machine
+GANG_DONE: Final = "done"  # a task of the attempt has completed
+GANG_STOPPING: Final = "busy"  # no longer scheduled, but a task is or may be on a machine
+GANG_STOPPED: Final = "clear"  # no longer scheduled, and no task is on a machine
 
 
 class GangStatus(msgspec.Struct, array_like=True, frozen=True):
@@ -103,10 +111,16 @@
 
 
 class MachineContactGap(msgspec.Struct, array_like=True, frozen=True):
-    """The time without contact to a machine whose heartbeats are overdue."""
+    """The time without contact to a machine whose heartbeats are overdue.
+
+    Attributes:
+        gap_s: seconds since the last heartbeat with the owner's fencing token, or since the owner
+            last began to accept heartbeats if that was later.
+        urgent: whether replicas or cancelled tasks wait for proof that the machine is gone.
+    """
 
-    gap_s: Seconds  # since the last heartbeat that confirmed the owner's fencing token
-    urgent: bool  # replicas or cancelled tasks wait for proof that the machine is gone
+    gap_s: Seconds
+    urgent: bool
 
 
 class ShardStatus(msgspec.Struct, kw_only=True):
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -23,7 +23,9 @@
 
 COUNTER_LIMIT = 1 << 64  # counts, versions, tokens and attempts in the protocol are lower than this
 MAX_TASK_INDEX_DIGITS = 9
-TASK_CACHE_SIZE = 20_000  # parsed task names, about 4 MB; further names are parsed on each use
+TASK_CACHE_SIZE = (
+    20_000  # parsed task names, about 4 MB; with more tasks, names are parsed repeatedly
+)
 
 
 class TaskStage(StrEnum):
