--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -29,9 +29,8 @@
 TICK_DELAY_FACTOR = 40.0
 NO_SHARD_POLL_INTERVAL_S = 0.5  # while this process owns no shard
 UNCHANGED_STATUS_INTERVAL_S = 1.5  # between statuses of a shard without changes
-STATUS_INTERVAL_TOLERANCE = (
-    0.9  # of the time between statuses: the ticks are not exactly as far apart
-)
+# A status is due after this share of its interval, since the delays between ticks vary.
+STATUS_DUE_SHARE = 0.9
 
 
 class ShardLoop:
@@ -80,8 +79,8 @@
         scheduler.tick(
             now, self._wall_time(), now - self._records.current_at < MAX_CURRENT_RECORD_AGE_S
         )
-        due_s = tick_delay_s if scheduler.dirty else UNCHANGED_STATUS_INTERVAL_S
-        if now - self._status_sent_at.get(name, NEVER_S) >= due_s * STATUS_INTERVAL_TOLERANCE:
+        status_interval_s = tick_delay_s if scheduler.dirty else UNCHANGED_STATUS_INTERVAL_S
+        if now - self._status_sent_at.get(name, NEVER_S) >= status_interval_s * STATUS_DUE_SHARE:
             self._status_sent_at[name] = now
             self.send_status(now, scheduler)
 
--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -44,11 +44,11 @@
 
 
 class _Catalog(msgspec.Struct):
-    builds: list[MachineType]
+    types: list[MachineType] = msgspec.field(name="builds")
 
 
 class _ProvisionedMachines(msgspec.Struct):
-    looms: list[str]
+    machines: list[str] = msgspec.field(name="looms")
 
 
 class ListedMachine(msgspec.Struct):
@@ -82,7 +82,7 @@
         msgspec.MsgspecError: the catalogue is malformed. All parsers of this module raise this
             error for malformed input.
     """
-    return _CATALOG_DECODER.decode(raw).builds
+    return _CATALOG_DECODER.decode(raw).types
 
 
 def decode_machine_types(value: Any) -> list[MachineType]:
@@ -113,7 +113,7 @@
 
 def parse_provisioned_machines(raw: bytes) -> list[MachineId]:
     """Parse the identifiers of the machines that the cloud provisioned for a request."""
-    return [MachineId(m) for m in _PROVISIONED_MACHINES_DECODER.decode(raw).looms]
+    return [MachineId(m) for m in _PROVISIONED_MACHINES_DECODER.decode(raw).machines]
 
 
 def encode_deletion_request(machines: list[MachineId]) -> bytes:
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -63,24 +63,24 @@
 
 
 class _TaskStatusBody(msgspec.Struct):
-    piece: str
-    try_: int = msgspec.field(name="try")
+    task: str = msgspec.field(name="piece")
+    attempt: int = msgspec.field(name="try")
     stage: str = ""
     cause: str | None = None
     saved: bool | None = None
 
 
 class _HeartbeatBody(msgspec.Struct):
-    loom: str
-    build: str
-    yard: str
-    borrowed: bool
-    shift: int
-    tally: int
-    baton: int
-    pieces: list[_TaskStatusBody]
-    endpoint: str = ""
-    recall_s: float | None = None
+    machine: str = msgspec.field(name="loom")
+    type: str = msgspec.field(name="build")
+    zone: str = msgspec.field(name="yard")
+    spot: bool = msgspec.field(name="borrowed")
+    incarnation: int = msgspec.field(name="shift")
+    sequence: int = msgspec.field(name="tally")
+    token: int = msgspec.field(name="baton")
+    tasks: list[_TaskStatusBody] = msgspec.field(name="pieces")
+    address: str = msgspec.field(name="endpoint", default="")
+    spot_notice_s: float | None = msgspec.field(name="recall_s", default=None)
 
 
 class TaskStatus(NamedTuple):
@@ -158,23 +158,23 @@
         body = _HEARTBEAT_DECODER.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
         raise MalformedMessageError(str(err)) from None
-    for value in (body.shift, body.tally, body.baton):
+    for value in (body.incarnation, body.sequence, body.token):
         if not 0 <= value < COUNTER_LIMIT:
             raise MalformedMessageError("shift, tally or baton: out of range")
     tasks = [
-        TaskStatus(parse_task(p.piece), Attempt(p.try_), p.stage, p.cause, bool(p.saved))
-        for p in body.pieces
+        TaskStatus(parse_task(t.task), Attempt(t.attempt), t.stage, t.cause, bool(t.saved))
+        for t in body.tasks
     ]
     return Heartbeat(
-        MachineId(body.loom),
-        TypeName(body.build),
-        Zone(body.yard),
-        body.borrowed,
-        body.shift,
-        body.tally,
-        FencingToken(body.baton),
-        body.recall_s,
-        body.endpoint,
+        MachineId(body.machine),
+        TypeName(body.type),
+        Zone(body.zone),
+        body.spot,
+        body.incarnation,
+        body.sequence,
+        FencingToken(body.token),
+        body.spot_notice_s,
+        body.address,
         tasks,
     )
 
