--- a/src/dapplewick/controller/__init__.py
+++ b/src/dapplewick/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller process: its loops, its HTTP interfaces and how they are joined."""
+"""The controller process: its components, background loops and endpoints."""
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -40,7 +40,7 @@
 
 
 class CloudConnection(Protocol):
-    """Carries requests to the cloud."""
+    """A connection that sends requests to the cloud."""
 
     async def request(
         self, method: str, target: str, body: bytes | None, within: float
@@ -92,40 +92,40 @@
         async with anyio.create_task_group() as group:
             while True:
                 await anyio.sleep(POLL_INTERVAL_S)
-                leader = self._leadership.planner
-                if leader is None or not self._presence.lease_valid():
+                planner = self._leadership.planner
+                if planner is None or not self._presence.lease_valid():
                     catalog_requested_at = list_requested_at = NEVER_S
                     await anyio.sleep(NON_LEADER_EXTRA_DELAY_S)
                     continue
                 now = self._now()
-                self._start_provisioning(group, leader)
-                self._start_deletion(group, leader)
+                self._start_provisioning(group, planner)
+                self._start_deletion(group, planner)
                 if now - catalog_requested_at > CATALOG_INTERVAL_S and self._budget.try_acquire():
                     catalog_requested_at = now
-                    if not await self._refresh_catalog(leader):
+                    if not await self._refresh_catalog(planner):
                         catalog_requested_at = now - CATALOG_INTERVAL_S + FAILURE_BACKOFF_S
                 if now - list_requested_at > LIST_INTERVAL_S and self._budget.try_acquire():
                     list_requested_at = now
-                    await self._refresh_machine_list(leader)
+                    await self._refresh_machine_list(planner)
 
-    def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
+    def _start_provisioning(self, group: TaskGroup, planner: LeaderPlanner) -> None:
         for name in self._cache.provisioning_requests:
-            is_new = name not in self._provisioning and name not in leader.provisioned
+            is_new = name not in self._provisioning and name not in planner.provisioned
             if is_new and self._budget.try_acquire():
                 self._provisioning.add(name)
-                group.start_soon(self._provision, leader, name)
+                group.start_soon(self._provision, planner, name)
 
-    def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
+    def _start_deletion(self, group: TaskGroup, planner: LeaderPlanner) -> None:
         terminating = [
             machine
             for machine, record in self._cache.machines.items()
             if record.terminating
-            and machine not in leader.machine_lifecycle.deleted
+            and machine not in planner.machine_lifecycle.deleted
             and machine not in self._deleting
         ][:MAX_DELETIONS_PER_CALL]
         if terminating and self._budget.try_acquire():
             self._deleting.update(terminating)
-            group.start_soon(self._delete, leader, terminating)
+            group.start_soon(self._delete, planner, terminating)
 
     async def _call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         try:
@@ -133,7 +133,7 @@
         except HttpError as err:
             return 0, str(err).encode()
 
-    async def _provision(self, leader: LeaderPlanner, name: str) -> None:
+    async def _provision(self, planner: LeaderPlanner, name: str) -> None:
         try:
             provisioning_request = self._cache.provisioning_requests[name]
             body = encode_provisioning_request(
@@ -145,9 +145,9 @@
             )
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
-                leader.provisioning_answered(name, parse_provisioned_machines(answer))
+                planner.provisioning_answered(name, parse_provisioned_machines(answer))
             elif status == 400 or (status == 503 and b"no capacity" in answer):
-                leader.provisioning_answered(name, None)
+                planner.provisioning_answered(name, None)
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
                 await anyio.sleep(FAILURE_BACKOFF_S)
@@ -157,11 +157,11 @@
         finally:
             self._provisioning.discard(name)
 
-    async def _delete(self, leader: LeaderPlanner, machines: list[MachineId]) -> None:
+    async def _delete(self, planner: LeaderPlanner, machines: list[MachineId]) -> None:
         try:
             status, _ = await self._call("POST", "/hosts/delete", encode_deletion_request(machines))
             if status == 200:
-                leader.machines_deleted(machines)
+                planner.machines_deleted(machines)
                 # Tasks of a deleted machine can start elsewhere once its record is removed.
                 self._leadership.wake(at_once=True)
             else:
@@ -172,18 +172,18 @@
         finally:
             self._deleting.difference_update(machines)
 
-    async def _refresh_catalog(self, leader: LeaderPlanner) -> bool:
+    async def _refresh_catalog(self, planner: LeaderPlanner) -> bool:
         status, answer = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
-                leader.catalog(parse_catalog(answer))
+                planner.catalog(parse_catalog(answer))
                 self._leadership.wake()
                 return True
         except Exception as err:  # noqa: BLE001 a malformed catalogue must not stop the other calls
             log.error("event=catalog_malformed error=%s", err)
         return False
 
-    async def _refresh_machine_list(self, leader: LeaderPlanner) -> None:
+    async def _refresh_machine_list(self, planner: LeaderPlanner) -> None:
         machines: list[ListedMachine] = []
         since = ""
         try:
@@ -197,6 +197,6 @@
                 if not page.more or not page.machines or len(machines) > MAX_LISTED_MACHINES:
                     break
                 since = page.machines[-1].machine
-            leader.machines_listed(self._now(), MachineList(machines))
+            planner.machines_listed(self._now(), MachineList(machines))
         except Exception as err:  # noqa: BLE001 a malformed list must not stop the other calls
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -335,7 +335,7 @@
         return self._owned_shards.schedulers
 
     async def handle(self, request: Request) -> Response:
-        """Answer an HTTP request of a worker, a user or the platform."""
+        """Handle an HTTP request of a worker, a user or the platform."""
         return await self._router.handle(request)
 
     async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
@@ -355,7 +355,7 @@
         return self._peer_endpoint.on_message(message)
 
     async def run(self) -> None:
-        """Listen to clients and peers, and run all loops, until cancelled.
+        """Listen for clients and peers, and run all loops, until cancelled.
 
         Raises:
             OSError: a listen address is unavailable.
--- a/src/dapplewick/protocol/__init__.py
+++ b/src/dapplewick/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages on the wire, by counterpart: users, workers, cloud, state service and controllers."""
+"""Wire protocols between controllers and users, workers, the cloud, the state service and peers."""
--- a/src/dapplewick/protocol/job_spec.py
+++ b/src/dapplewick/protocol/job_spec.py
@@ -42,7 +42,7 @@
         spot: whether tasks may run on spot machines.
         checkpoint_interval_s: run time in seconds between a task's checkpoints; 0: none are saved.
         save_s: seconds that a task needs to save its progress when it is stopped.
-        deadline_s: seconds from the job's submission within which it should be complete.
+        deadline_s: seconds from submission within which the job should complete; None: no deadline.
         is_service: whether the tasks are replicas that run until the job is cancelled.
     """
 
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -128,6 +128,29 @@
 
     `machines`, `jobs` and `gangs` hold the entries that changed since the status numbered `base`,
     with None for removed entries. The other fields are complete in each status.
+
+    Attributes:
+        kind: the kind of the message.
+        shard: the shard.
+        token: the fencing token of the shard's owner.
+        number: the number of this status; numbers grow by one with each status of an owner.
+        base: the number of the status that the changes refer to; 0: all entries are included.
+        at: when the status was made, by the owner's monotonic clock.
+        seen_revision: the revision up to which the owner has read the records.
+        machines: the changed machines.
+        jobs: the changed jobs with array tasks in the shard.
+        gangs: the changed attempts of gangs.
+        machine_contact_gaps: the machines whose heartbeats are overdue.
+        idle: seconds for which each idle machine has been idle.
+        last_contact_age_s: the shortest contact gap of all available machines; -1: no machine.
+        drained_jobs: ended jobs that are assigned to the shard and have no task on a machine.
+        unreconciled: number of machines that the owner has not reconciled.
+        estimates: for each job class, the learned bias of users' run time estimates and the number
+            of tasks from which it was learned.
+        drained: machines that a transfer drains and that are proven to have no tasks; set while
+            machines move between partitions.
+        controller: the controller that owns the shard; set in statuses sent to another controller.
+        version: the record format that the sender supports.
     """
 
     kind: str = KIND_SHARD_STATUS
@@ -135,18 +158,18 @@
     token: FencingToken
     number: int
     base: int
-    at: Seconds  # when the status was made, by the owner's monotonic clock
+    at: Seconds
     seen_revision: Revision = msgspec.field(name="seen")
     machines: dict[MachineId, MachineStatus | None]
     jobs: dict[JobId, JobStatus | None]
     gangs: dict[JobId, GangStatus | None]
     machine_contact_gaps: dict[MachineId, MachineContactGap] = msgspec.field(name="silent")
     idle: dict[MachineId, Seconds]
-    last_contact_age_s: Seconds = msgspec.field(name="heard_ago")  # -1: no machine
+    last_contact_age_s: Seconds = msgspec.field(name="heard_ago")
     drained_jobs: list[JobId] = msgspec.field(name="clear")
     unreconciled: int = msgspec.field(name="unheard", default=0)
     estimates: dict[str, tuple[float, int]]
-    drained: list[MachineId] | UnsetType = UNSET  # set while machines move between partitions
+    drained: list[MachineId] | UnsetType = UNSET
     controller: ControllerName | UnsetType = msgspec.field(name="node", default=UNSET)
     version: int | UnsetType = UNSET
 
