--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -73,7 +73,7 @@
         self._wall_time = wall_time
 
     async def handle(self, request: Request) -> Response | None:
-        """Handle a request below JOBS_PATH; return None for other paths.
+        """Handle a request at or below JOBS_PATH; return None for other paths.
 
         If the state service is unavailable to this process, the request is forwarded once to a peer
         that has contact to it. This is safe since all these requests are idempotent.
@@ -84,7 +84,7 @@
         return answer
 
     async def answer(self, request: Request) -> Response | None:
-        """Handle a request below JOBS_PATH without forwarding it; return None for other paths."""
+        """Handle a request at or below JOBS_PATH without forwarding; return None for other paths."""
         path = request.target.partition("?")[0]
         if path == JOBS_PATH:
             if request.method != "POST":
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -54,8 +54,9 @@
         """Respond to a heartbeat.
 
         Returns:
-            200 with commands if this process owns the shard, 421 with the name of another owner, or
-            503 if the owner is unknown or this process may not renew the worker's lease.
+            200 with commands if this process owns the shard, 421 with the name of another owner,
+            503 if the owner is unknown or this process may not renew the worker's lease, or 400 if
+            the heartbeat is malformed.
         """
         if request.too_large:
             return TOO_LARGE
