--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -84,7 +84,7 @@
         return answer
 
     async def answer(self, request: Request) -> Response | None:
-        """Handle a request at or below JOBS_PATH without forwarding; return None for other paths."""
+        """Handle a request at or below JOBS_PATH locally; return None for other paths."""
         path = request.target.partition("?")[0]
         if path == JOBS_PATH:
             if request.method != "POST":
