--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -1,4 +1,4 @@
-"""The leader's calls of the cloud: provisioning, deletions, the catalogue and machine lists."""
+"""Calls to the cloud by the leader: provisioning, deletion, catalogue and machine list."""
 
 from __future__ import annotations
 
@@ -28,36 +28,45 @@
 
 log = logging.getLogger(__name__)
 
-STEP_S = 0.1  # how often is looked for something to call the cloud for
-NO_LEADER_STEP_S = 0.3  # and where this controller does not lead
+POLL_INTERVAL_S = 0.1  # between two checks for requests to send
+NON_LEADER_EXTRA_DELAY_S = 0.3  # added to POLL_INTERVAL_S while this controller may not call
 CATALOG_INTERVAL_S = 45.0
 LIST_INTERVAL_S = 10.0
 CALL_TIMEOUT_S = 6.0
-FAILURE_PAUSE_S = 1.0
-MAX_DELETIONS = 100  # machines in one call
-PAGE_SIZE = 500  # machines in one page of the list
-MAX_LISTED = 20_000  # machines; with more of them the rest is left for the next list
+FAILURE_BACKOFF_S = 1.0
+MAX_DELETIONS_PER_CALL = 100
+PAGE_SIZE = 500  # machines in one page of the machine list
+MAX_LISTED_MACHINES = 20_000  # no further pages of a list are read beyond this number
 
 
 class CloudConnection(Protocol):
-    """Carries requests to the cloud."""
+    """A connection that sends requests to the cloud."""
 
     async def request(
         self, method: str, target: str, body: bytes | None, within: float
     ) -> tuple[int, bytes]:
-        """Make a request.
+        """Send a request and wait for the response.
+
+        Args:
+            method: the HTTP method.
+            target: the path and the query.
+            body: the request's body, if any.
+            within: the time-out in seconds.
 
         Returns:
-            The status and the body of the answer.
+            The status and the body of the response.
 
         Raises:
-            HttpError: no answer came within so many seconds.
+            HttpError: no response arrived within the time-out.
         """
         ...
 
 
 class CloudCalls:
-    """Carries out what the leader's records say is to be provisioned or deleted."""
+    """Sends the provisioning requests and deletions in the records, and reads the cloud's state.
+
+    Requests are sent only while this controller leads and its presence lease is valid.
+    """
 
     def __init__(
         self,
@@ -78,45 +87,45 @@
         self._deleting: set[MachineId] = set()
 
     async def run(self) -> None:
-        """Call the cloud whenever this controller leads, for ever."""
-        catalog_at = list_at = NEVER_S
+        """Call the cloud whenever this controller leads; runs until cancelled."""
+        catalog_requested_at = list_requested_at = NEVER_S
         async with anyio.create_task_group() as group:
             while True:
-                await anyio.sleep(STEP_S)
-                leader = self._leadership.planner
-                if leader is None or not self._presence.lease_valid():
-                    catalog_at = list_at = NEVER_S
-                    await anyio.sleep(NO_LEADER_STEP_S)
+                await anyio.sleep(POLL_INTERVAL_S)
+                planner = self._leadership.planner
+                if planner is None or not self._presence.lease_valid():
+                    catalog_requested_at = list_requested_at = NEVER_S
+                    await anyio.sleep(NON_LEADER_EXTRA_DELAY_S)
                     continue
                 now = self._now()
-                self._start_provisioning(group, leader)
-                self._start_deletion(group, leader)
-                if now - catalog_at > CATALOG_INTERVAL_S and self._budget.try_acquire():
-                    catalog_at = now
-                    if not await self._catalog(leader):
-                        catalog_at = now - CATALOG_INTERVAL_S + FAILURE_PAUSE_S
-                if now - list_at > LIST_INTERVAL_S and self._budget.try_acquire():
-                    list_at = now
-                    await self._list(leader)
-
-    def _start_provisioning(self, group: TaskGroup, leader: LeaderPlanner) -> None:
+                self._start_provisioning(group, planner)
+                self._start_deletion(group, planner)
+                if now - catalog_requested_at > CATALOG_INTERVAL_S and self._budget.try_acquire():
+                    catalog_requested_at = now
+                    if not await self._refresh_catalog(planner):
+                        catalog_requested_at = now - CATALOG_INTERVAL_S + FAILURE_BACKOFF_S
+                if now - list_requested_at > LIST_INTERVAL_S and self._budget.try_acquire():
+                    list_requested_at = now
+                    await self._refresh_machine_list(planner)
+
+    def _start_provisioning(self, group: TaskGroup, planner: LeaderPlanner) -> None:
         for name in self._cache.provisioning_requests:
-            new = name not in self._provisioning and name not in leader.provisioned
-            if new and self._budget.try_acquire():
+            is_new = name not in self._provisioning and name not in planner.provisioned
+            if is_new and self._budget.try_acquire():
                 self._provisioning.add(name)
-                group.start_soon(self._provision, leader, name)
+                group.start_soon(self._provision, planner, name)
 
-    def _start_deletion(self, group: TaskGroup, leader: LeaderPlanner) -> None:
+    def _start_deletion(self, group: TaskGroup, planner: LeaderPlanner) -> None:
         terminating = [
             machine
             for machine, record in self._cache.machines.items()
             if record.terminating
-            and machine not in leader.machine_lifecycle.deleted
+            and machine not in planner.machine_lifecycle.deleted
             and machine not in self._deleting
-        ][:MAX_DELETIONS]
+        ][:MAX_DELETIONS_PER_CALL]
         if terminating and self._budget.try_acquire():
             self._deleting.update(terminating)
-            group.start_soon(self._delete, leader, terminating)
+            group.start_soon(self._delete, planner, terminating)
 
     async def _call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         try:
@@ -124,7 +133,7 @@
         except HttpError as err:
             return 0, str(err).encode()
 
-    async def _provision(self, leader: LeaderPlanner, name: str) -> None:
+    async def _provision(self, planner: LeaderPlanner, name: str) -> None:
         try:
             provisioning_request = self._cache.provisioning_requests[name]
             body = encode_provisioning_request(
@@ -136,45 +145,45 @@
             )
             status, answer = await self._call("POST", "/hosts", body)
             if status == 200:
-                leader.record_provisioning_response(name, parse_provisioned_machines(answer))
+                planner.record_provisioning_response(name, parse_provisioned_machines(answer))
             elif status == 400 or (status == 503 and b"no capacity" in answer):
-                leader.record_provisioning_response(name, None)
+                planner.record_provisioning_response(name, None)
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
-                await anyio.sleep(FAILURE_PAUSE_S)
+                await anyio.sleep(FAILURE_BACKOFF_S)
             self._leadership.request_pass()
         except Exception:
             log.exception("event=provisioning_crashed request=%s", name)
         finally:
             self._provisioning.discard(name)
 
-    async def _delete(self, leader: LeaderPlanner, machines: list[MachineId]) -> None:
+    async def _delete(self, planner: LeaderPlanner, machines: list[MachineId]) -> None:
         try:
             status, _ = await self._call("POST", "/hosts/delete", encode_deletion_request(machines))
             if status == 200:
-                leader.record_deleted_machines(machines)
-                # What was on them can start elsewhere once the records say that they are gone.
+                planner.record_deleted_machines(machines)
+                # Tasks of a deleted machine can start elsewhere once its record is removed.
                 self._leadership.request_pass(urgent=True)
             else:
                 log.info("event=deletion_failed count=%d status=%d", len(machines), status)
-                await anyio.sleep(FAILURE_PAUSE_S)
+                await anyio.sleep(FAILURE_BACKOFF_S)
         except Exception:
             log.exception("event=deletion_crashed")
         finally:
             self._deleting.difference_update(machines)
 
-    async def _catalog(self, leader: LeaderPlanner) -> bool:
+    async def _refresh_catalog(self, planner: LeaderPlanner) -> bool:
         status, answer = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
-                leader.receive_catalog(parse_catalog(answer))
+                planner.receive_catalog(parse_catalog(answer))
                 self._leadership.request_pass()
                 return True
-        except Exception as err:  # noqa: BLE001 a bad catalogue must not end the other calls
+        except Exception as err:  # noqa: BLE001 a malformed catalogue must not stop the other calls
             log.error("event=catalog_malformed error=%s", err)
         return False
 
-    async def _list(self, leader: LeaderPlanner) -> None:
+    async def _refresh_machine_list(self, planner: LeaderPlanner) -> None:
         machines: list[ListedMachine] = []
         since = ""
         try:
@@ -185,9 +194,9 @@
                     return
                 page = parse_machine_list(answer)
                 machines += page.machines
-                if not page.more or not page.machines or len(machines) > MAX_LISTED:
+                if not page.more or not page.machines or len(machines) > MAX_LISTED_MACHINES:
                     break
                 since = page.machines[-1].machine
-            leader.receive_machine_list(self._now(), MachineList(machines))
-        except Exception as err:  # noqa: BLE001 a bad list must not end the other calls
+            planner.receive_machine_list(self._now(), MachineList(machines))
+        except Exception as err:  # noqa: BLE001 a malformed list must not stop the other calls
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: it joins transport, storage and coordination to the cores, and runs the loops."""
+"""One controller: creates its components, connects them and runs their loops."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from dapplewick.controller.overload import OverloadMonitor
 from dapplewick.controller.owned_shards import OwnedShards
 from dapplewick.controller.partition_host import PartitionHost
-from dapplewick.controller.partition_switch import PartitionSwitch, understood_format
+from dapplewick.controller.partition_switch import PartitionSwitch, supported_format
 from dapplewick.controller.peer_endpoint import PeerEndpoint
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.record_limits import RecordLimits
@@ -57,15 +57,26 @@
 if TYPE_CHECKING:
     from dapplewick.partitions.service import PartitionService
 
-MIN_WRITE_BURST = 6.0  # users come at once, so each controller may accept some at once
-PEER_BACKLOG = 64
+MIN_WRITE_BURST = 6.0  # lets each controller accept a burst of simultaneous submissions
+PEER_LISTEN_BACKLOG = 64
 
 
 class Controller:
-    """One controller process: its collaborators, and the tasks that run them.
-
-    What follows the records comes first, then what coordinates with the peers, then what answers
-    requests, then the loops that act; each is given only what comes before it.
+    """One controller process: its components and the tasks that run them.
+
+    Components are created in the order of their dependencies: tracking of records, coordination
+    with peers, endpoints for requests, and the loops of the leader, the shards and the cloud calls.
+    Each component depends only on earlier ones.
+
+    Args:
+        settings: the settings of the deployment and of this controller.
+        connect: creates an HTTP client for a host and a port.
+        link: creates the link to the peer at a host and a port.
+        clock: the monotonic clock, in seconds.
+        wall_time: the wall clock, in seconds since the epoch.
+        seed: the seed of this controller's random numbers.
+        tuning: parameters set by the operators' script; None: the defaults.
+        partitions: the partition service; None: partitions are disabled.
     """
 
     def __init__(
@@ -91,16 +102,16 @@
             f"{time.time_ns():x}-{self._random.getrandbits(32):x}",
         )
         budgets = budgets_of(settings.deployment)
-        self._connect_services(connect, budgets)
-        self._follow_records(budgets)
-        self._join_peers(link, partitions, budgets)
-        self._open_endpoints(partitions)
-        self._set_up_loops()
+        self._create_service_clients(connect, budgets)
+        self._create_record_tracking(budgets)
+        self._create_peer_coordination(link, partitions, budgets)
+        self._create_endpoints(partitions)
+        self._create_loops()
 
-    def _connect_services(
+    def _create_service_clients(
         self, connect: Callable[[str, int], HttpClient], budgets: Budgets
     ) -> None:
-        """Make the clients of the state service and the cloud."""
+        """Create the clients of the state service and the cloud."""
         outside = self.settings.outside
         self.state = StateClient(
             connect(*host_port(outside.state, "outside.state")),
@@ -111,8 +122,8 @@
         self.cloud = connect(*host_port(outside.cloud, "outside.cloud"))
         self.cloud_budget = RateLimiter(budgets.cloud_calls_per_s)
 
-    def _follow_records(self, budgets: Budgets) -> None:
-        """Make what reads the records, and what is told of them."""
+    def _create_record_tracking(self, budgets: Budgets) -> None:
+        """Create the watch cache, and the components that use or update it."""
         deployment = self.settings.deployment
         self.cache = WatchCache()
         self.limits = RecordLimits(deployment.state, self.cache)
@@ -135,13 +146,13 @@
             rng=self._random,
         )
 
-    def _join_peers(
+    def _create_peer_coordination(
         self,
         link: Callable[[str, int], PeerLink],
         partitions: PartitionService | None,
         budgets: Budgets,
     ) -> None:
-        """Make what coordinates this controller with the others."""
+        """Create the components that coordinate this controller with its peers."""
         self.links = {
             ControllerName(peer.host_name): link(*host_port(peer.peer_addr, "peers.peer_addr"))
             for peer in self.settings.peers
@@ -150,7 +161,7 @@
             self.identity,
             self.state,
             self.records,
-            format_version=understood_format(partitions),
+            format_version=supported_format(partitions),
             now=self.now,
             rng=self._random,
         )
@@ -178,12 +189,12 @@
             rng=self._random,
         )
 
-    def _open_endpoints(self, partitions: PartitionService | None) -> None:
-        """Make what answers peers, operators and HTTP requests."""
+    def _create_endpoints(self, partitions: PartitionService | None) -> None:
+        """Create the endpoints for peers, operators and HTTP clients."""
         deployment = self.settings.deployment
         self.latencies = Latencies()
         self.overload = OverloadMonitor(self.now)
-        self.partitions = self._switch_partitions(partitions)
+        self.partitions = self._create_partition_switch(partitions)
         user_api = UserApi(
             deployment,
             self.records,
@@ -206,7 +217,7 @@
             leadership=self.leadership,
             now=self.now,
         )
-        self._open_http(user_api)
+        self._create_http_endpoints(user_api)
         self._peer_endpoint = PeerEndpoint(
             leadership=self.leadership,
             exchange=self.peers,
@@ -217,8 +228,8 @@
             now=self.now,
         )
 
-    def _open_http(self, user_api: UserApi) -> None:
-        """Make what answers HTTP requests of workers, users and the platform."""
+    def _create_http_endpoints(self, user_api: UserApi) -> None:
+        """Create the endpoints for HTTP requests of workers, users and the platform."""
         worker_endpoint = WorkerEndpoint(
             identity=self.identity,
             records=self.records,
@@ -240,7 +251,7 @@
             now=self.now,
         )
 
-    def _switch_partitions(self, partitions: PartitionService | None) -> PartitionSwitch:
+    def _create_partition_switch(self, partitions: PartitionService | None) -> PartitionSwitch:
         host = PartitionHost(
             settings=self.settings,
             estimates=self.estimates,
@@ -256,8 +267,8 @@
         )
         return PartitionSwitch(partitions, host, self.cache, self.settings.deployment.zones)
 
-    def _set_up_loops(self) -> None:
-        """Make what plans, ticks and calls the cloud."""
+    def _create_loops(self) -> None:
+        """Create the loops of the leader, the shards and the cloud calls."""
         self.shard_loop = ShardLoop(
             self.identity,
             self.records,
@@ -296,7 +307,7 @@
         )
 
     def _new_planner(self, epoch: FencingToken, now: Seconds) -> LeaderPlanner:
-        """The planner of a new term of leadership."""
+        """Create the planner for a new leadership term."""
         return LeaderPlanner(
             self.cache,
             self.settings,
@@ -310,12 +321,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the records were read at least once."""
+        """Whether the records have been read at least once."""
         return self.records.ready
 
     @property
     def leader(self) -> LeaderPlanner | None:
-        """The planner of the present term, if this process leads."""
+        """The planner of the current leadership term; None if this process does not lead."""
         return self.leadership.planner
 
     @property
@@ -324,62 +335,62 @@
         return self._owned_shards.schedulers
 
     async def handle(self, request: Request) -> Response:
-        """Answer an HTTP request of a worker, a user or the platform."""
+        """Handle an HTTP request of a worker, a user or the platform."""
         return await self._router.handle(request)
 
     async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Handle a message on a peer connection; some are answered on it.
+        """Handle a message on a peer connection; return the response, if its kind has one.
 
         Raises:
-            ValueError: it is malformed.
+            ValueError: the message is malformed.
         """
         return await self._peer_endpoint.on_request(message)
 
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Handle a peer's message that is answered at once or not at all.
+        """Handle a peer message whose kind needs no I/O; return the response, if its kind has one.
 
         Raises:
-            ValueError: it is malformed.
+            ValueError: the message is malformed.
         """
         return self._peer_endpoint.on_message(message)
 
     async def run(self) -> None:
-        """Listen to clients and peers, and run all loops, until cancelled.
+        """Listen for clients and peers, and run all loops, until cancelled.
 
         Raises:
-            OSError: an address can't be listened at.
+            OSError: a listen address is unavailable.
         """
         deployment = self.settings.deployment
         max_clients = max_client_sockets(deployment)
         host, port = host_port(self.settings.client_listen, "client_listen")
-        clients = await anyio.create_tcp_listener(
+        client_listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=max_clients
         )
         host, port = host_port(self.settings.peer_listen, "peer_listen")
         peer_listener = await anyio.create_tcp_listener(
-            local_host=host, local_port=port, backlog=PEER_BACKLOG
+            local_host=host, local_port=port, backlog=PEER_LISTEN_BACKLOG
         )
         max_peers = 8 + 4 * deployment.count
 
-        def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> Awaitable[None]:
-            return serve_connection(stream, self.handle, mark)
+        def serve(stream: anyio.abc.ByteStream, set_idle: IdleCallback) -> Awaitable[None]:
+            return serve_connection(stream, self.handle, set_idle)
 
-        def hear(stream: anyio.abc.ByteStream, _mark: IdleCallback) -> Awaitable[None]:
+        def receive(stream: anyio.abc.ByteStream, _set_idle: IdleCallback) -> Awaitable[None]:
             return receive_frames(stream, self.on_request)
 
         async with anyio.create_task_group() as group:
             group.start_soon(self.run_loops)
-            group.start_soon(ConnectionAcceptor(max_peers, hear).run, peer_listener)
-            await ConnectionAcceptor(max_clients, serve).run(clients)
+            group.start_soon(ConnectionAcceptor(max_peers, receive).run, peer_listener)
+            await ConnectionAcceptor(max_clients, serve).run(client_listener)
 
     async def run_loops(self) -> None:
-        """Run all that a controller does besides answering, until cancelled."""
+        """Run all background loops until cancelled; requests are not served here."""
         async with anyio.create_task_group() as group:
             for link in self.links.values():
                 group.start_soon(link.run)
             if self.partitions.service is not None:
                 group.start_soon(run_supervised, "run", self.partitions.service.run)
-            # The names are those by which the log tells of a loop that broke.
+            # The names identify a crashed loop in the log (event=loop_crashed).
             for name, loop in (
                 ("_lease_loop", self.presence.run),
                 ("_watch_loop", self.records.run_watch),
--- a/src/dapplewick/controller/latencies.py
+++ b/src/dapplewick/controller/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies and waits, counted in histograms."""
+"""Histograms of request latencies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_MS, HIGHEST_MS, DIGITS = 1, 3_600_000, 2
+MIN_MS, MAX_MS, SIGNIFICANT_DIGITS = 1, 3_600_000, 2
 
 
 class LatencySummary(TypedDict):
@@ -19,20 +19,20 @@
 
 
 class Latencies:
-    """A histogram in milliseconds for each thing that is measured."""
+    """A histogram in milliseconds for each kind of request."""
 
     def __init__(self) -> None:
         self._histograms: dict[str, HdrHistogram] = {}
 
     def record(self, name: str, seconds: float) -> None:
-        """Count one duration, in seconds; what is out of range counts as the nearest bound."""
+        """Record one duration in seconds, clamped to the histogram's range."""
         histogram = self._histograms.get(name)
         if histogram is None:
-            histogram = self._histograms[name] = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
-        histogram.record_value(min(HIGHEST_MS, max(LOWEST_MS, round(seconds * 1000))))
+            histogram = self._histograms[name] = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
+        histogram.record_value(min(MAX_MS, max(MIN_MS, round(seconds * 1000))))
 
-    def view(self) -> dict[str, LatencySummary]:
-        """Summarise every histogram."""
+    def summarize(self) -> dict[str, LatencySummary]:
+        """Return a summary of each histogram."""
         return {
             name: {
                 "count": histogram.get_total_count(),
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -1,4 +1,4 @@
-"""Ticks of the owned shards, and their statuses to the leader."""
+"""Ticks the schedulers of the owned shards and sends their statuses to the leader."""
 
 from __future__ import annotations
 
@@ -19,18 +19,22 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWED_S = 6.0  # an open watch answers sooner than that, unless there is an outage
-MIN_TICK_S = 0.2  # shards tick, and tell what changed, this often
-# Or less often where that costs much; heartbeats steal what joined no queue yet.
-MAX_TICK_S = 0.5
-TICK_REST_FACTOR = 40.0  # after a tick this times its length passes
-IDLE_S = 0.5  # and without a shard
-STATUS_IDLE_S = 1.5
-STATUS_SLACK = 0.9  # of the time between statuses: the ticks are not exactly as far apart
+# Records of at most this age count as current: except in an outage a watch responds sooner.
+MAX_CURRENT_RECORD_AGE_S = 6.0
+# The delay between ticks is the duration of the last round times TICK_DELAY_FACTOR, within these
+# limits. A longer delay does not hold up tasks, since heartbeats also launch tasks that no tick has
+# put into a queue yet.
+MIN_TICK_DELAY_S = 0.2
+MAX_TICK_DELAY_S = 0.5
+TICK_DELAY_FACTOR = 40.0
+NO_SHARD_POLL_INTERVAL_S = 0.5  # while this process owns no shard
+UNCHANGED_STATUS_INTERVAL_S = 1.5  # between statuses of a shard without changes
+# A status is due after this share of its interval, since the delays between ticks vary.
+STATUS_DUE_SHARE = 0.9
 
 
 class ShardLoop:
-    """Lets the schedulers tick, and sends their statuses to the leader."""
+    """Ticks the schedulers periodically and sends their statuses to the leader."""
 
     def __init__(
         self,
@@ -55,29 +59,35 @@
         self._status_sent_at: dict[ShardName, Seconds] = {}
 
     async def run(self) -> None:
-        """Tick for ever. A scheduler that breaks is logged, and keeps no other back."""
-        gap_s = MIN_TICK_S
+        """Tick until cancelled. A failing scheduler is logged and does not affect the others."""
+        tick_delay_s = MIN_TICK_DELAY_S
         while True:
-            await anyio.sleep(gap_s if self._schedulers else IDLE_S)
+            await anyio.sleep(tick_delay_s if self._schedulers else NO_SHARD_POLL_INTERVAL_S)
             now = self._now()
             for name, scheduler in list(self._schedulers.items()):
                 try:
-                    self._tick(now, name, scheduler, gap_s)
+                    self._tick(now, name, scheduler, tick_delay_s)
                 except Exception:
                     log.exception("event=shard_tick_failed shard=%s", name)
-            gap_s = max(MIN_TICK_S, min(MAX_TICK_S, TICK_REST_FACTOR * (self._now() - now)))
+            tick_delay_s = max(
+                MIN_TICK_DELAY_S, min(MAX_TICK_DELAY_S, TICK_DELAY_FACTOR * (self._now() - now))
+            )
 
-    def _tick(self, now: Seconds, name: ShardName, scheduler: ShardScheduler, gap_s: float) -> None:
-        scheduler.tick(now, self._wall_time(), now - self._records.current_at < FOLLOWED_S)
-        due_s = gap_s if scheduler.dirty else STATUS_IDLE_S
-        if now - self._status_sent_at.get(name, NEVER_S) >= due_s * STATUS_SLACK:
+    def _tick(
+        self, now: Seconds, name: ShardName, scheduler: ShardScheduler, tick_delay_s: float
+    ) -> None:
+        scheduler.tick(
+            now, self._wall_time(), now - self._records.current_at < MAX_CURRENT_RECORD_AGE_S
+        )
+        status_interval_s = tick_delay_s if scheduler.dirty else UNCHANGED_STATUS_INTERVAL_S
+        if now - self._status_sent_at.get(name, NEVER_S) >= status_interval_s * STATUS_DUE_SHARE:
             self._status_sent_at[name] = now
             self.send_status(now, scheduler)
 
     def send_status(self, now: Seconds, scheduler: ShardScheduler) -> None:
-        """Send a shard's status to the leader, wherever it is."""
+        """Send a shard's status to the leader, or wake the leader's loop in this process."""
         if self._leadership.planner is not None:
-            # The leader's pass takes the status of its own shards itself.
+            # The leader's pass reads the statuses of its own shards directly.
             self._leadership.pass_wake.set()
             return
         record = self._records.cache.leader
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -1,4 +1,4 @@
-"""The users' interface: submit, poll, abort."""
+"""The HTTP interface for users: submit, poll and abort jobs."""
 
 from __future__ import annotations
 
@@ -31,24 +31,26 @@
 
 log = logging.getLogger(__name__)
 
-PATH = "/v2/runs"
-MAX_CANCEL_TRIES = 4
+JOBS_PATH = "/v2/runs"
+MAX_CANCEL_ATTEMPTS = 4
 RETRY_AFTER_S = 1
 
-NOT_YET = Response(503, b'{"error":"services begin after the upgrade of all controllers"}', 5)
+SERVICES_NOT_SUPPORTED = Response(
+    503, b'{"error":"services begin after the upgrade of all controllers"}', 5
+)
 UNAVAILABLE = Response(503, b'{"error":"not available now"}', RETRY_AFTER_S)
 NOT_FOUND = Response(404, b'{"error":"no such job"}')
 NO_PATH = Response(404, b'{"error":"no such path"}')
 NO_METHOD = Response(405, b'{"error":"method not allowed"}')
 
 
-def error(status: int, reason: str) -> Response:
-    """An answer that tells a user what is wrong."""
+def error_response(status: int, reason: str) -> Response:
+    """Return an error response that gives the reason to the user."""
     return Response(status, msgspec.json.encode({"error": reason}))
 
 
 class UserApi:
-    """Answers users. Nothing is promised before it is stored."""
+    """Handles users' requests. A job is only acknowledged once it is stored."""
 
     def __init__(
         self,
@@ -71,10 +73,10 @@
         self._wall_time = wall_time
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer a request under our path; None if it is another's.
+        """Handle a request at or below JOBS_PATH; return None for other paths.
 
-        What can't be decided here because the state service does not answer this process alone
-        is put once to a peer that reaches it: every request here may be repeated.
+        If the state service is unavailable to this process, the request is forwarded once to a peer
+        that has contact to it. This is safe since all these requests are idempotent.
         """
         answer = await self.answer(request)
         if answer is UNAVAILABLE:
@@ -82,26 +84,26 @@
         return answer
 
     async def answer(self, request: Request) -> Response | None:
-        """Answer a request under our path by this controller alone; None if it is another's."""
+        """Handle a request at or below JOBS_PATH locally; return None for other paths."""
         path = request.target.partition("?")[0]
-        if path == PATH:
+        if path == JOBS_PATH:
             if request.method != "POST":
                 return NO_METHOD
-            return await self._guard(lambda: self.submit(request))
-        if not path.startswith(PATH + "/"):
+            return await self._answer_if_available(lambda: self.submit(request))
+        if not path.startswith(JOBS_PATH + "/"):
             return None
-        job, slash, verb = path[len(PATH) + 1 :].partition("/")
+        job, slash, action = path[len(JOBS_PATH) + 1 :].partition("/")
         if not slash:
             if request.method != "GET":
                 return NO_METHOD
-            return await self._guard(lambda: self.poll(JobId(job)))
-        if verb != "abort":
+            return await self._answer_if_available(lambda: self.poll(JobId(job)))
+        if action != "abort":
             return NO_PATH
         if request.method != "POST":
             return NO_METHOD
-        return await self._guard(lambda: self.abort(JobId(job)))
+        return await self._answer_if_available(lambda: self.abort(JobId(job)))
 
-    async def _guard(self, call: Callable[[], Awaitable[Response]]) -> Response:
+    async def _answer_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
         if not self._records.ready:
             return UNAVAILABLE
         try:
@@ -110,8 +112,8 @@
             log.debug("event=request_unavailable reason=%s", err)
             return UNAVAILABLE
 
-    def _why_never(self, spec: JobSpec) -> str | None:
-        """Why a job can never run, if so."""
+    def _infeasibility_reason(self, spec: JobSpec) -> str | None:
+        """Return why a job can never run in this deployment; None if it can."""
         team = self._teams.get(spec.team)
         if team is None:
             return "unknown team"
@@ -119,103 +121,111 @@
             return "unknown zone"
         names = spec.types if spec.types is not None else list(self._records.cache.types)
         types = [t for name in names if (t := self._records.cache.types.get(name)) is not None]
-        fitting = [t for t in types if spec.resources.fits_in(t.resources)]
-        if not fitting:
+        suitable = [t for t in types if spec.resources.fits_in(t.resources)]
+        if not suitable:
             return "a task fits no allowed machine type"
-        # A type that names no zones is offered in all of them.
-        zones = {z for t in fitting for z in t.zones or self._deployment.zones}
+        # A machine type without zones is offered in all zones.
+        zones = {z for t in suitable for z in t.zones or self._deployment.zones}
         zones &= set(self._deployment.zones if spec.zone is None else [spec.zone])
         if not zones:
             return "no allowed machine type is offered in its zone"
-        # All tasks of a gang, and all replicas of a service, are to run at the same time.
+        # All tasks of a gang and all replicas of a service must run at the same time.
         all_at_once = spec.is_gang or spec.is_service
-        if all_at_once and len(zones) * spec.zone_cap < spec.task_count:
+        if all_at_once and len(zones) * spec.max_tasks_per_zone < spec.task_count:
             return "it can't be spread over so few zones"
         one_zone = spec.same_zone or spec.zone is not None
-        if all_at_once and spec.zone_cap < spec.task_count and one_zone:
+        if all_at_once and spec.max_tasks_per_zone < spec.task_count and one_zone:
             return "it can't be both in one zone and spread over several"
-        together = spec.task_count if all_at_once else 1
-        for limit, each in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
-            if limit > 0 and each * together > limit + 1e-6:
+        concurrent_tasks = spec.task_count if all_at_once else 1
+        for limit, per_task in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
+            if limit > 0 and per_task * concurrent_tasks > limit + 1e-6:
                 return "more than the team's limit"
         return None
 
     async def submit(self, request: Request) -> Response:
-        """Accept a job, or say why not; a job that is known already is told of as it stands.
+        """Accept or refuse a job; for an existing job, return its state.
 
         Raises:
             RequestRefusedError: the records can't be read or written now.
         """
         if request.too_large:
-            return error(400, "body over 64 KiB")
+            return error_response(400, "body over 64 KiB")
         try:
             job_id, spec = parse_submission(request.body)
         except MalformedMessageError as err:
-            return error(400, str(err))
+            return error_response(400, str(err))
         cache = self._records.cache
         if job_id in cache.jobs:
-            return await self._state_or(job_id, UNAVAILABLE)
+            return await self._state_or_else(job_id, UNAVAILABLE)
         if spec.is_service and cache.format < CURRENT_FORMAT:
-            # The record decides, so all controllers answer alike; not what this one last read.
+            # The cached format may be outdated. The stored one decides, so that the responses of
+            # all controllers agree.
             await self._records.current()
             if cache.format < CURRENT_FORMAT:
-                return NOT_YET
+                return SERVICES_NOT_SUPPORTED
         if not cache.types:
             return UNAVAILABLE
-        reason = self._why_never(spec)
+        reason = self._infeasibility_reason(spec)
         if reason is not None:
-            return await self._refuse(job_id, error(422, reason))
+            return await self._refuse(job_id, error_response(422, reason))
         job = self._new_record(spec)
         value = job.dump()
-        if encoded_size(value) > self._limits.now().value_bytes:
-            return await self._refuse(job_id, error(400, "the texts are too long together"))
+        if encoded_size(value) > self._limits.current().value_bytes:
+            return await self._refuse(
+                job_id, error_response(400, "the texts are too long together")
+            )
         return await self._accept(job_id, spec.task_count, value)
 
     def _new_record(self, spec: JobSpec) -> JobRecord:
-        """The first record of a job that is about to be accepted."""
+        """Create the initial record of a job that is about to be accepted."""
         cache = self._records.cache
         if spec.types is not None:
             known = sorted({t for t in spec.types if t in cache.types})
             spec = msgspec.structs.replace(spec, types=known)
         job = JobRecord(spec, self._wall_time())
-        shards, room = self._partitions.shard_names(), self._limits.now().value_bytes
-        if cache.format >= CURRENT_FORMAT and not spec.is_gang and job.may_exceed(shards, room):
-            job.chunk_size = chunk_tasks(spec.task_count, shards, room)
+        shards, max_value_bytes = self._partitions.shard_names(), self._limits.current().value_bytes
+        if (
+            cache.format >= CURRENT_FORMAT
+            and not spec.is_gang
+            and job.may_exceed(shards, max_value_bytes)
+        ):
+            job.chunk_size = chunk_tasks(spec.task_count, shards, max_value_bytes)
         return job
 
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
         """Store a new job.
 
-        What it answers is what is known of the job when the write has ended, not what was to be
-        written.
+        The response gives the job's state after the write, not the value that was to be written.
         """
         key = JOBS + job_id
         try:
             version = await self._state.transaction({key: 0}, {key: value})
         except (TransactionConflictError, OutcomeUnknownError):
-            # The job is known, or the answer was lost: of the transaction that accepted it, or
-            # of one that was refused since the job is known, and may be over, elsewhere. If no
-            # job is found the write may still come late; the user's retry finds it then.
-            return await self._state_or(job_id, UNAVAILABLE)
+            # Either the job exists, or the response was lost: that of the transaction that stored
+            # the job, or of one that was rejected because another controller had stored the job,
+            # which may have ended since. If no job is found, the write may still be applied later;
+            # the user's retry finds the job then.
+            return await self._state_or_else(job_id, UNAVAILABLE)
         self._records.stored(key, value, version)
         log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
-        return self._short(201, job_id, self._states.latest(job_id))
+        return self._state_without_counts(201, job_id, self._states.cached(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
-        """Refuse a submission for good, unless its job was accepted before.
+        """Refuse a submission permanently, unless its job was accepted before.
 
-        Then the catalogue or the limits have changed since. While the records can't be read the
-        refusal rests on these alone, as it always does for a job that nobody accepted.
+        A job that was accepted may no longer pass validation if the catalogue or the limits have
+        changed since; its state is returned. While the records can't be read, the catalogue and the
+        limits alone decide, as they do for any job that was never accepted.
         """
         try:
-            return await self._state_or(job_id, refusal)
+            return await self._state_or_else(job_id, refusal)
         except UnreadableJobError:
             raise
         except RequestRefusedError:
             return refusal
 
-    async def _state_or(self, job_id: JobId, otherwise: Response) -> Response:
-        """How a job stands, or another answer if there is no such job."""
+    async def _state_or_else(self, job_id: JobId, otherwise: Response) -> Response:
+        """Return a job's state, or `otherwise` if the job does not exist."""
         job = await self._states.read(job_id)
         if job is None:
             return otherwise
@@ -225,52 +235,53 @@
 
     @staticmethod
     def _stage(job: JobRecord, running: int) -> JobStage:
-        """The word for a job's state."""
+        """Return the stage of a job as users see it."""
         if job.stage == DONE:
             return JobStage.DONE
         if job.stage == CANCELLED:
             return JobStage.CANCELLED
         return JobStage.RUNNING if running else JobStage.QUEUED
 
-    def _short(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
-        """How a job stands, without counts, right after a write of it."""
+    def _state_without_counts(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
+        """Return a job's state without task counts, right after the job was written."""
         if job is None:
             return UNAVAILABLE
         return Response(status, encode_job_state(job_id, self._stage(job, 0)))
 
     async def poll(self, job_id: JobId) -> Response:
-        """Tell how a job stands.
+        """Return a job's state.
 
         Raises:
             RequestRefusedError: the records can't be read now.
         """
-        return await self._state_or(job_id, NOT_FOUND)
+        return await self._state_or_else(job_id, NOT_FOUND)
 
     async def abort(self, job_id: JobId) -> Response:
-        """Cancel a job; one that is over stays as it is.
+        """Cancel a job; a job that is done or cancelled stays unchanged.
 
         Raises:
             RequestRefusedError: the records can't be read or written now.
         """
         key = JOBS + job_id
-        for _ in range(MAX_CANCEL_TRIES):
-            job = await self._states.read_anew(job_id, for_change=True)
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            job = await self._states.read_latest(job_id, for_change=True)
             if job is None:
                 return NOT_FOUND
             if not job.open:
-                return self._short(200, job_id, job)
+                return self._state_without_counts(200, job_id, job)
             cancelled = JobRecord(job.spec, job.submitted_at)
             cancelled.stage = CANCELLED
             cancelled.assignments = job.assignments
             cancelled.gang = job.gang
             cancelled.chunk_size = job.chunk_size
-            value = cancelled.dump(self._limits.now().value_bytes)
+            value = cancelled.dump(self._limits.current().value_bytes)
             try:
                 version = await self._state.transaction({key: job.main_version}, {key: value})
             except (TransactionConflictError, OutcomeUnknownError):
-                # Read again in the next round; a late write fails or does the same.
+                # The next attempt reads the job again. A write of this attempt that is applied late
+                # either conflicts with a newer version or cancels the job too.
                 continue
             self._records.stored(key, value, version)
             log.info("event=job_cancelled job=%s", job_id)
-            return self._short(200, job_id, self._states.latest(job_id))
+            return self._state_without_counts(200, job_id, self._states.cached(job_id))
         return UNAVAILABLE
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: who may answer them, and where others are sent."""
+"""Handles workers' heartbeats, or redirects them to the owner of the worker's shard."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LAUNCH_AGE_S = 9.0  # with records older than this, nothing is launched
-CANCELLATION_MARGIN_S = 3.0  # what a cancellation takes on its way besides a worker's lease
+MAX_LAUNCH_AGE_S = 9.0  # launches need records or known cancellations of a lower age
+CANCELLATION_MARGIN_S = 3.0  # for the delays of a cancellation besides a worker's lease
 
 TOO_LARGE = Response(400, b'{"error":"body over 64 KiB"}')
 MALFORMED = Response(400, b'{"error":"malformed report"}')
-CUT_OFF = Response(503, b'{"error":"cut off"}', 1)
-NO_OWNER = Response(503, b'{"error":"no owner"}', 1)
+RECORDS_TOO_OLD = Response(503, b'{"error":"cut off"}', 1)
+OWNER_UNKNOWN = Response(503, b'{"error":"no owner"}', 1)
 
 
 @dataclass(eq=False, kw_only=True)
 class WorkerEndpoint:
-    """Answers heartbeats as the owner of a shard, or says who owns it."""
+    """Responds to heartbeats as the owner of a shard, or redirects them to the owner."""
 
     identity: Identity
     records: RecordFollower
@@ -51,7 +51,13 @@
     now: Callable[[], Seconds]
 
     def answer(self, request: Request) -> Response:
-        """Answer a heartbeat: 200 by its owner, 421 to another, 503 if none may answer here."""
+        """Respond to a heartbeat.
+
+        Returns:
+            200 with commands if this process owns the shard, 421 with the name of another owner,
+            503 if the owner is unknown or this process may not renew the worker's lease, or 400 if
+            the heartbeat is malformed.
+        """
         if request.too_large:
             return TOO_LARGE
         try:
@@ -62,51 +68,53 @@
         now = self.now()
         name = self.records.cache.shard_of(heartbeat.machine, heartbeat.zone)
         scheduler = self.schedulers.get(name)
-        heard = self.peers.reported_owner(name)
+        latest_owner = self.peers.reported_owner(name)
         if (
             scheduler is not None
-            and scheduler.token >= heard.token
+            and scheduler.token >= latest_owner.token
             and scheduler.token_for(heartbeat.machine) >= heartbeat.token
         ):
             return self._answer_as_owner(now, scheduler, heartbeat)
-        return self._refer_to_owner(name, heard)
+        return self._redirect_to_owner(name, latest_owner)
 
     def _answer_as_owner(
         self, now: Seconds, scheduler: ShardScheduler, heartbeat: Heartbeat
     ) -> Response:
-        # A cancellation that we can't see ends its tasks through the workers' leases: we
-        # keep them up only as long as that is still in time. A lease counts from when the
-        # heartbeat was sent, so neither a heartbeat held back nor a process that stands still
-        # here adds to it; a hanging machine goes on only within it.
-        told_at = self.cancellations.complete_as_of(now)
+        # A 200 response renews the worker's lease. If this process can't see a cancellation, the
+        # job's tasks end when the leases of their workers expire, so leases are only renewed while
+        # they would still expire in time. A lease counts from the sending of the heartbeat, so
+        # neither a delayed heartbeat nor a suspension of this process extends it, and a hanging
+        # machine runs its tasks no longer than its lease.
+        cancellations_known_at = self.cancellations.complete_as_of(now)
         times = self.worker_times
         max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
-        if now - max(self.records.current_at, told_at) >= max_age_s:
+        if now - max(self.records.current_at, cancellations_known_at) >= max_age_s:
             scheduler.record_heartbeats_refused(now)
-            return CUT_OFF
-        # A start needs no lease: should there be a newer owner, what this machine is told
-        # under our token is on it at its first heartbeat under the newer one, and until
-        # then that owner takes it for unreconciled. What the records assign to us is taken
-        # back only when we say that it is not here. So in an outage starts go on, as
-        # long as no cancellation can have been missed.
-        is_followed = (
+            return RECORDS_TOO_OLD
+        # Launching tasks does not require this controller's presence lease. If the shard has a
+        # newer owner, tasks launched under the token of this process appear in the machine's first
+        # heartbeat to that owner, which treats the machine as unreconciled until then. Assignments
+        # of the records to this owner are withdrawn only after it has reported that the tasks are
+        # not present in its shard. So launches continue in an outage, as long as no cancellation
+        # can have been missed.
+        has_current_records = (
             self.presence.lease_valid() and now - self.records.current_at < MAX_LAUNCH_AGE_S
         )
-        may_launch = is_followed or now - told_at < MAX_LAUNCH_AGE_S
+        may_launch = has_current_records or now - cancellations_known_at < MAX_LAUNCH_AGE_S
         commands = scheduler.handle_heartbeat(now, heartbeat, may_launch)
         if scheduler.dirty:
             self.leadership.pass_wake.set()
         token = scheduler.token_for(heartbeat.machine)
         return Response(200, encode_heartbeat_response(token, commands))
 
-    def _refer_to_owner(self, name: ShardName, heard: ReportedOwner) -> Response:
-        """Name the newest owner that is known, if it is another controller that is there."""
+    def _redirect_to_owner(self, name: ShardName, latest_owner: ReportedOwner) -> Response:
+        """Redirect to the latest known owner, if it is another controller that is present."""
         cache = self.records.cache
         shard = cache.shards.get(name)
         owner = shard.owner if shard is not None else ""
-        if heard.token > cache.version(SHARDS + name):
-            owner = heard.controller
+        if latest_owner.token > cache.version(SHARDS + name):
+            owner = latest_owner.controller
         is_another = owner != "" and owner != self.identity.name
         if is_another and self.records.ready and owner in cache.controllers:
             return Response(421, encode_redirect(owner))
-        return NO_OWNER
+        return OWNER_UNKNOWN
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from dapplewick.protocol.job_spec import JOB_ID
-from dapplewick.protocol.workers import MAX_COUNT
+from dapplewick.protocol.job_spec import JOB_ID_PATTERN
+from dapplewick.protocol.workers import COUNTER_LIMIT
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, JobId, Revision, Seconds
 
@@ -82,7 +82,7 @@
         if len(self.cancelled) > MAX_LISTED_CANCELLATIONS:
             raise ValueError("cancelled: more entries than a message may list")
         for version, job in self.cancelled:
-            if not 0 < version < MAX_COUNT or not JOB_ID.match(job):
+            if not 0 < version < COUNTER_LIMIT or not JOB_ID_PATTERN.match(job):
                 raise ValueError("cancelled: an entry has a malformed version or job id")
 
 
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -172,7 +172,7 @@
         shards.sort(key=lambda s: (s.teams is None, -s.idle_slots(spec)))
         self._shards = shards
         self._zone_remaining = {
-            s.zone: spec.zone_cap - job.assigned_in_zone(s.zone) for s in shards
+            s.zone: spec.max_tasks_per_zone - job.assigned_in_zone(s.zone) for s in shards
         }
         self.counts: dict[ShardName, int] = {}
         self.remaining = wanted
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -58,7 +58,7 @@
     def _all_in_contact(self, now: Seconds) -> bool:
         """Return whether all shards report to the leader and all machines to their shards."""
         return self._contacts.all_fresh(now) and all(
-            not shard.latest_status.unreconciled and not shard.latest_status.silent
+            not shard.latest_status.unreconciled and not shard.latest_status.machine_contact_gaps
             for shard in self._shards.owned()
         )
 
--- a/src/dapplewick/core/leader/machine_offers.py
+++ b/src/dapplewick/core/leader/machine_offers.py
@@ -103,7 +103,9 @@
                 for spot in (True, False) if spec.spot else (False,):
                     pool = MachinePool(machine_type.name, zone, spot)
                     if pool not in pending and self._is_available(now, pool, requested):
-                        price = machine_type.spot_price if spot else machine_type.price
+                        price = (
+                            machine_type.hourly_spot_price if spot else machine_type.hourly_price
+                        )
                         offers.append(MachineOffer(machine_type, zone, spot, price))
         return offers
 
@@ -120,7 +122,7 @@
         known = self._catalog.get(machine_type) or self._cache.types.get(machine_type)
         if known is None:
             return 0.0
-        return known.spot_price if spot else known.price
+        return known.hourly_spot_price if spot else known.hourly_price
 
     def hourly_spending(self) -> float:
         """The total price per hour of all machines, including requested ones."""
@@ -144,10 +146,10 @@
         """
         types = self._catalog or self._cache.types
         known = types.get(machine_type)
-        if known is None or known.price <= 0:
+        if known is None or known.hourly_price <= 0:
             return average_limit_s
-        average_price = sum(t.price for t in types.values()) / len(types)
-        return average_limit_s * min(MAX_IDLE_FACTOR, average_price / known.price)
+        average_price = sum(t.hourly_price for t in types.values()) / len(types)
+        return average_limit_s * min(MAX_IDLE_FACTOR, average_price / known.hourly_price)
 
     def boot_limit_s(self, machine_type: str) -> Seconds:
         """How long a machine may boot before it is terminated."""
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -278,12 +278,12 @@
         silences: dict[MachineId, ReportGap] = {}
         for shard in self._observed.owned():
             statuses.update(shard.machines)
-            others_reported = shard.latest_status.heard_ago_s < self._heartbeat_s
+            others_reported = shard.latest_status.last_contact_age_s < self._heartbeat_s
             # Each status lists all machines without contact, not only the changed ones. An old
             # status understates how long the machines have been without contact.
-            for machine_id, silent in shard.latest_status.silent.items():
+            for machine_id, silent in shard.latest_status.machine_contact_gaps.items():
                 if not self._observed.has_moved(machine_id, shard):
-                    silence = ReportGap(silent.silent_s, silent.urgent, others_reported)
+                    silence = ReportGap(silent.gap_s, silent.urgent, others_reported)
                     silences[machine_id] = silence
         self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
 
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -112,7 +112,9 @@
         if spec.image not in machine.images:
             machine_type = self._cache.types.get(machine.type)
             rate = (
-                machine_type.fetch_rate if machine_type is not None else DEFAULT_FETCH_RATE_GB_PER_S
+                machine_type.fetch_gb_per_s
+                if machine_type is not None
+                else DEFAULT_FETCH_RATE_GB_PER_S
             )
             cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
             cost_s += machine.pending_image_fetches()
@@ -193,10 +195,10 @@
         """Whether a machine costs much more than the cheapest type that fits each replica."""
         types = self._cache.types
         machine_type = types.get(machine.type)
-        prices = [t.price for t in types.values() if all(_fits(spec, t) for spec in specs)]
+        prices = [t.hourly_price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         if machine_type is None or not prices:
             return False
-        return machine_type.price > DRAIN_PRICE_RATIO * min(prices)
+        return machine_type.hourly_price > DRAIN_PRICE_RATIO * min(prices)
 
     def _have_capacity(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -26,18 +26,18 @@
     Machine,
 )
 from dapplewick.protocol.peers import (
-    GANG_BAD,
-    GANG_BUSY,
-    GANG_CLEAR,
     GANG_DONE,
-    GANG_HELD,
-    GANG_ON,
+    GANG_FAILED,
+    GANG_RESERVED,
+    GANG_STARTED,
+    GANG_STOPPED,
+    GANG_STOPPING,
     GangState,
     GangStatus,
     JobStatus,
+    MachineContactGap,
     MachineStatus,
     ShardStatus,
-    SilentMachine,
     TaskEnd,
 )
 from dapplewick.storage.watch_cache import WatchCache
@@ -53,7 +53,7 @@
 class _UnusedMachines(NamedTuple):
     """Machines without contact or without tasks."""
 
-    without_contact: dict[MachineId, SilentMachine]
+    without_contact: dict[MachineId, MachineContactGap]
     idle: dict[MachineId, Seconds]
     last_contact_ago_s: Seconds  # age of the newest contact with any machine; -1 without machines
 
@@ -117,9 +117,9 @@
             machines=machines,
             jobs=jobs,
             gangs=gangs,
-            silent=unused.without_contact,
+            machine_contact_gaps=unused.without_contact,
             idle=unused.idle,
-            heard_ago_s=unused.last_contact_ago_s,
+            last_contact_age_s=unused.last_contact_ago_s,
             drained_jobs=self._drained_jobs(),
             unreconciled=len(self._unreconciled),
             estimates=self._estimates.dump(),
@@ -166,7 +166,7 @@
 
     def _unused_machines(self, now: Seconds) -> _UnusedMachines:
         """Find the machines without contact and the idle ones in one pass over all machines."""
-        without_contact: dict[MachineId, SilentMachine] = {}
+        without_contact: dict[MachineId, MachineContactGap] = {}
         idle: dict[MachineId, Seconds] = {}
         last_contact_ago_s = -1.0
         accepting_heartbeats_since = self._health.accepting_heartbeats_since
@@ -183,7 +183,7 @@
                 # Its replicas can start elsewhere only after it is deleted, so the leader waits
                 # for it for a shorter time.
                 is_urgent = self._may_have_cancelled(machine) or machine.has_replicas()
-                without_contact[machine.id] = SilentMachine(round(no_contact_s, 1), is_urgent)
+                without_contact[machine.id] = MachineContactGap(round(no_contact_s, 1), is_urgent)
             is_up = record.up and not record.terminating
             if is_up and (last_contact_ago_s < 0.0 or no_contact_s < last_contact_ago_s):
                 last_contact_ago_s = no_contact_s
@@ -297,18 +297,18 @@
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
         if not self._reservations.is_active(job_id):
-            return GANG_BUSY if self._may_be_on_machine(job_id, reservation) else GANG_CLEAR
+            return GANG_STOPPING if self._may_be_on_machine(job_id, reservation) else GANG_STOPPED
         if reservation.failure_reason or any(self._is_failing(m) for m in reservation.indices_on):
-            return GANG_BAD
+            return GANG_FAILED
         if reservation.launched_indices >= reservation.placements.keys():
-            return GANG_ON
+            return GANG_STARTED
         if any(
             (m := self._machines.by_id.get(i)) is not None and m.slow
             for i in reservation.indices_on
         ):
             # A slow machine starts no tasks, so its slots would stay reserved for ever.
-            return GANG_BAD
-        return GANG_HELD
+            return GANG_FAILED
+        return GANG_RESERVED
 
     def _is_failing(self, machine_id: MachineId) -> bool:
         machine = self._machines.by_id.get(machine_id)
@@ -328,7 +328,7 @@
     def _remaining_wait(
         self, now: Seconds, reservation: GangReservation, state: GangState
     ) -> Seconds:
-        if state != GANG_HELD or reservation.ready:
+        if state != GANG_RESERVED or reservation.ready:
             return 0.0
         remaining_wait_s = reservation.remaining_wait_s
         if now - reservation.wait_computed_at > WAIT_REFRESH_INTERVAL_S:
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -31,9 +31,13 @@
 MIN_RUN_S = 0.5  # lower bound of a learned run time
 
 # Exit causes that count against the machine.
-MACHINE_FAILURE_CAUSES: Final = (ExitCause.ERROR, ExitCause.NO_SUCH)
+MACHINE_FAILURE_CAUSES: Final = (ExitCause.ERROR, ExitCause.NOT_FOUND)
 # Exit causes that are not the task's fault; the task is requeued without a retry delay.
-NON_FAILURE_CAUSES: Final = (ExitCause.HALTED, ExitCause.FULL, ExitCause.PEERS)
+NON_FAILURE_CAUSES: Final = (
+    ExitCause.STOPPED,
+    ExitCause.INSUFFICIENT_RESOURCES,
+    ExitCause.GANG_MEMBER_LOST,
+)
 
 
 class TaskExits:
--- a/src/dapplewick/protocol/users.py
+++ b/src/dapplewick/protocol/users.py
@@ -1,4 +1,4 @@
-"""The users' interface on the wire: submissions and the states of jobs."""
+"""The users' wire protocol: job submissions and job states."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from dapplewick.protocol.errors import MalformedMessageError
-from dapplewick.protocol.job_spec import JOB_ID, JobSpec
+from dapplewick.protocol.job_spec import JOB_ID_PATTERN, JobSpec
 from dapplewick.types import (
     JobId,
 )
@@ -20,7 +20,7 @@
 
 
 class JobShape(StrEnum):
-    """What a job is made of, in the words of the wire."""
+    """The kind of a job; the values are those on the wire."""
 
     ARRAY = "sweep"
     GANG = "group"
@@ -28,7 +28,7 @@
 
 
 class JobStage(StrEnum):
-    """How a job stands, in the words that users are told."""
+    """The stage of a job as users see it; the values are those on the wire."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -37,7 +37,7 @@
 
 
 class Submission(NamedTuple):
-    """A job that a user submits."""
+    """A parsed job submission."""
 
     job_id: JobId
     spec: JobSpec
@@ -46,7 +46,7 @@
 _SHAPES = {shape.value: shape for shape in JobShape}
 
 
-def _amount(body: dict[str, Any], field: str, minimum: float = 0.0) -> float:
+def _number(body: dict[str, Any], field: str, minimum: float = 0.0) -> float:
     value = body.get(field)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise MalformedMessageError(f"{field}: a number is needed")
@@ -59,14 +59,14 @@
     return value
 
 
-def _text(body: dict[str, Any], field: str) -> str:
+def _string(body: dict[str, Any], field: str) -> str:
     value = body.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
         raise MalformedMessageError(f"{field}: a text is needed")
     return value
 
 
-def _flag(body: dict[str, Any], field: str) -> bool:
+def _boolean(body: dict[str, Any], field: str) -> bool:
     value = body.get(field)
     if not isinstance(value, bool):
         raise MalformedMessageError(f"{field}: true or false is needed")
@@ -84,8 +84,8 @@
 
 
 def _job_id(body: dict[str, Any]) -> JobId:
-    job = _text(body, "name_id")
-    if not JOB_ID.match(job):
+    job = _string(body, "name_id")
+    if not JOB_ID_PATTERN.match(job):
         raise MalformedMessageError("name_id: not a job id")
     return JobId(job)
 
@@ -128,39 +128,40 @@
 
 
 def parse_submission(raw: bytes) -> Submission:
-    """Check a submission and give it in our own terms.
+    """Validate a submission and convert it to a job specification.
 
     Raises:
-        MalformedMessageError: it breaks the protocol; the text names the first field at fault.
+        MalformedMessageError: the submission violates the protocol; the message names the first
+            invalid field.
     """
     body = _decoded_object(raw)
-    # In this order the fields are checked, so the first of them that is at fault is named.
+    # The order of these calls decides which of several invalid fields the error names.
     job_id = _job_id(body)
     shape = _shape(body)
     priority = _priority(body)
     task_count = _task_count(body)
     types = _machine_types(body)
     zone = _zone(body)
-    deadline_s = None if body.get("due_s") is None else _amount(body, "due_s")
+    deadline_s = None if body.get("due_s") is None else _number(body, "due_s")
     spec = JobSpec(
-        job_class=_text(body, "bundle"),
-        team=_text(body, "crew"),
+        job_class=_string(body, "bundle"),
+        team=_string(body, "crew"),
         is_gang=shape == JobShape.GANG,
         priority=priority,
         task_count=task_count,
-        cpus=_amount(body, "cpus"),
-        gpus=_amount(body, "accelerators"),
-        ram_gb=_amount(body, "ram_gb"),
-        image=_text(body, "kit"),
-        image_gb=_amount(body, "image_gb"),
-        estimated_run_s=_amount(body, "expected_s"),
+        cpus=_number(body, "cpus"),
+        gpus=_number(body, "accelerators"),
+        ram_gb=_number(body, "ram_gb"),
+        image=_string(body, "kit"),
+        image_gb=_number(body, "image_gb"),
+        estimated_run_s=_number(body, "expected_s"),
         types=types,
         zone=zone,
-        same_zone=_flag(body, "same_place"),
-        spread=_flag(body, "scatter"),
-        spot=_flag(body, "borrowed"),
-        checkpoint_interval_s=_amount(body, "fold_s"),
-        save_s=_amount(body, "press_s"),
+        same_zone=_boolean(body, "same_place"),
+        spread=_boolean(body, "scatter"),
+        spot=_boolean(body, "borrowed"),
+        checkpoint_interval_s=_number(body, "fold_s"),
+        save_s=_number(body, "press_s"),
         deadline_s=deadline_s,
         is_service=shape == JobShape.SERVICE,
     )
@@ -170,7 +171,7 @@
 def encode_job_state(
     job: str, stage: str, done: int | None = None, running: int | None = None
 ) -> bytes:
-    """How a job stands, as users are told; `stage` is a `JobStage`, the counts are of tasks."""
+    """Encode a job's state for users; `stage` is a `JobStage`, the counts are of tasks."""
     body: dict[str, Any] = {"name_id": job, "stage": stage}
     if done is not None:
         body["done"] = done
