--- a/src/dapplewick/coordination/leadership.py
+++ b/src/dapplewick/coordination/leadership.py
@@ -1,31 +1,32 @@
-"""Whether this process plans as the leader now, and what wakes its planning."""
+"""Whether this process currently leads, and the signals that start its planning passes."""
 
 from __future__ import annotations
 
-from dapplewick.coordination.wake import Wake
+from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.leader.planner import LeaderPlanner
 
 
 class Leadership:
-    """The planner of the present term, if this process leads.
+    """The planner of the current term, if this process leads.
 
     Attributes:
-        planner: the planner of the present term; None while this process does not lead.
-        pass_wake: there is something to plan.
-        urgent_wake: work waits for it, so that the leader does not rest first.
+        planner: the planner of the current term; None while this process does not lead.
+        pass_wake: set when a change requires a planning pass.
+        urgent_wake: set when work is waiting for the next pass, which ends the delay between
+            passes.
     """
 
     def __init__(self) -> None:
         self.planner: LeaderPlanner | None = None
-        self.pass_wake = Wake()
-        self.urgent_wake = Wake()
+        self.pass_wake = WakeSignal()
+        self.urgent_wake = WakeSignal()
 
-    def wake(self, at_once: bool = False) -> None:
-        """Ask for a planning pass.
+    def request_pass(self, urgent: bool = False) -> None:
+        """Request a planning pass.
 
         Args:
-            at_once: work waits for it, so the leader is not to rest before it.
+            urgent: whether work is waiting for the pass, so that it begins without the usual delay.
         """
         self.pass_wake.set()
-        if at_once:
+        if urgent:
             self.urgent_wake.set()
--- a/src/dapplewick/core/leader/capacity_snapshots.py
+++ b/src/dapplewick/core/leader/capacity_snapshots.py
@@ -59,7 +59,7 @@
     def _machine_capacities(self, now: Seconds, shard: ObservedShard) -> list[MachineCapacity]:
         """The machines of a shard that may be given work; cached capacities are reused."""
         capacities = []
-        drains = self._cache.transfers.drains
+        drains = self._cache.transfers.draining_transfer
         for machine_id, status in shard.machines.items():
             record = self._cache.machines.get(machine_id)
             if record is None or record.terminating or not status.usable:
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -14,7 +14,7 @@
 
 from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
 from dapplewick.storage.encoding import encoded_size
-from dapplewick.storage.formats import FORMAT_NOW
+from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.job_records import DONE, JobRecord, chunk_tasks
 from dapplewick.storage.keys import CHUNKS, GANG_PLACEMENTS, JOBS
 from dapplewick.storage.watch_cache import WatchCache
@@ -70,7 +70,7 @@
             return []
         pieces = self._split_placement(job_id, job, priority)
         value = job.dump(self._value_bytes)
-        if self._cache.format >= FORMAT_NOW and encoded_size(value) > self._value_bytes:
+        if self._cache.format >= CURRENT_FORMAT and encoded_size(value) > self._value_bytes:
             return []  # the record is split first; the next pass derives this write again
         return [*pieces, ConditionalWrite(JOBS + job_id, value, job.main_version, priority)]
 
@@ -111,7 +111,7 @@
         Each piece contains the attempt, so that pieces left behind by a failed leader are ignored.
         """
         gang = job.gang
-        if gang is None or gang.placement_keys or self._cache.format < FORMAT_NOW:
+        if gang is None or gang.placement_keys or self._cache.format < CURRENT_FORMAT:
             return []
         if encoded_size(job.dump()) <= self._value_bytes:
             return []
@@ -136,9 +136,9 @@
         size limit has been lowered, a cancellation would be rejected for its size: the cancelled
         job's record keeps the placement, because tasks may still be running there.
         """
-        if self._cache.format < FORMAT_NOW:
+        if self._cache.format < CURRENT_FORMAT:
             return
-        for job_id, job in self._cache.each_live():
+        for job_id, job in self._cache.iter_live_jobs():
             gang = job.gang
             if gang is None or gang.placement_keys or len(gang.placements) < LONG_GANG_TASKS:
                 continue
@@ -159,10 +159,10 @@
         small, so that the conversion also proceeds after the size limit has been lowered.
         """
         self._converting = set()
-        if self._cache.format < FORMAT_NOW:
+        if self._cache.format < CURRENT_FORMAT:
             return []
         changes: list[ConditionalWrite] = []
-        for job_id, job in self._cache.each_live():
+        for job_id, job in self._cache.iter_live_jobs():
             if (
                 job.chunk_size
                 or job.spec.is_gang
@@ -210,7 +210,7 @@
     def _may_outgrow(self, job_id: JobId, job: JobRecord) -> bool:
         outgrows = self._outgrows.get(job_id)
         if outgrows is None:
-            outgrows = self._outgrows[job_id] = job.outgrows(self._shard_names, self._value_bytes)
+            outgrows = self._outgrows[job_id] = job.may_exceed(self._shard_names, self._value_bytes)
         return outgrows
 
     def obsolete_key_removals(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -135,7 +135,7 @@
             return False
         if not job.spec.is_gang:
             return not job.done and self._shards.placed_task_count(job_id) == 0
-        if job.gang is None or job.gang.over:
+        if job.gang is None or job.gang.ending:
             return True
         return any(
             shard.reservation(job_id, job.gang.attempt) is not None
@@ -152,7 +152,7 @@
         unmet: Sequence[CapacityRequest],
     ) -> WaitReason:
         spec = job.spec
-        if job.gang is not None and not job.gang.over:
+        if job.gang is not None and not job.gang.ending:
             return WaitReason.RESERVED_SLOTS_BUSY
         if any(job.assignments.values()):
             return WaitReason.IN_SHARD_QUEUE
