--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -43,7 +43,7 @@
         patience_s: Longer waits are shortened by preempting work of lower priority.
     """
     shards = list(shards)
-    if spec.zone_cap >= spec.task_count:
+    if spec.max_tasks_per_zone >= spec.task_count:
         slots = _place_in_one_shard(spec, shards, limit_s, patience_s)
         if slots is not None:
             return slots
@@ -126,10 +126,10 @@
     idle: dict[Zone, int] = {}
     for shard in shards:
         idle[shard.zone] = idle.get(shard.zone, 0) + shard.idle_slots(spec)
-    if sum(min(slots, spec.zone_cap) for slots in idle.values()) < spec.task_count:
+    if sum(min(slots, spec.max_tasks_per_zone) for slots in idle.values()) < spec.task_count:
         return None
     chosen: list[MachineCapacity] = []
-    zone_remaining = dict.fromkeys(idle, spec.zone_cap)
+    zone_remaining = dict.fromkeys(idle, spec.max_tasks_per_zone)
     for shard in sorted(shards, key=lambda s: -s.idle_slots(spec)):
         limit = min(
             spec.task_count - len(chosen), zone_remaining[shard.zone], shard.idle_slots(spec)
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -7,7 +7,13 @@
 
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.machine_capacity import MachineCapacity
-from dapplewick.protocol.peers import GANG_HELD, GangStatus, JobStatus, MachineStatus, ShardStatus
+from dapplewick.protocol.peers import (
+    GANG_RESERVED,
+    GangStatus,
+    JobStatus,
+    MachineStatus,
+    ShardStatus,
+)
 from dapplewick.storage.keys import SHARDS
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, JobId, MachineId, Revision, Seconds, ShardName, zone_of
@@ -94,7 +100,7 @@
     def reservation(self, job_id: JobId, attempt: int) -> GangStatus | None:
         """The status of a gang's attempt, if its slots in this shard are only reserved."""
         status = self.gangs.get(job_id)
-        if status is None or status.attempt != attempt or status.state != GANG_HELD:
+        if status is None or status.attempt != attempt or status.state != GANG_RESERVED:
             return None
         return status
 
@@ -152,7 +158,7 @@
         no heartbeat since it took over the shard.
         """
         isolated = {
-            shard.shard for shard in self.owned() if shard.latest_status.heard_ago_s > UNREACHABLE_S
+            shard.shard for shard in self.owned() if shard.latest_status.last_contact_age_s > UNREACHABLE_S
         }
         if not isolated:
             return isolated
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -191,7 +191,7 @@
         if request.zone_limits is not None:
             limits = {zone: request.zone_limits.get(zone, 0) for zone in self._zones}
         else:
-            limit = spec.zone_cap if request.all_or_nothing and spec.spread else count
+            limit = spec.max_tasks_per_zone if request.all_or_nothing and spec.spread else count
             limits = dict.fromkeys(self._zones, limit)
         return self._allocate_slots(spec, count, limits)
 
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -21,9 +21,9 @@
     Zone,
 )
 
-MAX_COUNT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
-MAX_INDEX_DIGITS = 9
-KNOWN_TASKS = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
+COUNTER_LIMIT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
+MAX_TASK_INDEX_DIGITS = 9
+TASK_CACHE_SIZE = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
 
 
 class TaskStage(StrEnum):
@@ -43,13 +43,13 @@
     """Why a task has exited, in the words of the wire."""
 
     DONE = "done"
-    HALTED = "halted"  # by a command
-    PEERS = "peers"  # another task of its gang is gone
-    ALONE = "alone"  # its gang was not complete in time
+    STOPPED = "halted"  # by a command
+    GANG_MEMBER_LOST = "peers"  # another task of its gang is gone
+    GANG_INCOMPLETE = "alone"  # its gang was not complete in time
     ERROR = "error"
-    FULL = "full"  # start refused: not enough free resources
-    IN_USE = "in_use"  # start refused: the task is there with another attempt
-    NO_SUCH = "no_such"  # start refused: no such job or task
+    INSUFFICIENT_RESOURCES = "full"  # start refused: not enough free resources
+    ALREADY_PRESENT = "in_use"  # start refused: the task is there with another attempt
+    NOT_FOUND = "no_such"  # start refused: no such job or task
 
 
 class CommandKind(StrEnum):
@@ -130,7 +130,7 @@
 _HEARTBEAT_DECODER = msgspec.json.Decoder(_HeartbeatBody)
 
 
-@lru_cache(maxsize=KNOWN_TASKS)
+@lru_cache(maxsize=TASK_CACHE_SIZE)
 def parse_task(name: str) -> TaskRef:
     """Read the name of a task.
 
@@ -140,7 +140,7 @@
         MalformedMessageError: it names no task.
     """
     job, slash, index = name.rpartition("/")
-    if not slash or not index.isdigit() or len(index) > MAX_INDEX_DIGITS:
+    if not slash or not index.isdigit() or len(index) > MAX_TASK_INDEX_DIGITS:
         raise MalformedMessageError("piece: not a task")
     return TaskRef(JobId(job), TaskIndex(int(index)))
 
@@ -156,7 +156,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
         raise MalformedMessageError(str(err)) from None
     for value in (body.shift, body.tally, body.baton):
-        if not 0 <= value < MAX_COUNT:
+        if not 0 <= value < COUNTER_LIMIT:
             raise MalformedMessageError("shift, tally or baton: out of range")
     tasks = [
         TaskStatus(parse_task(p.piece), Attempt(p.try_), p.stage, p.cause, bool(p.saved))
@@ -186,15 +186,15 @@
         grace: for stops: the seconds within which the task may save.
     """
 
-    op: str
+    kind: str
     task: TaskRef
     attempt: Attempt
-    grace: Seconds = 0.0
+    grace_s: Seconds = 0.0
 
 
 # Plain strings: each response to a heartbeat looks them up, and members of enums are slower.
 _STOP = CommandKind.STOP.value
-_VERBS = {  # of the wire
+_WIRE_VERBS = {  # of the wire
     CommandKind.START.value: "launch",
     _STOP: "kill",
     CommandKind.FORGET.value: "forget",
@@ -206,12 +206,12 @@
     items: list[dict[str, Any]] = []
     for command in commands:
         item: dict[str, Any] = {
-            "verb": _VERBS[command.op],
+            "verb": _WIRE_VERBS[command.kind],
             "piece": f"{command.task.job}/{command.task.number}",
             "try": command.attempt,
         }
-        if command.op == _STOP:
-            item["wind_down_s"] = command.grace
+        if command.kind == _STOP:
+            item["wind_down_s"] = command.grace_s
         items.append(item)
     return msgspec.json.encode({"baton": token, "orders": items})
 
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -399,7 +399,7 @@
             elif kind == "records are old":
                 controller.records.current_at = -1e9
             elif kind == "falls behind":
-                controller.overload.late_s = 9.0
+                controller.overload.lag_s = 9.0
         return {"answers": out, "sent": link.posted, "asked": service.asked}
 
     return _in_time(scene)
@@ -487,9 +487,9 @@
         elif given["call"] == "delete":
             await calls._delete(leader, [MachineId(name) for name in given["machines"]])
         elif given["call"] == "catalogue":
-            await calls._catalog(leader)
+            await calls._refresh_catalog(leader)
         else:
-            await calls._list(leader)
+            await calls._refresh_machine_list(leader)
         read = [
             leader.provisioned,
             leader.machine_lifecycle.deleted,
