--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -159,7 +159,10 @@
             name for name, scheduler in self.owned_shards.schedulers.items() if scheduler.machines
         }
         return self.isolation.should_step_down(
-            now, snapshot.unreachable_controllers, populated, snapshot.shards_without_machine_contact
+            now,
+            snapshot.unreachable_controllers,
+            populated,
+            snapshot.shards_without_machine_contact,
         )
 
     def _attach_partitions(self, planner: LeaderPlanner) -> None:
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -158,7 +158,9 @@
         no heartbeat since it took over the shard.
         """
         isolated = {
-            shard.shard for shard in self.owned() if shard.latest_status.last_contact_age_s > UNREACHABLE_S
+            shard.shard
+            for shard in self.owned()
+            if shard.latest_status.last_contact_age_s > UNREACHABLE_S
         }
         if not isolated:
             return isolated
