--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -168,7 +168,7 @@
     def _attach_partitions(self, planner: LeaderPlanner) -> None:
         service = self.partitions.active_service()
         if service is not None:
-            service.lead(planner)
+            service.update_term(planner)
         planner.partitions = service.rebalancer if service is not None else None
         self.assigner.partition_shards = service.wanted_shards() if service is not None else []
 
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -102,7 +102,7 @@
     if not path:
         return None
     # Loaded only here: controllers without partitions do without it and its solver.
-    from dapplewick.partitions.plan import PlanError, unknown_names
+    from dapplewick.partitions.plan import PlanError, find_unknown_name
     from dapplewick.partitions.plan import load as load_plan
     from dapplewick.partitions.service import PartitionService
 
@@ -112,7 +112,7 @@
     except PlanError as err:
         raise StartupError(f"shares: {err}") from None
     teams = (team.name for team in deployment.teams)
-    problem = unknown_names(plan, teams, deployment.zones, None)
+    problem = find_unknown_name(plan, teams, deployment.zones, None)
     if problem:
         raise StartupError(f"shares: {path}: {problem}")
     return PartitionService(plan)
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -53,7 +53,7 @@
 class PartitionRebalancer(Protocol):
     """The leader's interface to the partitions of zones, for deployments that have partitions."""
 
-    def note_waiting(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
+    def update_starving_teams(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Record the waiting jobs, which may need machines reserved for other teams."""
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
@@ -239,7 +239,9 @@
         self._gangs.update(now)
         self._quotas.recount()
         if self.partitions is not None:
-            self.partitions.note_waiting(wall_time, (job for _, job in self._drafts.live_jobs()))
+            self.partitions.update_starving_teams(
+                wall_time, (job for _, job in self._drafts.live_jobs())
+            )
         shard_capacities = self._capacity_view.build(now, self._served_teams)
         self._waiting_gangs.place(wall_time, shard_capacities)
         pending = self._array_order.pending(wall_time)
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -21,13 +21,13 @@
     Pressing is what is due soon or is within its team's guarantee.
     """
 
-    pressing: Resources = NO_RESOURCES
+    urgent: Resources = NO_RESOURCES
     other: Resources = NO_RESOURCES
 
     @property
     def total(self) -> Resources:
         """Pressing and other demand together."""
-        return self.pressing.plus(self.other)
+        return self.urgent.plus(self.other)
 
 
 class _TeamDemand:
@@ -39,7 +39,7 @@
         self._limit_left = Resources(
             team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED, UNLIMITED
         )
-        self.pressing = NO_RESOURCES
+        self.urgent = NO_RESOURCES
         self.other = NO_RESOURCES
 
     def add(self, job: JobRecord, *, due_soon: bool) -> None:
@@ -51,7 +51,7 @@
         wanted = each.times(count)
         self._limit_left = self._limit_left.minus(wanted)
         if due_soon or self._within_guarantee(wanted):
-            self.pressing = self.pressing.plus(wanted)
+            self.urgent = self.urgent.plus(wanted)
         else:
             self.other = self.other.plus(wanted)
 
@@ -87,12 +87,12 @@
             team.add(job, due_soon=_is_due_soon(job, estimates, wall_time))
     demands = {}
     for name, partition in plan.partitions.items():
-        pressing = other = NO_RESOURCES
+        urgent = other = NO_RESOURCES
         for team_name in partition.teams:
             if team_name in sums:
-                pressing = pressing.plus(sums[team_name].pressing)
+                urgent = urgent.plus(sums[team_name].urgent)
                 other = other.plus(sums[team_name].other)
-        demands[name] = PartitionDemand(pressing, other)
+        demands[name] = PartitionDemand(urgent, other)
     return demands
 
 
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -27,7 +27,7 @@
 from dapplewick.partitions.plan import PlanError, convert
 from dapplewick.partitions.plan_in_force import PlanInForce
 from dapplewick.partitions.rebalancer import PartitionRebalancer
-from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.timing import TransferDurations
 from dapplewick.partitions.transfer_drafts import TransferCommand
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.errors import (
@@ -48,7 +48,9 @@
 class OperatorCommands:
     """Carries out commands on one controller while it leads."""
 
-    def __init__(self, host: PartitionHost, plan_in_force: PlanInForce, times: MoveTimes) -> None:
+    def __init__(
+        self, host: PartitionHost, plan_in_force: PlanInForce, times: TransferDurations
+    ) -> None:
         self._host = host
         self._plan_in_force = plan_in_force
         self._times = times
@@ -77,7 +79,7 @@
             host.now(), host.wall_time(), host.cache, term.shards.values()
         )
         return describer.describe(
-            host.own_name, self._plan_in_force.plan, rebalancer.targets, self._times.view()
+            host.own_name, self._plan_in_force.plan, rebalancer.targets, self._times.summaries()
         )
 
     # The plan
@@ -121,7 +123,7 @@
             if encoded_size(given) > self._host.limits_now().value_bytes:
                 raise PlanError("plan: it is larger than a value of the state service")
             plan = convert(given)
-            complaint = self._plan_in_force.unknown_names(plan)
+            complaint = self._plan_in_force.find_unknown_name(plan)
         except (PlanError, TypeError) as err:
             complaint = " ".join(str(err).split())
         if complaint:
--- a/src/dapplewick/partitions/plan.py
+++ b/src/dapplewick/partitions/plan.py
@@ -216,7 +216,7 @@
     return ""
 
 
-def unknown_names(
+def find_unknown_name(
     plan: PartitionPlan, teams: Iterable[str], zones: Iterable[str], types: Iterable[str] | None
 ) -> str:
     """Say which name of a plan the deployment does not have; empty if it has them all.
--- a/src/dapplewick/partitions/plan_in_force.py
+++ b/src/dapplewick/partitions/plan_in_force.py
@@ -5,7 +5,7 @@
 import logging
 
 from dapplewick.config import Deployment
-from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, unknown_names
+from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, find_unknown_name
 from dapplewick.storage.keys import PARTITION_PLAN
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, Seconds
@@ -59,7 +59,7 @@
         self._version = version
         try:
             plan = convert(self._cache.partition_plan) if version else self._initial
-            complaint = self.unknown_names(plan)
+            complaint = self.find_unknown_name(plan)
         except PlanError as err:
             complaint = str(err)
         if complaint:
@@ -68,7 +68,7 @@
         self.plan = plan
         log.info("event=plan_adopted version=%d partitions=%s", version, ",".join(plan.partitions))
 
-    def unknown_names(self, plan: PartitionPlan) -> str:
+    def find_unknown_name(self, plan: PartitionPlan) -> str:
         """The first name in a plan that the deployment does not have; empty if there is none."""
         teams = (team.name for team in self._deployment.teams)
-        return unknown_names(plan, teams, self._deployment.zones, self._cache.types or None)
+        return find_unknown_name(plan, teams, self._deployment.zones, self._cache.types or None)
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -19,7 +19,7 @@
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.selection import MachineSelection
 from dapplewick.partitions.targets import TargetsInForce
-from dapplewick.partitions.timing import MoveTimes, TransferStopwatch
+from dapplewick.partitions.timing import TransferDurations, TransferStopwatch
 from dapplewick.partitions.transfer_drafts import TransferCommand, TransferDrafts
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.formats import PARTITIONS_FORMAT
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, cache: WatchCache, index: MachineIndex, zones: Iterable[str], times: MoveTimes
+        self, cache: WatchCache, index: MachineIndex, zones: Iterable[str], times: TransferDurations
     ) -> None:
         self.plan = PartitionPlan()
         self.targets = TargetsInForce()
@@ -56,7 +56,7 @@
         self._handover = MachineHandover(cache, self._drafts, stopwatch)
         self._cleanup = RecordCleanup(cache, index, self._drafts)
 
-    def note_waiting(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
+    def update_starving_teams(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Let teams with a job of which nothing has started for long use others' idle machines.
 
         No work waits beside room that fits it.
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -14,7 +14,7 @@
 from dapplewick.partitions.plan_in_force import ComplaintLog, PlanInForce
 from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.target_solving import Solver, TargetSolving, solve_in_thread
-from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.timing import TransferDurations
 from dapplewick.types import ControllerName, ShardName, shard_name
 
 SOLVE_INTERVAL_S = 5.0  # the plan is solved anew this often
@@ -35,7 +35,7 @@
         self._initial_plan = plan
         self._solver = solver
         self._term: LeaderTerm | None = None
-        self._times = MoveTimes()
+        self._times = TransferDurations()
         self.rebalancer: PartitionRebalancer | None = None
 
     def attach(self, host: PartitionHost) -> None:
@@ -65,7 +65,7 @@
         """The shards of partitions that are to have an owner."""
         return self.rebalancer.wanted_shards() if self.rebalancer is not None else []
 
-    def lead(self, term: LeaderTerm) -> None:
+    def update_term(self, term: LeaderTerm) -> None:
         """Rebalance in this term of leadership; each begins anew from the records."""
         if self._term is not term:
             self._term = term
--- a/src/dapplewick/partitions/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -64,8 +64,8 @@
 class Bounds(NamedTuple):
     """How many machines a partition has to have, and may have."""
 
-    least: int
-    most: int
+    min_machines: int
+    max_machines: int
 
 
 def bounds(problem: Problem) -> dict[Cell, Bounds]:
@@ -79,18 +79,18 @@
         for (zone, type_), supply in problem.supply.items():
             rule = partition.rule(type_, zone, problem.minute)
             if rule is not None and rule.most > 0.0 and supply.machines > 0:
-                least = math.floor(rule.least * supply.machines + 1e-9)
-                most = max(least, math.floor(rule.most * supply.machines + 1e-9))
-                limits[Cell(name, zone, type_)] = Bounds(least, most)
+                min_machines = math.floor(rule.least * supply.machines + 1e-9)
+                max_machines = max(min_machines, math.floor(rule.most * supply.machines + 1e-9))
+                limits[Cell(name, zone, type_)] = Bounds(min_machines, max_machines)
     return limits
 
 
-def solve(problem: Problem, within_s: Seconds = TIME_LIMIT_S) -> Targets | None:
+def solve(problem: Problem, time_limit_s: Seconds = TIME_LIMIT_S) -> Targets | None:
     """Find targets that miss least of what is wanted and move few machines.
 
     Args:
         problem: what the plan, the work and the machines are now.
-        within_s: the solver's time limit, in seconds.
+        time_limit_s: the solver's time limit, in seconds.
 
     Returns:
         The targets; None if none were found in time. Partitions and kinds that no rule covers have
@@ -102,10 +102,11 @@
     # Loaded only here: it brings numpy, and only a leader with partitions needs it.
     import highspy
 
-    model = _new_model(within_s)
+    model = _new_model(time_limit_s)
     integer = highspy.HighsVarType.kInteger
     columns = {
-        cell: model.addVariable(lb=b.least, ub=b.most, type=integer) for cell, b in limits.items()
+        cell: model.addVariable(lb=b.min_machines, ub=b.max_machines, type=integer)
+        for cell, b in limits.items()
     }
     _keep_to_supply(model, problem, columns)
     objective = _moves(model, problem, columns) + _shortfalls(model, problem, columns)
@@ -115,14 +116,14 @@
     return {cell: round(values[column.index]) for cell, column in columns.items()}
 
 
-def _new_model(within_s: Seconds) -> Any:
+def _new_model(time_limit_s: Seconds) -> Any:
     import highspy
 
     model = highspy.Highs()  # type: ignore[no-untyped-call]
     for option, value in (
         ("output_flag", False),
         ("threads", 1),
-        ("time_limit", within_s),
+        ("time_limit", time_limit_s),
         ("mip_rel_gap", RELATIVE_GAP),
         ("random_seed", 0),
     ):
@@ -170,7 +171,7 @@
         demand = problem.demand.get(name, PartitionDemand())
         for field in ("cpus", "gpus"):
             total = getattr(demand.total, field)
-            pressing = getattr(demand.pressing, field)
+            urgent = getattr(demand.urgent, field)
             scale = _largest(problem, mine, field)
             if total <= 0.0 or scale <= 0.0:
                 continue
@@ -181,7 +182,7 @@
             missing = model.addVariable(lb=0.0)
             missing_pressing = model.addVariable(lb=0.0)
             model.addConstr(room + missing >= total / scale)
-            model.addConstr(room + missing_pressing >= pressing / scale)
+            model.addConstr(room + missing_pressing >= urgent / scale)
             costs += [
                 partition.weight * missing,
                 partition.weight * PRESSING_COST * missing_pressing,
--- a/src/dapplewick/partitions/target_solving.py
+++ b/src/dapplewick/partitions/target_solving.py
@@ -51,7 +51,7 @@
         cache = self._host.cache
         if cache.format < PARTITIONS_FORMAT or not cache.types:
             return
-        complaint = self._plan_in_force.unknown_names(self._plan_in_force.plan)
+        complaint = self._plan_in_force.find_unknown_name(self._plan_in_force.plan)
         if complaint:
             self._complaints.complain(self._host.now(), "plan_names_unknown", complaint)
             return
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -108,7 +108,9 @@
         return False
     nothing = Bounds(0, 0)
     return all(
-        limits.get(cell, nothing).least <= targets.get(cell, 0) <= limits.get(cell, nothing).most
+        limits.get(cell, nothing).min_machines
+        <= targets.get(cell, 0)
+        <= limits.get(cell, nothing).max_machines
         for cell in targets.keys() | limits.keys()
     )
 
--- a/src/dapplewick/partitions/timing.py
+++ b/src/dapplewick/partitions/timing.py
@@ -15,22 +15,22 @@
 PERCENTILES = (50.0, 95.0)
 
 
-class MoveTimes:
+class TransferDurations:
     """Histograms since this controller began to lead."""
 
     def __init__(self) -> None:
         self._machines = HdrHistogram(1, LONGEST_MS, DIGITS)
         self._transfers = HdrHistogram(1, LONGEST_MS, DIGITS)
 
-    def machine(self, took: Seconds) -> None:
+    def record_machine(self, took: Seconds) -> None:
         """Record in how many seconds after it was chosen a machine was handed over."""
         self._machines.record_value(_milliseconds(took))
 
-    def transfer(self, took: Seconds) -> None:
+    def record_transfer(self, took: Seconds) -> None:
         """Record in how many seconds after its first machine was chosen a transfer was complete."""
         self._transfers.record_value(_milliseconds(took))
 
-    def view(self) -> dict[str, DurationSummary]:
+    def summaries(self) -> dict[str, DurationSummary]:
         """Both histograms, in seconds."""
         return {"machines": _summary(self._machines), "transfers": _summary(self._transfers)}
 
@@ -38,7 +38,7 @@
 class TransferStopwatch:
     """Since when machines are drained and transfers have some, in one term of a leader."""
 
-    def __init__(self, times: MoveTimes) -> None:
+    def __init__(self, times: TransferDurations) -> None:
         self._times = times
         self._drained_at: dict[MachineId, Seconds] = {}
         self._begun_at: dict[TransferId, Seconds] = {}
@@ -59,12 +59,12 @@
         """Record the times of machines that were handed over."""
         for machine in machines:
             if machine in self._drained_at:
-                self._times.machine(now - self._drained_at.pop(machine))
+                self._times.record_machine(now - self._drained_at.pop(machine))
 
     def note_complete(self, transfer: TransferId, now: Seconds) -> None:
         """Record the time of a transfer that is complete."""
         if transfer in self._begun_at:
-            self._times.transfer(now - self._begun_at.pop(transfer))
+            self._times.record_transfer(now - self._begun_at.pop(transfer))
 
 
 def _milliseconds(took: Seconds) -> int:
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -11,7 +11,7 @@
 from dapplewick.partitions import plan as plans
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.rebalancer import PartitionRebalancer
-from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.timing import TransferDurations
 from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
 from dapplewick.protocol.peers import MachineStatus, ShardStatus
 from dapplewick.storage.conditional_write import ConditionalWrite
@@ -66,7 +66,7 @@
             self.put(f"{MACHINES}r-{first}", value | ({"share": share} if share else {}))
         self.machine_lifecycle = MachineLifecycle(self.cache, None, 14.0, 4.0)  # type: ignore[arg-type]
         index = MachineIndex(self.cache)
-        self.keeper = PartitionRebalancer(self.cache, index, ["a"], MoveTimes())
+        self.keeper = PartitionRebalancer(self.cache, index, ["a"], TransferDurations())
         self.keeper.plan = plans.convert(
             {
                 "shares": {
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -25,7 +25,7 @@
 from dapplewick.partitions.plan import Partition, PartitionPlan, PartitionRule
 from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.selection import MachineSelection
-from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.timing import TransferDurations
 from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand, TransferDrafts
 from dapplewick.protocol.peers import MachineStatus, ShardStatus, TaskEnd
 from dapplewick.protocol.state_service import Event
@@ -212,7 +212,9 @@
         self.machine_lifecycle = MachineLifecycle(
             self.cache, provisioner, 14.0, 4.0, VALUE_BYTES, TXN_OPS
         )
-        self.keeper = PartitionRebalancer(self.cache, MachineIndex(self.cache), ["a"], MoveTimes())
+        self.keeper = PartitionRebalancer(
+            self.cache, MachineIndex(self.cache), ["a"], TransferDurations()
+        )
         self.keeper.plan = PLAN
         self.keeper.targets.known = True
         self.capacities.clear()
--- a/tests/unit/test_partition_plan.py
+++ b/tests/unit/test_partition_plan.py
@@ -17,10 +17,10 @@
 from dapplewick.controller.startup import start
 from dapplewick.core.estimates import Estimates
 from dapplewick.partitions.demand import PartitionDemand, measure
-from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, parse, unknown_names
+from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, find_unknown_name, parse
 from dapplewick.partitions.solver import Cell, MachineKind, Problem, Supply, bounds, solve
 from dapplewick.partitions.targets import TargetsInForce
-from dapplewick.partitions.timing import MoveTimes
+from dapplewick.partitions.timing import TransferDurations
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources
@@ -102,11 +102,11 @@
         "p.star",
         "shares = {'x': {'teams': ['red'], 'rules': [{'types': ['m'], 'zones': ['a']}]}}",
     )
-    assert unknown_names(plan, ["red"], ["a"], ["m"]) == ""
-    assert unknown_names(plan, ["red"], ["a"], None) == ""
-    assert "unknown team 'red'" in unknown_names(plan, ["blue"], ["a"], ["m"])
-    assert "rules[0].zones: unknown zone 'a'" in unknown_names(plan, ["red"], ["b"], ["m"])
-    assert "rules[0].types: unknown type 'm'" in unknown_names(plan, ["red"], ["a"], ["n"])
+    assert find_unknown_name(plan, ["red"], ["a"], ["m"]) == ""
+    assert find_unknown_name(plan, ["red"], ["a"], None) == ""
+    assert "unknown team 'red'" in find_unknown_name(plan, ["blue"], ["a"], ["m"])
+    assert "rules[0].zones: unknown zone 'a'" in find_unknown_name(plan, ["red"], ["b"], ["m"])
+    assert "rules[0].types: unknown type 'm'" in find_unknown_name(plan, ["red"], ["a"], ["n"])
 
 
 def test_a_start_with_a_bad_plan_ends_with_code_2(
@@ -195,7 +195,7 @@
     assert targets[Cell("night", "a", "m")] == 4
     many = plan_of(**{f"s{i}": [rule(most=0.5)] for i in range(12)})
     wide = problem(many, 1000, {f"s{i}": 300.0 + 7.0 * i for i in range(12)})
-    assert solve(wide, within_s=0.0) is None
+    assert solve(wide, time_limit_s=0.0) is None
 
 
 def test_a_plan_changes_only_by_more_than_its_margin() -> None:
@@ -243,13 +243,13 @@
 ) -> None:
     plan = plan_of(**{f"s{n}": [rule(least=lo, most=hi)] for n, (lo, hi, _) in enumerate(shares)})
     asked = problem(plan, machines, {f"s{n}": cpus for n, (_, _, cpus) in enumerate(shares)})
-    solution = solve(asked, within_s=5.0)
+    solution = solve(asked, time_limit_s=5.0)
     assert solution is not None
     limits = bounds(asked)
     assert solution.keys() == limits.keys()
     assert sum(solution.values()) <= machines
     for cell, count in solution.items():
-        assert limits[cell].least <= count <= limits[cell].most
+        assert limits[cell].min_machines <= count <= limits[cell].max_machines
 
 
 def job(team: str, tasks: int, cpus: float, deadline_s: float | None = None) -> JobRecord:
@@ -286,16 +286,16 @@
     late.stage = "done"
     said = measure(plan, teams, [*jobs, late, job("green", 5, 1.0)], Estimates(), 1000.0)
     assert said["s"].total.cpus == 20.0 + 8.0 + 12.0
-    assert said["s"].pressing.cpus == 8.0 + 12.0  # within the guarantee, and due soon
+    assert said["s"].urgent.cpus == 8.0 + 12.0  # within the guarantee, and due soon
 
 
 def test_times_are_kept_in_histograms() -> None:
-    times = MoveTimes()
-    assert times.view()["machines"].count == 0
+    times = TransferDurations()
+    assert times.summaries()["machines"].count == 0
     for seconds in (1.0, 2.0, 30.0):
-        times.machine(seconds)
-    times.transfer(30.0)
-    said = times.view()
+        times.record_machine(seconds)
+    times.record_transfer(30.0)
+    said = times.summaries()
     assert said["machines"].count == 3
     assert 29.0 <= said["machines"].max_s <= 31.0
     assert said["transfers"].count == 1
