--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -85,13 +85,13 @@
         """The machines of a transfer that are proven empty and that an owner waits for."""
         if self._drafts.is_drafted(transfer) or not record.draining:
             return []  # what is drafted is not stored: no owner has seen it
-        if not self._owner_knows(transfer, ShardName(record.source), shards):
+        if not self._owner_has_seen_transfer(transfer, ShardName(record.source), shards):
             return []
         if not self._cache.version(SHARDS + record.target):
             return []  # it has no owner yet
         return [m for m in map(MachineId, record.draining) if selection.is_empty(record, m)]
 
-    def _owner_knows(
+    def _owner_has_seen_transfer(
         self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
     ) -> bool:
         """Whether the giving shard's owner has seen the transfer as it is stored.
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -425,7 +425,7 @@
     """A cancelled transfer's machine has got work again, and the next transfer of it must not rest
     on the status from before; a status may be seconds old."""
     if not guarded:
-        monkeypatch.setattr(MachineHandover, "_owner_knows", lambda *_: True)
+        monkeypatch.setattr(MachineHandover, "_owner_has_seen_transfer", lambda *_: True)
     simulation = Simulation(1, 1)
     machine, owner = simulation.names[0], simulation.owners[OWN]
     worker = simulation.workers[machine]
