--- a/src/dapplewick/partitions/__init__.py
+++ b/src/dapplewick/partitions/__init__.py
@@ -1,5 +1,5 @@
-"""Partitions of zones: machines that are kept for some teams, and change hands while work runs.
+"""Partitions of zones: machines reserved for some teams, which are moved while work runs.
 
-Operators know partitions as shares: so do scripts, records, messages, commands and their texts.
-Nothing of this package is imported where partitions are switched off and none is left.
+Scripts, records, messages and operators' commands call partitions "shares". Controllers import this
+package only if partitions are configured, or if shards or transfers of partitions still exist.
 """
--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -1,4 +1,4 @@
-"""Requests for the transfers that bring each partition to its target."""
+"""Requests the transfers that bring each partition to its target number of machines."""
 
 from __future__ import annotations
 
@@ -21,50 +21,57 @@
 from dapplewick.types import Seconds, ShardName, TransferId, partition_of, shard_name, zone_of
 
 
-def holds_off_plan(plan: PartitionPlan, record: TransferRecord, wall_time: Seconds) -> bool:
-    """Whether an operator's transfer that has ended still keeps the plan from its machines.
+def blocks_plan(plan: PartitionPlan, record: TransferRecord, wall_time: Seconds) -> bool:
+    """Whether an operator's ended transfer still prevents the plan from moving machines.
+
+    This concerns machines of the transfer's type in its zone. Otherwise the plan would undo the
+    operator's transfer as soon as it has ended.
 
     Args:
-        plan: the plan in force, which says for how long.
+        plan: the plan in force, which sets how long the transfer takes precedence.
         record: the transfer.
         wall_time: Unix time, in seconds.
     """
-    ended = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
+    operator_ended = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
     return (
-        ended and bool(plan.partitions) and wall_time < record.requested_at + plan.hold_commands_s
+        operator_ended
+        and bool(plan.partitions)
+        and wall_time < record.requested_at + plan.hold_commands_s
     )
 
 
 class Imbalance:
-    """Machines of one type in one zone that its shards have over or below their targets."""
+    """Surpluses and shortages of one machine type in one zone, relative to the targets."""
 
     def __init__(self) -> None:
-        self.spare: dict[ShardName, int] = {}
-        self.short: dict[ShardName, int] = {}
-        self.unassigned = 0  # machines of the zone's own shard that are in no transfer; may be < 0
+        self.surplus: dict[ShardName, int] = {}
+        self.shortages: dict[ShardName, int] = {}
+        self.unassigned = (
+            0  # in the zone's own shard, without machines that are to leave it; may be < 0
+        )
 
-    def note(self, shard: ShardName, excess: int) -> None:
-        """Take note of how many machines a shard has over its target; negative: below it."""
+    def record_excess(self, shard: ShardName, excess: int) -> None:
+        """Record how many machines a shard has above its target; negative if below it."""
         if excess > 0:
-            self.spare[shard] = excess
+            self.surplus[shard] = excess
         elif excess < 0:
-            self.short[shard] = -excess
+            self.shortages[shard] = -excess
 
-    def take_spare(self, shard: ShardName, most: int) -> int:
-        """Take machines that a shard can spare, at most so many; gives how many."""
-        count = min(most, self.spare[shard])
-        self.spare[shard] -= count
+    def allocate_surplus(self, shard: ShardName, limit: int) -> int:
+        """Allocate up to `limit` machines of a shard's surplus and return their number."""
+        count = min(limit, self.surplus[shard])
+        self.surplus[shard] -= count
         return count
 
-    def take_unassigned(self, most: int) -> int:
-        """Take machines of the zone's own shard, at most so many; gives how many."""
-        count = min(most, max(0, self.unassigned))
+    def allocate_unassigned(self, limit: int) -> int:
+        """Allocate up to `limit` machines of the zone's own shard and return their number."""
+        count = min(limit, max(0, self.unassigned))
         self.unassigned -= count
         return count
 
 
 class Balancer:
-    """Pairs partitions that have too many machines of a type with those that have too few."""
+    """Pairs partitions with a surplus of a machine type with partitions that are short of it."""
 
     def __init__(
         self, cache: WatchCache, index: MachineIndex, zones: Iterable[str], drafts: TransferDrafts
@@ -79,15 +86,15 @@
     ) -> None:
         """Draft transfers towards the targets.
 
-        Machines of a kind that an operator has moved are left alone for a while.
+        A machine type in a zone is skipped while an operator's transfer of it takes precedence.
         """
-        held = {
+        blocked = {
             (zone_of(record.source), record.type)
             for record in self._drafts.records().values()
-            if record.origin != PLAN and (record.open or holds_off_plan(plan, record, wall_time))
+            if record.origin != PLAN and (record.open or blocks_plan(plan, record, wall_time))
         }
-        kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.kinds()}
-        for zone, type_ in sorted(kinds - held):
+        kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.counts()}
+        for zone, type_ in sorted(kinds - blocked):
             if zone in self._zones:
                 self._balance(wall_time, plan, targets, zone, type_)
 
@@ -100,85 +107,95 @@
         type_: str,
     ) -> None:
         """Draft the transfers of one type of machine in one zone."""
-        until = wall_time + plan.move_within_s
+        overdue_at = wall_time + plan.move_within_s
         imbalance = self._imbalance(plan, targets, zone, type_)
-        own = shard_name(zone)
-        for target, missing in imbalance.short.items():
-            missing -= self._cancel_counter_moves(target, type_, missing, outgoing=True)
-            for source in list(imbalance.spare):
-                count = imbalance.take_spare(source, missing)
+        zone_shard = shard_name(zone)
+        for target, missing in imbalance.shortages.items():
+            missing -= self._cancel_opposing_transfers(target, type_, missing, outgoing=True)
+            for source in list(imbalance.surplus):
+                count = imbalance.allocate_surplus(source, missing)
                 missing -= count
-                self._request(wall_time, until, source, target, type_, count)
-            count = imbalance.take_unassigned(missing)
-            self._request(wall_time, until, own, target, type_, count)
-        for source, count in imbalance.spare.items():
-            count -= self._cancel_counter_moves(source, type_, count, outgoing=False)
-            self._request(wall_time, until, source, own, type_, count)
+                self._request(wall_time, overdue_at, source, target, type_, count)
+            count = imbalance.allocate_unassigned(missing)
+            self._request(wall_time, overdue_at, zone_shard, target, type_, count)
+        for source, count in imbalance.surplus.items():
+            count -= self._cancel_opposing_transfers(source, type_, count, outgoing=False)
+            self._request(wall_time, overdue_at, source, zone_shard, type_, count)
 
     def _imbalance(
         self, plan: PartitionPlan, targets: TargetsInForce, zone: str, type_: str
     ) -> Imbalance:
-        """What is over and what is short, with the transfers that are open counted as done."""
+        """Surpluses and shortages, as they will be once all open transfers are complete."""
         partitions = {
             partition_of(kind.shard)
-            for kind, _ in self._index.kinds()
+            for kind, _ in self._index.counts()
             if zone_of(kind.shard) == zone
         }
         partitions |= {cell.partition for cell, _ in targets.items() if cell.zone == zone}
-        coming, going = self._in_flight(zone, type_)
+        incoming, outgoing = self._in_flight(zone, type_)
         imbalance = Imbalance()
         for partition in sorted(partitions - {""}):
             shard = shard_name(zone, partition)
-            expected = self._index.count(shard, type_) + coming[shard] - going[shard]
-            # A partition that is not in the plan gives all that it has.
+            expected = self._index.count(shard, type_) + incoming[shard] - outgoing[shard]
+            # A partition that is no longer in the plan gives up all its machines.
             target = targets[Cell(partition, zone, type_)] if partition in plan.partitions else 0
-            imbalance.note(shard, expected - target)
-        own = shard_name(zone)
-        imbalance.unassigned = self._index.count(own, type_) - going[own]
+            imbalance.record_excess(shard, expected - target)
+        zone_shard = shard_name(zone)
+        imbalance.unassigned = self._index.count(zone_shard, type_) - outgoing[zone_shard]
         return imbalance
 
     def _in_flight(self, zone: str, type_: str) -> tuple[Counter[str], Counter[str]]:
-        """How many machines of a type are on their way to each shard, and from each."""
-        coming: Counter[str] = Counter()
-        going: Counter[str] = Counter()
+        """The machines of a type that open transfers still have to move to and from each shard."""
+        incoming: Counter[str] = Counter()
+        outgoing: Counter[str] = Counter()
         for record in self._drafts.open_records().values():
             if (zone_of(record.source), record.type) == (zone, type_):
-                rest = record.count - record.moved
-                coming[record.target] += rest
-                going[record.source] += rest
-        return coming, going
+                remaining = record.count - record.moved
+                incoming[record.target] += remaining
+                outgoing[record.source] += remaining
+        return incoming, outgoing
 
-    def _cancel_counter_moves(self, shard: str, type_: str, most: int, *, outgoing: bool) -> int:
-        """Cancel open transfers that the targets no longer want.
+    def _cancel_opposing_transfers(
+        self, shard: str, type_: str, limit: int, *, outgoing: bool
+    ) -> int:
+        """Cancel open transfers that move machines away from the targets.
 
         Args:
-            shard: one that is short (`outgoing`), or that has too many machines.
-            type_: of the machines.
-            most: transfers of more machines together than this are not cancelled.
-            outgoing: whether transfers from the shard are cancelled, else those to it.
+            shard: a shard with a shortage (if `outgoing`) or a surplus of machines.
+            type_: the machine type.
+            limit: the maximum number of remaining machines of the cancelled transfers together.
+            outgoing: whether to cancel transfers from the shard instead of transfers to it.
 
         Returns:
-            How many machines the cancelled transfers still had to move.
+            The number of machines that the cancelled transfers still had to move.
         """
-        ended = 0
+        cancelled_count = 0
         for transfer, record in self._drafts.open_records().items():
-            end = record.source if outgoing else record.target
-            rest = record.count - record.moved
-            if end == shard and record.type == type_ and ended + rest <= most:
+            endpoint = record.source if outgoing else record.target
+            remaining = record.count - record.moved
+            if endpoint == shard and record.type == type_ and cancelled_count + remaining <= limit:
                 self._drafts.cancel(transfer, "the targets have changed")
-                ended += rest
-        return ended
+                cancelled_count += remaining
+        return cancelled_count
 
     def _request(
-        self, wall_time: Seconds, until: Seconds, source: str, target: str, type_: str, count: int
+        self,
+        wall_time: Seconds,
+        overdue_at: Seconds,
+        source: str,
+        target: str,
+        type_: str,
+        count: int,
     ) -> None:
-        """Draft a transfer for the plan; none of no machines."""
+        """Draft a transfer for the plan, unless `count` is 0 or negative."""
         if count <= 0:
             return
-        generation = self._drafts.coming_generation
+        generation = self._drafts.next_generation
         transfer = TransferId(f"p-{generation}-{self._cache.revision}")
         count = min(count, MAX_TRANSFER_MACHINES)
         self._drafts.request(
             transfer,
-            TransferRecord(generation, source, target, type_, count, REQUESTED, wall_time, until),
+            TransferRecord(
+                generation, source, target, type_, count, REQUESTED, wall_time, overdue_at
+            ),
         )
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -1,11 +1,11 @@
-"""Removal of records that nothing needs any more: ended transfers, and shards of partitions."""
+"""Removes the records of ended transfers and of partitions' unused shards."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterable
 
-from dapplewick.partitions.balancing import holds_off_plan
+from dapplewick.partitions.balancing import blocks_plan
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.transfer_drafts import TransferDrafts
@@ -17,11 +17,11 @@
 
 log = logging.getLogger(__name__)
 
-KEEP_S = 60.0  # ended transfers are shown for so long
+ENDED_TRANSFER_RETENTION_S = 60.0  # operators can see an ended transfer for this long
 
 
 class RecordCleanup:
-    """Says which records of transfers and of partitions' shards may go."""
+    """Selects the records of transfers and of partitions' shards to remove."""
 
     def __init__(self, cache: WatchCache, index: MachineIndex, drafts: TransferDrafts) -> None:
         self._cache = cache
@@ -32,30 +32,30 @@
     def transfer_removals(
         self, now: Seconds, wall_time: Seconds, plan: PartitionPlan
     ) -> list[ConditionalWrite]:
-        """The removal of transfers that ended a while ago and keep the plan from nothing."""
+        """The removals of transfers past their retention period that no longer block the plan."""
         removals = []
         for transfer, record in self._cache.transfers.records.items():
             if record.open or self._drafts.is_drafted(transfer):
                 continue
-            if holds_off_plan(plan, record, wall_time):
+            if blocks_plan(plan, record, wall_time):
                 continue
-            if now - self._ended_at.setdefault(transfer, now) > KEEP_S:
+            if now - self._ended_at.setdefault(transfer, now) > ENDED_TRANSFER_RETENTION_S:
                 removals.append(self._removal(TRANSFERS + transfer))
         return removals
 
-    def shard_removals(self, wanted: Iterable[ShardName]) -> list[ConditionalWrite]:
-        """The removal of partitions' shards that are not wanted, and that no record names."""
-        unwanted = {s for s in self._cache.shards if partition_of(s)}.difference(wanted)
-        if not unwanted:
+    def shard_removals(self, required: Iterable[ShardName]) -> list[ConditionalWrite]:
+        """The removals of partitions' shards that are not required and that no record refers to."""
+        unused = {s for s in self._cache.shards if partition_of(s)}.difference(required)
+        if not unused:
             return []
-        unwanted -= {ShardName(r.target) for r in self._drafts.open_records().values()}
-        unwanted = {shard for shard in unwanted if not self._index.has_any(shard)}
+        unused -= {ShardName(r.target) for r in self._drafts.open_records().values()}
+        unused = {shard for shard in unused if not self._index.has_any(shard)}
         for _, job in self._cache.iter_live_jobs():
-            unwanted -= job.assignments.keys()
+            unused -= job.assignments.keys()
             if job.gang is not None:
-                unwanted -= job.gang.shards()
+                unused -= job.gang.shards()
         removals = []
-        for shard in sorted(unwanted):
+        for shard in sorted(unused):
             log.info("event=partition_shard_removed shard=%s", shard)
             removals.append(self._removal(SHARDS + shard))
         return removals
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -1,4 +1,4 @@
-"""What the work of each partition's teams wants now."""
+"""The present resource demand of each partition's teams."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.types import NO_RESOURCES, Resources, Seconds
 
-UNLIMITED = 1e12  # CPUs, accelerators or GB: more than any fleet has
-SOON_FACTOR = 2.0  # work that is due within this times its run time is pressing
+UNLIMITED = 1e12  # CPUs, accelerators or GB; above the capacity of any fleet
+DUE_SOON_FACTOR = 2.0  # work due within this multiple of its run time is urgent
 
 
 class PartitionDemand(NamedTuple):
-    """Room that a partition's work would use if it had it all.
+    """The resources that a partition's work would use without any shortage.
 
-    Pressing is what is due soon or is within its team's guarantee.
+    Attributes:
+        urgent: the demand of work that is due soon or within its team's guarantee.
+        other: the remaining demand.
     """
 
     urgent: Resources = NO_RESOURCES
@@ -26,41 +28,41 @@
 
     @property
     def total(self) -> Resources:
-        """Pressing and other demand together."""
+        """The sum of urgent and other demand."""
         return self.urgent.plus(self.other)
 
 
 class _TeamDemand:
-    """Sums for one team, kept within its limit."""
+    """The demand of one team, capped at the team's limit."""
 
     def __init__(self, team: Team) -> None:
         self._team = team
-        self._guaranteed_left = Resources(team.cpus, team.gpus, 0.0)
-        self._limit_left = Resources(
+        self._remaining_guarantee = Resources(team.cpus, team.gpus, 0.0)
+        self._remaining_limit = Resources(
             team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED, UNLIMITED
         )
         self.urgent = NO_RESOURCES
         self.other = NO_RESOURCES
 
     def add(self, job: JobRecord, *, due_soon: bool) -> None:
-        """Count a job's unfinished tasks, as many as the team's limit has room for."""
-        each = job.resources
-        count = min(job.spec.task_count - job.done_count, each.count_in(self._limit_left))
+        """Add the demand of a job's unfinished tasks, as many as fit into the team's limit."""
+        per_task = job.resources
+        count = min(job.spec.task_count - job.done_count, per_task.count_in(self._remaining_limit))
         if count <= 0:
             return
-        wanted = each.times(count)
-        self._limit_left = self._limit_left.minus(wanted)
-        if due_soon or self._within_guarantee(wanted):
-            self.urgent = self.urgent.plus(wanted)
+        demand = per_task.times(count)
+        self._remaining_limit = self._remaining_limit.minus(demand)
+        if due_soon or self._within_guarantee(demand):
+            self.urgent = self.urgent.plus(demand)
         else:
-            self.other = self.other.plus(wanted)
+            self.other = self.other.plus(demand)
 
-    def _within_guarantee(self, wanted: Resources) -> bool:
-        left = self._guaranteed_left
-        by_gpus = wanted.gpus > 0 and wanted.gpus <= left.gpus
-        by_cpus = wanted.gpus == 0 and 0 < wanted.cpus <= left.cpus
+    def _within_guarantee(self, demand: Resources) -> bool:
+        remaining = self._remaining_guarantee
+        by_gpus = demand.gpus > 0 and demand.gpus <= remaining.gpus
+        by_cpus = demand.gpus == 0 and 0 < demand.cpus <= remaining.cpus
         if by_gpus or by_cpus:
-            self._guaranteed_left = left.minus(wanted)
+            self._remaining_guarantee = remaining.minus(demand)
         return by_gpus or by_cpus
 
 
@@ -71,27 +73,29 @@
     estimates: Estimates,
     wall_time: Seconds,
 ) -> dict[str, PartitionDemand]:
-    """The demand of each partition, from all open jobs, the oldest first.
+    """The demand of each partition, from all open jobs.
+
+    Older jobs have precedence within their team's guarantee and limit.
 
     Args:
-        plan: says which teams a partition is for.
-        teams: their guarantees and limits.
-        jobs: all of them; those that have ended do not count.
-        estimates: of run times.
+        plan: the plan, which assigns teams to partitions.
+        teams: the teams, with their guarantees and limits.
+        jobs: all jobs; ended ones are ignored.
+        estimates: the estimates of run times.
         wall_time: Unix time, in seconds.
     """
-    sums = {team.name: _TeamDemand(team) for team in teams}
+    team_demands = {team.name: _TeamDemand(team) for team in teams}
     for job in sorted((j for j in jobs if j.open), key=lambda j: j.submitted_at):
-        team = sums.get(job.spec.team)
+        team = team_demands.get(job.spec.team)
         if team is not None:
             team.add(job, due_soon=_is_due_soon(job, estimates, wall_time))
     demands = {}
     for name, partition in plan.partitions.items():
         urgent = other = NO_RESOURCES
         for team_name in partition.teams:
-            if team_name in sums:
-                urgent = urgent.plus(sums[team_name].urgent)
-                other = other.plus(sums[team_name].other)
+            if team_name in team_demands:
+                urgent = urgent.plus(team_demands[team_name].urgent)
+                other = other.plus(team_demands[team_name].other)
         demands[name] = PartitionDemand(urgent, other)
     return demands
 
@@ -99,6 +103,7 @@
 def _is_due_soon(job: JobRecord, estimates: Estimates, wall_time: Seconds) -> bool:
     if job.spec.deadline_s is None or job.spec.is_service:
         return job.spec.is_service
-    return job.submitted_at + job.spec.deadline_s < wall_time + SOON_FACTOR * estimates.run_time(
-        job.spec
+    return (
+        job.submitted_at + job.spec.deadline_s
+        < wall_time + DUE_SOON_FACTOR * estimates.run_time(job.spec)
     )
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -1,4 +1,4 @@
-"""What operators are told of partitions, and in plain words why a machine has not moved yet."""
+"""Describes partitions to operators, including why a machine has not been handed over yet."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName, TransferId, partition_of, zone_of
 
-SILENT_S = 4.0  # a machine that was silent for longer is said to be
+MAX_CONTACT_GAP_S = 4.0  # longer gaps are reported as the reason why a machine has not moved
 
 
 class PartitionDescriber:
-    """Reads the records and the shards' statuses; changes nothing."""
+    """Describes partitions from the records and the shards' statuses, without changing either."""
 
     def __init__(
         self, now: Seconds, wall_time: Seconds, cache: WatchCache, shards: Iterable[ObservedShard]
@@ -44,7 +44,7 @@
         targets: TargetsInForce,
         times: dict[str, DurationSummary],
     ) -> PartitionsDescription:
-        """All partitions, their machines and targets, and the transfers, the earliest first."""
+        """Describe all partitions, their machines and targets, and the transfers, oldest first."""
         transfers = sorted(
             self._cache.transfers.records.items(), key=lambda item: item[1].generation
         )
@@ -66,21 +66,23 @@
             for record in self._cache.machines.values()
             if not record.terminating
         )
-        wanted = {(cell.zone, cell.partition, cell.type): count for cell, count in targets.items()}
+        target_counts = {
+            (cell.zone, cell.partition, cell.type): count for cell, count in targets.items()
+        }
         return [
             MachineCount(
                 zone=zone,
                 partition=partition,
                 type=type_,
                 machines=counts.get((zone, partition, type_), 0),
-                target=wanted.get((zone, partition, type_), 0) if partition else None,
+                target=target_counts.get((zone, partition, type_), 0) if partition else None,
             )
-            for zone, partition, type_ in sorted(counts.keys() | wanted.keys())
+            for zone, partition, type_ in sorted(counts.keys() | target_counts.keys())
         ]
 
     def _transfer(self, name: TransferId, record: TransferRecord) -> TransferDescription:
         waits_for = {
-            machine: self.why_not(name, record, machine)
+            machine: self._blocking_reason(name, record, machine)
             for machine in map(MachineId, record.draining)
             if record.open
         }
@@ -99,32 +101,38 @@
             waits_for=waits_for,
         )
 
-    def why_not(self, name: TransferId, record: TransferRecord, machine_id: MachineId) -> str:
-        """Why a machine that is drained has not been handed over."""
-        known = self._cache.machines.get(machine_id)
-        if known is None or known.terminating:
+    def _blocking_reason(
+        self, name: TransferId, record: TransferRecord, machine_id: MachineId
+    ) -> str:
+        """Why a drained machine has not been handed over, as one sentence for operators."""
+        machine = self._cache.machines.get(machine_id)
+        if machine is None or machine.terminating:
             return "it is gone or about to go; another will be chosen"
         if not self._cache.version(SHARDS + record.target):
             return "the receiving share has no owner yet"
-        if not known.up:
+        if not machine.up:
             return "it is still coming up and goes over with the next writes"
         shard = self._shards.get(ShardName(record.source))
         if shard is None:
             return "the owner of the giving share has not been heard yet"
         if shard.seen_revision < self._cache.version(TRANSFERS + name):
-            return f"the owner of the giving share was last heard {self._age(shard)} ago"
-        silence = shard.latest_status.machine_contact_gaps.get(machine_id)
-        if silence is not None and silence.gap_s > SILENT_S:
-            return f"it has been silent for {silence.gap_s:.0f} s, so that nothing is proven of it"
+            return f"the owner of the giving share was last heard {self._status_age(shard)} ago"
+        contact_gap = shard.latest_status.machine_contact_gaps.get(machine_id)
+        if contact_gap is not None and contact_gap.gap_s > MAX_CONTACT_GAP_S:
+            return (
+                f"it has been silent for {contact_gap.gap_s:.0f} s, so that nothing is proven of it"
+            )
         status = shard.machines.get(machine_id)
         if status is None or not status.reconciled:
             return "it has not reported to its present owner yet"
-        return self._work(shard, machine_id, status)
+        return self._work_reason(shard, machine_id, status)
 
-    def _age(self, shard: ObservedShard) -> str:
+    def _status_age(self, shard: ObservedShard) -> str:
         return f"{max(0.0, self._now - shard.received_at):.0f} s"
 
-    def _work(self, shard: ObservedShard, machine_id: MachineId, status: MachineStatus) -> str:
+    def _work_reason(
+        self, shard: ObservedShard, machine_id: MachineId, status: MachineStatus
+    ) -> str:
         ends = status.ends
         if ends:
             last = max(end.at for end in ends) + shard.clock_offset_s - self._now
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -1,7 +1,8 @@
-"""The handover of drained machines: the proof that they are empty, and one transaction.
+"""Handover of drained machines that are proven empty, in one transaction.
 
-At each revision a machine is in exactly one partition. The transaction names the versions that the
-proof rests on, so that it fails if either shard's owner, the transfer or a group has changed.
+At each revision a machine is in exactly one partition. The transaction's preconditions are the
+versions on which the proof depends, so the transaction fails if the owner of either shard, the
+transfer or a machine group has changed.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HANDED_OVER = 20  # machines in one transaction
+MAX_HANDOVER_MACHINES = 20  # in one transaction
 
 
 class MachineHandover:
-    """Hands machines of a transfer over to the receiving shard, once they are proven empty."""
+    """Hands over machines of a transfer to the target shard once they are proven empty."""
 
     def __init__(
         self, cache: WatchCache, drafts: TransferDrafts, stopwatch: TransferStopwatch
@@ -45,22 +46,23 @@
         shards: Iterable[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
-        """Hand over machines that are proven empty.
+        """Hand over the machines of a transfer that are proven empty.
 
         Returns:
             The writes of one transaction: the groups of both partitions and the transfer, with the
-            fencing tokens of both shards as preconditions. Empty if nothing can go.
+            fencing tokens of both shards as preconditions. Empty if no machine can be
+            handed over.
         """
         record = self._drafts.open_records()[transfer]
         empty = self._empty_machines(transfer, record, selection, shards)
         if not empty:
             return []
         group_name = f"transfer/{transfer}"
-        moved = self._move(record, empty, machine_lifecycle, group_name)
+        moved = self._draft_move(record, empty, machine_lifecycle, group_name)
         if not moved:
             return []
         changed = _with_moved(record, moved)
-        self._stopwatch.note_handed_over(moved, now)
+        self._stopwatch.record_handovers(moved, now)
         log.info(
             "event=machines_transferred transfer=%s source=%s target=%s machines=%s state=%s",
             transfer,
@@ -70,9 +72,9 @@
             changed.state,
         )
         if changed.state == COMPLETE:
-            self._stopwatch.note_complete(transfer, now)
+            self._stopwatch.record_completion(transfer, now)
         write = self._drafts.write(transfer, changed, group_name)
-        write = write._replace(preconditions=self._owners_unchanged(record))
+        write = write._replace(preconditions=self._owner_preconditions(record))
         return [*machine_lifecycle.moves(group_name), write]
 
     def _empty_machines(
@@ -82,49 +84,49 @@
         selection: MachineSelection,
         shards: Iterable[ObservedShard],
     ) -> list[MachineId]:
-        """The machines of a transfer that are proven empty and that an owner waits for."""
+        """The machines of a transfer that are proven empty, if the target shard has an owner."""
         if self._drafts.is_drafted(transfer) or not record.draining:
-            return []  # what is drafted is not stored: no owner has seen it
+            return []  # the draft is not stored yet, so no owner has seen it
         if not self._owner_has_seen_transfer(transfer, ShardName(record.source), shards):
             return []
         if not self._cache.version(SHARDS + record.target):
-            return []  # it has no owner yet
+            return []  # the target shard has no owner yet
         return [m for m in map(MachineId, record.draining) if selection.is_empty(record, m)]
 
     def _owner_has_seen_transfer(
         self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
     ) -> bool:
-        """Whether the giving shard's owner has seen the transfer as it is stored.
+        """Whether the source shard's owner has seen the stored version of the transfer.
 
-        What it told before says nothing of what it has started since, as after a transfer was
-        cancelled.
+        An earlier status of the owner proves nothing, because the owner may have started tasks on
+        the machine since, for example after an earlier transfer of the machine was cancelled.
         """
         stored = self._cache.version(TRANSFERS + transfer)
         return any(shard.shard == source and shard.seen_revision >= stored for shard in shards)
 
-    def _move(
+    def _draft_move(
         self,
         record: TransferRecord,
         empty: list[MachineId],
         machine_lifecycle: MachineLifecycle,
         group_name: str,
     ) -> list[MachineId]:
-        """Draft the move of machines of one group, with a new least token for each worker."""
+        """Draft the move of machines of one group, with a new minimum token for each worker."""
         group = self._cache.group_of[empty[0]]
-        going = [m for m in empty if self._cache.group_of[m] == group][:MAX_HANDED_OVER]
+        selected = [m for m in empty if self._cache.group_of[m] == group][:MAX_HANDOVER_MACHINES]
         source_token = FencingToken(self._cache.version(SHARDS + record.source))
-        floors = {m: self._cache.token_for(m, source_token) + 1 for m in going}
-        return machine_lifecycle.move(floors, partition_of(record.target), group_name)
+        min_tokens = {m: self._cache.token_for(m, source_token) + 1 for m in selected}
+        return machine_lifecycle.move(min_tokens, partition_of(record.target), group_name)
 
-    def _owners_unchanged(self, record: TransferRecord) -> tuple[Precondition, ...]:
-        """The conditions that both shards still have the owners that the proof rests on."""
+    def _owner_preconditions(self, record: TransferRecord) -> tuple[Precondition, ...]:
+        """The preconditions that both shards still have the owners on which the proof depends."""
         keys = (SHARDS + record.source, SHARDS + record.target)
         return tuple(Precondition(key, self._cache.version(key)) for key in keys)
 
 
 def _with_moved(record: TransferRecord, moved: list[MachineId]) -> TransferRecord:
-    """A transfer after some of its machines were handed over."""
-    left = [machine for machine in record.draining if MachineId(machine) not in moved]
+    """The record of a transfer after the handover of some of its machines."""
+    remaining = [machine for machine in record.draining if MachineId(machine) not in moved]
     count = record.moved + len(moved)
     state = COMPLETE if count >= record.count else DRAINING
-    return msgspec.structs.replace(record, draining=left, moved=count, state=state)
+    return msgspec.structs.replace(record, draining=remaining, moved=count, state=state)
--- a/src/dapplewick/partitions/host.py
+++ b/src/dapplewick/partitions/host.py
@@ -1,4 +1,4 @@
-"""What this package needs of the controller that it runs in."""
+"""The interface of the controller that the partition service requires."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class LeaderTerm(Protocol):
-    """One term of leadership, known by its identity."""
+    """One term of leadership; terms are distinguished by object identity."""
 
     @property
     def shards(self) -> Mapping[ShardName, ObservedShard]:
-        """What the shards' owners told the leader."""
+        """The shards' state, as their owners reported it to the leader."""
 
 
-class PeerRequests(Protocol):
-    """A way to ask another controller."""
+class PeerClient(Protocol):
+    """Sends requests to another controller."""
 
     async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
-        """Ask for something; None if no answer comes in time."""
+        """Send a request and return the answer, or None if none arrives in time."""
 
 
 class PartitionHost(Protocol):
-    """A controller, as far as partitions are concerned with it."""
+    """The controller that runs the partition service."""
 
     @property
     def own_name(self) -> ControllerName:
@@ -41,19 +41,19 @@
 
     @property
     def cache(self) -> WatchCache:
-        """The records of the state service, as they are known."""
+        """The cached records of the state service."""
 
     @property
     def state(self) -> StateClient:
-        """The state service."""
+        """The client of the state service."""
 
     @property
     def estimates(self) -> Estimates:
-        """Estimates of run times."""
+        """The estimates of run times."""
 
     @property
-    def links(self) -> Mapping[ControllerName, PeerRequests]:
-        """The ways to the other controllers."""
+    def links(self) -> Mapping[ControllerName, PeerClient]:
+        """The connections to the other controllers."""
 
     @property
     def leader(self) -> LeaderTerm | None:
@@ -66,10 +66,10 @@
         """Unix time, in seconds."""
 
     def limits_now(self) -> StateLimits:
-        """How large values and transactions of the state service may be."""
+        """The current size limits of values and transactions of the state service."""
 
     def stored(self, key: str, value: object, version: int) -> None:
-        """Take note that a write of our own is known to be stored."""
+        """Apply a confirmed write of this controller to the cached records."""
 
     def wake_leader(self, at_once: bool = False) -> None:
-        """Have the leader make a pass soon, or at once."""
+        """Request a planning pass of the leader, soon or at once."""
--- a/src/dapplewick/partitions/messages.py
+++ b/src/dapplewick/partitions/messages.py
@@ -1,7 +1,7 @@
-"""Operators' commands on partitions and their answers, and their form on the wire.
+"""Operators' commands on partitions, their answers and their wire format.
 
-Partitions are called shares in messages; the names here are the ones that the rest of the package
-uses. A command's fields are read one by one in `commands`, so that a refusal can name the field.
+Messages call partitions "shares"; attribute names follow the rest of the package. The module
+`commands` reads each field of a command separately, so that a refusal can name the invalid field.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 
 class ShowCommand(msgspec.Struct):
-    """Ask for the partitions, their machines, and what is moving."""
+    """Requests a description of the partitions, their machines and the transfers."""
 
     verb: str = SHOW
 
 
 class PlanCommand(msgspec.Struct, kw_only=True):
-    """Put a plan in force; none: go back to the one that the controllers started with."""
+    """Puts a plan in force; None restores the plan that the controllers started with."""
 
     verb: str = PLAN
     plan: object
 
 
 class MoveCommand(msgspec.Struct, kw_only=True):
-    """Move machines between partitions of a zone; an empty name is the zone's own shard."""
+    """Moves machines between partitions; an empty name stands for the zone's own shard."""
 
     verb: str = MOVE
     id: str
@@ -46,28 +46,28 @@
 
 
 class CancelCommand(msgspec.Struct, kw_only=True):
-    """Cancel a transfer."""
+    """Cancels a transfer."""
 
     verb: str = CANCEL
     id: str
 
 
 class Refusal(msgspec.Struct):
-    """A command that is not carried out, or that is not known to be."""
+    """The answer to a command that was rejected, or whose outcome is unknown."""
 
     status: int
     error: str
 
 
 class PlanStored(msgspec.Struct, kw_only=True):
-    """A plan is stored; without a revision where there was nothing to store."""
+    """The answer to a plan command; it has no revision if nothing had to be stored."""
 
     status: int = OK
     revision: Revision | UnsetType = UNSET
 
 
 class TransferAnswer(msgspec.Struct, kw_only=True):
-    """A move or a cancellation is stored."""
+    """The answer to a move or a cancellation whose record is stored."""
 
     status: int = OK
     id: str
@@ -75,7 +75,7 @@
 
 
 class DurationSummary(msgspec.Struct):
-    """How many durations were recorded, and how long they were, in seconds."""
+    """The number of recorded durations, and their distribution in seconds."""
 
     count: int
     p50_s: Seconds
@@ -84,7 +84,7 @@
 
 
 class MachineCount(msgspec.Struct, kw_only=True):
-    """How many machines of a type a partition has in a zone, and is to have."""
+    """The current and the target number of machines of a type in a partition of a zone."""
 
     zone: str
     partition: str = msgspec.field(name="share")  # empty: the zone's own shard
@@ -94,7 +94,7 @@
 
 
 class TransferDescription(msgspec.Struct, kw_only=True):
-    """A transfer as operators see it."""
+    """A transfer, as reported to operators."""
 
     id: str
     generation: int
@@ -106,8 +106,8 @@
     moved: int
     state: str
     origin: str
-    left_s: Seconds  # until it is overdue; 0 for one that has ended
-    waits_for: dict[MachineId, str]  # why each drained machine was not handed over yet
+    left_s: Seconds  # until the transfer is overdue; 0 if it has ended
+    waits_for: dict[MachineId, str]  # why each draining machine has not been handed over
 
 
 class PartitionsDescription(msgspec.Struct, kw_only=True):
@@ -115,7 +115,7 @@
 
     status: int = OK
     leader: str
-    plan: object  # as it is stored
+    plan: object  # in its stored form
     times: dict[str, DurationSummary]
     format: int
     targets_known: bool
@@ -130,11 +130,11 @@
 
 
 def unavailable(reason: str) -> Refusal:
-    """The answer where a command may succeed later, or may have succeeded."""
+    """The answer to a command that may succeed later, or may have succeeded."""
     return Refusal(UNAVAILABLE, reason)
 
 
 def encode(message: Answer | Command) -> dict[str, Any]:
-    """A message as the map that goes into a frame."""
+    """Encode a message as a map for a frame."""
     encoded: dict[str, Any] = msgspec.to_builtins(message)
     return encoded
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -1,4 +1,4 @@
-"""The leader's part in operators' commands: they are checked, carried out and answered."""
+"""Validates, executes and answers operators' commands on the leader."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import anyio
 import msgspec
 
-from dapplewick.partitions.commands import TransferRefusedError, cancellation, move_command
+from dapplewick.partitions.commands import CommandRefusedError, cancel_command, move_command
 from dapplewick.partitions.description import PartitionDescriber
 from dapplewick.partitions.host import LeaderTerm, PartitionHost
 from dapplewick.partitions.messages import (
@@ -41,24 +41,24 @@
 from dapplewick.storage.transfers import CANCELLED
 from dapplewick.types import Revision
 
-LOOK_S = 0.1  # the records are looked at this often for a command's outcome
-KNOWN_WITHIN_S = 3.0  # a command is known done in this time, or the operator is told to look
+RECORD_POLL_INTERVAL_S = 0.1  # polling of the cached records for a command's outcome
+CONFIRMATION_TIMEOUT_S = 3.0  # afterwards the answer refers the operator to `shares show`
 
 
 class OperatorCommands:
-    """Carries out commands on one controller while it leads."""
+    """Executes operators' commands while this controller leads."""
 
     def __init__(
         self, host: PartitionHost, plan_in_force: PlanInForce, times: TransferDurations
     ) -> None:
         self._host = host
         self._plan_in_force = plan_in_force
-        self._times = times
+        self._durations = times
 
     async def answer(
         self, message: Mapping[str, object], term: LeaderTerm, rebalancer: PartitionRebalancer
     ) -> Answer:
-        """Carry a command out, and answer once that is known."""
+        """Execute a command, and answer once its outcome is known or the time limit expires."""
         verb = message.get("verb")
         try:
             if verb == SHOW:
@@ -69,7 +69,7 @@
                 return await self._move(message, rebalancer)
             if verb == CANCEL:
                 return await self._cancel(message, rebalancer)
-        except TransferRefusedError as err:
+        except CommandRefusedError as err:
             return Refusal(err.status, str(err))
         return Refusal(BAD_REQUEST, "verb: show, plan, move or cancel is needed")
 
@@ -79,18 +79,18 @@
             host.now(), host.wall_time(), host.cache, term.shards.values()
         )
         return describer.describe(
-            host.own_name, self._plan_in_force.plan, rebalancer.targets, self._times.summaries()
+            host.own_name, self._plan_in_force.plan, rebalancer.targets, self._durations.summaries()
         )
 
-    # The plan
+    # Plan commands
 
     async def _store_plan(self, message: Mapping[str, object]) -> Answer:
-        """Store a plan for all controllers, or go back to the one that they started with."""
+        """Store a plan for all controllers, or delete it to restore the initial plan."""
         cache = self._host.cache
-        given = message.get("plan")
+        submitted = message.get("plan")
         changes: dict[str, Any] = {}
-        if given is not None:
-            changes[PARTITION_PLAN] = self._checked_plan(given)
+        if submitted is not None:
+            changes[PARTITION_PLAN] = self._validated_plan(submitted)
         version = cache.version(PARTITION_PLAN)
         deletes = [] if changes or not version else [PARTITION_PLAN]
         if not changes and not deletes:
@@ -101,7 +101,7 @@
         except TransactionConflictError:
             return unavailable("the plan or the leader has changed meanwhile")
         except ValueTooLargeError:
-            raise TransferRefusedError("plan: it is too large") from None
+            raise CommandRefusedError("plan: it is too large") from None
         except (RequestRefusedError, OutcomeUnknownError):
             return unavailable("the state service did not confirm it; look with `shares show`")
         for key, value in changes.items():
@@ -110,27 +110,27 @@
             cache.remove(PARTITION_PLAN, revision)
         return PlanStored(revision=Revision(revision))
 
-    def _checked_plan(self, given: object) -> object:
-        """A plan that an operator gives, as it is stored.
+    def _validated_plan(self, submitted: object) -> object:
+        """Validate an operator's plan and return its stored form.
 
-        The command has run its script: what that may take of a processor is not taken from the
-        controller's.
+        The plan arrives as plain values: the operator's command line has already run the script, so
+        a slow script takes no processor time from the controller.
 
         Raises:
-            TransferRefusedError: the plan can't be used.
+            CommandRefusedError: the plan is invalid.
         """
         try:
-            if encoded_size(given) > self._host.limits_now().value_bytes:
+            if encoded_size(submitted) > self._host.limits_now().value_bytes:
                 raise PlanError("plan: it is larger than a value of the state service")
-            plan = convert(given)
-            complaint = self._plan_in_force.find_unknown_name(plan)
+            plan = convert(submitted)
+            problem = self._plan_in_force.find_unknown_name(plan)
         except (PlanError, TypeError) as err:
-            complaint = " ".join(str(err).split())
-        if complaint:
-            raise TransferRefusedError(complaint)
+            problem = " ".join(str(err).split())
+        if problem:
+            raise CommandRefusedError(problem)
         return msgspec.to_builtins(plan)
 
-    # Transfers
+    # Transfer commands
 
     async def _move(self, message: Mapping[str, object], rebalancer: PartitionRebalancer) -> Answer:
         host = self._host
@@ -144,29 +144,29 @@
             host.wall_time(),
         )
         if command.transfer not in host.cache.transfers.records:
-            return await self._carry_out(rebalancer, command)
+            return await self._execute(rebalancer, command)
         return self._transfer_answer(command)
 
     async def _cancel(
         self, message: Mapping[str, object], rebalancer: PartitionRebalancer
     ) -> Answer:
-        return await self._carry_out(rebalancer, cancellation(message, self._host.cache))
+        return await self._execute(rebalancer, cancel_command(message, self._host.cache))
 
-    async def _carry_out(self, rebalancer: PartitionRebalancer, command: TransferCommand) -> Answer:
-        """Have a transfer command written, and answer once its record is known to be stored."""
+    async def _execute(self, rebalancer: PartitionRebalancer, command: TransferCommand) -> Answer:
+        """Queue a transfer command for the next pass, and answer once its record is stored."""
         rebalancer.commands.append(command)
         try:
-            with anyio.move_on_after(KNOWN_WITHIN_S):
-                while not self._is_known(command):
+            with anyio.move_on_after(CONFIRMATION_TIMEOUT_S):
+                while not self._is_stored(command):
                     self._host.wake_leader(at_once=True)
-                    await anyio.sleep(LOOK_S)
+                    await anyio.sleep(RECORD_POLL_INTERVAL_S)
                 return self._transfer_answer(command)
         finally:
             if command in rebalancer.commands:
                 rebalancer.commands.remove(command)
         return unavailable("it is not known to be stored yet; look with `shares show`")
 
-    def _is_known(self, command: TransferCommand) -> bool:
+    def _is_stored(self, command: TransferCommand) -> bool:
         record = self._host.cache.transfers.records.get(command.transfer)
         return record is not None and (command.record is not None or record.state == CANCELLED)
 
--- a/src/dapplewick/partitions/plan.py
+++ b/src/dapplewick/partitions/plan.py
@@ -1,7 +1,7 @@
-"""The operators' plan: which teams' work gets what fraction of which machines, and when.
+"""The operators' plan: the fractions of machines that each team's work gets, by time of day.
 
-A plan is a Starlark script that sets `shares`, as scripts and records call partitions. It is
-refused whole if anything in it is wrong; the refusal is one line that names the field.
+A plan is a Starlark script that sets `shares`, the name of partitions in scripts and records. An
+invalid plan is rejected as a whole, with a message of one line that names the invalid field.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from dapplewick.script import ScriptError, assigned_lines, evaluate, read_script
 
 SETTINGS = ("shares", "margin", "move_within_s", "hold_orders_s")
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,19}")
-CLOCK = re.compile(r"([01]\d|2[0-3]):([0-5]\d)")
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,19}")
+CLOCK_PATTERN = re.compile(r"([01]\d|2[0-3]):([0-5]\d)")
 DAY_MINUTES = 24 * 60
 MAX_PARTITIONS = 100
 MAX_RULES = 200
@@ -25,74 +25,74 @@
 
 
 class PlanError(DapplewickError):
-    """A plan can't be used, the one before it stays; the text is one line that names the field."""
+    """A plan is invalid, and the previous plan stays in force; the message names the field."""
 
 
 class PartitionRule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """What a partition gets of some types of machines.
+    """The minimum and maximum fractions of some machine types that a partition gets.
 
-    At least and at most these fractions of those that there are in each zone, and in between what
-    its work wants. The first rule of a partition that holds for a type, a zone and a time of day
-    counts.
+    The fractions `least` and `most` refer to all machines of a type in a zone; between these bounds
+    a partition gets machines according to its demand. The first rule of a partition that covers a
+    type, a zone and a time of day applies.
     """
 
     types: list[str] = msgspec.field(name="types")
     least: float = 0.0
     most: float = 1.0
-    zones: list[str] | None = None  # None: all
-    hours: tuple[str, str] | None = None  # from and until, of the day in UTC; None: always
+    zones: list[str] | None = None  # None: all zones
+    hours: tuple[str, str] | None = None  # start and end, as times of day in UTC; None: always
 
     def covers(self, type_: str, zone: str, minute: int) -> bool:
-        """Whether it holds for machines of a type in a zone at a minute of the day."""
+        """Whether the rule covers a machine type in a zone at a minute of the day in UTC."""
         if type_ not in self.types or (self.zones is not None and zone not in self.zones):
             return False
         if self.hours is None:
             return True
-        begin, end = (minute_of(text) for text in self.hours)
-        if begin <= end:
-            return begin <= minute < end
-        return minute >= begin or minute < end
+        start, end = (minute_of_day(text) for text in self.hours)
+        if start <= end:
+            return start <= minute < end
+        return minute >= start or minute < end
 
 
 class Partition(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """A partition of each zone: whose work it is for, and what it gets."""
+    """A partition of each zone: its teams, and its fractions of the machines."""
 
     teams: list[str]
     rules: list[PartitionRule]
-    weight: float = 1.0  # where there is too little for all, heavier partitions miss less
+    weight: float = 1.0  # a higher weight gives a smaller shortfall if machines are scarce
 
     def rule(self, type_: str, zone: str, minute: int) -> PartitionRule | None:
-        """The rule that holds for machines of a type in a zone at a minute of the day."""
+        """The rule that applies to a machine type in a zone at a minute of the day, if any."""
         return next((r for r in self.rules if r.covers(type_, zone, minute)), None)
 
 
 class PartitionPlan(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """All partitions, and how they change."""
+    """All partitions, and the limits on moves of machines between them."""
 
     partitions: dict[str, Partition] = msgspec.field(name="shares", default_factory=dict)
-    margin: float = 0.1  # of a zone's machines of a type that a new plan must differ by
-    move_within_s: float = 300.0  # a machine that is not empty by then is left where it is
-    # The plan leaves alone for so long what an operator has moved.
+    margin: float = 0.1  # minimum change of targets, as a fraction of a zone's machines of a type
+    move_within_s: float = 300.0  # a machine not empty by then stays in its partition
+    # For this long after an operator's move, the plan moves no machines of its type and zone.
     hold_commands_s: float = msgspec.field(name="hold_orders_s", default=3600.0)
 
 
-def minute_of(text: str) -> int:
-    """The minute of the day of a time of day like 03:30.
+def minute_of_day(text: str) -> int:
+    """Convert a time of day such as 03:30 to a minute of the day.
 
     Raises:
-        PlanError: it is no time of day.
+        PlanError: the text is not a time of day.
     """
-    match = CLOCK.fullmatch(text)
+    match = CLOCK_PATTERN.fullmatch(text)
     if match is None:
         raise PlanError(f"{text!r} is no time of day like 03:30")
     return int(match[1]) * 60 + int(match[2])
 
 
 def parse(name: str, text: str) -> PartitionPlan:
-    """Run a plan's script and check what can be checked without the deployment.
+    """Run a plan's script and validate the plan, except for names defined in the deployment.
 
     Raises:
-        PlanError: the script can't be run, or the plan is wrong.
+        PlanError: the script fails or the plan is invalid.
     """
     try:
         assigned_lines(name, text, SETTINGS)
@@ -103,10 +103,10 @@
 
 
 def load(path: str) -> PartitionPlan:
-    """Read and check a plan's file.
+    """Read a plan's file and validate the plan.
 
     Raises:
-        PlanError: the file can't be read, or the plan is wrong.
+        PlanError: the file can't be read or the plan is invalid.
     """
     try:
         text = read_script(path)
@@ -116,29 +116,29 @@
 
 
 def convert(values: object, place: str = "") -> PartitionPlan:
-    """A plan of plain values, as a script sets them or a record keeps them.
+    """Convert plain values, as set by a script or stored in a record, to a valid plan.
 
     Raises:
-        PlanError: the plan is wrong; the text begins with `place`.
+        PlanError: the plan is invalid; the message begins with `place`.
     """
     try:
         plan = msgspec.convert(values, type=PartitionPlan)
     except msgspec.ValidationError as err:
         raise PlanError(f"{place}{_one_line(err)}") from None
-    complaint = _complaint(plan)
-    if complaint:
-        raise PlanError(f"{place}{complaint}")
+    problem = _plan_problem(plan)
+    if problem:
+        raise PlanError(f"{place}{problem}")
     return plan
 
 
 def _one_line(error: msgspec.ValidationError) -> str:
-    """The library's complaint with the field in front: it ends in "- at `$.shares`"."""
+    """Move the field from the end of a msgspec message ("- at `$.shares`") to its start."""
     reason, _, field = str(error).partition(" - at `$.")
     return f"{field.rstrip('`')}: {reason}" if field else reason
 
 
-def _complaint(plan: PartitionPlan) -> str:
-    """What is wrong with a plan, by itself; empty if nothing is."""
+def _plan_problem(plan: PartitionPlan) -> str:
+    """The first problem of a plan, regardless of the deployment; empty if it is valid."""
     if not 0.0 <= plan.margin <= 1.0:
         return "margin: must be from 0 to 1"
     if not 10.0 <= plan.move_within_s <= DAY_S:
@@ -148,15 +148,15 @@
     if len(plan.partitions) > MAX_PARTITIONS:
         return f"shares: more than {MAX_PARTITIONS}"
     for name, partition in plan.partitions.items():
-        complaint = _partition_complaint(name, partition)
-        if complaint:
-            return f"shares[{name!r}]{complaint}"
-    return _sum_complaint(plan)
+        problem = _partition_problem(name, partition)
+        if problem:
+            return f"shares[{name!r}]{problem}"
+    return _guarantees_problem(plan)
 
 
-def _partition_complaint(name: str, partition: Partition) -> str:
-    """What is wrong with one partition, with the field below it; empty if nothing is."""
-    if NAME.fullmatch(name) is None:
+def _partition_problem(name: str, partition: Partition) -> str:
+    """The first problem of a partition, after the path of its field; empty if it is valid."""
+    if NAME_PATTERN.fullmatch(name) is None:
         return ": a name has up to 20 of a-z, 0-9 and -"
     if not partition.teams or len(set(partition.teams)) < len(partition.teams):
         return ".teams: name each team once, and at least one"
@@ -165,14 +165,14 @@
     if not 0 < len(partition.rules) <= MAX_RULES:
         return f".rules: from 1 to {MAX_RULES} are needed"
     for number, rule in enumerate(partition.rules):
-        complaint = _rule_complaint(rule)
-        if complaint:
-            return f".rules[{number}].{complaint}"
+        problem = _rule_problem(rule)
+        if problem:
+            return f".rules[{number}].{problem}"
     return ""
 
 
-def _rule_complaint(rule: PartitionRule) -> str:
-    """What is wrong with one rule, its field in front; empty if nothing is."""
+def _rule_problem(rule: PartitionRule) -> str:
+    """The first problem of a rule, after the name of its field; empty if it is valid."""
     if not rule.types:
         return "types: at least one is needed"
     if rule.zones is not None and not rule.zones:
@@ -181,29 +181,29 @@
         return "least: must be from 0 to 1, and most from least to 1"
     if rule.hours is not None:
         for text in rule.hours:
-            if CLOCK.fullmatch(text) is None:
+            if CLOCK_PATTERN.fullmatch(text) is None:
                 return f"hours: {text!r} is no time of day like 03:30"
     return ""
 
 
-def _sum_complaint(plan: PartitionPlan) -> str:
-    """Where the partitions are promised more than there is of a type in a zone, at some time."""
+def _guarantees_problem(plan: PartitionPlan) -> str:
+    """The first overcommitment of any type in any zone at any time; empty if there is none."""
     rules = [rule for partition in plan.partitions.values() for rule in partition.rules]
     types = dict.fromkeys(type_ for rule in rules for type_ in rule.types)
-    # A zone that no rule names stands for all the others.
+    # The empty name stands for all zones that no rule lists: the same rules cover them.
     zones = dict.fromkeys(zone for rule in rules for zone in rule.zones or [])
-    bounds = {minute_of(text) for rule in rules for text in rule.hours or ()}
+    bounds = {minute_of_day(text) for rule in rules for text in rule.hours or ()}
     for minute in sorted(bounds | {0}):
         for type_ in types:
             for zone in [*zones, ""]:
-                complaint = _promise_complaint(plan, type_, zone, minute)
-                if complaint:
-                    return complaint
+                problem = _overcommitment(plan, type_, zone, minute)
+                if problem:
+                    return problem
     return ""
 
 
-def _promise_complaint(plan: PartitionPlan, type_: str, zone: str, minute: int) -> str:
-    """Which partition is promised what is promised to others; empty if none is."""
+def _overcommitment(plan: PartitionPlan, type_: str, zone: str, minute: int) -> str:
+    """The partition whose minimum raises the sum of minimums above 1; empty if there is none."""
     total = 0.0
     for name, partition in plan.partitions.items():
         rule = partition.rule(type_, zone, minute)
@@ -219,13 +219,13 @@
 def find_unknown_name(
     plan: PartitionPlan, teams: Iterable[str], zones: Iterable[str], types: Iterable[str] | None
 ) -> str:
-    """Say which name of a plan the deployment does not have; empty if it has them all.
+    """Describe the first name in a plan that the deployment lacks; empty if there is none.
 
     Args:
         plan: the plan.
-        teams: those of the deployment.
-        zones: those of the deployment.
-        types: of machines that can be rented; None if they are not known yet.
+        teams: the names of the deployment's teams.
+        zones: the names of the deployment's zones.
+        types: the machine types that can be rented; None if the catalog is not known yet.
     """
     known_teams, known_zones = set(teams), set(zones)
     known_types = set(types) if types is not None else None
--- a/src/dapplewick/partitions/plan_in_force.py
+++ b/src/dapplewick/partitions/plan_in_force.py
@@ -1,4 +1,4 @@
-"""The plan that this controller goes by: the one that operators stored, else its initial one."""
+"""The plan that this controller applies: the plan that operators stored, else its initial plan."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 log = logging.getLogger(__name__)
 
-LOG_PAUSE_S = 60.0  # between two complaints of the same kind
+LOG_INTERVAL_S = 60.0  # minimum interval between two errors with the same event
 
 
-class ComplaintLog:
-    """Logs complaints, but not again and again."""
+class RateLimitedErrorLog:
+    """Logs errors, at a limited rate for each event."""
 
     def __init__(self) -> None:
         self._logged_at: dict[str, Seconds] = {}
 
-    def complain(self, now: Seconds, event: str, reason: str) -> None:
-        """Log a complaint, unless one of the same event was logged a moment ago."""
-        if now - self._logged_at.get(event, NEVER_S) >= LOG_PAUSE_S:
+    def log(self, now: Seconds, event: str, reason: str) -> None:
+        """Log an error, unless one with the same event was logged within `LOG_INTERVAL_S`."""
+        if now - self._logged_at.get(event, NEVER_S) >= LOG_INTERVAL_S:
             self._logged_at[event] = now
             log.error("event=%s reason=%r", event, reason)
 
 
 class PlanInForce:
-    """Follows the stored plan.
+    """Tracks the stored plan.
 
     Attributes:
-        plan: the plan in force; without partitions where the controller started without a plan.
+        plan: the plan in force; it has no partitions if the controller started without a plan.
     """
 
     def __init__(
@@ -40,17 +40,17 @@
         initial: PartitionPlan | None,
         cache: WatchCache,
         deployment: Deployment,
-        complaints: ComplaintLog,
+        error_log: RateLimitedErrorLog,
     ) -> None:
         self.plan = initial or PartitionPlan()
         self._initial = initial
         self._cache = cache
         self._deployment = deployment
-        self._complaints = complaints
+        self._error_log = error_log
         self._version = 0
 
     def refresh(self, now: Seconds) -> None:
-        """Take over the plan that operators have stored; a bad one changes nothing."""
+        """Adopt the stored plan if it has changed; an invalid plan is logged and ignored."""
         if self._initial is None:
             return
         version = self._cache.version(PARTITION_PLAN)
@@ -59,16 +59,16 @@
         self._version = version
         try:
             plan = convert(self._cache.partition_plan) if version else self._initial
-            complaint = self.find_unknown_name(plan)
+            problem = self.find_unknown_name(plan)
         except PlanError as err:
-            complaint = str(err)
-        if complaint:
-            self._complaints.complain(now, "stored_plan_refused", complaint)
+            problem = str(err)
+        if problem:
+            self._error_log.log(now, "stored_plan_refused", problem)
             return
         self.plan = plan
         log.info("event=plan_adopted version=%d partitions=%s", version, ",".join(plan.partitions))
 
     def find_unknown_name(self, plan: PartitionPlan) -> str:
-        """The first name in a plan that the deployment does not have; empty if there is none."""
+        """Describe the first name in a plan that the deployment lacks; empty if there is none."""
         teams = (team.name for team in self._deployment.teams)
         return find_unknown_name(plan, teams, self._deployment.zones, self._cache.types or None)
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -1,8 +1,9 @@
-"""The leader's rebalancing of partitions: transfers are requested, drained, handed over and ended.
+"""The leader's rebalancing of partitions, from the request of a transfer to its end.
 
-A state machine without I/O. Each pass looks at the records and at what the shards' owners told, and
-says what to write. Every write names the versions that it rests on, so each step is harmless if the
-next never comes: a machine is in exactly one partition at each revision, whoever ends in between.
+A state machine without I/O. Each pass reads the cached records and the statuses of the shards'
+owners, and returns the writes to make. Every write is conditional on the record versions that it is
+based on, so a process may fail after any step: a machine is in exactly one partition at each
+revision.
 """
 
 from __future__ import annotations
@@ -28,20 +29,24 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName, partition_of, shard_name
 
-LEND_S = 30.0  # a job of which nothing has started for so long may use other teams' idle room
+LOAN_DELAY_S = 30.0  # wait of a job before its team may borrow other teams' idle capacity
 
 
 class PartitionRebalancer:
-    """Moves machines between the partitions of zones, as one term's leader.
+    """Moves machines between the partitions of zones, during one term of leadership.
 
     Attributes:
         plan: the operators' plan in force.
-        targets: how many machines of each kind each partition is to have.
-        commands: operators' moves and cancellations that are not known to be stored yet.
+        targets: the target number of machines of each type and zone in each partition.
+        commands: operators' moves and cancellations that are not yet confirmed as stored.
     """
 
     def __init__(
-        self, cache: WatchCache, index: MachineIndex, zones: Iterable[str], times: TransferDurations
+        self,
+        cache: WatchCache,
+        index: MachineIndex,
+        zones: Iterable[str],
+        durations: TransferDurations,
     ) -> None:
         self.plan = PartitionPlan()
         self.targets = TargetsInForce()
@@ -50,16 +55,18 @@
         self._index = index
         self._starving_teams: frozenset[str] = frozenset()
         self._drafts = TransferDrafts(cache)
-        stopwatch = TransferStopwatch(times)
+        stopwatch = TransferStopwatch(durations)
         self._balancer = Balancer(cache, index, zones, self._drafts)
         self._draining = TransferDraining(cache, self._drafts, stopwatch)
         self._handover = MachineHandover(cache, self._drafts, stopwatch)
         self._cleanup = RecordCleanup(cache, index, self._drafts)
 
     def update_starving_teams(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
-        """Let teams with a job of which nothing has started for long use others' idle machines.
+        """Find the teams that may borrow idle capacity of all partitions.
 
-        No work waits beside room that fits it.
+        These teams have a job that has waited for more than `LOAN_DELAY_S` and has neither a placed
+        gang nor any assigned or done task. Loans prevent work from waiting while idle capacity fits
+        the work.
         """
         self._starving_teams = frozenset(
             job.spec.team
@@ -68,11 +75,11 @@
             and not job.done
             and job.gang is None
             and not any(job.assignments.values())
-            and wall_time - job.submitted_at > LEND_S
+            and wall_time - job.submitted_at > LOAN_DELAY_S
         )
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
-        """The teams whose work may come to a shard; None for a zone's own shard: all teams."""
+        """The teams whose work may be placed in a shard; None (all) for a zone's own shard."""
         name = partition_of(shard)
         if not name:
             return None
@@ -82,7 +89,7 @@
         return frozenset(partition.teams) | self._starving_teams
 
     def wanted_shards(self) -> list[ShardName]:
-        """The shards of partitions that are to get machines, or have some."""
+        """The shards of partitions that have a target or receive machines by an open transfer."""
         if self._cache.format < PARTITIONS_FORMAT:
             return []
         wanted = {
@@ -103,17 +110,17 @@
         placed: Set[MachineId],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
-        """Make one pass.
+        """Make one rebalancing pass.
 
         Args:
             now: time of the leader's monotonic clock, in seconds.
-            wall_time: Unix time, in seconds, which the records' times are in.
-            shards: what the shards' owners told.
-            placed: machines with slots that are held for gangs, or with their tasks.
-            machine_lifecycle: the leader's drafts of machine groups, to which handovers are added.
+            wall_time: Unix time, in seconds, as used in the records.
+            shards: the shards' state, as their owners reported it.
+            placed: machines with tasks of gangs, or with slots reserved for gangs.
+            machine_lifecycle: the leader's drafts of machine groups, which handovers extend.
 
         Returns:
-            The writes of the pass, those of one transaction group in a row.
+            The writes of the pass, with those of one transaction group next to each other.
         """
         if self._cache.format < PARTITIONS_FORMAT:
             return []
@@ -121,7 +128,7 @@
         self._draining.begin_pass(now)
         self._index.refresh()
         selection = MachineSelection(now, self._cache, self._index, shards, placed)
-        self._take_commands()
+        self._draft_commands()
         if self.targets.known:
             self._balancer.request_transfers(wall_time, self.plan, self.targets)
         handovers = self._advance_transfers(now, wall_time, selection, shards, machine_lifecycle)
@@ -132,17 +139,17 @@
             *self._shard_removals(),
         ]
 
-    def _take_commands(self) -> None:
-        """Draft what operators have commanded.
+    def _draft_commands(self) -> None:
+        """Draft the operators' pending commands.
 
-        Whoever put a command here removes it when its record is there, or when it is given up on.
+        `OperatorCommands` removes a command once its record is stored or its time limit expires.
         """
         for transfer, record in self.commands:
-            known = self._drafts.record(transfer)
+            existing = self._drafts.record(transfer)
             if record is not None:
-                if known is None:
+                if existing is None:
                     self._drafts.request(transfer, record)
-            elif known is not None and known.state != CANCELLED:
+            elif existing is not None and existing.state != CANCELLED:
                 self._drafts.cancel(transfer, "ordered")
 
     def _advance_transfers(
@@ -153,25 +160,25 @@
         shards: list[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
-        """Bring each open transfer a step on, the earliest first; gives the handovers' writes."""
+        """Advance each open transfer, oldest first, and return the writes of handovers."""
         handovers: list[ConditionalWrite] = []
         in_order = sorted(self._drafts.open_records().items(), key=lambda item: item[1].generation)
         for transfer, _ in in_order:
             if transfer not in self._drafts.open_records():
-                continue  # a later one has taken over all that it drained
+                continue  # cancelled in this pass, as a later transfer took over its machines
             self._draining.prune(transfer)
             if self._draining.end_overdue(now, wall_time, transfer, self.plan):
                 continue
             writes = self._handover.hand_over(now, transfer, selection, shards, machine_lifecycle)
             if writes:
                 handovers += writes
-                self._draining.note_handover(transfer)
+                self._draining.record_handover(transfer)
             else:
                 self._draining.drain_more(now, transfer, selection)
         return handovers
 
     def _shard_removals(self) -> list[ConditionalWrite]:
-        """Removals of shards; none before it is known which are wanted."""
+        """The removals of unused shards; none before the targets are known."""
         if not self.targets.known:
             return []
         return self._cleanup.shard_removals(self.wanted_shards())
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -1,4 +1,4 @@
-"""Which machines go first when a partition gives some: idle ones, then those empty soonest."""
+"""Selects the machines that a partition gives up: idle ones first, then by expected wait."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import MachineId, Seconds, ShardName
 
-MAX_NAMES_BYTES = 480  # of drained machines' names in a record: half of the smallest value limit
-SAMPLE_SIZE = 200  # machines that are looked at, beside the idle ones
-BUSY_FRACTION = 0.25  # of a shard's busy machines of a type that are drained at the same time
-UNRECONCILED_WAIT_S = 30.0  # what a machine of which nothing is known yet counts as
+MAX_NAMES_BYTES = 480  # of draining machines' names in a record: half of the smallest value limit
+SAMPLE_SIZE = 200  # machines that are compared, in addition to idle ones
+MAX_BUSY_FRACTION = 0.25  # of a transfer's candidates and draining machines, drained while busy
+UNRECONCILED_WAIT_S = 30.0  # assumed for a machine that has not been reconciled yet
 
 
 class Candidate(NamedTuple):
-    """A machine that could go, and when it is expected to be empty."""
+    """A machine that may be drained, and the time until it is expected to be empty."""
 
-    wait: Seconds
+    expected_wait_s: Seconds
     machine: MachineId
 
 
 class MachineSelection:
-    """Chooses machines in one pass, from the records and from what the shards' owners told."""
+    """Selects machines in one pass, based on the records and the shard owners' statuses."""
 
     def __init__(
         self,
@@ -42,117 +42,123 @@
         cache: WatchCache,
         index: MachineIndex,
         shards: Iterable[ObservedShard],
-        placed: Set[MachineId],
+        gang_machines: Set[MachineId],
     ) -> None:
         self._now = now
         self._cache = cache
         self._index = index
         self._shards = {shard.shard: shard for shard in shards}
-        self._placed = placed  # by gangs: their tasks are there, or slots are held for them
+        self._gang_machines = gang_machines  # with tasks of gangs, or slots reserved for gangs
 
     def choose(
         self,
         transfer: TransferRecord,
-        avoid: Set[MachineId],
-        taken: Set[MachineId],
-        waited_for: Set[MachineId],
+        excluded: Set[MachineId],
+        already_draining: Set[MachineId],
+        blocking: Set[MachineId],
     ) -> list[MachineId]:
-        """Choose more machines for a transfer to drain, those first that are empty soonest.
+        """Choose further machines for a transfer to drain, by expected time until they are empty.
 
-        Busy ones are drained a few at a time, since a drained machine takes no work until it is
-        empty.
+        Only a few busy machines are drained at the same time, because a draining machine accepts no
+        work until it is empty.
 
         Args:
-            transfer: the transfer, which misses some machines.
-            avoid: machines that were not empty in time a moment ago.
-            taken: machines that some transfer drains in this pass.
-            waited_for: drained machines that keep others from being drained; those that are not
-                any more, as with a long task, keep none back.
+            transfer: the transfer, which needs further machines.
+            excluded: machines that recently did not become empty in time.
+            already_draining: machines that any transfer drains in this pass.
+            blocking: draining machines that count against the limit of busy machines. Machines
+                that have drained for long, for example with a long task, do not count.
         """
-        candidates = self._candidates(transfer, avoid, taken)
-        room = min(transfer.missing, MAX_DRAINING_MACHINES - len(transfer.draining))
-        busy_left = self._busy_left(transfer, len(candidates), waited_for)
+        candidates = self._candidates(transfer, excluded, already_draining)
+        remaining_count = min(transfer.missing, MAX_DRAINING_MACHINES - len(transfer.draining))
+        remaining_busy = self._remaining_busy_limit(transfer, len(candidates), blocking)
         chosen: list[MachineId] = []
         names_bytes = sum(len(machine) + 3 for machine in transfer.draining)
-        for wait, machine_id in candidates:
+        for expected_wait_s, machine_id in candidates:
             names_bytes += len(machine_id) + 3
-            if len(chosen) >= room or names_bytes > MAX_NAMES_BYTES:
+            if len(chosen) >= remaining_count or names_bytes > MAX_NAMES_BYTES:
                 break
-            if wait > 0.0:
-                if busy_left <= 0:
+            if expected_wait_s > 0.0:
+                if remaining_busy <= 0:
                     break
-                busy_left -= 1
+                remaining_busy -= 1
             chosen.append(machine_id)
         return chosen
 
     def _candidates(
-        self, transfer: TransferRecord, avoid: Set[MachineId], taken: Set[MachineId]
+        self, transfer: TransferRecord, excluded: Set[MachineId], already_draining: Set[MachineId]
     ) -> list[Candidate]:
-        """The machines that could go, those first that are empty soonest."""
+        """The machines that may be drained, by expected time until they are empty."""
         candidates = []
-        for machine_id in self._looked_at(transfer):
-            if machine_id in taken or machine_id in avoid:
+        for machine_id in self._machines_to_compare(transfer):
+            if machine_id in already_draining or machine_id in excluded:
                 continue
             if self._cache.transfers.draining_transfer(machine_id) is not None:
                 continue
-            wait = self._expected_wait(machine_id, self._cache.machines[machine_id])
-            if wait is not None:
-                candidates.append(Candidate(wait, machine_id))
+            expected_wait_s = self._expected_wait_s(machine_id, self._cache.machines[machine_id])
+            if expected_wait_s is not None:
+                candidates.append(Candidate(expected_wait_s, machine_id))
         candidates.sort()
         return candidates
 
-    def _looked_at(self, transfer: TransferRecord) -> Iterable[MachineId]:
-        """All machines of the kind where they are few, else the idle ones and a sample."""
-        there = self._index.machines(transfer.source, transfer.type)
-        if len(there) <= SAMPLE_SIZE:
-            return there
+    def _machines_to_compare(self, transfer: TransferRecord) -> Iterable[MachineId]:
+        """All machines of the type if they are few, else idle machines and a random sample."""
+        machines_of_kind = self._index.machines(transfer.source, transfer.type)
+        if len(machines_of_kind) <= SAMPLE_SIZE:
+            return machines_of_kind
         shard = self._shards.get(ShardName(transfer.source))
         idle = shard.latest_status.idle if shard is not None else {}
-        known_idle = [machine for machine in idle if machine in there][:MAX_DRAINING_MACHINES]
-        draw = random.Random(transfer.generation * MAX_TRANSFER_MACHINES + transfer.moved)
-        return dict.fromkeys([*known_idle, *draw.sample(list(there), SAMPLE_SIZE)])
-
-    def _busy_left(
-        self, transfer: TransferRecord, candidates: int, waited_for: Set[MachineId]
+        known_idle = [machine for machine in idle if machine in machines_of_kind][
+            :MAX_DRAINING_MACHINES
+        ]
+        rng = random.Random(transfer.generation * MAX_TRANSFER_MACHINES + transfer.moved)
+        return dict.fromkeys([*known_idle, *rng.sample(list(machines_of_kind), SAMPLE_SIZE)])
+
+    def _remaining_busy_limit(
+        self, transfer: TransferRecord, candidates: int, blocking: Set[MachineId]
     ) -> int:
-        """How many more busy machines may be drained."""
-        limit = max(1, math.ceil(BUSY_FRACTION * (candidates + len(transfer.draining))))
-        busy = sum(not self.is_empty(transfer, machine) for machine in waited_for)
+        """The number of further busy machines that may be drained."""
+        limit = max(1, math.ceil(MAX_BUSY_FRACTION * (candidates + len(transfer.draining))))
+        busy = sum(not self.is_empty(transfer, machine) for machine in blocking)
         return limit - busy
 
     def is_empty(self, transfer: TransferRecord, machine_id: MachineId) -> bool:
-        """Whether the shard's owner has proven that nothing is on a machine, nor may come to it."""
+        """Whether a machine is proven to have no tasks and to receive none.
+
+        The proof is the shard owner's status, unless the machine has never started.
+        """
         record = self._cache.machines.get(machine_id)
         if record is None or record.terminating or record.shard != transfer.source:
             return False
-        if machine_id in self._placed:
+        if machine_id in self._gang_machines:
             return False
         if not record.up:
-            return True  # nothing was ever started there
+            return True  # no task was ever started on the machine
         shard = self._shards.get(ShardName(transfer.source))
         return shard is not None and machine_id in shard.latest_status.drained_machines
 
-    def _expected_wait(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
-        """In how many seconds a machine is expected to be empty.
+    def _expected_wait_s(self, machine_id: MachineId, record: MachineRecord) -> Seconds | None:
+        """The expected time in seconds until a machine is empty.
 
-        None if that can't be said, or never comes.
+        None if the machine can't be selected: a gang's machine that is still booting, or a machine
+        that is leaving or faulty.
         """
         if not record.up:
-            return None if machine_id in self._placed else 0.0
+            return None if machine_id in self._gang_machines else 0.0
         shard = self._shards.get(record.shard)
         status = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or status is None or not status.reconciled:
             return UNRECONCILED_WAIT_S
         if status.leaving or status.faulty:
-            return None  # it is about to go anyway
-        wait = self._last_end(shard, status)
-        if machine_id in self._placed:
-            wait = max(wait, UNRECONCILED_WAIT_S)
-        return wait
+            return None  # the machine will be terminated
+        expected_wait_s = self._last_end_delay(shard, status)
+        if machine_id in self._gang_machines:
+            expected_wait_s = max(expected_wait_s, UNRECONCILED_WAIT_S)
+        return expected_wait_s
 
-    def _last_end(self, shard: ObservedShard, status: MachineStatus) -> Seconds:
+    def _last_end_delay(self, shard: ObservedShard, status: MachineStatus) -> Seconds:
         if not status.ends:
             return 0.0
-        # Services never end: their machines go last, when the replicas have moved.
+        # Services never end: their machines are selected last, after their replicas have moved.
         last = max(end.at for end in status.ends)
         return min(UNBOUNDED_RUN_S, max(1.0, last + shard.clock_offset_s - self._now))
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -1,4 +1,4 @@
-"""Partitions within a controller: what it asks of them while it leads, and operators' commands."""
+"""The controller's partition service: rebalancing while it leads, and operators' commands."""
 
 from __future__ import annotations
 
@@ -11,50 +11,51 @@
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.operator_commands import OperatorCommands
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.plan_in_force import ComplaintLog, PlanInForce
+from dapplewick.partitions.plan_in_force import PlanInForce, RateLimitedErrorLog
 from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.target_solving import Solver, TargetSolving, solve_in_thread
 from dapplewick.partitions.timing import TransferDurations
 from dapplewick.types import ControllerName, ShardName, shard_name
 
-SOLVE_INTERVAL_S = 5.0  # the plan is solved anew this often
-SOLVE_REST = 40.0  # or less often: after a run this times its length passes
-ASK_WITHIN_S = 3.5
+MIN_SOLVE_DELAY_S = 5.0  # minimum delay between two runs of the solver
+SOLVE_DELAY_FACTOR = 40.0  # minimum delay, as a multiple of the last run's duration
+LEADER_TIMEOUT_S = 3.5
 
 
 class PartitionService:
-    """One controller's part in the partitions of zones.
+    """Manages the partitions of zones on one controller.
 
-    Without a plan it only dissolves them: all machines go back to the zones' own shards.
+    Without a plan the service only dissolves partitions: it moves all machines back to the zones'
+    own shards.
 
     Attributes:
-        rebalancer: moves machines in this controller's term; None before it has led.
+        rebalancer: the rebalancer of this controller's latest term; None before the first term.
     """
 
     def __init__(self, plan: PartitionPlan | None, solver: Solver = solve_in_thread) -> None:
         self._initial_plan = plan
         self._solver = solver
         self._term: LeaderTerm | None = None
-        self._times = TransferDurations()
+        self._durations = TransferDurations()
         self.rebalancer: PartitionRebalancer | None = None
 
     def attach(self, host: PartitionHost) -> None:
-        """Belong to a controller; called once, before all else."""
-        complaints = ComplaintLog()
+        """Attach the service to its controller; called once, before any other method."""
+        error_log = RateLimitedErrorLog()
         self._host = host
         self._index = MachineIndex(host.cache)
         self._plan_in_force = PlanInForce(
-            self._initial_plan, host.cache, host.settings.deployment, complaints
+            self._initial_plan, host.cache, host.settings.deployment, error_log
         )
-        self._solving = TargetSolving(
-            host, self._index, self._plan_in_force, complaints, self._solver
+        self._target_solving = TargetSolving(
+            host, self._index, self._plan_in_force, error_log, self._solver
         )
-        self._commands = OperatorCommands(host, self._plan_in_force, self._times)
+        self._commands = OperatorCommands(host, self._plan_in_force, self._durations)
 
-    # What the controller asks
+    # Called by the controller
 
     def shard_names(self, zones: list[str]) -> list[str]:
-        """The shards that job records may have to name: those of all partitions, in all zones."""
+        """All shards that job records may refer to: the zones' own and those of partitions."""
         partitions = self._plan_in_force.plan.partitions
         return [
             *zones,
@@ -62,47 +63,49 @@
         ]
 
     def wanted_shards(self) -> list[ShardName]:
-        """The shards of partitions that are to have an owner."""
+        """The shards of partitions that need an owner."""
         return self.rebalancer.wanted_shards() if self.rebalancer is not None else []
 
     def update_term(self, term: LeaderTerm) -> None:
-        """Rebalance in this term of leadership; each begins anew from the records."""
+        """Update the plan, and create a new rebalancer if the term of leadership is new."""
         if self._term is not term:
             self._term = term
             zones = self._host.settings.deployment.zones
-            self.rebalancer = PartitionRebalancer(self._host.cache, self._index, zones, self._times)
+            self.rebalancer = PartitionRebalancer(
+                self._host.cache, self._index, zones, self._durations
+            )
         self._plan_in_force.refresh(self._host.now())
         assert self.rebalancer is not None
         self.rebalancer.plan = self._plan_in_force.plan
         if self._initial_plan is None:
-            self.rebalancer.targets.known = True  # nothing for any partition: all goes back
+            self.rebalancer.targets.known = True  # all targets are 0: machines return to zones
 
     async def run(self) -> None:
-        """Solve the plan again and again while this controller leads."""
+        """Solve the plan periodically while this controller leads."""
         while True:
-            begun = self._host.now()
+            started_at = self._host.now()
             if self.rebalancer is not None and self._host.leader is self._term:
-                await self._solving.run_once(self.rebalancer.targets)
-            took = self._host.now() - begun
-            await anyio.sleep(max(SOLVE_INTERVAL_S, SOLVE_REST * took))
+                await self._target_solving.run_once(self.rebalancer.targets)
+            elapsed_s = self._host.now() - started_at
+            await anyio.sleep(max(MIN_SOLVE_DELAY_S, SOLVE_DELAY_FACTOR * elapsed_s))
 
-    # Operators
+    # Commands of operators
 
     async def answer(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer an operator's command; a controller that does not lead asks the leader."""
+        """Answer an operator's command, which is forwarded to the leader if another one leads."""
         term = self._host.leader
         if term is None or self.rebalancer is None or term is not self._term:
-            return await self._ask_leader(message)
+            return await self._forward_to_leader(message)
         return messages.encode(await self._commands.answer(message, term, self.rebalancer))
 
-    async def _ask_leader(self, message: dict[str, Any]) -> dict[str, Any]:
+    async def _forward_to_leader(self, message: dict[str, Any]) -> dict[str, Any]:
         record = self._host.cache.leader
         link = None
         if record is not None:
             link = self._host.links.get(ControllerName(record.controller))
         if link is None or message.get("forwarded"):
             return messages.encode(messages.unavailable("no controller leads now"))
-        answer = await link.ask({**message, "forwarded": True}, ASK_WITHIN_S)
+        answer = await link.ask({**message, "forwarded": True}, LEADER_TIMEOUT_S)
         if answer is None:
             return messages.encode(messages.unavailable("the leader does not answer"))
         return answer
--- a/src/dapplewick/partitions/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -1,8 +1,8 @@
-"""Whole machines for each partition, by the HiGHS solver.
+"""Assigns whole machines to partitions with the HiGHS solver.
 
-The model is a small mixed-integer program: one variable for each partition, zone and type that a
-rule covers. It is solved on one thread within a bounded time; without a solution in that time the
-targets in force stay.
+The model is a small mixed-integer program with an integer variable for each partition, zone and
+type that a rule covers. It is solved on one thread within a time limit; if no solution is found in
+time, the targets in force stay.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from dapplewick.types import Resources, Seconds
 
 TIME_LIMIT_S = 0.5
-PRESSING_COST = 100.0  # of a slot-sized shortfall of pressing work, against other work's 1
-MOVE_COST = 0.05  # of each machine that has to move
-RELATIVE_GAP = 0.01  # a solution this close to the best possible one is taken
+URGENT_SHORTFALL_COST = 100.0  # of a machine-sized shortfall of urgent work; other work's costs 1
+MOVE_COST = 0.05  # of each machine that the solution moves
+RELATIVE_MIP_GAP = 0.01  # accepted relative gap between a solution and the best bound
 
 
 class Cell(NamedTuple):
-    """Machines of one type in one zone that belong to one partition."""
+    """The machines of one type in one zone that belong to one partition."""
 
     partition: str
     zone: str
@@ -30,49 +30,49 @@
 
     @property
     def kind(self) -> MachineKind:
-        """The type of the machines and their zone."""
+        """The zone and the type of the machines."""
         return MachineKind(self.zone, self.type)
 
 
 class MachineKind(NamedTuple):
-    """Machines of one type in one zone, whichever partition has them."""
+    """The machines of one type in one zone, in all partitions."""
 
     zone: str
     type: str
 
 
 class Supply(NamedTuple):
-    """Machines of one type in one zone: what each has, and how many there are."""
+    """The supply of one machine type in a zone: resources of each machine, and their number."""
 
     resources: Resources
     machines: int
 
 
 class Problem(NamedTuple):
-    """What a solution is to be found for."""
+    """The input of the solver."""
 
     plan: PartitionPlan
     minute: int  # of the day, in UTC
     supply: Mapping[MachineKind, Supply]
     demand: dict[str, PartitionDemand]
-    have: dict[Cell, int]  # what each partition has now
+    current_counts: dict[Cell, int]  # present machines of each partition
 
 
 Targets = dict[Cell, int]
 
 
 class Bounds(NamedTuple):
-    """How many machines a partition has to have, and may have."""
+    """The minimum and maximum number of machines of a partition."""
 
     min_machines: int
     max_machines: int
 
 
 def bounds(problem: Problem) -> dict[Cell, Bounds]:
-    """How many machines each partition may have of each kind.
+    """The bounds on each partition's machines of each type and zone.
 
-    Fractions of machines are rounded down for what is promised, so that the promises of all
-    partitions together never exceed what there is.
+    Both bounds are rounded down to whole machines, so that the minimums of all partitions together
+    never exceed the supply.
     """
     limits = {}
     for name, partition in problem.plan.partitions.items():
@@ -86,20 +86,20 @@
 
 
 def solve(problem: Problem, time_limit_s: Seconds = TIME_LIMIT_S) -> Targets | None:
-    """Find targets that miss least of what is wanted and move few machines.
+    """Find targets that minimize the weighted shortfalls of demand and the moves of machines.
 
     Args:
-        problem: what the plan, the work and the machines are now.
+        problem: the plan, the demand and the machines.
         time_limit_s: the solver's time limit, in seconds.
 
     Returns:
-        The targets; None if none were found in time. Partitions and kinds that no rule covers have
-        no entry: their target is 0.
+        The targets; None if no solution was found in time. Partitions, zones and types that no rule
+        covers have no entry, which means a target of 0.
     """
     limits = bounds(problem)
     if not limits:
         return {}
-    # Loaded only here: it brings numpy, and only a leader with partitions needs it.
+    # Imported here because it loads numpy, and only a leader with partitions needs it.
     import highspy
 
     model = _new_model(time_limit_s)
@@ -108,9 +108,9 @@
         cell: model.addVariable(lb=b.min_machines, ub=b.max_machines, type=integer)
         for cell, b in limits.items()
     }
-    _keep_to_supply(model, problem, columns)
-    objective = _moves(model, problem, columns) + _shortfalls(model, problem, columns)
-    if not objective or not _minimized(model, sum(objective)):
+    _limit_to_supply(model, problem, columns)
+    objective = _move_costs(model, problem, columns) + _shortfall_costs(model, problem, columns)
+    if not objective or not _minimize(model, sum(objective)):
         return None
     values = model.getSolution().col_value
     return {cell: round(values[column.index]) for cell, column in columns.items()}
@@ -124,75 +124,79 @@
         ("output_flag", False),
         ("threads", 1),
         ("time_limit", time_limit_s),
-        ("mip_rel_gap", RELATIVE_GAP),
+        ("mip_rel_gap", RELATIVE_MIP_GAP),
         ("random_seed", 0),
     ):
         model.setOptionValue(option, value)
     return model
 
 
-def _keep_to_supply(model: Any, problem: Problem, columns: dict[Cell, Any]) -> None:
-    """Partitions together have no more machines of a kind than there are."""
+def _limit_to_supply(model: Any, problem: Problem, columns: dict[Cell, Any]) -> None:
+    """Constrain the machines of all partitions to the supply of each type and zone."""
     for kind, supply in problem.supply.items():
-        mine = [column for cell, column in columns.items() if cell.kind == kind]
-        if mine:
-            model.addConstr(sum(mine) <= supply.machines)
+        columns_in_scope = [column for cell, column in columns.items() if cell.kind == kind]
+        if columns_in_scope:
+            model.addConstr(sum(columns_in_scope) <= supply.machines)
 
 
-def _moves(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
-    """The cost of machines that have to move."""
+def _move_costs(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
+    """The costs of moving machines."""
     costs = []
     for cell, column in columns.items():
         moved = model.addVariable(lb=0.0, obj=0.0)
-        have = problem.have.get(cell, 0)
-        model.addConstr(moved >= column - have)
-        model.addConstr(moved >= have - column)
+        current_counts = problem.current_counts.get(cell, 0)
+        model.addConstr(moved >= column - current_counts)
+        model.addConstr(moved >= current_counts - column)
         costs.append(MOVE_COST * moved)
     return costs
 
 
-def _minimized(model: Any, objective: Any) -> bool:
-    """Minimize, and say whether that gave a solution."""
+def _minimize(model: Any, objective: Any) -> bool:
+    """Minimize the objective, and return whether a feasible solution was found."""
     import highspy
 
     model.minimize(objective)
     if model.getModelStatus() == highspy.HighsModelStatus.kOptimal:
         return True
-    # Out of time: what was found until then may still be whole and within all bounds.
-    found = model.getInfo().primal_solution_status
-    return bool(found == highspy.SolutionStatus.kSolutionStatusFeasible)
+    # After a time-out, the best solution found may still be feasible.
+    status = model.getInfo().primal_solution_status
+    return bool(status == highspy.SolutionStatus.kSolutionStatusFeasible)
 
 
-def _shortfalls(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
-    """The cost of room that partitions want and do not get, for CPUs and accelerators."""
+def _shortfall_costs(model: Any, problem: Problem, columns: dict[Cell, Any]) -> list[Any]:
+    """The costs of the partitions' unmet demand for CPUs and accelerators."""
     costs: list[Any] = []
     for name, partition in problem.plan.partitions.items():
-        mine = [(cell, column) for cell, column in columns.items() if cell.partition == name]
+        columns_in_scope = [
+            (cell, column) for cell, column in columns.items() if cell.partition == name
+        ]
         demand = problem.demand.get(name, PartitionDemand())
         for field in ("cpus", "gpus"):
             total = getattr(demand.total, field)
             urgent = getattr(demand.urgent, field)
-            scale = _largest(problem, mine, field)
+            scale = _largest_amount(problem, columns_in_scope, field)
             if total <= 0.0 or scale <= 0.0:
                 continue
-            room = sum(
+            capacity = sum(
                 getattr(problem.supply[cell.kind].resources, field) / scale * column
-                for cell, column in mine
+                for cell, column in columns_in_scope
             )
-            missing = model.addVariable(lb=0.0)
-            missing_pressing = model.addVariable(lb=0.0)
-            model.addConstr(room + missing >= total / scale)
-            model.addConstr(room + missing_pressing >= urgent / scale)
+            shortfall = model.addVariable(lb=0.0)
+            urgent_shortfall = model.addVariable(lb=0.0)
+            model.addConstr(capacity + shortfall >= total / scale)
+            model.addConstr(capacity + urgent_shortfall >= urgent / scale)
             costs += [
-                partition.weight * missing,
-                partition.weight * PRESSING_COST * missing_pressing,
+                partition.weight * shortfall,
+                partition.weight * URGENT_SHORTFALL_COST * urgent_shortfall,
             ]
     return costs
 
 
-def _largest(problem: Problem, mine: list[tuple[Cell, Any]], field: str) -> float:
-    """What the largest machine that a partition may have has of a resource."""
+def _largest_amount(
+    problem: Problem, columns_in_scope: list[tuple[Cell, Any]], field: str
+) -> float:
+    """The largest amount of a resource in any machine type that the columns represent."""
     return max(
-        (float(getattr(problem.supply[c.kind].resources, field)) for c, _ in mine),
+        (float(getattr(problem.supply[c.kind].resources, field)) for c, _ in columns_in_scope),
         default=0.0,
     )
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -1,7 +1,8 @@
-"""Targets in force: how many machines of each kind each partition is to have.
+"""The targets in force: the number of machines of each type and zone for each partition.
 
-A solution replaces the targets in force only where it differs by more than the plan's margin, so
-that work that comes and goes does not make machines go to and fro.
+A solution replaces the targets of a type and zone only if it differs by more than the plan's
+margin, or if the targets no longer satisfy the rules and the supply. This hysteresis prevents
+short-lived changes of demand from moving machines back and forth.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 
 def supply(cache: WatchCache, index: MachineIndex) -> dict[MachineKind, Supply]:
-    """The machines that there are of each type in each zone."""
+    """The supply of machines of each type in each zone."""
     counts: Counter[MachineKind] = Counter()
-    for kind, count in index.kinds():
+    for kind, count in index.counts():
         counts[MachineKind(zone_of(kind.shard), kind.type)] += count
     return {
         kind: Supply(cache.types[kind.type].resources, count)
@@ -33,20 +34,20 @@
     }
 
 
-def holdings(index: MachineIndex) -> dict[Cell, int]:
-    """How many machines of each kind each partition has; zones' own shards are left out."""
+def current_counts(index: MachineIndex) -> dict[Cell, int]:
+    """The machines of each type and zone in each partition, without the zones' own shards."""
     return {
         Cell(partition_of(kind.shard), zone_of(kind.shard), kind.type): count
-        for kind, count in index.kinds()
+        for kind, count in index.counts()
         if partition_of(kind.shard)
     }
 
 
 class TargetsInForce:
-    """The targets that transfers work towards.
+    """The targets that the plan's transfers work towards.
 
     Attributes:
-        known: whether there are any: nothing moves for the plan before.
+        known: whether targets were set; the plan requests no transfers before.
     """
 
     def __init__(self) -> None:
@@ -57,17 +58,17 @@
         return self._targets.get(cell, 0)
 
     def items(self) -> Iterable[tuple[Cell, int]]:
-        """All targets; what is not listed has a target of 0."""
+        """All targets; a cell without an entry has a target of 0."""
         return self._targets.items()
 
     def adopt(self, problem: Problem, solution: Targets | None) -> bool:
-        """Take over a solution, for each kind of machine by itself.
+        """Adopt a solution, separately for each type and zone.
 
         Without a solution the targets in force stay.
 
         Args:
-            problem: what the solution is of.
-            solution: None if none was found in time.
+            problem: the problem that was solved.
+            solution: the solution; None if none was found in time.
 
         Returns:
             Whether any target changed.
@@ -76,8 +77,8 @@
             log.info("event=plan_unsolved targets=%d", len(self._targets))
             return False
         if not self.known:
-            # A new leader goes on from what the partitions have.
-            self._targets = dict(problem.have)
+            # A new leader starts from the machines that partitions have.
+            self._targets = dict(problem.current_counts)
             self.known = True
         limits = bounds(problem)
         changed = False
@@ -87,7 +88,7 @@
                 continue
             difference = sum(abs(new.get(c, 0) - old.get(c, 0)) for c in old.keys() | new.keys())
             margin = max(1.0, problem.plan.margin * kind_supply.machines)
-            if difference <= margin and _keeps(old, _of_kind(limits, kind), kind_supply):
+            if difference <= margin and _satisfies(old, _of_kind(limits, kind), kind_supply):
                 continue
             for cell in old:
                 del self._targets[cell]
@@ -98,11 +99,11 @@
         return changed
 
 
-def _keeps(targets: Targets, limits: dict[Cell, Bounds], kind_supply: Supply) -> bool:
-    """Whether targets keep what the rules say now.
+def _satisfies(targets: Targets, limits: dict[Cell, Bounds], kind_supply: Supply) -> bool:
+    """Whether targets satisfy the present rules and supply.
 
-    Rules may hold at other times of day, and there may be other machines than when the targets
-    were found.
+    Since the targets were computed, the time of day may have changed which rules apply, and the
+    number of machines may have changed.
     """
     if sum(targets.values()) > kind_supply.machines:
         return False
--- a/src/dapplewick/partitions/timing.py
+++ b/src/dapplewick/partitions/timing.py
@@ -1,4 +1,4 @@
-"""How long transfers took, and each of their machines: histograms of the HdrHistogram library."""
+"""Durations of transfers and of the moves of their machines, in HdrHistogram histograms."""
 
 from __future__ import annotations
 
@@ -10,65 +10,65 @@
 from dapplewick.partitions.messages import DurationSummary
 from dapplewick.types import NEVER_S, MachineId, Seconds, TransferId
 
-LONGEST_MS = 24 * 3600 * 1000
-DIGITS = 2
+MAX_DURATION_MS = 24 * 3600 * 1000
+SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50.0, 95.0)
 
 
 class TransferDurations:
-    """Histograms since this controller began to lead."""
+    """The durations recorded by this controller, in all its terms of leadership."""
 
     def __init__(self) -> None:
-        self._machines = HdrHistogram(1, LONGEST_MS, DIGITS)
-        self._transfers = HdrHistogram(1, LONGEST_MS, DIGITS)
+        self._machines = HdrHistogram(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
+        self._transfers = HdrHistogram(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
 
-    def record_machine(self, took: Seconds) -> None:
-        """Record in how many seconds after it was chosen a machine was handed over."""
-        self._machines.record_value(_milliseconds(took))
+    def record_machine(self, duration_s: Seconds) -> None:
+        """Record the time from the selection of a machine to its handover, in seconds."""
+        self._machines.record_value(_milliseconds(duration_s))
 
-    def record_transfer(self, took: Seconds) -> None:
-        """Record in how many seconds after its first machine was chosen a transfer was complete."""
-        self._transfers.record_value(_milliseconds(took))
+    def record_transfer(self, duration_s: Seconds) -> None:
+        """Record the time from a transfer's first selected machine to its end, in seconds."""
+        self._transfers.record_value(_milliseconds(duration_s))
 
     def summaries(self) -> dict[str, DurationSummary]:
-        """Both histograms, in seconds."""
+        """Summaries of both histograms, in seconds."""
         return {"machines": _summary(self._machines), "transfers": _summary(self._transfers)}
 
 
 class TransferStopwatch:
-    """Since when machines are drained and transfers have some, in one term of a leader."""
+    """Measures the durations of moves of machines and of transfers, in one term of a leader."""
 
-    def __init__(self, times: TransferDurations) -> None:
-        self._times = times
+    def __init__(self, durations: TransferDurations) -> None:
+        self._durations = durations
         self._drained_at: dict[MachineId, Seconds] = {}
-        self._begun_at: dict[TransferId, Seconds] = {}
+        self._started_at: dict[TransferId, Seconds] = {}
 
-    def note_drained(
+    def record_draining(
         self, transfer: TransferId, machines: Iterable[MachineId], now: Seconds
     ) -> None:
-        """Take note that machines are drained for a transfer from now on."""
+        """Record that machines start to drain for a transfer."""
         for machine in machines:
             self._drained_at[machine] = now
-        self._begun_at.setdefault(transfer, now)
+        self._started_at.setdefault(transfer, now)
 
-    def drained_for_s(self, machine: MachineId, now: Seconds) -> Seconds:
-        """For how many seconds a machine has been drained; very long if that is not known."""
+    def draining_duration(self, machine: MachineId, now: Seconds) -> Seconds:
+        """How long a machine has been draining, in seconds; very long if the start is unknown."""
         return now - self._drained_at.get(machine, NEVER_S)
 
-    def note_handed_over(self, machines: Iterable[MachineId], now: Seconds) -> None:
-        """Record the times of machines that were handed over."""
+    def record_handovers(self, machines: Iterable[MachineId], now: Seconds) -> None:
+        """Record the durations of machines that were handed over."""
         for machine in machines:
             if machine in self._drained_at:
-                self._times.record_machine(now - self._drained_at.pop(machine))
+                self._durations.record_machine(now - self._drained_at.pop(machine))
 
-    def note_complete(self, transfer: TransferId, now: Seconds) -> None:
-        """Record the time of a transfer that is complete."""
-        if transfer in self._begun_at:
-            self._times.record_transfer(now - self._begun_at.pop(transfer))
+    def record_completion(self, transfer: TransferId, now: Seconds) -> None:
+        """Record the duration of a complete transfer."""
+        if transfer in self._started_at:
+            self._durations.record_transfer(now - self._started_at.pop(transfer))
 
 
-def _milliseconds(took: Seconds) -> int:
-    return min(LONGEST_MS, max(1, round(took * 1000.0)))
+def _milliseconds(duration_s: Seconds) -> int:
+    return min(MAX_DURATION_MS, max(1, round(duration_s * 1000.0)))
 
 
 def _summary(histogram: Any) -> DurationSummary:
--- a/src/dapplewick/partitions/transfer_drafts.py
+++ b/src/dapplewick/partitions/transfer_drafts.py
@@ -1,7 +1,7 @@
-"""Transfers between partitions as one pass of the leader drafts them, and the writes of the drafts.
+"""Drafts of transfers between partitions in a pass of the leader, and the writes of the drafts.
 
-A draft is a transfer record that the pass has changed and that is not stored yet. Drafts that hold
-only together carry the name of a transaction group: all of them are written, or none.
+A draft is a transfer record that the pass has changed and that is not stored yet. Drafts that must
+be written atomically have the same transaction group.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 log = logging.getLogger(__name__)
 
-# The least number of operations that a transaction of the state service may be limited to.
+# The lowest limit of operations in a transaction that the state service may have.
 MAX_GROUPED_DRAFTS = 4
 
-# The origins of a transfer: the plan, an operator, or the rest of an operator's that was overdue.
-PLAN, OPERATOR, AGAIN = "plan", "operator", "again"
+# The origins of a transfer: the plan, an operator, or the retry of an operator's overdue transfer.
+PLAN, OPERATOR, OPERATOR_RETRY = "plan", "operator", "again"
 
 
 class TransferCommand(NamedTuple):
-    """An operator's move or cancellation, to be written in the next pass."""
+    """An operator's move or cancellation, to be drafted in the next pass."""
 
     transfer: TransferId
-    record: TransferRecord | None  # None: the transfer is to be cancelled
+    record: TransferRecord | None  # None: cancel the transfer
 
 
 class TransferDrafts:
-    """The transfers that are stored, with those that the present pass has changed over them."""
+    """The stored transfers, overlaid with the drafts of the present pass."""
 
     def __init__(self, cache: WatchCache) -> None:
         self._cache = cache
@@ -44,41 +44,41 @@
         self._transaction_groups: dict[TransferId, str] = {}
 
     def begin_pass(self) -> None:
-        """Forget the drafts of the last pass, and take note of the generations that are stored."""
+        """Clear the drafts of the previous pass, and find the newest stored generation."""
         self._drafts = {}
         self._transaction_groups = {}
         generations = [record.generation for record in self._cache.transfers.records.values()]
         self._newest_generation = max([self._newest_generation, *generations])
 
     @property
-    def coming_generation(self) -> int:
-        """The generation that the next new transfer gets."""
+    def next_generation(self) -> int:
+        """The generation of the next new transfer."""
         return self._newest_generation + 1
 
     def record(self, transfer: TransferId) -> TransferRecord | None:
-        """A transfer's draft, else its stored record; None if there is neither."""
+        """A transfer's draft, else its stored record, else None."""
         return self._drafts.get(transfer) or self._cache.transfers.records.get(transfer)
 
     def records(self) -> dict[TransferId, TransferRecord]:
-        """All transfers, those of this pass included."""
+        """All transfers, including drafts."""
         return {**self._cache.transfers.records, **self._drafts}
 
     def open_records(self) -> dict[TransferId, TransferRecord]:
-        """The transfers that have not ended, those of this pass included."""
+        """The transfers that have not ended, including drafts."""
         return {name: record for name, record in self.records().items() if record.open}
 
     def is_drafted(self, transfer: TransferId) -> bool:
-        """Whether this pass has changed a transfer."""
+        """Whether a transfer has a draft in this pass."""
         return transfer in self._drafts
 
     def update(self, transfer: TransferId, **fields: object) -> None:
-        """Draft a transfer with some fields changed."""
+        """Draft a change of some fields of a transfer."""
         record = self.record(transfer)
         assert record is not None
         self._drafts[transfer] = msgspec.structs.replace(record, **fields)
 
     def cancel(self, transfer: TransferId, reason: str) -> None:
-        """Draft the end of a transfer; machines that have moved stay where they are."""
+        """Draft the cancellation of a transfer; machines already moved are not moved back."""
         self.update(transfer, state=CANCELLED, draining=[])
         log.info(
             "event=transfer_cancelled transfer=%s reason=%s", transfer, reason.replace(" ", "_")
@@ -87,18 +87,19 @@
     def request(self, transfer: TransferId, record: TransferRecord) -> None:
         """Draft a new transfer.
 
-        It wins over an earlier one in the opposite direction, which ends: what that had not moved
-        yet counts as moved back.
+        Earlier transfers of the same type in the opposite direction are cancelled, as many as fit
+        into one transaction. Machines that they have not moved yet count as moved by the new one.
         """
         for name, other in self.open_records().items():
             opposite = (other.source, other.target) == (record.target, record.source)
             groupable = len(self._transaction_groups) < MAX_GROUPED_DRAFTS
             if opposite and other.type == record.type and groupable:
                 self.cancel(name, "a later move the other way")
-                # Both or neither: else what has not moved would be counted as moved back, and go.
+                # Written atomically: if only the new transfer were stored, the earlier one would
+                # still move machines that the new one already counts as moved.
                 self.group((name, transfer), f"request/{transfer}")
-                back = min(other.count - other.moved, record.count - record.moved)
-                record = msgspec.structs.replace(record, moved=record.moved + back)
+                returned = min(other.count - other.moved, record.count - record.moved)
+                record = msgspec.structs.replace(record, moved=record.moved + returned)
         if record.moved >= record.count:
             record = msgspec.structs.replace(record, state=COMPLETE)
         self._newest_generation += 1
@@ -119,23 +120,23 @@
     # Transaction groups
 
     def group(self, transfers: tuple[TransferId, ...], group_name: str) -> None:
-        """Have the drafts of some transfers written in one transaction."""
+        """Write the drafts of some transfers in one transaction."""
         self._transaction_groups.update(dict.fromkeys(transfers, group_name))
 
     def group_with_successor(self, transfer: TransferId, successor: TransferId) -> None:
-        """Have a transfer written with its successor, in the successor's group if it has one."""
+        """Write a transfer and its successor in one transaction: the successor's, if it has one."""
         group_name = self._transaction_groups.setdefault(successor, f"again/{transfer}")
         self._transaction_groups[transfer] = group_name
 
     @property
     def has_groups(self) -> bool:
-        """Whether any drafts of this pass are written together."""
+        """Whether any drafts of this pass have a transaction group."""
         return bool(self._transaction_groups)
 
     # Writes
 
     def writes(self) -> list[ConditionalWrite]:
-        """The writes of all drafts; those of one transaction group stand in a row."""
+        """The writes of all drafts, with those of one transaction group next to each other."""
         writes = [
             self.write(transfer, draft, self._transaction_groups.get(transfer, ""))
             for transfer, draft in self._drafts.items()
@@ -146,7 +147,7 @@
     def write(
         self, transfer: TransferId, record: TransferRecord, transaction_group_name: str = ""
     ) -> ConditionalWrite:
-        """The write of one transfer, on condition that it is stored as this pass read it."""
+        """The write of one transfer, conditional on the stored version that this pass has read."""
         key = TRANSFERS + transfer
         return ConditionalWrite(
             key,
