--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -50,8 +50,8 @@
 
         Returns:
             The writes of one transaction: the groups of both partitions and the transfer, with the
-            fencing tokens of both shards as preconditions. Empty if no machine can be
-            handed over.
+            fencing tokens of both shards as preconditions. Empty if no machine can be handed
+            over.
         """
         record = self._drafts.open_records()[transfer]
         empty = self._empty_machines(transfer, record, selection, shards)
--- a/src/dapplewick/partitions/plan.py
+++ b/src/dapplewick/partitions/plan.py
@@ -192,8 +192,8 @@
     types = dict.fromkeys(type_ for rule in rules for type_ in rule.types)
     # The empty name stands for all zones that no rule lists: the same rules cover them.
     zones = dict.fromkeys(zone for rule in rules for zone in rule.zones or [])
-    bounds = {minute_of_day(text) for rule in rules for text in rule.hours or ()}
-    for minute in sorted(bounds | {0}):
+    rule_boundaries = {minute_of_day(text) for rule in rules for text in rule.hours or ()}
+    for minute in sorted(rule_boundaries | {0}):
         for type_ in types:
             for zone in [*zones, ""]:
                 problem = _overcommitment(plan, type_, zone, minute)
--- a/src/dapplewick/partitions/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -16,7 +16,7 @@
 from dapplewick.types import Resources, Seconds
 
 TIME_LIMIT_S = 0.5
-URGENT_SHORTFALL_COST = 100.0  # of a machine-sized shortfall of urgent work; other work's costs 1
+URGENT_SHORTFALL_COST = 100.0  # of an urgent shortfall of one machine; others cost 1
 MOVE_COST = 0.05  # of each machine that the solution moves
 RELATIVE_MIP_GAP = 0.01  # accepted relative gap between a solution and the best bound
 
@@ -144,9 +144,9 @@
     costs = []
     for cell, column in columns.items():
         moved = model.addVariable(lb=0.0, obj=0.0)
-        current_counts = problem.current_counts.get(cell, 0)
-        model.addConstr(moved >= column - current_counts)
-        model.addConstr(moved >= current_counts - column)
+        current_count = problem.current_counts.get(cell, 0)
+        model.addConstr(moved >= column - current_count)
+        model.addConstr(moved >= current_count - column)
         costs.append(MOVE_COST * moved)
     return costs
 
@@ -174,6 +174,7 @@
         for field in ("cpus", "gpus"):
             total = getattr(demand.total, field)
             urgent = getattr(demand.urgent, field)
+            # Shortfalls are measured in machines, relative to the largest possible machine.
             scale = _largest_amount(problem, columns_in_scope, field)
             if total <= 0.0 or scale <= 0.0:
                 continue
--- a/src/dapplewick/partitions/transfer_drafts.py
+++ b/src/dapplewick/partitions/transfer_drafts.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-# The lowest limit of operations in a transaction that the state service may have.
+# The lowest limit that the state service may set on the operations of a transaction.
 MAX_GROUPED_DRAFTS = 4
 
 # The origins of a transfer: the plan, an operator, or the retry of an operator's overdue transfer.
