--- a/src/dapplewick/client.py
+++ b/src/dapplewick/client.py
@@ -8,7 +8,7 @@
 import cbor2
 import msgspec
 
-from dapplewick.config import SettingsError, host_port
+from dapplewick.config import SettingsError, parse_host_port
 from dapplewick.controller.user_api import JOBS_PATH
 from dapplewick.errors import DapplewickError
 from dapplewick.protocol.peers import KIND_CONTROLLER_STATUS, KIND_PARTITION_COMMAND
@@ -24,7 +24,7 @@
 
 def _address(at: str) -> tuple[str, int]:
     try:
-        return host_port(at, "address")
+        return parse_host_port(at, "address")
     except SettingsError as err:
         raise ClientError(str(err)) from None
 
@@ -77,7 +77,7 @@
     Raises:
         ClientError: the controller can't be reached.
     """
-    return await _ask(at, {"kind": KIND_CONTROLLER_STATUS})
+    return await _request_peer(at, {"kind": KIND_CONTROLLER_STATUS})
 
 
 async def partitions(at: str, verb: str, **fields: Any) -> dict[str, Any]:
@@ -88,10 +88,10 @@
     Raises:
         ClientError: the controller can't be reached.
     """
-    return await _ask(at, {"kind": KIND_PARTITION_COMMAND, "verb": verb, **fields})
+    return await _request_peer(at, {"kind": KIND_PARTITION_COMMAND, "verb": verb, **fields})
 
 
-async def _ask(at: str, message: dict[str, Any]) -> dict[str, Any]:
+async def _request_peer(at: str, message: dict[str, Any]) -> dict[str, Any]:
     host, port = _address(at)
     try:
         with anyio.fail_after(TIMEOUT_S):
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -137,7 +137,7 @@
     deployment: Deployment
 
 
-def host_port(text: str, field: str) -> tuple[str, int]:
+def parse_host_port(text: str, field: str) -> tuple[str, int]:
     """Split an address of the form host:port.
 
     Raises:
@@ -171,12 +171,12 @@
 
 
 def _check_addresses(settings: Settings) -> None:
-    host_port(settings.client_listen, "client_listen")
-    host_port(settings.peer_listen, "peer_listen")
-    host_port(settings.outside.cloud, "outside.cloud")
-    host_port(settings.outside.state, "outside.state")
+    parse_host_port(settings.client_listen, "client_listen")
+    parse_host_port(settings.peer_listen, "peer_listen")
+    parse_host_port(settings.outside.cloud, "outside.cloud")
+    parse_host_port(settings.outside.state, "outside.state")
     for i, peer in enumerate(settings.peers):
-        host_port(peer.peer_addr, f"peers[{i}].peer_addr")
+        parse_host_port(peer.peer_addr, f"peers[{i}].peer_addr")
 
 
 def _positive_fields(deployment: Deployment) -> dict[str, float]:
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -10,7 +10,7 @@
 import anyio
 import anyio.abc
 
-from dapplewick.config import Settings, host_port
+from dapplewick.config import Settings, parse_host_port
 from dapplewick.controller.budgets import Budgets, budgets_of, max_client_sockets
 from dapplewick.controller.cloud_calls import CloudCalls
 from dapplewick.controller.core_notifier import CoreNotifier
@@ -103,12 +103,12 @@
         """Make the clients of the state service and the cloud."""
         outside = self.settings.outside
         self.state = StateClient(
-            connect(*host_port(outside.state, "outside.state")),
+            connect(*parse_host_port(outside.state, "outside.state")),
             budgets.calls_per_s,
             budgets.writes_per_s.following,
             MIN_WRITE_BURST,
         )
-        self.cloud = connect(*host_port(outside.cloud, "outside.cloud"))
+        self.cloud = connect(*parse_host_port(outside.cloud, "outside.cloud"))
         self.cloud_budget = RateLimiter(budgets.cloud_calls_per_s)
 
     def _create_record_tracking(self, budgets: Budgets) -> None:
@@ -143,7 +143,9 @@
     ) -> None:
         """Make what coordinates this controller with the others."""
         self.links = {
-            ControllerName(peer.host_name): link(*host_port(peer.peer_addr, "peers.peer_addr"))
+            ControllerName(peer.host_name): link(
+                *parse_host_port(peer.peer_addr, "peers.peer_addr")
+            )
             for peer in self.settings.peers
         }
         self.presence = Presence(
@@ -351,11 +353,11 @@
         """
         deployment = self.settings.deployment
         max_clients = max_client_sockets(deployment)
-        host, port = host_port(self.settings.client_listen, "client_listen")
+        host, port = parse_host_port(self.settings.client_listen, "client_listen")
         client_listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=max_clients
         )
-        host, port = host_port(self.settings.peer_listen, "peer_listen")
+        host, port = parse_host_port(self.settings.peer_listen, "peer_listen")
         peer_listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=PEER_LISTEN_BACKLOG
         )
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -201,4 +201,4 @@
 
     def outside_reserved_slots(self, free: Resources) -> Resources:
         """Free resources less the whole slots of the gangs' size in them."""
-        return free.minus(self.resources.times(self.resources.count_in(free)))
+        return free.minus(self.resources.times(self.resources.fit_count(free)))
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -187,7 +187,7 @@
 
     def slot_count(self, spec: JobSpec) -> int:
         """The number of tasks of a job that fit into its usable resources."""
-        return spec.resources.count_in(self.usable_resources(spec))
+        return spec.resources.fit_count(self.usable_resources(spec))
 
     def idle_slots(self, spec: JobSpec) -> int:
         """The number of tasks of a job that may start here now; memoized by placement key."""
@@ -251,7 +251,7 @@
 
     def _add_slot_ends(self, spec: JobSpec, slots: list[SlotEnd]) -> None:
         resources, free = spec.resources, self.usable_resources(spec)
-        count = resources.count_in(free)
+        count = resources.fit_count(free)
         slots.extend([SlotEnd(0.0, "")] * count)
         free = free.minus(resources.times(count))
         reserves_accelerators = self._reserves_accelerators(spec)
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -256,7 +256,7 @@
         best: MachineOffer | None = None
         best_cost = (0.0, 0.0)
         for offer in self._offers.matching(self._now, spec, zones, self._requested):
-            slots = min(count, spec.resources.count_in(offer.machine_type.resources))
+            slots = min(count, spec.resources.fit_count(offer.machine_type.resources))
             # A pool holds few machines, so requests are spread over several pools.
             crowding = 1.0 + POOL_CROWDING_PENALTY * self._requested.get(offer.pool, 0)
             cost = (offer.hourly_price / slots * crowding, self._random.random())
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -40,7 +40,7 @@
     def spare_slots(self, shard_capacities: Iterable[ShardCapacity]) -> int:
         """The number of idle slots of the gangs' size beyond those reserved for expected gangs."""
         idle = sum(
-            self._gangs.resources.count_in(machine.free)
+            self._gangs.resources.fit_count(machine.free)
             for shard in shard_capacities
             for machine in shard.open_capacities
         )
@@ -94,7 +94,7 @@
         machine_type = self._cache.types.get(record.type)
         if machine_type is None or self._gangs.slots < MIN_GANG_SLOTS:
             return 0
-        return self._gangs.resources.count_in(machine_type.resources)
+        return self._gangs.resources.fit_count(machine_type.resources)
 
     def _would_serve_unmet(
         self, record: MachineRecord, requests: Iterable[CapacityRequest]
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -115,7 +115,7 @@
 
     def could_hold_all(self, spec: JobSpec) -> bool:
         """Whether all tasks of a gang would fit on this shard's machines if these were empty."""
-        slots = (spec.resources.count_in(c.total) for c in self.capacities if c.allows(spec))
+        slots = (spec.resources.fit_count(c.total) for c in self.capacities if c.allows(spec))
         return sum(slots) >= spec.task_count
 
     def slot_groups(self, spec: JobSpec) -> SlotGroups:
@@ -247,7 +247,7 @@
             return
         if self._idle_gang_slots is None:
             self._idle_gang_slots = sum(
-                gangs.resources.count_in(c.free) for c in self.open_capacities
+                gangs.resources.fit_count(c.free) for c in self.open_capacities
             )
         gang_demand = gangs if self._idle_gang_slots <= math.ceil(slots * fraction) else None
         if gang_demand is self._gang_demand:
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -53,7 +53,7 @@
     def get(self, task: TaskRef) -> ArrayTask | None:
         """What is known of a task; None if it is not assigned here, as with those of gangs."""
         array_tasks = self.by_job.get(task.job)
-        return array_tasks.get(task.number) if array_tasks is not None else None
+        return array_tasks.get(task.task_index) if array_tasks is not None else None
 
     def spec(self, task: TaskRef) -> JobSpec | None:
         """What a task's job asks for; None while its record is not here."""
@@ -144,7 +144,7 @@
 
     def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
         self.leave_place(task, array_task)
-        array_task.released_version = job.task_version(task.number) if job is not None else 0
+        array_task.released_version = job.task_version(task.task_index) if job is not None else 0
         self.set_state(task, array_task, RELEASED)
 
     # Waiting
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -47,7 +47,7 @@
         kept = self._gangs.reserved_slots(elsewhere)
         if kept < 0.5:
             return False
-        idle = sum(resources.count_in(m.free()) for m in machines)
+        idle = sum(resources.fit_count(m.free()) for m in machines)
         return idle <= math.ceil(kept / max(1, len(self._cache.shards)))
 
     def usable_by(self, spec: JobSpec, machine: Machine) -> Resources:
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -146,10 +146,10 @@
         if array_task is not None:
             if array_task.state == ON_MACHINE:
                 if array_task.machine != machine.id:
-                    log.error("event=task_on_two_machines task=%s/%d", task.job, task.number)
+                    log.error("event=task_on_two_machines task=%s/%d", task.job, task.task_index)
                 return
             if array_task.state in (WAITING, ASSIGNED, RELEASED):
-                log.error("event=task_unexpected task=%s/%d", task.job, task.number)
+                log.error("event=task_unexpected task=%s/%d", task.job, task.task_index)
             if array_task.state != FINISHED:
                 self._tasks.leave_place(task, array_task)
                 self._tasks.set_state(task, array_task, ON_MACHINE)
@@ -159,10 +159,10 @@
         if (
             reservation is not None
             and reservation.attempt == item.attempt
-            and reservation.placements.get(task.number) == machine.id
+            and reservation.placements.get(task.task_index) == machine.id
         ):
-            reservation.launched.add(task.number)
-            reservation.seen.add(task.number)
+            reservation.launched.add(task.task_index)
+            reservation.seen.add(task.task_index)
 
     def note_gone(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
         """Note that a task is known not to be on its machine any more.
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -131,7 +131,7 @@
         log.debug(
             "event=task_launched task=%s/%d attempt=%d machine=%s",
             task.job,
-            task.number,
+            task.task_index,
             attempt,
             machine.id,
         )
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -233,7 +233,7 @@
         self.images.clear(machine)
         self._tasks.requeue_slots(machine)
         for task in machine.task_attempts:
-            log.error("event=machine_transferred_with_task task=%s/%d", task.job, task.number)
+            log.error("event=machine_transferred_with_task task=%s/%d", task.job, task.task_index)
         self.unreconciled.discard(machine.id)
         del self.machines[machine.id]
         self._changes.dirty = True
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -85,7 +85,7 @@
         """Note a task's result; False if nothing here accounts for it: it is not used."""
         task = item.task
         machine.failures.clear()
-        if job is None or not job.open or task.number in job.done:
+        if job is None or not job.open or task.task_index in job.done:
             self._tasks.leave_slot(machine, task)
             machine.stored.setdefault(task, now)
             return True
@@ -119,7 +119,7 @@
         log.debug(
             "event=task_exited task=%s/%d attempt=%d machine=%s cause=%s",
             task.job,
-            task.number,
+            task.task_index,
             item.attempt,
             machine.id,
             item.cause,
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -45,7 +45,7 @@
     def add(self, job: JobRecord, *, due_soon: bool) -> None:
         """Count a job's unfinished tasks, as many as the team's limit has room for."""
         each = job.resources
-        count = min(job.spec.task_count - job.done_count, each.count_in(self._limit_left))
+        count = min(job.spec.task_count - job.done_count, each.fit_count(self._limit_left))
         if count <= 0:
             return
         wanted = each.times(count)
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -207,7 +207,7 @@
     for command in commands:
         item: dict[str, Any] = {
             "verb": _WIRE_VERBS[command.kind],
-            "piece": f"{command.task.job}/{command.task.number}",
+            "piece": f"{command.task.job}/{command.task.task_index}",
             "try": command.attempt,
         }
         if command.kind == _STOP:
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -22,12 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024  # request line and headers; the parser itself bounds neither
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # request line and headers; the parser itself bounds neither
 # A body with its chunk lengths and trailers. In chunks of a byte it takes six times its length. The
 # parser keeps a trailer whole, and one without an end filled a controller's memory.
-MAX_ENCODED_BODY = 8 * MAX_BODY
-MAX_QUEUED = 16  # requests that a client sends without waiting for responses
+MAX_ENCODED_BODY_BYTES = 8 * MAX_BODY_BYTES
+MAX_PIPELINED_REQUESTS = 16  # requests that a client sends without waiting for responses
 READ_BYTES = 64 * 1024
 IDLE_S = 150.0
 IDLE_STEP_S = 10.0  # the end of an idle connection is put off at most this often
@@ -47,7 +47,7 @@
     Attributes:
         method: as it came, like GET.
         target: path and query, as they came.
-        body: at most MAX_BODY bytes.
+        body: at most MAX_BODY_BYTES bytes.
         too_large: whether the body was longer, and not read to the end.
         keep_alive: whether the connection is used again after the response.
     """
@@ -93,7 +93,7 @@
         self._parts: list[bytes] = []
         self._size = 0
 
-    def take(self) -> Request | None:
+    def pop_request(self) -> Request | None:
         """Take the next request that is complete; None if there is none yet.
 
         Raises:
@@ -121,13 +121,13 @@
             self._requests[-1] = self._requests[-1]._replace(keep_alive=False)
         except httptools.HttpParserError as err:
             self._fail(str(err))
-        if not self._in_body and self._head_bytes > MAX_HEAD:
+        if not self._in_body and self._head_bytes > MAX_HEAD_BYTES:
             self._fail("the head is too long")
-        if self._in_body and self._encoded_bytes > MAX_ENCODED_BODY:
+        if self._in_body and self._encoded_bytes > MAX_ENCODED_BODY_BYTES:
             self._fail("the body is too long for what it says")
-        if len(self._requests) > MAX_QUEUED:
+        if len(self._requests) > MAX_PIPELINED_REQUESTS:
             self._fail("too many requests at once")
-            while len(self._requests) > MAX_QUEUED:
+            while len(self._requests) > MAX_PIPELINED_REQUESTS:
                 self._requests.pop()
 
     def _fail(self, reason: str) -> None:
@@ -157,7 +157,7 @@
     def on_body(self, body: bytes) -> None:
         """A piece of the body came."""
         self._size += len(body)
-        if self._size <= MAX_BODY:
+        if self._size <= MAX_BODY_BYTES:
             self._parts.append(body)
         elif not self._ended:
             # The rest is not read: the response goes out at once and the connection ends.
@@ -247,7 +247,7 @@
         anyio.EndOfStream: the client has closed the connection.
     """
     while True:
-        request = parser.take()
+        request = parser.pop_request()
         if request is not None:
             return request
         if parser.wants_continue:
--- a/src/dapplewick/transport/http_client.py
+++ b/src/dapplewick/transport/http_client.py
@@ -14,7 +14,7 @@
 from dapplewick.types import Seconds
 
 CONNECT_S = 2.0
-MAX_HEAD = 16 * 1024  # of a response; its body may be as long as it takes
+MAX_HEAD_BYTES = 16 * 1024  # of a response; its body may be as long as it takes
 BODILESS = frozenset({204, 304})
 TARGET = re.compile(r"[!-~\x80-\xff]+")  # no spaces and no control characters
 
@@ -63,7 +63,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
             raise HttpError(str(err) or type(err).__name__) from None
-        if not self._head_complete and self._head_bytes > MAX_HEAD:
+        if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
             raise HttpError("the head is too long")
 
     def end(self) -> ClientResponse:
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_FRAME = 32 * 1024 * 1024  # a status of a shard with 4,000 machines of 100 tasks each
+MAX_FRAME_BYTES = 32 * 1024 * 1024  # a status of a shard with 4,000 machines of 100 tasks each
 CONNECT_S = 1.0
 SEND_S = 3.0
 RETRY_S = 0.5
@@ -62,7 +62,7 @@
                     with anyio.fail_after(CONNECT_S):
                         stream = await anyio.connect_tcp(self._host, self._port)
                 batch, self._waiting = list(self._waiting.values()), {}
-                data = b"".join(_frame(message) for message in batch)
+                data = b"".join(_encode_frame(message) for message in batch)
                 with anyio.fail_after(SEND_S):
                     await stream.send(data)
             except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -73,14 +73,14 @@
                 await anyio.sleep(RETRY_S)
 
 
-def _frame(message: dict[str, Any]) -> bytes:
+def _encode_frame(message: dict[str, Any]) -> bytes:
     frame = cbor2.dumps(message)
     return len(frame).to_bytes(4, "big") + frame
 
 
 async def send_frame(stream: anyio.abc.ByteSendStream, message: dict[str, Any]) -> None:
     """Send one message."""
-    await stream.send(_frame(message))
+    await stream.send(_encode_frame(message))
 
 
 async def read_frame(stream: anyio.abc.ByteReceiveStream, buffer: bytearray) -> dict[str, Any]:
@@ -98,7 +98,7 @@
     while len(buffer) < 4:
         buffer += await stream.receive(65536)
     size = int.from_bytes(buffer[:4], "big")
-    if size > MAX_FRAME:
+    if size > MAX_FRAME_BYTES:
         raise FrameTooLargeError(f"a frame of {size} bytes")
     while len(buffer) < 4 + size:
         buffer += await stream.receive(65536)
--- a/src/dapplewick/transport/stream.py
+++ b/src/dapplewick/transport/stream.py
@@ -15,7 +15,7 @@
 import anyio.abc
 
 LINGER_S = 5.0  # a closed stream goes on this long with what was sent before
-MOST_READ = 256 * 1024  # more than this is left in the socket until it is asked for
+MAX_READ_BUFFER_BYTES = 256 * 1024  # more than this is left in the socket until it is asked for
 
 
 class SocketStream(asyncio.Protocol, anyio.abc.ByteStream):
@@ -39,9 +39,13 @@
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came; beyond MOST_READ of them reading stops."""
+        """Bytes came; beyond MAX_READ_BUFFER_BYTES of them reading stops."""
         self._read += data
-        if len(self._read) > MOST_READ and not self._full and self._transport is not None:
+        if (
+            len(self._read) > MAX_READ_BUFFER_BYTES
+            and not self._full
+            and self._transport is not None
+        ):
             self._full = True
             self._transport.pause_reading()
         _wake(self._reader)
--- a/src/dapplewick/types.py
+++ b/src/dapplewick/types.py
@@ -49,7 +49,7 @@
     """One task of one job."""
 
     job: JobId
-    number: TaskIndex
+    task_index: TaskIndex
 
 
 class Resources(NamedTuple):
@@ -85,7 +85,7 @@
             and self.ram_gb <= room.ram_gb + _ROUNDING
         )
 
-    def count_in(self, room: Resources) -> int:
+    def fit_count(self, room: Resources) -> int:
         """How often this size fits into the room (with an allowance for rounding); 0 if never."""
         count = _MAX_COUNT
         for need, have in zip(self, room, strict=True):
--- a/tests/loopback/test_controllers.py
+++ b/tests/loopback/test_controllers.py
@@ -24,7 +24,7 @@
 from dapplewick.transport import listen
 from dapplewick.transport.http import Request, Response, serve_connection
 from dapplewick.transport.listen import ConnectionAcceptor, IdleCallback
-from dapplewick.transport.stream import MOST_READ, accept
+from dapplewick.transport.stream import MAX_READ_BUFFER_BYTES, accept
 from standins import now
 from support.paths import ROOT
 from support.real_world import RealWorld, raw, until_healthy
@@ -212,13 +212,13 @@
         inner = listener.listeners[0]
         assert isinstance(inner, anyio.abc.SocketListener)
         stream = await accept(inner)
-        size = 32 * MOST_READ
+        size = 32 * MAX_READ_BUFFER_BYTES
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 group.start_soon(client.send, b"x" * size)
                 await anyio.sleep(0.3)
                 kept = len(stream._read)
-                assert MOST_READ < kept < 2 * MOST_READ
+                assert MAX_READ_BUFFER_BYTES < kept < 2 * MAX_READ_BUFFER_BYTES
                 got = 0
                 while got < size:
                     data = await stream.receive(1000)
--- a/tests/simulation/test_fleet_size.py
+++ b/tests/simulation/test_fleet_size.py
@@ -8,7 +8,7 @@
 from dapplewick.protocol import peers
 from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
-from dapplewick.transport.peer import MAX_FRAME
+from dapplewick.transport.peer import MAX_FRAME_BYTES
 from standins import World
 from support.scenarios import run_script
 from support.shard_bench import busy_shard
@@ -72,4 +72,4 @@
     frame = len(cbor2.dumps(peers.encode(bench.scheduler.status(3.0))))
     tasks = sum(len(machine.task_attempts) for machine in bench.scheduler.machines.values())
     of_a_task = frame / tasks
-    assert 100 * MACHINES_UP * of_a_task < MAX_FRAME
+    assert 100 * MACHINES_UP * of_a_task < MAX_FRAME_BYTES
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -10,7 +10,7 @@
 import cbor2
 
 from dapplewick.transport import http_client
-from dapplewick.transport.peer import MAX_FRAME
+from dapplewick.transport.peer import MAX_FRAME_BYTES
 from standins import recorder
 
 if TYPE_CHECKING:
@@ -142,7 +142,7 @@
             if controller is None or {self.sender, self.target} & self.world.cut_peers:
                 continue
             for frame in batch:
-                if len(frame) > MAX_FRAME:
+                if len(frame) > MAX_FRAME_BYTES:
                     continue  # refused by the real one
                 if self.target in self.world.frozen:
                     self.world.held.setdefault(self.target, []).append(frame)
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -565,14 +565,14 @@
         sent.append(cbor2.dumps(message).hex())
         return given["said"]
 
-    with patch.object(client, client._ask.__name__, kept):
+    with patch.object(client, client._request_peer.__name__, kept):
         result = CliRunner().invoke(cli.main, given["arguments"])
     return {"sent": sent, "printed": result.output, "code": result.exit_code}
 
 
 def frame(given: Any) -> Any:
     """A frame with its length."""
-    return peer._frame(given).hex()
+    return peer._encode_frame(given).hex()
 
 
 def operators_script(given: Any) -> Any:
--- a/tests/support/shard_bench.py
+++ b/tests/support/shard_bench.py
@@ -183,7 +183,7 @@
         """What the leader does with results: they are stored, and the assignments are over."""
         for job in {t.job for t in done}:
             record = JobRecord.load(self.cache.jobs[job].dump(), 0)
-            numbers = {int(t.number) for t in done if t.job == job}
+            numbers = {int(t.task_index) for t in done if t.job == job}
             record.done |= numbers
             record.assignments = {"a": record.assigned("a") - numbers}
             self.put(JOBS + job, record.dump())
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from dapplewick.transport.http import (
-    MAX_BODY,
-    MAX_ENCODED_BODY,
-    MAX_HEAD,
-    MAX_QUEUED,
+    MAX_BODY_BYTES,
+    MAX_ENCODED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_PIPELINED_REQUESTS,
     READ_BYTES,
     MalformedRequestError,
     Request,
@@ -82,7 +82,7 @@
         turn += 1
         parser.feed(data[:size])
         data = data[size:]
-        while (request := parser.take()) is not None:
+        while (request := parser.pop_request()) is not None:
             found.append(request)
     assert found == [by_h11(request) for request in requests]
 
@@ -97,8 +97,8 @@
         b"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
-        b"GET /" + b"a" * MAX_HEAD,
-        b"GET / HTTP/1.1\r\nX: " + b"a" * MAX_HEAD,
+        b"GET /" + b"a" * MAX_HEAD_BYTES,
+        b"GET / HTTP/1.1\r\nX: " + b"a" * MAX_HEAD_BYTES,
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 40,
     ],
 )
@@ -107,8 +107,8 @@
     parser.feed(data)
 
     def take_all() -> None:
-        for _ in range(MAX_QUEUED + 2):
-            if parser.take() is None:
+        for _ in range(MAX_PIPELINED_REQUESTS + 2):
+            if parser.pop_request() is None:
                 return
 
     with pytest.raises(MalformedRequestError):
@@ -120,19 +120,21 @@
     chunked = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     chunked += (b"1000\r\n" + b"x" * 4096 + b"\r\n") * 17
     length = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999\r\n\r\n"
-    length += b"x" * (MAX_BODY + 1)
+    length += b"x" * (MAX_BODY_BYTES + 1)
     for data in (chunked, length):
         parser = RequestParser()
         parser.feed(data)
-        assert parser.take() == Request("POST", "/v2/runs", b"", True, False)
+        assert parser.pop_request() == Request("POST", "/v2/runs", b"", True, False)
         parser.feed(b"x" * 100_000)
-        assert parser.take() is None
+        assert parser.pop_request() is None
         assert not parser._parts
     parser = RequestParser()
-    parser.feed(length[: length.index(b"9999999")] + b"%d\r\n\r\n" % MAX_BODY + b"x" * MAX_BODY)
-    request = parser.take()
+    parser.feed(
+        length[: length.index(b"9999999")] + b"%d\r\n\r\n" % MAX_BODY_BYTES + b"x" * MAX_BODY_BYTES
+    )
+    request = parser.pop_request()
     assert request is not None
-    assert len(request.body) == MAX_BODY
+    assert len(request.body) == MAX_BODY_BYTES
     assert not request.too_large
 
 
@@ -141,17 +143,17 @@
     head = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     parser = RequestParser()
     parser.feed(head + b"1\r\na\r\n0\r\nX: ")
-    for _ in range(MAX_ENCODED_BODY // READ_BYTES + 1):
-        assert parser.take() is None
+    for _ in range(MAX_ENCODED_BODY_BYTES // READ_BYTES + 1):
+        assert parser.pop_request() is None
         parser.feed(b"b" * READ_BYTES)
     with pytest.raises(MalformedRequestError):
-        parser.take()
+        parser.pop_request()
     parser = RequestParser()
     parser.feed(head)
-    for _ in range(MAX_BODY):
+    for _ in range(MAX_BODY_BYTES):
         parser.feed(b"1\r\na\r\n")
     parser.feed(b"0\r\n\r\n")
-    assert parser.take() == Request("POST", "/", b"a" * MAX_BODY, False)
+    assert parser.pop_request() == Request("POST", "/", b"a" * MAX_BODY_BYTES, False)
 
 
 Script = Callable[[anyio.abc.SocketStream], Awaitable[None]]
