--- a/src/dapplewick/transport/__init__.py
+++ b/src/dapplewick/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections: HTTP as server and client, messages between controllers, and accepting."""
+"""Network transport: HTTP server and client, peer messages and the accept loop."""
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 server for accepted connections, over httptools' parser.
+"""HTTP/1.1 server for accepted connections, based on the httptools parser.
 
-Each worker sends a heartbeat every few seconds and at each change, so what a request costs here is
-most of what a heartbeat costs. httptools parses in C: a heartbeat's head and body and its response
-take 3 us, with h11, which is written in Python, 75 to 90 us.
+Each worker sends a heartbeat every few seconds and on each state change, and the HTTP handling is
+most of the cost of a heartbeat. httptools parses in C: parsing one heartbeat and building its
+response takes 3 us; h11, which is written in Python, takes 75 to 90 us.
 """
 
 from __future__ import annotations
@@ -23,16 +23,17 @@
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_HEAD_BYTES = 16 * 1024  # request line and headers; the parser itself bounds neither
-# A body with its chunk lengths and trailers. In chunks of a byte it takes six times its length. The
-# parser keeps a trailer whole, and one without an end filled a controller's memory.
+MAX_HEAD_BYTES = 16 * 1024  # request line and headers; httptools limits neither
+# Limit for a request body as sent, including chunk sizes and trailers. A body sent in 1-byte chunks
+# takes six times its length. httptools buffers a whole trailer, and an endless trailer filled the
+# memory of a controller.
 MAX_ENCODED_BODY_BYTES = 8 * MAX_BODY_BYTES
-MAX_PIPELINED_REQUESTS = 16  # requests that a client sends without waiting for responses
+MAX_PIPELINED_REQUESTS = 16  # complete requests of one connection that await handling
 READ_BYTES = 64 * 1024
-IDLE_S = 150.0
-IDLE_STEP_S = 10.0  # the end of an idle connection is put off at most this often
-REFUSAL_S = 1.0  # for the response to a malformed request
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+IDLE_TIMEOUT_S = 150.0
+IDLE_DEADLINE_STEP_S = 10.0  # the idle deadline is extended at most this often
+ERROR_RESPONSE_TIMEOUT_S = 1.0  # for sending the response to a malformed request
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 STREAM_ERRORS = (
     OSError,
     anyio.BrokenResourceError,
@@ -42,14 +43,14 @@
 
 
 class Request(NamedTuple):
-    """One request.
+    """One HTTP request.
 
     Attributes:
-        method: as it came, like GET.
-        target: path and query, as they came.
-        body: at most MAX_BODY_BYTES bytes.
-        too_large: whether the body was longer, and not read to the end.
-        keep_alive: whether the connection is used again after the response.
+        method: The method as received, for example GET.
+        target: The path and query as received.
+        body: At most MAX_BODY_BYTES bytes; empty if `too_large`.
+        too_large: Whether the body exceeded MAX_BODY_BYTES; the excess is not read.
+        keep_alive: Whether the connection stays open after the response.
     """
 
     method: str
@@ -60,7 +61,7 @@
 
 
 class Response(NamedTuple):
-    """A response to a request; a refusal may say after how many seconds to come back."""
+    """An HTTP response; `retry_after` is the value of the Retry-After header in seconds."""
 
     status: int
     body: bytes = b"{}"
@@ -71,33 +72,37 @@
 
 
 class MalformedRequestError(DapplewickError):
-    """What came is no HTTP request or has too long a head: a 400, and the connection ends."""
+    """The received bytes are not a valid HTTP request, or exceed a size or pipelining limit.
+
+    The server sends a 400 response and closes the connection.
+    """
 
 
 class RequestParser:
-    """Cuts the bytes of one connection into requests."""
+    """Parses the byte stream of one connection into requests."""
 
     def __init__(self) -> None:
         self._requests: deque[Request] = deque()
         self._parser = httptools.HttpRequestParser(self)
-        self._head_bytes = 0  # fed since the last request or head was complete
-        self._encoded_bytes = 0  # fed of the present body
+        self._head_bytes = 0  # received outside a body since the last complete head or request
+        self._encoded_bytes = 0  # received for the current body, as encoded on the connection
         self._in_body = False
-        self._ended = False  # nothing more is parsed on this connection
+        self._stopped = False  # further bytes of this connection are ignored
         self._error = ""
-        self.wants_continue = False  # the client waits for leave to send its body
-        self._begin()
+        self.expects_continue = False  # the client awaits "100 Continue" before it sends the body
+        self._reset_request()
 
-    def _begin(self) -> None:
-        self._url: list[bytes] = []
-        self._parts: list[bytes] = []
-        self._size = 0
+    def _reset_request(self) -> None:
+        self._target_parts: list[bytes] = []
+        self._body_parts: list[bytes] = []
+        self._body_bytes = 0
 
     def pop_request(self) -> Request | None:
-        """Take the next request that is complete; None if there is none yet.
+        """Remove and return the oldest complete request; None if no request is complete yet.
 
         Raises:
-            MalformedRequestError: all requests that came before what can't be parsed were taken.
+            MalformedRequestError: Parsing failed, and all requests that were complete before the
+                failure have already been returned.
         """
         if self._requests:
             return self._requests.popleft()
@@ -106,8 +111,8 @@
         return None
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes that came on the connection."""
-        if self._ended:
+        """Parse bytes received on the connection."""
+        if self._stopped:
             return
         if self._in_body:
             self._encoded_bytes += len(data)
@@ -116,69 +121,71 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # Another protocol is offered, and not taken up: the request itself is answered.
-            self._ended = True
+            # Protocol upgrades are not supported: the request is answered over HTTP/1.1, then the
+            # connection is closed.
+            self._stopped = True
             self._requests[-1] = self._requests[-1]._replace(keep_alive=False)
         except httptools.HttpParserError as err:
             self._fail(str(err))
         if not self._in_body and self._head_bytes > MAX_HEAD_BYTES:
-            self._fail("the head is too long")
+            self._fail("request line and headers are too long")
         if self._in_body and self._encoded_bytes > MAX_ENCODED_BODY_BYTES:
-            self._fail("the body is too long for what it says")
+            self._fail("encoded body is too long")
         if len(self._requests) > MAX_PIPELINED_REQUESTS:
-            self._fail("too many requests at once")
+            self._fail("too many pipelined requests")
             while len(self._requests) > MAX_PIPELINED_REQUESTS:
                 self._requests.pop()
 
     def _fail(self, reason: str) -> None:
-        self._ended = True
+        self._stopped = True
         self._error = self._error or reason
 
-    # What the parser calls
+    # Callbacks of httptools.HttpRequestParser
 
     def on_message_begin(self) -> None:
-        """A request begins."""
-        self._begin()
+        """Handle the start of a request."""
+        self._reset_request()
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target came."""
-        self._url.append(url)
+        """Handle a part of the request target."""
+        self._target_parts.append(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header came; of all only one matters here (RFC 9110, 10.1.1)."""
+        """Handle a header; only `Expect: 100-continue` (RFC 9110, 10.1.1) is evaluated."""
         if name.lower() == b"expect" and value.lower() == b"100-continue":
-            self.wants_continue = True
+            self.expects_continue = True
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Handle the end of the headers."""
         self._in_body = True
         self._head_bytes = self._encoded_bytes = 0
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body came."""
-        self._size += len(body)
-        if self._size <= MAX_BODY_BYTES:
-            self._parts.append(body)
-        elif not self._ended:
-            # The rest is not read: the response goes out at once and the connection ends.
-            self._ended = True
-            self._parts.clear()
-            self._complete(too_large=True)
+        """Handle a part of the body."""
+        self._body_bytes += len(body)
+        if self._body_bytes <= MAX_BODY_BYTES:
+            self._body_parts.append(body)
+        elif not self._stopped:
+            # The remaining body is not read: the response is sent at once, then the connection is
+            # closed.
+            self._stopped = True
+            self._body_parts.clear()
+            self._add_request(too_large=True)
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Handle the end of the request."""
         self._in_body = False
         self._head_bytes = 0
-        self.wants_continue = False
-        if not self._ended:
-            self._complete(too_large=False)
+        self.expects_continue = False
+        if not self._stopped:
+            self._add_request(too_large=False)
 
-    def _complete(self, *, too_large: bool) -> None:
+    def _add_request(self, *, too_large: bool) -> None:
         self._requests.append(
             Request(
                 self._parser.get_method().decode("ascii"),
-                b"".join(self._url).decode("latin-1"),
-                b"".join(self._parts),
+                b"".join(self._target_parts).decode("latin-1"),
+                b"".join(self._body_parts),
                 too_large,
                 self._parser.should_keep_alive() and not too_large,
             )
@@ -186,7 +193,7 @@
 
 
 @lru_cache(maxsize=512)
-def _head(status: int, length: int, retry_after: int | None, close: bool) -> bytes:
+def _response_head(status: int, length: int, retry_after: int | None, close: bool) -> bytes:
     lines = [
         f"HTTP/1.1 {status} ",
         "Content-Type: application/json",
@@ -200,39 +207,40 @@
 
 
 def response_bytes(response: Response, *, close: bool = False, head_only: bool = False) -> bytes:
-    """A response as it is sent; a HEAD request gets no body."""
-    head = _head(response.status, len(response.body), response.retry_after, close)
+    """Encode a response; without its body if `head_only`, as for a HEAD request."""
+    head = _response_head(response.status, len(response.body), response.retry_after, close)
     return head if head_only else head + response.body
 
 
 def _ignore_idle(_idle: bool) -> None:
-    """For connections of which nobody needs to know whether they are idle."""
+    """Default idle callback of `serve_connection`, which does nothing."""
 
 
 async def serve_connection(
     stream: anyio.abc.ByteStream, handler: Handler, set_idle: IdleCallback = _ignore_idle
 ) -> None:
-    """Serve one connection until it ends; what is broken on it ends nothing else.
+    """Serve one connection until it is closed; protocol and connection errors are not raised.
 
     Args:
-        stream: the connection, which is closed in the end.
-        handler: answers requests; if it raises, the client gets a 503.
-        set_idle: called with whether the next request is waited for.
+        stream: The connection; it is closed on return.
+        handler: Handles one request; the client receives a 503 response if the handler raises.
+        set_idle: Called with True when the connection starts to wait for its next request, and
+            with False when a request is received.
     """
     async with stream:
-        with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as scope:
+        with anyio.CancelScope(deadline=anyio.current_time() + IDLE_TIMEOUT_S) as scope:
             try:
-                await _serve(stream, handler, scope, set_idle)
+                await _serve_requests(stream, handler, scope, set_idle)
             except MalformedRequestError as err:
                 log.debug("event=request_malformed error=%s", err)
-                await _refuse(stream)
+                await _send_bad_request(stream)
             except STREAM_ERRORS:
                 return
 
 
-async def _refuse(stream: anyio.abc.ByteStream) -> None:
+async def _send_bad_request(stream: anyio.abc.ByteStream) -> None:
     response = Response(400, b'{"error":"malformed request"}')
-    with anyio.move_on_after(REFUSAL_S):
+    with anyio.move_on_after(ERROR_RESPONSE_TIMEOUT_S):
         try:
             await stream.send(response_bytes(response, close=True))
         except STREAM_ERRORS:
@@ -240,23 +248,23 @@
 
 
 async def _next_request(parser: RequestParser, stream: anyio.abc.ByteStream) -> Request:
-    """The next request.
+    """Receive the next request.
 
     Raises:
-        MalformedRequestError: what came is no request.
-        anyio.EndOfStream: the client has closed the connection.
+        MalformedRequestError: The received bytes are not a valid request.
+        anyio.EndOfStream: The client closed the connection.
     """
     while True:
         request = parser.pop_request()
         if request is not None:
             return request
-        if parser.wants_continue:
-            parser.wants_continue = False
-            await stream.send(CONTINUE)
+        if parser.expects_continue:
+            parser.expects_continue = False
+            await stream.send(CONTINUE_RESPONSE)
         parser.feed(await stream.receive(READ_BYTES))
 
 
-async def _serve(
+async def _serve_requests(
     stream: anyio.abc.ByteStream, handler: Handler, scope: anyio.CancelScope, set_idle: IdleCallback
 ) -> None:
     parser = RequestParser()
@@ -264,8 +272,8 @@
         request = await _next_request(parser, stream)
         set_idle(False)
         now = anyio.current_time()
-        if scope.deadline - now < IDLE_S - IDLE_STEP_S:
-            scope.deadline = now + IDLE_S
+        if scope.deadline - now < IDLE_TIMEOUT_S - IDLE_DEADLINE_STEP_S:
+            scope.deadline = now + IDLE_TIMEOUT_S
         try:
             response = await handler(request)
         except Exception:
--- a/src/dapplewick/transport/listen.py
+++ b/src/dapplewick/transport/listen.py
@@ -1,4 +1,4 @@
-"""Accepting connections within a limit of sockets."""
+"""Accept loop with a limit on the number of open connections."""
 
 from __future__ import annotations
 
@@ -14,27 +14,29 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE_S = 0.05  # after an accept that failed
-LOG_INTERVAL_S = 10.0  # such failures are logged at most this often
-GIVEN_UP = 8  # connections given up when there is no socket left
+ACCEPT_RETRY_DELAY_S = 0.05  # after a failed accept
+LOG_INTERVAL_S = 10.0  # accept failures are logged at most this often
+CLOSED_ON_ACCEPT_FAILURE = 8  # idle connections closed to free file descriptors
 
-IdleCallback = Callable[[bool], None]  # whether a connection waits for its next request
-Serve = Callable[[anyio.abc.ByteStream, IdleCallback], Awaitable[None]]
+IdleCallback = Callable[[bool], None]  # called with whether a connection awaits its next request
+ConnectionHandler = Callable[[anyio.abc.ByteStream, IdleCallback], Awaitable[None]]
 
 
 class ConnectionAcceptor:
-    """Serves the connections that a listener accepts, at most `max_connections` at a time.
+    """Accepts and serves connections, at most `max_connections` at a time.
 
-    Beyond that the connections that were idle for longest are given up: half-open ones behind
-    a network partition are among them. If none is idle, the new one is closed at once. An accept
-    that fails, for want of sockets or because the other side is gone already, ends nothing.
+    At the limit, a new connection replaces the one that has been idle longest, which includes
+    connections left half-open by a network partition. If no connection is idle, the new one is
+    closed at once. A failed accept (no file descriptor left, or the connection already reset by the
+    client) is logged and
+    retried after closing some idle connections; it ends neither the listener nor the process.
     """
 
-    def __init__(self, max_connections: int, serve: Serve) -> None:
+    def __init__(self, max_connections: int, serve: ConnectionHandler) -> None:
         self._max_connections = max_connections
         self._serve = serve
         self._open: dict[anyio.CancelScope, None] = {}
-        self._idle: dict[anyio.CancelScope, None] = {}  # the one idle for longest first
+        self._idle: dict[anyio.CancelScope, None] = {}  # ordered by idle time, longest first
         self._logged_at = NEVER_S
 
     async def run(self, listener: MultiListener[anyio.abc.SocketStream]) -> None:
@@ -50,11 +52,11 @@
                 stream = await accept(listener)
             except OSError as err:
                 self._log_failure(err)
-                self._give_up(GIVEN_UP)
-                await anyio.sleep(PAUSE_S)
+                self._close_longest_idle(CLOSED_ON_ACCEPT_FAILURE)
+                await anyio.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             if len(self._open) >= self._max_connections:
-                self._give_up(1)
+                self._close_longest_idle(1)
             if len(self._open) >= self._max_connections:
                 self._log_failure("no idle connection")
                 await anyio.aclose_forcefully(stream)
@@ -63,7 +65,7 @@
             self._open[scope] = self._idle[scope] = None
             group.start_soon(self._serve_one, stream, scope)
 
-    def _give_up(self, count: int) -> None:
+    def _close_longest_idle(self, count: int) -> None:
         for scope in list(self._idle)[:count]:
             del self._open[scope], self._idle[scope]
             scope.cancel()
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -1,4 +1,4 @@
-"""Messages between controllers: CBOR frames with their length in front, one way each."""
+"""Messages between controllers: length-prefixed CBOR frames over TCP."""
 
 from __future__ import annotations
 
@@ -15,30 +15,37 @@
 
 log = logging.getLogger(__name__)
 
-MAX_FRAME_BYTES = 32 * 1024 * 1024  # a status of a shard with 4,000 machines of 100 tasks each
-CONNECT_S = 1.0
-SEND_S = 3.0
-RETRY_S = 0.5
+MAX_FRAME_BYTES = (
+    32 * 1024 * 1024
+)  # fits the status of a shard with 4,000 machines of 100 tasks each
+CONNECT_TIMEOUT_S = 1.0
+SEND_TIMEOUT_S = 3.0
+RECONNECT_DELAY_S = 0.5
 
 
 class PeerLink:
-    """Sends messages to one peer. Only the newest of each kind waits: they are states."""
+    """Sends messages to one peer.
+
+    Only the newest message of each kind is queued: a message carries complete state, so it
+    supersedes the earlier ones of its kind.
+    """
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
         self._port = port
-        self._waiting: dict[str, Any] = {}
+        self._pending: dict[str, Any] = {}
         self._wake = anyio.Event()
 
     def post(self, kind: str, message: dict[str, Any]) -> None:
-        """Have a message sent, in place of one of its kind that still waits."""
-        self._waiting[kind] = message
+        """Queue a message; it replaces an unsent message of the same kind."""
+        self._pending[kind] = message
         self._wake.set()
 
     async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
-        """Ask for something on a connection of its own; None if no answer comes in time.
+        """Send a request on a new connection and return the reply.
 
-        Whatever goes wrong on the way is logged and counts as no answer.
+        Returns:
+            The reply; None if the request fails or times out, and the error is logged.
         """
         try:
             with anyio.fail_after(timeout_s):
@@ -46,31 +53,31 @@
                 async with stream:
                     await send_frame(stream, message)
                     return await read_frame(stream, bytearray())
-        except Exception as err:  # noqa: BLE001 - whatever the peer sends ends nothing here
+        except Exception as err:  # noqa: BLE001 - no reply of a peer may crash the caller
             log.debug("event=peer_request_failed error=%r", err)
             return None
 
     async def run(self) -> None:
-        """Send what is posted until cancelled; the connection is made anew when it fails."""
+        """Send queued messages until cancelled; reconnect when the connection fails."""
         stream: anyio.abc.SocketStream | None = None
         while True:
-            if not self._waiting:
+            if not self._pending:
                 self._wake = anyio.Event()
                 await self._wake.wait()
             try:
                 if stream is None:
-                    with anyio.fail_after(CONNECT_S):
+                    with anyio.fail_after(CONNECT_TIMEOUT_S):
                         stream = await anyio.connect_tcp(self._host, self._port)
-                batch, self._waiting = list(self._waiting.values()), {}
+                batch, self._pending = list(self._pending.values()), {}
                 data = b"".join(_encode_frame(message) for message in batch)
-                with anyio.fail_after(SEND_S):
+                with anyio.fail_after(SEND_TIMEOUT_S):
                     await stream.send(data)
             except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                # States are sent again by those who own them, so nothing is kept back here.
+                # The unsent batch is dropped: senders post their current state periodically.
                 if stream is not None:
                     await anyio.aclose_forcefully(stream)
                     stream = None
-                await anyio.sleep(RETRY_S)
+                await anyio.sleep(RECONNECT_DELAY_S)
 
 
 def _encode_frame(message: dict[str, Any]) -> bytes:
@@ -87,44 +94,46 @@
     """Read one message.
 
     Args:
-        stream: the connection.
-        buffer: what was received beyond the last message; kept from call to call.
+        stream: The connection.
+        buffer: Bytes received after the previous message. The caller passes the same buffer to
+            each call for a connection.
 
     Raises:
-        FrameTooLargeError: the length is out of bounds; nothing more can be read.
-        ValueError: the message is no map; the stream is at the next one.
-        cbor2.CBORDecodeError: the message is malformed; the stream is at the next one.
+        FrameTooLargeError: The frame length exceeds the limit; the stream can't be read further.
+        ValueError: The message is not a map; the next call reads the next message.
+        cbor2.CBORDecodeError: The message is not valid CBOR; the next call reads the next message.
     """
     while len(buffer) < 4:
         buffer += await stream.receive(65536)
     size = int.from_bytes(buffer[:4], "big")
     if size > MAX_FRAME_BYTES:
-        raise FrameTooLargeError(f"a frame of {size} bytes")
+        raise FrameTooLargeError(f"frame of {size} bytes exceeds the size limit")
     while len(buffer) < 4 + size:
         buffer += await stream.receive(65536)
     frame = bytes(buffer[4 : 4 + size])
     del buffer[: 4 + size]
     message = cbor2.loads(frame)
     if not isinstance(message, dict):
-        raise ValueError("not a map")
+        raise ValueError("expected a CBOR map")
     return message
 
 
 class FrameTooLargeError(DapplewickError, ValueError):
-    """The length in front of a frame is out of bounds: the connection can't be read any more."""
+    """The length prefix of a frame exceeds the limit; the stream can't be read further."""
 
 
 async def receive_frames(
     stream: anyio.abc.ByteStream,
     handle: Callable[[dict[str, Any]], Awaitable[dict[str, Any] | None]],
 ) -> None:
-    """Read one peer's messages, and answer those that have an answer.
+    """Read the messages of one peer until its connection ends, and send the replies.
 
-    A malformed message is logged and ends nothing else.
+    An invalid message, or one whose handler raises, is logged and skipped. A frame above the size
+    limit closes the connection.
 
     Args:
-        stream: the connection, which is closed in the end.
-        handle: gives the answer to a message, or None.
+        stream: The connection; it is closed on return.
+        handle: Handles a message and returns the reply, or None for no reply.
     """
     buffer = bytearray()
     async with stream:
@@ -132,7 +141,7 @@
             try:
                 answer = await handle(await read_frame(stream, buffer))
                 if answer is not None:
-                    with anyio.fail_after(SEND_S):
+                    with anyio.fail_after(SEND_TIMEOUT_S):
                         await send_frame(stream, answer)
             except (
                 OSError,
@@ -142,7 +151,7 @@
                 anyio.ClosedResourceError,
             ):
                 return
-            except Exception as err:  # noqa: BLE001 - whatever the peer sends ends nothing else
+            except Exception as err:  # noqa: BLE001 - no message of a peer may crash the process
                 log.error("event=peer_message_malformed reason=malformed error=%r", err)
                 if isinstance(err, FrameTooLargeError):
                     return
--- a/src/dapplewick/transport/stream.py
+++ b/src/dapplewick/transport/stream.py
@@ -1,8 +1,8 @@
-"""A byte stream for accepted connections.
+"""Byte stream for accepted connections, compatible with anyio's `ByteStream`.
 
-It keeps the contract of anyio's streams. anyio's own for sockets stops reading after each
-message and starts again for the next, which is four system calls and a turn of the event loop
-more for every heartbeat of every worker; this one reads on, up to a bounded buffer.
+anyio's own socket stream pauses reading after each message and resumes for the next one, which
+costs four system calls and one event loop iteration more for each worker heartbeat. This stream
+keeps reading into a bounded buffer.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import anyio
 import anyio.abc
 
-LINGER_S = 5.0  # a closed stream goes on this long with what was sent before
-MAX_READ_BUFFER_BYTES = 256 * 1024  # more than this is left in the socket until it is asked for
+LINGER_TIMEOUT_S = 5.0  # how long a closed stream may take to send its buffered data
+MAX_READ_BUFFER_BYTES = 256 * 1024  # reading pauses above this size, until the buffer is empty
 
 
 class SocketStream(asyncio.Protocol, anyio.abc.ByteStream):
@@ -24,115 +24,115 @@
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._read = bytearray()
-        self._reader: asyncio.Future[None] | None = None
-        self._writer: asyncio.Future[None] | None = None
-        self._full = False  # reading is stopped
-        self._ended = False  # the other side sends no more
-        self._lost = False
+        self._buffer = bytearray()
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._write_waiter: asyncio.Future[None] | None = None
+        self._reading_paused = False
+        self._eof_received = False  # the peer sends no more data
+        self._connection_lost = False
         self._closed = False
 
-    # What the event loop calls
+    # Callbacks of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is there."""
+        """Store the transport of the new connection."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came; beyond MAX_READ_BUFFER_BYTES of them reading stops."""
-        self._read += data
+        """Buffer received bytes; pause reading above MAX_READ_BUFFER_BYTES."""
+        self._buffer += data
         if (
-            len(self._read) > MAX_READ_BUFFER_BYTES
-            and not self._full
+            len(self._buffer) > MAX_READ_BUFFER_BYTES
+            and not self._reading_paused
             and self._transport is not None
         ):
-            self._full = True
+            self._reading_paused = True
             self._transport.pause_reading()
-        _wake(self._reader)
+        _wake(self._read_waiter)
 
     def eof_received(self) -> bool:
-        """The other side sends no more; this one may go on sending."""
-        self._ended = True
-        _wake(self._reader)
+        """Handle the end of the peer's data; True keeps the connection open for sending."""
+        self._eof_received = True
+        _wake(self._read_waiter)
         return True
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's call
-        """The connection is gone."""
-        self._lost = True
-        _wake(self._reader)
-        _wake(self._writer)
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - signature set by asyncio
+        """Handle the loss of the connection: wake the waiting receiver and sender."""
+        self._connection_lost = True
+        _wake(self._read_waiter)
+        _wake(self._write_waiter)
 
     def pause_writing(self) -> None:
-        """The other side takes nothing now: senders wait."""
-        self._writer = self._loop.create_future()
+        """Make senders wait: the write buffer is full because the peer reads too slowly."""
+        self._write_waiter = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """The other side takes more: senders go on."""
-        _wake(self._writer)
-        self._writer = None
+        """Wake the waiting sender: the write buffer has drained."""
+        _wake(self._write_waiter)
+        self._write_waiter = None
 
-    # What users of the stream call
+    # Interface of anyio.abc.ByteStream
 
-    def _check(self) -> None:
+    def _check_open(self) -> None:
         if self._closed:
             raise anyio.ClosedResourceError
-        if self._lost:
+        if self._connection_lost:
             raise anyio.BrokenResourceError
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        """Receive at least one byte.
+        """Receive between one and `max_bytes` bytes; wait until data is available.
 
         Raises:
-            anyio.EndOfStream: the other side sends no more.
-            anyio.ClosedResourceError: this side has closed the stream.
-            anyio.BrokenResourceError: the connection is lost.
+            anyio.EndOfStream: The peer has ended its data, and all of it has been received.
+            anyio.ClosedResourceError: `aclose` has been called.
+            anyio.BrokenResourceError: The connection is lost.
         """
-        while not self._read:
-            if self._ended:
+        while not self._buffer:
+            if self._eof_received:
                 raise anyio.EndOfStream
-            self._check()
-            self._reader = self._loop.create_future()
+            self._check_open()
+            self._read_waiter = self._loop.create_future()
             try:
-                await self._reader
+                await self._read_waiter
             finally:
-                self._reader = None
-        data = bytes(self._read[:max_bytes])
-        del self._read[:max_bytes]
-        if self._full and not self._read and self._transport is not None:
-            self._full = False
+                self._read_waiter = None
+        data = bytes(self._buffer[:max_bytes])
+        del self._buffer[:max_bytes]
+        if self._reading_paused and not self._buffer and self._transport is not None:
+            self._reading_paused = False
             if not self._transport.is_closing():
                 self._transport.resume_reading()
         return data
 
     async def send(self, item: bytes) -> None:
-        """Send bytes; waits while the other side takes nothing.
+        """Send bytes; wait while the write buffer is full.
 
         Raises:
-            anyio.ClosedResourceError: this side has closed the stream.
-            anyio.BrokenResourceError: the connection is lost.
+            anyio.ClosedResourceError: `aclose` has been called.
+            anyio.BrokenResourceError: The connection is lost.
         """
-        self._check()
+        self._check_open()
         assert self._transport is not None
         self._transport.write(item)
-        if self._writer is not None:
-            await self._writer
-            self._check()
+        if self._write_waiter is not None:
+            await self._write_waiter
+            self._check_open()
 
     async def send_eof(self) -> None:
-        """Say that nothing more is sent."""
-        self._check()
+        """Signal to the peer that this side sends no more data."""
+        self._check_open()
         assert self._transport is not None
         self._transport.write_eof()
 
     async def aclose(self) -> None:
-        """Close the connection, at once if nothing is left to be sent."""
+        """Close the connection; data in the write buffer is sent within LINGER_TIMEOUT_S."""
         self._closed = True
         if self._transport is None:
             return
         if self._transport.get_write_buffer_size():
-            # What was sent still goes out, if the other side takes it.
+            # `close` sends the buffered data first; `abort` limits the time that this may take.
             self._transport.close()
-            self._loop.call_later(LINGER_S, self._transport.abort)
+            self._loop.call_later(LINGER_TIMEOUT_S, self._transport.abort)
         else:
             self._transport.abort()
 
@@ -143,10 +143,10 @@
 
 
 async def accept(listener: anyio.abc.SocketListener) -> SocketStream:
-    """The next connection of a listener.
+    """Accept the next connection of a listener.
 
     Raises:
-        OSError: none can be had.
+        OSError: No file descriptor is left, or the connection failed already.
     """
     loop = asyncio.get_running_loop()
     raw, _ = await loop.sock_accept(listener.extra(anyio.abc.SocketAttribute.raw_socket))
--- a/tests/loopback/test_controllers.py
+++ b/tests/loopback/test_controllers.py
@@ -217,7 +217,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(client.send, b"x" * size)
                 await anyio.sleep(0.3)
-                kept = len(stream._read)
+                kept = len(stream._buffer)
                 assert MAX_READ_BUFFER_BYTES < kept < 2 * MAX_READ_BUFFER_BYTES
                 got = 0
                 while got < size:
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -127,7 +127,7 @@
         assert parser.pop_request() == Request("POST", "/v2/runs", b"", True, False)
         parser.feed(b"x" * 100_000)
         assert parser.pop_request() is None
-        assert not parser._parts
+        assert not parser._body_parts
     parser = RequestParser()
     parser.feed(
         length[: length.index(b"9999999")] + b"%d\r\n\r\n" % MAX_BODY_BYTES + b"x" * MAX_BODY_BYTES
