--- a/src/dapplewick/cli/__init__.py
+++ b/src/dapplewick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, for users and operators."""
+"""Command line for users and operators."""
--- a/src/dapplewick/cli/main.py
+++ b/src/dapplewick/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Entry point and top-level commands of the command line."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 
 class CommandError(DapplewickError, click.ClickException):
-    """One line on standard error, with an exit code."""
+    """An error shown as one line on standard error; ends the command with exit code 1."""
 
     def __init__(self, message: str) -> None:
         super().__init__(" ".join(message.split()))
 
-    def show(self, file: Any = None) -> None:  # noqa: ARG002 - click's signature
-        """Print the line."""
+    def show(self, file: Any = None) -> None:  # noqa: ARG002 - signature set by click
+        """Print the message to standard error."""
         click.echo(f"dapplewick: {self.message}", err=True)
 
 
 class InvalidInputError(CommandError):
-    """What was given can't be used."""
+    """An argument or an input file is invalid; ends the command with exit code 2."""
 
     exit_code = 2
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are in a module that is loaded only when one of them is used."""
+    """A command group whose module is imported only when the group is used."""
 
     def __init__(self, *args: Any, module: str, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -50,44 +50,46 @@
                 self.add_command(command)
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of its commands."""
+        """Return the names of the commands in the group."""
         self._load()
         return super().list_commands(ctx)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """One of its commands."""
+        """Return a command of the group by name."""
         self._load()
         return super().get_command(ctx, cmd_name)
 
 
-def _await(call: Callable[[], Coroutine[Any, Any, dict[str, Any]]]) -> dict[str, Any]:
+def _run(call: Callable[[], Coroutine[Any, Any, dict[str, Any]]]) -> dict[str, Any]:
     try:
         return anyio.run(call)
     except client.ClientError as err:
         raise CommandError(str(err)) from None
 
 
-def _json(value: Any) -> None:
+def _print_json(value: Any) -> None:
     click.echo(msgspec.json.format(msgspec.json.encode(value)).decode())
 
 
 @click.group()
 @click.version_option(__version__, prog_name="dapplewick")
 def main() -> None:
-    """A cluster scheduler for gangs and arrays on rented machines."""
+    """A cluster scheduler for gangs and array jobs on rented machines."""
 
 
-config_option = click.option("--config", required=True, help="The platform's settings file.")
+config_option = click.option("--config", required=True, help="Path of the settings file.")
 script_option = click.option(
-    "--script", envvar=SCRIPT_VARIABLE, help=f"Operators' Starlark script ({SCRIPT_VARIABLE})."
+    "--script",
+    envvar=SCRIPT_VARIABLE,
+    help=f"Starlark script with settings ({SCRIPT_VARIABLE}).",
 )
-user_option = click.option("--at", required=True, help="host:port that users reach.")
+user_option = click.option("--at", required=True, help="host:port of a controller's user API.")
 
 
 @main.command()
 @config_option
 @script_option
-@click.option("--shares", help="Plan of shares, a Starlark script; shares are off without one.")
+@click.option("--shares", help="Starlark script with the plan of shares; without it, no shares.")
 def run(config: str, script: str | None, shares: str | None) -> None:
     """Run one controller until it is killed."""
     sys.exit(run_controller(config, script, shares))
@@ -97,7 +99,7 @@
 @config_option
 @script_option
 def check(config: str, script: str | None) -> None:
-    """Check a settings file and a script without starting."""
+    """Validate a settings file and a script without starting a controller."""
     try:
         settings = load(config)
     except SettingsError as err:
@@ -109,17 +111,17 @@
         except ScriptError as err:
             raise InvalidInputError(f"script: {err}") from None
         click.echo("script: good")
-        _json(msgspec.to_builtins(tuning))
+        _print_json(msgspec.to_builtins(tuning))
 
 
 @main.command()
 @click.option("--at", required=True, help="host:port of a controller's peer address.")
-@click.option("--json", "as_json", is_flag=True, help="JSON instead of text.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 def status(at: str, as_json: bool) -> None:
-    """Ask a running controller how it is."""
-    answer = _await(lambda: client.status(at))
+    """Show the status of a running controller."""
+    answer = _run(lambda: client.status(at))
     if as_json:
-        _json(answer)
+        _print_json(answer)
     else:
         for line in status_lines(answer):
             click.echo(line)
@@ -127,24 +129,24 @@
 
 @main.group(cls=LazyGroup, module="dapplewick.cli.partitions")
 def shares() -> None:
-    """Machines of a zone that are kept for some teams: show, plan, move, cancel."""
+    """Manage shares: machines of a zone reserved for some teams."""
 
 
 @main.command()
 @user_option
 @click.argument("file", type=click.File("rb"))
 def submit(at: str, file: Any) -> None:
-    """Submit a job: FILE holds its JSON, - is standard input."""
+    """Submit the job that FILE describes in JSON; - reads standard input."""
     data = file.read()
-    _json(_await(lambda: client.submit(at, data)))
+    _print_json(_run(lambda: client.submit(at, data)))
 
 
 @main.command()
 @user_option
 @click.argument("job")
 def poll(at: str, job: str) -> None:
-    """Ask for a job's state."""
-    _json(_await(lambda: client.poll(at, job)))
+    """Show the state of a job."""
+    _print_json(_run(lambda: client.poll(at, job)))
 
 
 @main.command()
@@ -152,4 +154,4 @@
 @click.argument("job")
 def cancel(at: str, job: str) -> None:
     """Cancel a job."""
-    _json(_await(lambda: client.cancel(at, job)))
+    _print_json(_run(lambda: client.cancel(at, job)))
--- a/src/dapplewick/cli/partitions.py
+++ b/src/dapplewick/cli/partitions.py
@@ -1,4 +1,4 @@
-"""The operators' commands on partitions, which they know as shares."""
+"""Commands for partitions, which the command line calls shares."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 )
 from dapplewick.partitions.plan import PlanError, load
 
-OWN = "-"  # stands for a zone's own shard, the machines of no partition
+NO_SHARE = "-"  # argument for the zone's default shard, whose machines are in no partition
 
 at_option = click.option("--at", required=True, help="host:port of a controller's peer address.")
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON instead of text.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 
 
 class PartitionsReport(msgspec.Struct):
-    """What is read of a controller's description of partitions, to show it as text."""
+    """The fields of a controller's description of partitions that the text output shows."""
 
     targets_known: bool
     teams: dict[str, list[str]]
@@ -37,19 +37,19 @@
     times: dict[str, messages.DurationSummary]
 
 
-def _call(at: str, command: messages.Command) -> dict[str, Any]:
-    """Put a command to a controller; a refusal ends the command line with one line.
+def _send_command(at: str, command: messages.Command) -> dict[str, Any]:
+    """Send a command to a controller and return its answer.
 
     Raises:
-        InvalidInputError: the controller refuses what was given.
-        CommandError: there is no answer, or the command can't be carried out now.
+        InvalidInputError: The controller rejected the command as invalid (status 4xx).
+        CommandError: The controller is unreachable, or can't execute the command now.
     """
 
-    async def ask() -> dict[str, Any]:
+    async def request() -> dict[str, Any]:
         return await client.partitions(at, **messages.encode(command))
 
     try:
-        answer = anyio.run(ask)
+        answer = anyio.run(request)
     except client.ClientError as err:
         raise CommandError(str(err)) from None
     status = int(answer.get("status", 500))
@@ -70,17 +70,17 @@
 @at_option
 @json_option
 def show(at: str, as_json: bool) -> None:
-    """Show the shares, their machines, and what is moving and why it waits."""
-    answer = _call(at, ShowCommand())
+    """Show the shares, their machines, and the transfers with the reasons for waiting."""
+    answer = _send_command(at, ShowCommand())
     _print(answer, as_json, partition_lines(answer))
 
 
-def _name(partition: str) -> str:
+def _share_name(partition: str) -> str:
     return partition or "(no share)"
 
 
 def partition_lines(answer: dict[str, Any]) -> list[str]:
-    """What a controller tells of partitions, as text."""
+    """Format a controller's description of partitions as lines of text."""
     report = msgspec.convert(answer, type=PartitionsReport)
     lines = []
     if not report.targets_known:
@@ -101,14 +101,14 @@
 
 def _machine_line(row: messages.MachineCount) -> str:
     target = "" if row.target is None else f"  of {row.target} planned"
-    return f"{row.zone}  {_name(row.partition)}  {row.type}  {row.machines}{target}"
+    return f"{row.zone}  {_share_name(row.partition)}  {row.type}  {row.machines}{target}"
 
 
 def _transfer_lines(transfer: TransferDescription) -> list[str]:
     lines = [
-        f"transfer {transfer.id}  {transfer.zone}: {_name(transfer.source)} to "
-        f"{_name(transfer.target)}  {transfer.type}  {transfer.moved} of {transfer.count} moved  "
-        f"{transfer.state}"
+        f"transfer {transfer.id}  {transfer.zone}: {_share_name(transfer.source)} to "
+        f"{_share_name(transfer.target)}  {transfer.type}  "
+        f"{transfer.moved} of {transfer.count} moved  {transfer.state}"
     ]
     if transfer.left_s:
         lines[0] += f", {transfer.left_s:.0f} s left"
@@ -120,27 +120,29 @@
 @click.command()
 @at_option
 @json_option
-@click.option("--reset", is_flag=True, help="Go back to the plan that the controllers start with.")
-@click.option("--check", is_flag=True, help="Only check the file, without a controller's help.")
+@click.option(
+    "--reset", is_flag=True, help="Restore the plan given at the start of the controllers."
+)
+@click.option("--check", is_flag=True, help="Only validate the file; contacts no controller.")
 @click.argument("file", required=False, type=click.Path())
 def plan(at: str, as_json: bool, reset: bool, check: bool, file: str | None) -> None:
-    """Show the plan in force, or put FILE, a Starlark script, in force."""
+    """Show the current plan, or replace it by the plan in FILE, a Starlark script."""
     if file is None and not reset:
-        answer = _call(at, ShowCommand())["plan"]
+        answer = _send_command(at, ShowCommand())["plan"]
         _print(answer, True, [])
         return
     if file is not None and reset:
-        raise InvalidInputError("--reset: give no file with it")
-    given = None
+        raise InvalidInputError("--reset: can't be combined with a file")
+    new_plan = None
     if file is not None:
         try:
-            given = msgspec.to_builtins(load(file))
+            new_plan = msgspec.to_builtins(load(file))
         except PlanError as err:
             raise InvalidInputError(str(err)) from None
     if check:
         _print({"status": 200}, as_json, ["the plan can be read"])
         return
-    answer = _call(at, PlanCommand(plan=given))
+    answer = _send_command(at, PlanCommand(plan=new_plan))
     _print(answer, as_json, ["the plan is in force"])
 
 
@@ -148,10 +150,10 @@
 @at_option
 @json_option
 @click.option("--zone", required=True)
-@click.option("--type", "type_", required=True, help="Type of the machines.")
-@click.option("--from", "source", required=True, help=f"Share that gives; {OWN} for no share.")
-@click.option("--to", "target", required=True, help=f"Share that gets; {OWN} for no share.")
-@click.option("--id", "command", help="Name of this order: a repeated one is carried out once.")
+@click.option("--type", "type_", required=True, help="Machine type.")
+@click.option("--from", "source", required=True, help=f"Source share; {NO_SHARE} for no share.")
+@click.option("--to", "target", required=True, help=f"Target share; {NO_SHARE} for no share.")
+@click.option("--id", "command", help="Idempotency key: commands with the same id run once.")
 @click.argument("count", type=int)
 def move(
     at: str,
@@ -163,16 +165,16 @@
     command: str | None,
     count: int,
 ) -> None:
-    """Move COUNT machines from one share of a zone to another, as their work ends."""
-    answer = _call(
+    """Move COUNT machines from one share of a zone to another once their tasks have ended."""
+    answer = _send_command(
         at,
         MoveCommand(
             id=command or f"o-{secrets.token_hex(6)}",
             zone=zone,
             type=type_,
             count=count,
-            source="" if source == OWN else source,
-            target="" if target == OWN else target,
+            source="" if source == NO_SHARE else source,
+            target="" if target == NO_SHARE else target,
         ),
     )
     _print(answer, as_json, [f"transfer {answer['id']}  {answer['state']}"])
@@ -183,8 +185,8 @@
 @json_option
 @click.argument("transfer")
 def cancel(at: str, as_json: bool, transfer: str) -> None:
-    """End a transfer; what has moved stays where it is."""
-    answer = _call(at, CancelCommand(id=transfer))
+    """Cancel a transfer; machines already moved stay in the target share."""
+    answer = _send_command(at, CancelCommand(id=transfer))
     _print(answer, as_json, [f"transfer {answer['id']}  {answer['state']}"])
 
 
--- a/src/dapplewick/cli/status_text.py
+++ b/src/dapplewick/cli/status_text.py
@@ -1,7 +1,7 @@
-"""A controller's status as text.
+"""Formats the status of a controller as text.
 
-The status is a JSON object of any version that runs beside this one: fields that the version before
-does not have are optional here.
+During a rolling upgrade the controller may run another version, so the fields that the previous
+version does not send are optional.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class ShardOwner(TypedDict):
-    """Which controller owns a shard."""
+    """The controller that owns a shard, and the fencing token of its ownership."""
 
     owner: str
     token: int
 
 
 class ServiceCounts(TypedDict):
-    """Replicas of a service: wanted, assigned and running."""
+    """Replicas of a service: requested, assigned to shards, and running."""
 
     replicas: int
     granted: int
@@ -31,12 +31,12 @@
     tasks: int
     slots: int
     queued: int
-    free: list[float]  # CPUs, GPUs and GB
+    free: list[float]  # CPUs, GPUs and GB of RAM
     silent: float  # seconds since the last heartbeat
 
 
 class ReservationReport(TypedDict):
-    """One gang's reservation in an owned shard."""
+    """The reservation of a gang in an owned shard."""
 
     state: str
     wait_s: float
@@ -52,7 +52,7 @@
 
 
 class Latency(TypedDict):
-    """A histogram's summary, in milliseconds."""
+    """Summary of a latency histogram; percentiles and maximum in milliseconds."""
 
     count: int
     p50: float
@@ -61,7 +61,7 @@
 
 
 class WaitingGroup(TypedDict):
-    """Jobs of a class, a team, or the largest of a class, that wait for long."""
+    """Long-waiting jobs of a class or a team, or the largest jobs of a class."""
 
     name: str
     oldest_s: float
@@ -70,7 +70,7 @@
 
 
 class ControllerStatus(TypedDict):
-    """What a controller tells of itself, with the names that the wire has."""
+    """A controller's status, with the field names of the peer protocol."""
 
     node: str
     version: str
@@ -87,12 +87,12 @@
     budgets: dict[str, float]
     owned: dict[str, OwnedShard]
     latencies_ms: dict[str, Latency]
-    violations: NotRequired[dict[str, int]]  # of invariants
-    waiting: NotRequired[list[WaitingGroup]]  # for long, as the leader sees it
+    violations: NotRequired[dict[str, int]]  # count by invariant
+    waiting: NotRequired[list[WaitingGroup]]  # long-waiting jobs; reported by the leader
 
 
 def status_lines(answer: dict[str, Any]) -> list[str]:
-    """A status as text."""
+    """Format a status as lines of text."""
     status = cast(ControllerStatus, answer)
     return [
         *_controller_lines(status),
