--- a/run.py
+++ b/run.py
@@ -1,15 +1,15 @@
-"""Start one controller, from a checkout or from the copy that the build makes of it.
+"""Starts one controller, from a checkout or from the copy that the build creates.
 
-The build compiles that copy, `target/app`, and the libraries beside it in `target/deps`: reading
-the sources anew took a third of a start's processor time.
+The build compiles its copy of the sources, `target/app`, and the libraries in `target/deps` to
+bytecode, because compiling the sources at each start took a third of the start's CPU time.
 """
 
 import gc
 import os
 import sys
 
-# While modules are loaded nothing becomes garbage, and looking for some took a tenth of a start's
-# processor time; `configure_memory` switches the collector on again.
+# Importing modules produces hardly any garbage, and garbage collection during the imports took a
+# tenth of the start's CPU time. `configure_memory` enables the collector again.
 gc.disable()
 
 ROOT = os.path.dirname(os.path.abspath(__file__))
--- a/src/dapplewick/__main__.py
+++ b/src/dapplewick/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dapplewick` is the command line."""
+"""Runs the command line for `python -m dapplewick`."""
 
 from dapplewick.cli.main import main
 
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over."""
+"""Reads and validates the settings file that the platform provides to a controller."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 from dapplewick.errors import DapplewickError
 
-VALUE_FRACTION = 0.92  # of what the state service takes in a value
+USABLE_VALUE_FRACTION = 0.92  # of the maximum value size; the rest is reserved for encoding
 
 
 class SettingsError(DapplewickError):
-    """The settings can't be used, no controller starts by them; the text names the field."""
+    """The settings are invalid and no controller starts with them; the text names the field."""
 
 
 class Peer(msgspec.Struct):
-    """Another controller, and the host:port that it listens on for controllers."""
+    """Another controller; `peer_addr` is its host:port for messages between controllers."""
 
     host_name: str
     zone: str
     peer_addr: str
 
 
-class Outside(msgspec.Struct):
-    """The services of the platform, each as host:port."""
+class ExternalServices(msgspec.Struct):
+    """Addresses (host:port) of the platform's cloud API and state service."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
-    """A team's guarantee, and its limit; a limit of 0 is none."""
+    """A team's guaranteed resources and its limits (`_max`); a limit of 0 means no limit."""
 
     name: str
     cpus: float = 0.0
@@ -41,7 +41,7 @@
 
 
 class Objective(msgspec.Struct):
-    """An aim of the platform for a class of jobs, or for all."""
+    """A service level objective for a class of jobs, or for all jobs if `class_` is None."""
 
     kind: str
     class_: str | None = msgspec.field(default=None, name="class")
@@ -51,7 +51,7 @@
 
 
 class WorkerTimes(msgspec.Struct):
-    """How workers behave: intervals and timeouts, in seconds."""
+    """Intervals and timeouts of the workers, in seconds."""
 
     report_s: float
     lease_s: float
@@ -61,7 +61,7 @@
 
 
 class NextStateLimits(msgspec.Struct):
-    """What the state service will take from some moment on; what is not named stays."""
+    """Limits that the state service will adopt at an unknown later time; None: unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -70,7 +70,15 @@
 
 
 class StateLimits(msgspec.Struct):
-    """What the state service takes: requests and writes a second, and sizes."""
+    """Limits of the state service: requests and writes per second, value size and batch size.
+
+    Attributes:
+        rps: Maximum requests per second.
+        write_rps: Maximum writes per second.
+        value_kb: Maximum size of a value in KiB.
+        txn_ops: Maximum operations in a transaction.
+        next: Limits that apply from a later time, if the service announces any.
+    """
 
     rps: float
     write_rps: float
@@ -79,7 +87,10 @@
     next: NextStateLimits | None = None
 
     def lowest(self) -> StateLimits:
-        """The lower of each limit, of now and of later: the moment comes without notice."""
+        """Return the lower of the current and the next value of each limit.
+
+        The state service switches to the next limits without notice.
+        """
         later = self.next or NextStateLimits()
         return StateLimits(
             rps=min(self.rps, later.rps or self.rps),
@@ -90,25 +101,25 @@
 
     @property
     def value_bytes(self) -> int:
-        """What a value may hold, less a little for how it is written."""
-        return int(self.value_kb * 1024 * VALUE_FRACTION)
+        """Maximum encoded size of a value, with a margin for the encoding in the request."""
+        return int(self.value_kb * 1024 * USABLE_VALUE_FRACTION)
 
 
 class CloudLimits(msgspec.Struct):
-    """What the cloud takes a second, and how old its list of machines may be."""
+    """Request rate limit of the cloud API, and the maximum age of its machine list in seconds."""
 
     rps: float
     list_lag_s: float
 
 
 class MachineLimits(msgspec.Struct):
-    """What a controller's own machine gives it."""
+    """Limits of the machine that a controller runs on."""
 
     fd_limit: int = 1024
 
 
 class Deployment(msgspec.Struct):
-    """What is the same for all controllers."""
+    """Settings that are the same for all controllers."""
 
     count: int
     zones: list[str]
@@ -121,7 +132,7 @@
     machine_limits: MachineLimits = msgspec.field(default_factory=MachineLimits)
 
     def classes_with_objectives(self) -> frozenset[str]:
-        """The classes of which users say when they should start or be done."""
+        """Return the job classes with an objective for the time of start or completion."""
         return frozenset(o.class_ for o in self.objectives if o.class_)
 
 
@@ -133,7 +144,7 @@
     client_listen: str
     peer_listen: str
     peers: list[Peer]
-    outside: Outside
+    outside: ExternalServices
     deployment: Deployment
 
 
@@ -141,19 +152,19 @@
     """Split an address of the form host:port.
 
     Raises:
-        SettingsError: it is none; the text names the field.
+        SettingsError: The text is not a valid address; the error names `field`.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{field}: not an address of the form host:port: {text!r}")
+        raise SettingsError(f"{field}: expected an address of the form host:port, got {text!r}")
     return host, int(port)
 
 
 def parse(data: bytes) -> Settings:
-    """Check the settings; unknown fields are ignored.
+    """Decode and validate settings; unknown fields are ignored.
 
     Raises:
-        SettingsError: a field is missing or wrong.
+        SettingsError: The data is not JSON, or a field is missing or invalid.
     """
     try:
         settings = msgspec.json.decode(data, type=Settings)
@@ -163,10 +174,10 @@
         raise SettingsError(f"not valid JSON: {err}") from None
     _check_addresses(settings)
     if not settings.deployment.zones:
-        raise SettingsError("deployment.zones: no zone is named")
+        raise SettingsError("deployment.zones: at least one zone is required")
     for field, value in _positive_fields(settings.deployment).items():
         if not 0 < value < float("inf"):
-            raise SettingsError(f"{field}: must be a positive number, not {value}")
+            raise SettingsError(f"{field}: expected a positive finite number, got {value}")
     return settings
 
 
@@ -180,7 +191,7 @@
 
 
 def _positive_fields(deployment: Deployment) -> dict[str, float]:
-    """The fields that must be positive numbers, with their values."""
+    """Return the values of the fields that must be positive numbers, by field path."""
     fields: dict[str, float] = {
         "deployment.count": deployment.count,
         "deployment.workers.report_s": deployment.workers.report_s,
@@ -202,10 +213,10 @@
 
 
 def load(path: str) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises:
-        SettingsError: it can't be read, or a field is missing or wrong.
+        SettingsError: The file can't be read, or a field is missing or invalid.
     """
     try:
         data = Path(path).read_bytes()
--- a/src/dapplewick/errors.py
+++ b/src/dapplewick/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors of the package."""
+"""Base class of the errors that the package raises."""
 
 from __future__ import annotations
 
 
 class DapplewickError(Exception):
-    """Something that this package cannot do; each kind says what it means for the caller."""
+    """Base class; each subclass documents what the error means for its caller."""
--- a/src/dapplewick/script.py
+++ b/src/dapplewick/script.py
@@ -1,4 +1,4 @@
-"""Operators' Starlark scripts: names that are set at the top level become settings."""
+"""Runs operators' Starlark scripts; names assigned at the top level become settings."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 import msgspec
 
 from dapplewick.errors import DapplewickError
-from dapplewick.tuning import LIMITS, WEIGHT_LIMITS, Tuning
+from dapplewick.tuning import CLASS_WEIGHT_LIMITS, SETTING_LIMITS, Tuning
 
-MAX_CHECKS = 5000  # of about a thousand steps each
-MAX_DEPTH = 50
-MAX_BYTES = 64 * 1024
+MAX_STEP_CHECKS = 5000  # Starlark calls the check about every 1,000 steps
+MAX_CALL_DEPTH = 50
+MAX_SCRIPT_BYTES = 64 * 1024
 
-# What a script may call. It has no other way out: no files, no network, no clock.
+# Functions available to scripts besides the Starlark built-ins. Scripts have no access to files,
+# network or clock.
 PRELUDE = """
 def minutes(n):
     return n * 60.0
@@ -27,24 +28,29 @@
 
 
 class ScriptError(DapplewickError):
-    """The script can't be used; the text has its file, line and reason."""
+    """The script is invalid; the text has its file, line and the reason."""
 
 
-def _first_line(error: Exception) -> str:
-    """Starlark's report in one line, the place in front."""
+def _error_line(error: Exception) -> str:
+    """Format a Starlark error as one line that begins with the location."""
     lines = [line.strip() for line in str(error).splitlines() if line.strip()]
     reason = lines[0].removeprefix("error:").strip() if lines else "unknown error"
-    placements = [line.removeprefix("-->").strip() for line in lines if line.startswith("-->")]
-    return f"{placements[0]}: {reason}" if placements else reason
+    locations = [line.removeprefix("-->").strip() for line in lines if line.startswith("-->")]
+    return f"{locations[0]}: {reason}" if locations else reason
 
 
 def evaluate(name: str, text: str, settings: Iterable[str]) -> dict[str, Any]:
-    """Run a script; gives what it set of these settings.
+    """Run a script and return the values of the settings that it assigned.
+
+    Args:
+        name: The file name for error messages.
+        text: The script.
+        settings: The names of all settings.
 
     Raises:
-        ScriptError: the script can't be run, or takes too many steps.
+        ScriptError: The script fails or takes too many steps.
     """
-    # Loaded only here: controllers without a script do without it.
+    # Imported lazily: a controller without a script doesn't need it.
     import starlark
 
     checks = 0
@@ -52,19 +58,21 @@
     def check_cancelled() -> bool:
         nonlocal checks
         checks += 1
-        return checks > MAX_CHECKS
+        return checks > MAX_STEP_CHECKS
 
-    options = starlark.EvalOptions(check_cancelled=check_cancelled, max_callstack_size=MAX_DEPTH)
-    known = starlark.Globals.standard()
+    options = starlark.EvalOptions(
+        check_cancelled=check_cancelled, max_callstack_size=MAX_CALL_DEPTH
+    )
+    globals_ = starlark.Globals.standard()
     module = starlark.Module()
     try:
-        starlark.eval_with(options, module, starlark.parse("prelude", PRELUDE), known)
+        starlark.eval_with(options, module, starlark.parse("prelude", PRELUDE), globals_)
         tree = starlark.parse(name, text)
-        starlark.eval_with(options, module, tree, known)
+        starlark.eval_with(options, module, tree, globals_)
     except starlark.StarlarkError as err:
-        if checks > MAX_CHECKS:
+        if checks > MAX_STEP_CHECKS:
             raise ScriptError(f"{name}: takes too many steps") from None
-        raise ScriptError(_first_line(err)) from None
+        raise ScriptError(_error_line(err)) from None
     values = {}
     for setting in settings:
         value = module[setting]
@@ -73,88 +81,96 @@
     return values
 
 
-def _assigned(text: str) -> list[tuple[int, str]]:
-    """Names assigned at the top level, with their lines."""
+def _top_level_assignments(text: str) -> list[tuple[int, str]]:
+    """Return the line numbers and names of assignments at the top level."""
     found = []
     for number, line in enumerate(text.splitlines(), 1):
-        name, equals, rest = line.partition("=")
-        assigned = equals and not rest.startswith("=") and name == name.lstrip()
+        name, equals, right_side = line.partition("=")
+        assigned = equals and not right_side.startswith("=") and name == name.lstrip()
         if assigned and name.strip().isidentifier():
             found.append((number, name.strip()))
     return found
 
 
 def assigned_lines(name: str, text: str, settings: Sequence[str]) -> dict[str, int]:
-    """The lines of the settings that a script assigns.
+    """Return the line number of each setting that a script assigns.
 
     Raises:
-        ScriptError: it assigns a name that is none of them, and that does not begin with _.
+        ScriptError: The script assigns a name that is not a setting and does not begin with _.
     """
     lines: dict[str, int] = {}
-    for line, assigned in _assigned(text):
+    for line, assigned in _top_level_assignments(text):
         if assigned.startswith("_"):
             continue
         lines[assigned] = line
         if assigned not in settings:
-            near = difflib.get_close_matches(assigned, settings, 1, 0.0)
+            nearest = difflib.get_close_matches(assigned, settings, 1, 0.0)
             raise ScriptError(
-                f"{name}:{line}: unknown setting {assigned!r}; the nearest known is {near[0]!r}"
+                f"{name}:{line}: unknown setting {assigned!r}; the nearest known is {nearest[0]!r}"
             )
     return lines
 
 
-def _number(place: str, setting: str, value: object, limits: tuple[float, float]) -> float:
-    """A setting's value, if it is a number within its limits."""
+def _checked_number(
+    location: str, setting: str, value: object, limits: tuple[float, float]
+) -> float:
+    """Return a setting's value as a float.
+
+    Raises:
+        ScriptError: The value is not a number within `limits`.
+    """
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ScriptError(f"{place}: {setting}: a number is needed")
+        raise ScriptError(f"{location}: {setting}: a number is needed")
     if not limits[0] <= value <= limits[1]:
-        raise ScriptError(f"{place}: {setting}: must be from {limits[0]} to {limits[1]}")
+        raise ScriptError(f"{location}: {setting}: must be from {limits[0]} to {limits[1]}")
     return float(value)
 
 
 def parse(name: str, text: str) -> Tuning:
-    """Run a script and check what it sets. Names that begin with _ are the script's own.
+    """Run a script and validate its settings; names that begin with _ are private to the script.
 
     Raises:
-        ScriptError: it can't be run, or a setting is wrong.
+        ScriptError: The script fails, or a setting is unknown or invalid.
     """
     lines = assigned_lines(name, text, Tuning.__struct_fields__)
     values = evaluate(name, text, Tuning.__struct_fields__)
     for setting, value in values.items():
-        place = f"{name}:{lines.get(setting, 1)}"
+        location = f"{name}:{lines.get(setting, 1)}"
         if setting == "class_weights":
             if not isinstance(value, dict) or not all(isinstance(k, str) for k in value):
-                raise ScriptError(f"{place}: {setting}: a dict of classes is needed")
+                raise ScriptError(f"{location}: {setting}: a dict of classes is needed")
             values[setting] = {
-                job_class: _number(place, f"{setting}[{job_class!r}]", weight, WEIGHT_LIMITS)
+                job_class: _checked_number(
+                    location, f"{setting}[{job_class!r}]", weight, CLASS_WEIGHT_LIMITS
+                )
                 for job_class, weight in value.items()
             }
         else:
-            values[setting] = _number(place, setting, value, LIMITS[setting])
+            values[setting] = _checked_number(location, setting, value, SETTING_LIMITS[setting])
     return msgspec.convert(values, type=Tuning)
 
 
 def load(path: str) -> Tuning:
-    """Read, run and check a script file.
+    """Read and run a script file, and validate its settings.
 
     Raises:
-        ScriptError: it can't be read or run, or a setting is wrong.
+        ScriptError: The file can't be read, the script fails, or a setting is unknown or invalid.
     """
     return parse(path, read_script(path))
 
 
 def read_script(path: str) -> str:
-    """The text of a script file.
+    """Return the text of a script file.
 
     Raises:
-        ScriptError: it can't be read, is too large, or is no UTF-8.
+        ScriptError: The file can't be read, is too large, or is not UTF-8.
     """
     try:
         data = Path(path).read_bytes()
     except OSError as err:
         raise ScriptError(f"{path}: {err.strerror}") from None
-    if len(data) > MAX_BYTES:
-        raise ScriptError(f"{path}: over {MAX_BYTES} bytes")
+    if len(data) > MAX_SCRIPT_BYTES:
+        raise ScriptError(f"{path}: larger than {MAX_SCRIPT_BYTES} bytes")
     try:
         return data.decode()
     except UnicodeDecodeError:
--- a/src/dapplewick/tuning.py
+++ b/src/dapplewick/tuning.py
@@ -1,4 +1,7 @@
-"""What operators may set beyond the platform's file. No value here can break a rule."""
+"""Settings that operators may change by a script, with their defaults and limits.
+
+All values within the limits are safe: none can violate an invariant of the scheduler.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,17 @@
 class Tuning(msgspec.Struct, frozen=True):
     """The settings of an operators' script, with their defaults."""
 
-    threshold_s: float = 0.0  # T of the backfill test
-    patience_s: float = 4.0  # a gang's wait before work of lower priority is stopped for it
-    horizon_s: float = 25.0  # waiting array tasks should all have started within this time
-    horizon_accelerator_s: float = 60.0  # and those with accelerators
-    spare_slots: float = 1.0  # idle slots kept for gangs to come, times what was measured
-    idle_s: float = 40.0  # an idle machine of middling price is kept this long
-    spend_cap: float = 0.0  # no renting beyond this price an hour of all machines; 0: no cap
-    class_weights: dict[str, float] = {}  # heavier classes are served first within a priority
+    threshold_s: float = 0.0  # backfill threshold T, see `core/shard/backfill.py`
+    patience_s: float = 4.0  # longest gang wait without preemption of lower-priority work
+    horizon_s: float = 25.0  # time within which all waiting array tasks should start
+    horizon_accelerator_s: float = 60.0  # the same for array tasks that need accelerators
+    spare_slots: float = 1.0  # factor on the measured number of idle slots for expected gangs
+    idle_s: float = 40.0  # idle time before a machine of average price is terminated
+    spend_cap: float = 0.0  # maximum price per hour of all rented machines; 0: no limit
+    class_weights: dict[str, float] = {}  # within a priority, heavier classes go first
 
 
-LIMITS: dict[str, tuple[float, float]] = {
+SETTING_LIMITS: dict[str, tuple[float, float]] = {
     "threshold_s": (0.0, 600.0),
     "patience_s": (0.0, 3600.0),
     "horizon_s": (1.0, 3600.0),
@@ -27,4 +30,4 @@
     "idle_s": (0.0, 86400.0),
     "spend_cap": (0.0, 1e9),
 }
-WEIGHT_LIMITS = (0.0, 1000.0)
+CLASS_WEIGHT_LIMITS = (0.0, 1000.0)
--- a/src/dapplewick/types.py
+++ b/src/dapplewick/types.py
@@ -1,4 +1,4 @@
-"""The small types of the project: ids, versions, times and amounts of resources."""
+"""Basic types: identifiers, versions, times and resource amounts."""
 
 from __future__ import annotations
 
@@ -17,48 +17,48 @@
 FencingToken = NewType("FencingToken", int)
 Seconds = float
 
-NEVER_S: Seconds = -1e9  # before any time of the steady clock
+NEVER_S: Seconds = -1e9  # earlier than any time of the monotonic clock: "has not happened"
 
-# A controller's attempts and request names are its fencing token times this, plus a counter: a
-# token is never given out twice, so neither is an attempt or a name.
+# An attempt or request id is the controller's fencing token times this factor, plus a counter. A
+# fencing token is never issued twice, so these ids are unique across controllers.
 IDS_PER_TOKEN = 1 << 20
 
-PARTITION_SEPARATOR = "/~"  # between the zone and the partition in the name of a shard
+PARTITION_SEPARATOR = "/~"  # separates the zone and the partition in a shard name
 
-_ROUNDING = 1e-6  # what sums of amounts may be off by rounding
-_NO_AMOUNT = 1e-9  # less than this is nothing
-_MAX_COUNT = 1 << 20  # how often a size that takes nothing fits into any room
+_ROUNDING_TOLERANCE = 1e-6  # maximum rounding error of a sum of resource amounts
+_MIN_AMOUNT = 1e-9  # a smaller amount counts as zero
+_MAX_COUNT = 1 << 20  # result of `fit_count` for a task that takes no resources
 
 
 def shard_name(zone: str, partition: str = "") -> ShardName:
-    """The shard that schedules a partition of a zone; without a partition, the zone's own shard."""
+    """Return the shard of a partition in a zone; without a partition, the zone's default shard."""
     return ShardName(f"{zone}{PARTITION_SEPARATOR}{partition}" if partition else zone)
 
 
 def zone_of(shard: str) -> Zone:
-    """The zone whose machines a shard schedules."""
+    """Return the zone whose machines a shard schedules."""
     return Zone(shard.partition(PARTITION_SEPARATOR)[0])
 
 
 def partition_of(shard: str) -> str:
-    """The partition that a shard schedules; empty for a zone's own shard."""
+    """Return the partition that a shard schedules; empty for a zone's default shard."""
     return shard.partition(PARTITION_SEPARATOR)[2]
 
 
 class TaskRef(NamedTuple):
-    """One task of one job."""
+    """Reference to a task: the job and the index of the task in the job."""
 
     job: JobId
     task_index: TaskIndex
 
 
 class Resources(NamedTuple):
-    """What a task takes of its machine, or what a machine has.
+    """Resources that a task requires or that a machine provides.
 
     Attributes:
-        cpus: processors; a task may take less than one.
-        gpus: accelerators.
-        ram_gb: memory in GB.
+        cpus: Number of CPUs; a task may require a fraction of one.
+        gpus: Number of accelerators.
+        ram_gb: Memory in GB.
     """
 
     cpus: float
@@ -66,31 +66,31 @@
     ram_gb: float
 
     def plus(self, other: Resources) -> Resources:
-        """Both together."""
+        """Return the sum of both."""
         return Resources(self.cpus + other.cpus, self.gpus + other.gpus, self.ram_gb + other.ram_gb)
 
     def minus(self, other: Resources) -> Resources:
-        """What is left without the other; negative where the other is larger."""
+        """Return the difference; an amount is negative where the other's is larger."""
         return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.ram_gb - other.ram_gb)
 
     def times(self, count: int) -> Resources:
-        """What so many take together."""
+        """Return the resources of `count` tasks of this size."""
         return Resources(self.cpus * count, self.gpus * count, self.ram_gb * count)
 
-    def fits_in(self, room: Resources) -> bool:
-        """Whether this size fits into the room (with an allowance for rounding)."""
+    def fits_in(self, capacity: Resources) -> bool:
+        """Whether these resources fit into a capacity, with a tolerance for rounding errors."""
         return (
-            self.cpus <= room.cpus + _ROUNDING
-            and self.gpus <= room.gpus + _ROUNDING
-            and self.ram_gb <= room.ram_gb + _ROUNDING
+            self.cpus <= capacity.cpus + _ROUNDING_TOLERANCE
+            and self.gpus <= capacity.gpus + _ROUNDING_TOLERANCE
+            and self.ram_gb <= capacity.ram_gb + _ROUNDING_TOLERANCE
         )
 
-    def fit_count(self, room: Resources) -> int:
-        """How often this size fits into the room (with an allowance for rounding); 0 if never."""
+    def fit_count(self, capacity: Resources) -> int:
+        """Return how many times these resources fit into a capacity, tolerating rounding errors."""
         count = _MAX_COUNT
-        for need, have in zip(self, room, strict=True):
-            if need > _NO_AMOUNT:
-                count = min(count, int((have + _ROUNDING) / need))
+        for need, available in zip(self, capacity, strict=True):
+            if need > _MIN_AMOUNT:
+                count = min(count, int((available + _ROUNDING_TOLERANCE) / need))
         return max(0, count)
 
 
