--- a/src/dapplewick/cli/status_text.py
+++ b/src/dapplewick/cli/status_text.py
@@ -17,10 +17,10 @@
 
 
 class ServiceCounts(TypedDict):
-    """Replicas of a service: requested, assigned to shards, and running."""
+    """Number of requested, assigned and running replicas of a service."""
 
     replicas: int
-    granted: int
+    granted: int  # assigned to shards
     running: int
 
 
@@ -39,14 +39,14 @@
     """The reservation of a gang in an owned shard."""
 
     state: str
-    wait_s: float
+    wait_s: float  # estimated remaining wait
 
 
 class OwnedShard(TypedDict):
     """A shard that the controller owns."""
 
-    unheard: int
-    loose: int
+    unheard: int  # machines that have not reported to this owner yet
+    loose: int  # array tasks that are in no machine's queue
     machines: dict[str, MachineReport]
     held: dict[str, ReservationReport]  # by gang
 
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -70,7 +70,7 @@
 
 
 class StateLimits(msgspec.Struct):
-    """Limits of the state service: requests and writes per second, value size and batch size.
+    """Limits of the state service: requests and writes per second, value and transaction size.
 
     Attributes:
         rps: Maximum requests per second.
--- a/src/dapplewick/script.py
+++ b/src/dapplewick/script.py
@@ -84,11 +84,11 @@
 def _top_level_assignments(text: str) -> list[tuple[int, str]]:
     """Return the line numbers and names of assignments at the top level."""
     found = []
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         name, equals, right_side = line.partition("=")
         assigned = equals and not right_side.startswith("=") and name == name.lstrip()
         if assigned and name.strip().isidentifier():
-            found.append((number, name.strip()))
+            found.append((line_number, name.strip()))
     return found
 
 
--- a/src/dapplewick/transport/http.py
+++ b/src/dapplewick/transport/http.py
@@ -24,7 +24,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024  # request line and headers; httptools limits neither
-# Limit for a request body as sent, including chunk sizes and trailers. A body sent in 1-byte chunks
+# Limit of a request body as sent, including chunk sizes and trailers. A body sent in 1-byte chunks
 # takes six times its length. httptools buffers a whole trailer, and an endless trailer filled the
 # memory of a controller.
 MAX_ENCODED_BODY_BYTES = 8 * MAX_BODY_BYTES
--- a/src/dapplewick/transport/http_client.py
+++ b/src/dapplewick/transport/http_client.py
@@ -83,7 +83,7 @@
         self._body_parts = []
         self._head_complete = self._has_body_length = False
 
-    def on_header(self, name: bytes, value: bytes) -> None:  # noqa: ARG002 - signature set by httptools
+    def on_header(self, name: bytes, value: bytes) -> None:  # noqa: ARG002 - set by httptools
         """Handle a header; only the headers that define the end of the body are evaluated."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
             self._has_body_length = True
--- a/src/dapplewick/transport/listen.py
+++ b/src/dapplewick/transport/listen.py
@@ -28,8 +28,8 @@
     At the limit, a new connection replaces the one that has been idle longest, which includes
     connections left half-open by a network partition. If no connection is idle, the new one is
     closed at once. A failed accept (no file descriptor left, or the connection already reset by the
-    client) is logged and
-    retried after closing some idle connections; it ends neither the listener nor the process.
+    client) is logged and retried after some idle connections have been closed; it ends neither the
+    listener nor the process.
     """
 
     def __init__(self, max_connections: int, serve: ConnectionHandler) -> None:
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -15,9 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_FRAME_BYTES = (
-    32 * 1024 * 1024
-)  # fits the status of a shard with 4,000 machines of 100 tasks each
+# Large enough for the status of a shard with 4,000 machines of 100 tasks each
+MAX_FRAME_BYTES = 32 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
 SEND_TIMEOUT_S = 3.0
 RECONNECT_DELAY_S = 0.5
--- a/src/dapplewick/transport/stream.py
+++ b/src/dapplewick/transport/stream.py
@@ -56,7 +56,7 @@
         _wake(self._read_waiter)
         return True
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - signature set by asyncio
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - set by asyncio
         """Handle the loss of the connection: wake the waiting receiver and sender."""
         self._connection_lost = True
         _wake(self._read_waiter)
@@ -125,7 +125,7 @@
         self._transport.write_eof()
 
     async def aclose(self) -> None:
-        """Close the connection; data in the write buffer is sent within LINGER_TIMEOUT_S."""
+        """Close the connection; buffered data that is not sent within LINGER_TIMEOUT_S is lost."""
         self._closed = True
         if self._transport is None:
             return
