--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -53,7 +53,7 @@
     def get(self, task: TaskRef) -> ArrayTask | None:
         """The state of an array task; None for tasks of gangs and of other shards."""
         array_tasks = self.by_job.get(task.job)
-        return array_tasks.get(task.number) if array_tasks is not None else None
+        return array_tasks.get(task.task_index) if array_tasks is not None else None
 
     def spec(self, task: TaskRef) -> JobSpec | None:
         """The specification of a task's job; None if the job has no record in the cache."""
@@ -144,7 +144,7 @@
 
     def _release(self, job: JobRecord | None, task: TaskRef, array_task: ArrayTask) -> None:
         self.detach(task, array_task)
-        array_task.released_version = job.task_version(task.number) if job is not None else 0
+        array_task.released_version = job.task_version(task.task_index) if job is not None else 0
         self.set_state(task, array_task, RELEASED)
 
     # Waiting
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -49,7 +49,7 @@
         reserved_slots = self._gangs.reserved_slots(has_other_machines)
         if reserved_slots < 0.5:
             return False
-        idle = sum(resources.count_in(m.free()) for m in machines)
+        idle = sum(resources.fit_count(m.free()) for m in machines)
         return idle <= math.ceil(reserved_slots / max(1, len(self._cache.shards)))
 
     def usable_by(self, spec: JobSpec, machine: Machine) -> Resources:
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -47,7 +47,7 @@
     def add(self, job: JobRecord, *, due_soon: bool) -> None:
         """Add the demand of a job's unfinished tasks, as many as fit into the team's limit."""
         per_task = job.resources
-        count = min(job.spec.task_count - job.done_count, per_task.count_in(self._remaining_limit))
+        count = min(job.spec.task_count - job.done_count, per_task.fit_count(self._remaining_limit))
         if count <= 0:
             return
         demand = per_task.times(count)
