--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Reconciliation of what a shard expects on a machine with what its heartbeats list."""
+"""Reconciliation of a shard's expected tasks with the tasks listed in heartbeats."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dapplewick.core.shard.array_tasks import ArrayTasks
 from dapplewick.core.shard.changes import ChangeLog
 from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.images import Images
+from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import (
@@ -31,16 +31,17 @@
 
 log = logging.getLogger(__name__)
 
-# Compared for each task of each heartbeat: an enum's members are slow to look up.
-WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)  # stages that tell of an image
+# Stages in which the machine has or fetches the task's image. Plain strings, because they are
+# compared for each task of each heartbeat and enum members are slow to look up.
+STAGES_WITH_IMAGE: Final = (FETCHING, RUNNING, GATHERING)
 
 
 class HeartbeatReconciler:
-    """Finds what a heartbeat confirms, what has exited, and what is missing.
+    """Finds the tasks that a heartbeat confirms, that have exited and that are missing.
 
-    Tasks that were assigned before this ownership may be on any machine that the old owner could
-    use. Until each of those was heard under this shard's fencing token, or is deleted, they wait:
-    started without that, they ran twice.
+    Tasks that were assigned before this ownership began may be on any machine that the previous
+    owner could use. They are not started until each of these machines has sent a heartbeat with
+    this shard's fencing token or was deleted; without this wait, tasks ran twice.
     """
 
     def __init__(
@@ -49,12 +50,12 @@
         machines: MachineTable,
         tasks: ArrayTasks,
         reservations: GangReservations,
-        images: Images,
+        images: ImageIndex,
         health: MachineHealth,
         exits: TaskExits,
         changes: ChangeLog,
     ) -> None:
-        self.unreconciled = unreconciled  # the machines that are not heard yet
+        self.unreconciled = unreconciled  # no heartbeat with this shard's token yet
         self._machines = machines
         self._tasks = tasks
         self._reservations = reservations
@@ -64,17 +65,17 @@
         self._changes = changes
 
     def requeue_if_all_reconciled(self, now: Seconds) -> None:
-        """Let those be started that no machine has listed, once all machines are heard."""
+        """Return the unconfirmed tasks to waiting once all machines are reconciled."""
         if not self.unreconciled:
             self._tasks.requeue_unconfirmed(now)
 
-    def note_confirmed(self, now: Seconds, machine: Machine) -> None:
-        """Note that a heartbeat carries this shard's fencing token: its list is complete."""
+    def record_confirmed(self, now: Seconds, machine: Machine) -> None:
+        """Record a heartbeat with this shard's fencing token, whose task list is complete."""
         machine.last_confirmed_at = now
         if not machine.reconciled:
             machine.reconciled = True
             self._changes.dirty = True
-            self._changes.machine(machine.id)
+            self._changes.record_machine(machine.id)
             self.unreconciled.discard(machine.id)
 
     def reconcile_tasks(
@@ -85,32 +86,32 @@
         is_current: bool,
         is_new_incarnation: bool,
     ) -> list[Command]:
-        """Take over what a heartbeat lists.
+        """Update the state of tasks from the list in a heartbeat.
 
-        One from before this shard's token may be a late copy, and the task may long be elsewhere:
-        it settles nothing, neither that a task is here nor that it is gone. What it shows counts
-        as room taken until a newer one tells.
+        A heartbeat without this shard's token may be a delayed copy, and its tasks may be on
+        another machine by now. It therefore neither confirms that a task is on the machine nor
+        that it is missing; its tasks only count as usage until a newer heartbeat arrives.
 
         Args:
             now: The time.
-            machine: The machine that has sent the heartbeat.
+            machine: The machine that sent the heartbeat.
             heartbeat: The heartbeat.
             is_current: Whether it carries this shard's fencing token.
-            is_new_incarnation: Whether it is the first of an incarnation of its machine.
+            is_new_incarnation: Whether it is the first heartbeat of a machine's incarnation.
 
         Returns:
-            The commands for what has exited.
+            The commands for exited tasks.
         """
         commands: list[Command] = []
         if is_current:
             listed = {item.task for item in heartbeat.tasks}
             self._health.count_lost_starts(now, machine, listed)
             for task in [t for t in machine.task_attempts if t not in listed]:
-                self.note_gone(now, machine, task, "not on its machine")
+                self.record_missing(now, machine, task, "not on its machine")
         for item in heartbeat.tasks:
             task_attempt = self._update_attempt(now, machine, item)
             if is_current and item.stage == EXITED:
-                commands += self._exits.exited(now, machine, item, task_attempt)
+                commands += self._exits.handle_exit(now, machine, item, task_attempt)
             elif is_current:
                 self.record_present(machine, item)
         if is_current:
@@ -122,25 +123,31 @@
         task_attempt = machine.task_attempts.get(task)
         if task_attempt is None or task_attempt.attempt != item.attempt:
             spec = self._tasks.spec(task)
-            task_attempt = TaskAttempt(item.attempt, item.stage, now, start_unseen=False, spec=spec)
+            task_attempt = TaskAttempt(
+                item.attempt, item.stage, now, start_unconfirmed=False, spec=spec
+            )
             machine.task_attempts[task] = task_attempt
-            self._machines.note_change(machine)
-        elif task_attempt.stage != item.stage or task_attempt.start_unseen:
-            self._machines.note_change(machine)
+            self._machines.record_change(machine)
+        elif task_attempt.stage != item.stage or task_attempt.start_unconfirmed:
+            self._machines.record_change(machine)
         if task_attempt.spec is None:
-            task_attempt.describe(self._tasks.spec(task))
-            machine.used = None
-        task_attempt.start_unseen = False
+            task_attempt.set_spec(self._tasks.spec(task))
+            machine.cached_usage = None
+        task_attempt.start_unconfirmed = False
         task_attempt.stage = item.stage
         spec = task_attempt.spec
-        if spec is not None and spec.image not in machine.images and item.stage in WITH_IMAGE:
+        if (
+            spec is not None
+            and spec.image not in machine.images
+            and item.stage in STAGES_WITH_IMAGE
+        ):
             self._images.add(machine, spec.image)
         if task_attempt.running_at is None and item.stage == RUNNING:
             task_attempt.running_at = now
         return task_attempt
 
     def record_present(self, machine: Machine, item: TaskStatus) -> None:
-        """Note that a task that has not exited is on a machine."""
+        """Record that a task that has not exited is on a machine."""
         task = item.task
         array_task = self._tasks.get(task)
         if array_task is not None:
@@ -151,7 +158,7 @@
             if array_task.state in (WAITING, ASSIGNED, RELEASED):
                 log.error("event=task_unexpected task=%s/%d", task.job, task.number)
             if array_task.state != FINISHED:
-                self._tasks.leave_place(task, array_task)
+                self._tasks.detach(task, array_task)
                 self._tasks.set_state(task, array_task, ON_MACHINE)
                 array_task.machine = machine.id
             return
@@ -161,17 +168,17 @@
             and reservation.attempt == item.attempt
             and reservation.placements.get(task.number) == machine.id
         ):
-            reservation.launched.add(task.number)
-            reservation.seen.add(task.number)
+            reservation.launched_indices.add(task.number)
+            reservation.listed_indices.add(task.number)
 
-    def note_gone(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
-        """Note that a task is known not to be on its machine any more.
+    def record_missing(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
+        """Record that a task is no longer on its machine.
 
         Args:
             now: The time.
-            machine: The machine where it was.
+            machine: The machine that had the task.
             task: The task.
-            reason: Why its gang's attempt ends, if it is a gang's.
+            reason: The failure reason of the gang's attempt, if the task belongs to a gang.
         """
         task_attempt = machine.task_attempts.get(task)
         self._tasks.remove_attempt(machine, task)
@@ -179,7 +186,7 @@
         array_task = self._tasks.get(task)
         if array_task is not None and array_task.machine == machine.id:
             if array_task.state in (ON_MACHINE, FINISHED):
-                # A result that vanished before it was stored has to be made again.
+                # A result that was lost before it was stored must be computed again.
                 self._tasks.requeue(now, task, array_task, failed=False)
             return
         reservation = self._reservations.by_job.get(task.job)
@@ -187,32 +194,33 @@
             reservation is not None
             and task_attempt is not None
             and reservation.attempt == task_attempt.attempt
-            and not task_attempt.start_unseen
-            and not reservation.failure
+            and not task_attempt.start_unconfirmed
+            and not reservation.failure_reason
             and not self._reservations.is_done(task.job, reservation)
         ):
-            reservation.failure = reason
+            reservation.failure_reason = reason
 
     def _find_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
-        """Find the gangs whose tasks were started on this machine and are not listed."""
+        """Handle start commands to this machine whose gang tasks are not listed."""
         for job_id, reservation in self._reservations.on_machine(machine.id).items():
-            if reservation.failure or self._reservations.is_done(job_id, reservation):
+            if reservation.failure_reason or self._reservations.is_done(job_id, reservation):
                 continue
             for index in reservation.indices_on[machine.id]:
                 if (
-                    index in reservation.launched
+                    index in reservation.launched_indices
                     and TaskRef(job_id, TaskIndex(index)) not in machine.task_attempts
                 ):
-                    self._note_lost_start(reservation, index, is_new_incarnation)
-                    self._machines.note_change(machine)
+                    self._record_lost_start(reservation, index, is_new_incarnation)
+                    self._machines.record_change(machine)
 
     @staticmethod
-    def _note_lost_start(
+    def _record_lost_start(
         reservation: GangReservation, index: int, is_new_incarnation: bool
     ) -> None:
-        # A start that was never seen was dropped with its answer, unless a new incarnation of
-        # the machine has begun: then it may have run, and attempts are not repeated.
-        if index in reservation.seen or reservation.inherited or is_new_incarnation:
-            reservation.failure = "start lost"
+        # If the task was never listed, the answer with its start command was lost and the start
+        # is sent again. After a new incarnation of the machine or a failover, the task may have
+        # run, and an attempt must not be started twice.
+        if index in reservation.listed_indices or reservation.inherited or is_new_incarnation:
+            reservation.failure_reason = "start lost"
         else:
-            reservation.launched.discard(index)
+            reservation.launched_indices.discard(index)
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -1,7 +1,7 @@
-"""Where replicas of services go, and when they leave their machine.
+"""Placement of service replicas, and when they move to another machine.
 
-A replica is an array task of its priority that is not expected to end. It waits in no queue, since
-the tasks of a slot may take long.
+A replica is scheduled as an array task with its priority, but is not expected to end. It does not
+wait in a queue because the tasks ahead of it may run long.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 log = logging.getLogger(__name__)
 
-EVICTION_LEAD_S = (
-    6.0  # a replica is stopped so long before its machine is taken, wherever it can go
-)
-STOP_COST_S = 4.0  # until what is stopped for a replica is gone, and what it loses
-# What a better place is worth, in seconds until the replica runs: away from the others of its
-# service, from machines that may be taken, and from accelerators.
+# A replica is stopped this long before its spot machine is withdrawn, even if no other machine has
+# capacity for it.
+EVICTION_LEAD_S = 6.0
+PREEMPTION_COST_S = 4.0  # time until preempted tasks have stopped, plus their lost work
+# Placement penalties, in seconds of start-up delay that a better machine is worth: for each other
+# replica of the service on the machine, for a spot machine, and for a machine with accelerators.
 SAME_SERVICE_COST_S, SPOT_COST_S, ACCELERATOR_COST_S = 30.0, 20.0, 5.0
-CPU_COST_S = 0.01  # and for each free CPU: small rooms are filled first
-DRAIN_S = 75.0  # after this time with nothing but replicas a dear machine is emptied
-DRAIN_PRICE = 2.0  # dear: more than this times the cheapest that they fit
-LEAST_FETCH_RATE = 0.01  # GB/s of images
-UNKNOWN_FETCH_RATE = 0.1  # of a machine of an unknown type
+FREE_CPU_COST_S = 0.01  # for each free CPU, to fill machines with little free capacity first
+DRAIN_DELAY_S = 75.0  # an expensive machine with only replicas for this long is drained
+DRAIN_PRICE_RATIO = 2.0  # expensive: above this multiple of the cheapest machine type that fits
+MIN_FETCH_RATE_GB_PER_S = 0.01  # lower bound of the image fetch rate
+DEFAULT_FETCH_RATE_GB_PER_S = 0.1  # image fetch rate of unknown machine types
 
 
 class ReplicaPlacement:
-    """Chooses places for replicas among a shard's machines."""
+    """Chooses machines for replicas and drains expensive machines."""
 
     def __init__(
         self,
@@ -55,96 +55,112 @@
     def best_machine(
         self, now: Seconds, spec: JobSpec, job_id: JobId, eligible: Iterable[Machine]
     ) -> Machine | None:
-        """The machine on which a replica will run soonest.
+        """The machine with the lowest placement cost for a replica.
 
-        It has room, or work of lower priority to preempt. Places away from the others of the
-        service and from machines that may be taken are worth a wait.
+        The machine has free capacity for it or tasks of lower priority to preempt. The cost is the
+        expected start-up delay plus penalties for other replicas of the service on the machine,
+        for spot machines and for accelerators.
 
         Args:
             now: The time.
-            spec: What the service asks for.
-            job_id: The service.
+            spec: The service's specification.
+            job_id: The service's job.
             eligible: The machines to choose from.
 
         Returns:
-            The machine; None if there is room on none.
+            The machine; None if the replica fits on none.
         """
         best: tuple[Seconds, Machine] | None = None
         for machine in eligible:
-            room = machine.free()
+            available = machine.free()
             reserved = self._reservations.reserved_resources(machine.id)
             if reserved is not NO_RESOURCES:
-                room = room.minus(reserved)
-            must_preempt = not spec.resources.fits_in(room)
+                available = available.minus(reserved)
+            must_preempt = not spec.resources.fits_in(available)
             if must_preempt and not spec.resources.fits_in(
-                self._room_with_preemption(machine, room, spec.priority)
+                self._available_with_preemption(machine, available, spec.priority)
             ):
                 continue
-            # What is stopped goes with one heartbeat, and the start comes with the next: that is
-            # sooner than an image.
-            cost_s = self._cost(now, spec, job_id, machine) + STOP_COST_S * must_preempt
+            # The answer to one heartbeat stops the preempted tasks and the next one starts the
+            # replica, which is faster than fetching an image.
+            cost_s = (
+                self._placement_cost(now, spec, job_id, machine) + PREEMPTION_COST_S * must_preempt
+            )
             if best is None or cost_s < best[0]:
                 best = (cost_s, machine)
         return best[1] if best is not None else None
 
     @staticmethod
-    def _room_with_preemption(machine: Machine, room: Resources, priority: int) -> Resources:
+    def _available_with_preemption(
+        machine: Machine, available: Resources, priority: int
+    ) -> Resources:
         for task, task_attempt in machine.task_attempts.items():
             if may_be_preempted(task_attempt, priority) or is_stopping(task, task_attempt, set()):
-                room = room.plus(task_attempt.resources)
-        return room
-
-    def _cost(self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine) -> Seconds:
-        """How long until it would run here, and what else speaks against it, in seconds."""
-        same = sum(task.job == job_id for task in machine.task_attempts)
-        same += sum(s.current is not None and s.current.job == job_id for s in machine.slots)
-        cost_s = SAME_SERVICE_COST_S * same + SPOT_COST_S * machine.spot
+                available = available.plus(task_attempt.resources)
+        return available
+
+    def _placement_cost(
+        self, now: Seconds, spec: JobSpec, job_id: JobId, machine: Machine
+    ) -> Seconds:
+        """The expected start-up delay on this machine plus placement penalties, in seconds."""
+        same_service = sum(task.job == job_id for task in machine.task_attempts)
+        same_service += sum(
+            s.current is not None and s.current.job == job_id for s in machine.slots
+        )
+        cost_s = SAME_SERVICE_COST_S * same_service + SPOT_COST_S * machine.spot
         cost_s += ACCELERATOR_COST_S * (machine.capacity.gpus > 0)
         if spec.image not in machine.images:
             machine_type = self._cache.types.get(machine.type)
-            rate = machine_type.fetch_gb_per_s if machine_type is not None else UNKNOWN_FETCH_RATE
-            cost_s += spec.image_gb / max(LEAST_FETCH_RATE, rate)
-            cost_s += machine.fetches()
-        # What was heard long ago is heard again soon; the start goes out in the answer.
+            rate = (
+                machine_type.fetch_gb_per_s if machine_type is not None else DEFAULT_FETCH_RATE_GB_PER_S
+            )
+            cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
+            cost_s += machine.pending_image_fetches()
+        # The start is sent in the answer to the machine's next heartbeat, so the time until then
+        # is part of the delay.
         cost_s += max(0.0, self._heartbeat_interval_s - (now - machine.last_heartbeat_at))
-        return cost_s + CPU_COST_S * machine.free().cpus
+        return cost_s + FREE_CPU_COST_S * machine.free().cpus
 
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
-        """Whether a replica is to leave its machine now.
+        """Whether a replica must leave its machine now.
 
-        It leaves one that goes, or is no good place, as soon as another with its image has room,
-        or at the last moment.
+        It leaves a machine that is slow, draining or about to be withdrawn as soon as another
+        machine with its image has free capacity. Shortly before a spot machine is withdrawn, it
+        leaves in any case.
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
         is_drained = (
-            machine.drain or self._cache.transfers.draining_transfer(machine.id) is not None
+            machine.draining or self._cache.transfers.draining_transfer(machine.id) is not None
         )
         if machine.spot_notice_s is None and not machine.slow and not is_drained:
             return False
-        eligible = (m for m in self._others(machine) if self._constraints.allow(spec, m))
-        place = self.best_machine(now, spec, job_id, eligible)
-        if place is None or not spec.resources.fits_in(place.free()):
+        eligible = (
+            m for m in self._other_usable_machines(machine) if self._constraints.allow(spec, m)
+        )
+        target = self.best_machine(now, spec, job_id, eligible)
+        if target is None or not spec.resources.fits_in(target.free()):
             return False
-        # Without its image there it is away for longer: only for a notice, or in the end.
-        waited = is_drained and now - machine.idle_since > 2.0 * DRAIN_S
-        return spec.image in place.images or machine.spot_notice_s is not None or waited
+        # Without the image on the target the replica is down for longer, so it moves only because
+        # of a spot notice or when the drain is overdue.
+        is_overdue = is_drained and now - machine.idle_since > 2.0 * DRAIN_DELAY_S
+        return spec.image in target.images or machine.spot_notice_s is not None or is_overdue
 
-    def _others(self, machine: Machine) -> list[Machine]:
+    def _other_usable_machines(self, machine: Machine) -> list[Machine]:
         return [m for m in self._machines.by_id.values() if m is not machine and m.was_usable]
 
-    def drain_dear(self, now: Seconds, work_waits: bool) -> Iterator[Machine]:
-        """Mark dear machines on which nothing but replicas has been for long.
+    def drain_expensive(self, now: Seconds, has_unqueued_tasks: bool) -> Iterator[Machine]:
+        """Mark expensive machines that have run only replicas for a long time as draining.
 
-        What is there must have room on others: they move, and the machine is returned to the
-        cloud. Work that could use a machine unmarks it once it is empty.
+        The replicas must fit on other machines. They move there, and the empty machine is returned
+        to the cloud, unless unqueued tasks end the drain once it is empty.
 
         Args:
             now: The time.
-            work_waits: Whether any array task has found no queue.
+            has_unqueued_tasks: Whether any array task is in no slot or queue.
 
         Yields:
-            The machines that are newly marked.
+            The newly marked machines.
         """
         for machine in self._machines.by_id.values():
             task_attempts = [
@@ -152,35 +168,37 @@
                 for task_attempt in machine.task_attempts.values()
                 if task_attempt.stage != EXITED
             ]
-            if machine.drain:
-                machine.drain = bool(task_attempts) or not work_waits
+            if machine.draining:
+                machine.draining = bool(task_attempts) or not has_unqueued_tasks
             elif self._can_be_emptied(now, machine, task_attempts):
                 log.info(
                     "event=machine_drained machine=%s replicas=%d", machine.id, len(task_attempts)
                 )
-                machine.drain = True
+                machine.draining = True
                 yield machine
 
     def _can_be_emptied(
         self, now: Seconds, machine: Machine, task_attempts: list[TaskAttempt]
     ) -> bool:
-        if not task_attempts or now - machine.idle_since < DRAIN_S or not machine.was_usable:
+        if not task_attempts or now - machine.idle_since < DRAIN_DELAY_S or not machine.was_usable:
             return False
         specs = [a.spec for a in task_attempts if a.spec is not None and a.spec.is_service]
         if len(specs) < len(task_attempts) or len(machine.slots) > len(task_attempts):
             return False
-        return self._is_dear(machine, specs) and self._have_room(self._others(machine), specs)
+        return self._is_expensive(machine, specs) and self._have_capacity(
+            self._other_usable_machines(machine), specs
+        )
 
-    def _is_dear(self, machine: Machine, specs: list[JobSpec]) -> bool:
-        """Whether a machine costs much more than the cheapest on which all of this fits."""
+    def _is_expensive(self, machine: Machine, specs: list[JobSpec]) -> bool:
+        """Whether a machine costs much more than the cheapest type that fits each replica."""
         types = self._cache.types
         machine_type = types.get(machine.type)
         prices = [t.hourly_price for t in types.values() if all(_fits(spec, t) for spec in specs)]
         if machine_type is None or not prices:
             return False
-        return machine_type.hourly_price > DRAIN_PRICE * min(prices)
+        return machine_type.hourly_price > DRAIN_PRICE_RATIO * min(prices)
 
-    def _have_room(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
+    def _have_capacity(self, machines: list[Machine], specs: list[JobSpec]) -> bool:
         return all(
             any(self._constraints.allow(s, m) and s.resources.fits_in(m.free()) for m in machines)
             for s in specs
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -1,4 +1,4 @@
-"""Which machines run their tasks much slower than the others of their shard."""
+"""Detection of machines that run tasks much slower than the others of their shard."""
 
 from __future__ import annotations
 
@@ -7,53 +7,57 @@
 import statistics
 from collections.abc import Collection
 
-from dapplewick.core.shard.state import SLOW_SAMPLES, Machine
+from dapplewick.core.shard.state import SLOWDOWN_SAMPLES, Machine
 from dapplewick.types import JobId, Seconds
 
 log = logging.getLogger(__name__)
 
-SLOW_LOGARITHM = 0.6  # above the other machines' mean logarithm of run time over expected
-LEAST_MACHINES = 3  # to compare with
-LEAST_TASKS = 2  # of a job, before the others are compared with their mean
-MOST_RATIO = 1.5  # of one task's logarithm: one outlier says little
-JOBS_REMEMBERED = 500
+# All logarithms are natural ones of run time over estimated run time, minus the mean of the job.
+SLOW_LOG_RATIO_MARGIN = 0.6  # a machine is slow if its mean exceeds the median by this much
+MIN_COMPARED_MACHINES = 3  # more machines than this must have enough samples
+MIN_JOB_TASKS = 2  # tasks of a job that must have ended before its later tasks are compared
+MAX_LOG_RATIO = 1.5  # bound of a single sample, to limit the effect of outliers
+MAX_JOBS = 500  # jobs whose mean is stored
 
 
 class SpeedComparison:
-    """Compares tasks with others of the same job, whose owner's estimate is as wrong."""
+    """Compares tasks of the same job, so that errors in its run-time estimate cancel out."""
 
     def __init__(self) -> None:
-        self._means: dict[JobId, tuple[float, int]] = {}  # of the logarithms, and their count
+        self._means: dict[JobId, tuple[float, int]] = {}  # mean logarithm and count by job
 
-    def note(self, machine: Machine, job_id: JobId, ran_s: Seconds, estimate_s: Seconds) -> None:
-        """Note how long a task of this job ran on a machine; both times are above zero."""
-        ratio = math.log(ran_s / estimate_s)
+    def record_run_time(
+        self, machine: Machine, job_id: JobId, run_s: Seconds, estimate_s: Seconds
+    ) -> None:
+        """Record the run time of a task on a machine; both times must be above zero."""
+        ratio = math.log(run_s / estimate_s)
         mean, count = self._means.get(job_id, (0.0, 0))
-        if count >= LEAST_TASKS:
-            machine.lateness.append(max(-MOST_RATIO, min(MOST_RATIO, ratio - mean)))
+        if count >= MIN_JOB_TASKS:
+            machine.slowdown_samples.append(max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, ratio - mean)))
         self._means[job_id] = (mean + (ratio - mean) / (count + 1), count + 1)
-        while len(self._means) > JOBS_REMEMBERED:
+        while len(self._means) > MAX_JOBS:
             del self._means[next(iter(self._means))]
 
     def update(self, machines: Collection[Machine]) -> None:
-        """Mark each machine as slow or not.
+        """Update which machines are marked as slow.
 
-        Tasks that end first are the short ones, so later ones look late on any machine: a machine
-        is slow only beside the others, and not for good.
+        The short tasks of a job end first, so its later tasks look slow on every machine. A
+        machine is therefore compared with the others, and the mark is removed once its mean is
+        no longer above theirs by the margin.
         """
         compared = {
-            machine.id: sum(machine.lateness) / SLOW_SAMPLES
+            machine.id: sum(machine.slowdown_samples) / SLOWDOWN_SAMPLES
             for machine in machines
-            if len(machine.lateness) == SLOW_SAMPLES
+            if len(machine.slowdown_samples) == SLOWDOWN_SAMPLES
         }
-        if len(compared) <= LEAST_MACHINES:
+        if len(compared) <= MIN_COMPARED_MACHINES:
             return
-        middle = statistics.median(compared.values())
+        median = statistics.median(compared.values())
         for machine in machines:
             mean = compared.get(machine.id)
             if mean is None:
                 continue
-            slow = mean > middle + SLOW_LOGARITHM
+            slow = mean > median + SLOW_LOG_RATIO_MARGIN
             if slow and not machine.slow:
                 log.info("event=machine_slow machine=%s", machine.id)
             machine.slow = slow
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -1,4 +1,4 @@
-"""What a shard tells the leader: what changed since the last status that the leader has."""
+"""Status reports to the leader: the changes since the last status that the leader has."""
 
 from __future__ import annotations
 
@@ -43,23 +43,23 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import FencingToken, JobId, MachineId, Seconds, ShardName
 
-QUIET_S = 4.0  # a machine that was silent for longer is named in each status
-WAIT_S = 1.0  # the remaining wait of a gang with a reservation is counted anew after this time
-IDLE_S = 1.0  # a machine that was idle for longer is named in each status
+CONTACT_TIMEOUT_S = 4.0  # a machine without contact for longer is listed in each status
+WAIT_REFRESH_INTERVAL_S = 1.0  # maximum age of a reservation's remaining wait in a status
+MIN_IDLE_S = 1.0  # a machine that was idle for longer is listed in each status
 
 K = TypeVar("K", MachineId, JobId)
 
 
-class _Unused(NamedTuple):
-    """Machines that are not heard, or have nothing to do."""
+class _UnusedMachines(NamedTuple):
+    """Machines without contact or without tasks."""
 
-    silent: dict[MachineId, MachineContactGap]
+    without_contact: dict[MachineId, MachineContactGap]
     idle: dict[MachineId, Seconds]
-    heard_ago_s: Seconds  # since the last heartbeat of any machine; -1 if there is no machine
+    last_contact_ago_s: Seconds  # age of the newest contact with any machine; -1 without machines
 
 
 class StatusReporter:
-    """Tells the leader of a shard's machines, jobs and gangs."""
+    """Reports the state of a shard's machines, jobs and gangs to the leader."""
 
     def __init__(
         self,
@@ -88,20 +88,23 @@
         self._unreconciled = unreconciled
 
     def status(self, now: Seconds, base: int) -> ShardStatus:
-        """All that changed after the status with number `base`; everything if that is 0."""
+        """The changes after the status with number `base`; the complete state if that is 0."""
         changes = self._changes
         changes.dirty = False
-        self._note_gang_changes(now)
-        machines = {m: self._machine_if_known(now, m) for m in _since(changes.machines, base)}
+        self._record_gang_changes(now)
+        machines = {
+            m: self._machine_if_known(now, m) for m in _changed_since(changes.machines, base)
+        }
         jobs = {
-            j: self._job(j) if j in self._tasks.by_job else None for j in _since(changes.jobs, base)
+            j: self._job(j) if j in self._tasks.by_job else None
+            for j in _changed_since(changes.jobs, base)
         }
-        gangs = {j: changes.gang_statuses.get(j) for j in _since(changes.gangs, base)}
-        _forget(changes.machines, self._machines.by_id, base)
-        _forget(changes.jobs, self._tasks.by_job, base)
-        _forget(changes.gangs, self._reservations.by_job, base)
-        number = changes.number
-        changes.number += 1
+        gangs = {j: changes.gang_statuses.get(j) for j in _changed_since(changes.gangs, base)}
+        _prune(changes.machines, self._machines.by_id, base)
+        _prune(changes.jobs, self._tasks.by_job, base)
+        _prune(changes.gangs, self._reservations.by_job, base)
+        number = changes.status_number
+        changes.status_number += 1
         unused = self._unused(now)
         return ShardStatus(
             shard=self._shard,
@@ -113,9 +116,9 @@
             machines=machines,
             jobs=jobs,
             gangs=gangs,
-            machine_contact_gaps=unused.silent,
+            machine_contact_gaps=unused.without_contact,
             idle=unused.idle,
-            last_contact_age_s=unused.heard_ago_s,
+            last_contact_age_s=unused.last_contact_ago_s,
             drained_jobs=self._drained_jobs(),
             unreconciled=len(self._unreconciled),
             estimates=self._estimates.dump(),
@@ -133,7 +136,7 @@
     def _machine(self, now: Seconds, machine: Machine) -> MachineStatus:
         ends = [
             (
-                round(now + self._backfill.expected_left(now, task_attempt), 1),
+                round(now + self._backfill.expected_remaining(now, task_attempt), 1),
                 *task_attempt.resources,
                 NON_PREEMPTIBLE_PRIORITY
                 if task_attempt.spec.is_gang or task_attempt.spec.is_service
@@ -154,38 +157,40 @@
             leaving=machine.spot_notice_s is not None
             or machine.slow
             or machine.unreachable
-            or machine.drain,
+            or machine.draining,
             faulty=self._health.is_faulty(machine),
         )
 
-    def _unused(self, now: Seconds) -> _Unused:
-        """One pass over all machines: which are silent, and which are idle."""
-        silent: dict[MachineId, MachineContactGap] = {}
+    def _unused(self, now: Seconds) -> _UnusedMachines:
+        """Find the machines without contact and the idle ones in one pass over all machines."""
+        without_contact: dict[MachineId, MachineContactGap] = {}
         idle: dict[MachineId, Seconds] = {}
-        heard_ago_s = -1.0
-        listening_since = self._health.listening_since
+        last_contact_ago_s = -1.0
+        accepting_heartbeats_since = self._health.accepting_heartbeats_since
         for machine in self._machines.by_id.values():
             record = self._cache.machines.get(machine.id)
             if record is None:
                 continue
-            # What never learns our token hears nothing of what we say, however often its
-            # heartbeats come. While heartbeats are not heard here, as in a long outage, no machine
-            # is silent for that: all of them were deleted when the state service was back.
-            silent_s = now - max(machine.last_confirmed_at, listening_since)
-            if silent_s > QUIET_S:
-                # Replicas can start elsewhere only once it is gone: it is waited for less.
+            # A machine that never receives this shard's token receives no commands either, so only
+            # heartbeats with the token count as contact. Time in which this controller did not
+            # accept heartbeats, as in a long outage, does not count. Without this rule, all
+            # machines were deleted as soon as the state service was available again.
+            no_contact_s = now - max(machine.last_confirmed_at, accepting_heartbeats_since)
+            if no_contact_s > CONTACT_TIMEOUT_S:
+                # Its replicas can start elsewhere only after it is deleted, so the leader waits
+                # for it for a shorter time.
                 is_urgent = self._may_have_cancelled(machine) or machine.has_replicas()
-                silent[machine.id] = MachineContactGap(round(silent_s, 1), is_urgent)
+                without_contact[machine.id] = MachineContactGap(round(no_contact_s, 1), is_urgent)
             is_up = record.up and not record.terminating
-            if is_up and (heard_ago_s < 0.0 or silent_s < heard_ago_s):
-                heard_ago_s = silent_s
+            if is_up and (last_contact_ago_s < 0.0 or no_contact_s < last_contact_ago_s):
+                last_contact_ago_s = no_contact_s
             is_empty = not machine.task_attempts and not machine.slots
-            if is_empty and now - machine.idle_since > IDLE_S:
+            if is_empty and now - machine.idle_since > MIN_IDLE_S:
                 idle[machine.id] = round(now - machine.idle_since, 1)
-        return _Unused(silent, idle, round(heard_ago_s, 1))
+        return _UnusedMachines(without_contact, idle, round(last_contact_ago_s, 1))
 
     def _may_have_cancelled(self, machine: Machine) -> bool:
-        """Whether a task of a cancelled job is, or may be, on this machine."""
+        """Whether a task of a cancelled job is or may be on this machine."""
         for task, task_attempt in machine.task_attempts.items():
             job = self._cache.jobs.get(task.job)
             if task_attempt.stage != EXITED and (job is None or not job.open):
@@ -198,9 +203,10 @@
         )
 
     def _drained_machines(self) -> list[MachineId]:
-        """Machines that a transfer drains, and on which nothing is nor may come.
+        """Machines that a transfer drains and that are empty and will stay so.
 
-        Each was heard under our token, and no new work goes there as long as the transfer stands.
+        Each has sent a heartbeat with this shard's token, and gets no new work while the transfer
+        exists.
         """
         return [
             machine_id
@@ -239,7 +245,7 @@
         )
 
     def _drained_jobs(self) -> list[JobId]:
-        """Jobs that are over, are assigned here, and of which nothing is on a machine."""
+        """Ended jobs that are assigned to this shard and have no task on its machines."""
         over = [
             job_id
             for job_id, job in self._cache.iter_live_jobs()
@@ -251,7 +257,7 @@
         return [job_id for job_id in over if job_id not in present]
 
     def running_counts(self) -> Iterator[tuple[JobId, int]]:
-        """The jobs with running tasks on machines here, and how many, for display."""
+        """The number of running tasks on this shard's machines by job, for display."""
         counts: dict[JobId, int] = {}
         for machine in self._machines.by_id.values():
             for task, task_attempt in machine.task_attempts.items():
@@ -261,39 +267,43 @@
 
     # Gangs
 
-    def _note_gang_changes(self, now: Seconds) -> None:
-        """Gangs change with much that happens elsewhere; there are few, so all are compared."""
+    def _record_gang_changes(self, now: Seconds) -> None:
+        """Compare all gangs with their last report.
+
+        The state of a gang depends on many events outside its reservation, and there are few
+        gangs.
+        """
         changes, reservations = self._changes, self._reservations.by_job
         for job_id in [j for j in changes.gang_statuses if j not in reservations]:
             del changes.gang_statuses[job_id]
-            changes.gang(job_id)
+            changes.record_gang(job_id)
         for job_id, reservation in reservations.items():
             state = self._gang_state(job_id, reservation)
-            wait_s = self._wait(now, reservation, state)
-            status = GangStatus(reservation.attempt, state, wait_s)
+            remaining_wait_s = self._wait(now, reservation, state)
+            status = GangStatus(reservation.attempt, state, remaining_wait_s)
             if changes.gang_statuses.get(job_id) != status:
                 changes.gang_statuses[job_id] = status
-                changes.gang(job_id)
+                changes.record_gang(job_id)
 
     def _gang_state(self, job_id: JobId, reservation: GangReservation) -> GangState:
-        """How a gang's attempt stands here."""
+        """The state of a gang's attempt in this shard."""
         job = self._cache.jobs.get(job_id)
-        # Of a cancelled gang nobody wants the result; what counts is that it is gone. Else it
-        # would count against its team's limit for ever.
+        # The result of a cancelled gang is not needed; the leader must learn when its tasks are
+        # gone. Reported as done, the gang would count against its team's limit for ever.
         is_open = job is not None and job.open
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
-        if not self._reservations.is_wanted(job_id):
-            return GANG_STOPPING if self._may_be_there(job_id, reservation) else GANG_STOPPED
-        if reservation.failure or any(self._is_failing(m) for m in reservation.indices_on):
+        if not self._reservations.is_active(job_id):
+            return GANG_STOPPING if self._may_be_on_machine(job_id, reservation) else GANG_STOPPED
+        if reservation.failure_reason or any(self._is_failing(m) for m in reservation.indices_on):
             return GANG_FAILED
-        if reservation.launched >= reservation.placements.keys():
+        if reservation.launched_indices >= reservation.placements.keys():
             return GANG_STARTED
         if any(
             (m := self._machines.by_id.get(i)) is not None and m.slow
             for i in reservation.indices_on
         ):
-            # Nothing more is started there, and it would be kept for this gang for ever.
+            # A slow machine starts no tasks, so its slots would stay reserved for ever.
             return GANG_FAILED
         return GANG_RESERVED
 
@@ -301,7 +311,7 @@
         machine = self._machines.by_id.get(machine_id)
         return machine is not None and (machine.spot_notice_s is not None or machine.unreachable)
 
-    def _may_be_there(self, job_id: JobId, reservation: GangReservation) -> bool:
+    def _may_be_on_machine(self, job_id: JobId, reservation: GangReservation) -> bool:
         for machine_id in reservation.indices_on:
             if machine_id not in self._cache.machines:
                 continue
@@ -315,17 +325,17 @@
     def _wait(self, now: Seconds, reservation: GangReservation, state: GangState) -> Seconds:
         if state != GANG_RESERVED or reservation.ready:
             return 0.0
-        wait_s = reservation.wait_s
-        if now - reservation.wait_at > WAIT_S:
-            wait_s = self._backfill.remaining_wait(now, reservation)
-        return round(wait_s)
+        remaining_wait_s = reservation.remaining_wait_s
+        if now - reservation.wait_computed_at > WAIT_REFRESH_INTERVAL_S:
+            remaining_wait_s = self._backfill.remaining_wait(now, reservation)
+        return round(remaining_wait_s)
 
 
-def _since(numbers: dict[K, int], base: int) -> list[K]:
+def _changed_since(numbers: dict[K, int], base: int) -> list[K]:
     return [key for key, number in numbers.items() if number > base]
 
 
-def _forget(numbers: dict[K, int], present: Container[K], base: int) -> None:
-    """What is gone, and known by the leader to be, needs no mention any more."""
+def _prune(numbers: dict[K, int], present: Container[K], base: int) -> None:
+    """Remove entries that no longer exist and whose removal the leader has confirmed."""
     for key in [k for k, number in numbers.items() if number <= base and k not in present]:
         del numbers[key]
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -1,4 +1,4 @@
-"""The stops that answer a machine's heartbeat, and why."""
+"""Stop commands in the answer to a machine's heartbeat."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TaskRef
 
-GRACE_S = 5.0  # over a task's own saving time, when it is stopped in order
+STOP_GRACE_S = 5.0  # added to the time that a task needs to save its state
 
 
 class Stops:
-    """Stops tasks that are not wanted, must leave their machine, or are preempted."""
+    """Stops tasks that are not needed, must leave their machine, or are preempted."""
 
     def __init__(
         self,
@@ -42,14 +42,15 @@
         self._preemption = preemption
 
     def stop_commands(self, now: Seconds, machine: Machine) -> list[Command]:
-        """Stop what is to stop on a machine.
+        """The stop commands for a machine's tasks.
 
-        A task that can save its state is told once; any other with each heartbeat until it is gone.
+        A task that can save its state gets one stop command. Any other task gets one with each
+        heartbeat until it is gone.
         """
         commands = []
         preempted = self._preemption.preempted_on(machine)
         for task, task_attempt in machine.task_attempts.items():
-            if task_attempt.stage == EXITED or task_attempt.start_unseen:
+            if task_attempt.stage == EXITED or task_attempt.start_unconfirmed:
                 continue
             job = self._cache.jobs.get(task.job)
             if job is None or not job.open:
@@ -57,11 +58,11 @@
                 continue
             if not self._must_stop(now, machine, task, task_attempt, job, preempted):
                 continue
-            is_orderly = _is_orderly(task_attempt, job)
-            if task_attempt.stage == FLUSHING or (task_attempt.stopped and is_orderly):
+            can_checkpoint = _can_checkpoint(task_attempt, job)
+            if task_attempt.stage == FLUSHING or (task_attempt.stop_sent and can_checkpoint):
                 continue
-            task_attempt.stopped = True
-            grace_s = job.spec.save_s + GRACE_S if is_orderly else 0.0
+            task_attempt.stop_sent = True
+            grace_s = job.spec.save_s + STOP_GRACE_S if can_checkpoint else 0.0
             commands.append(Command("stop", task, task_attempt.attempt, grace_s))
         return commands
 
@@ -74,25 +75,28 @@
         job: JobRecord,
         preempted: Set[TaskRef],
     ) -> bool:
-        """Whether a task of an open job is to end, or to go on elsewhere."""
+        """Whether a task of an open job must stop, either for good or to run elsewhere."""
         spec = job.spec
         if spec.is_gang:
-            is_wanted = self._is_gang_wanted(task, task_attempt, job)
+            is_needed = self._is_gang_attempt_active(task, task_attempt, job)
         else:
             array_task = self._tasks.get(task)
-            # What was assigned before this ownership may be this one, until all are heard.
-            is_wanted = array_task is not None and (
+            # An unconfirmed task was assigned before this ownership, possibly to this machine; it
+            # may run until all machines are reconciled.
+            is_needed = array_task is not None and (
                 array_task.machine == machine.id or array_task.state == UNCONFIRMED
             )
-        if not is_wanted or task in preempted:
+        if not is_needed or task in preempted:
             return True
         if spec.is_service:
             return self._replicas.must_leave(now, machine, task.job, spec)
-        # What saves its state does so before its spot machine is taken.
-        is_evicted = machine.spot_notice_s is not None and _is_orderly(task_attempt, job)
+        # A task that can save its state does so before its spot machine is withdrawn.
+        is_evicted = machine.spot_notice_s is not None and _can_checkpoint(task_attempt, job)
         return is_evicted and not spec.is_gang
 
-    def _is_gang_wanted(self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord) -> bool:
+    def _is_gang_attempt_active(
+        self, task: TaskRef, task_attempt: TaskAttempt, job: JobRecord
+    ) -> bool:
         return (
             job.gang is not None
             and not job.gang.ending
@@ -101,6 +105,6 @@
         )
 
 
-def _is_orderly(task_attempt: TaskAttempt, job: JobRecord) -> bool:
+def _can_checkpoint(task_attempt: TaskAttempt, job: JobRecord) -> bool:
     """Whether a task can save its state before it stops."""
     return job.spec.checkpoint_interval_s > 0 and task_attempt.stage == RUNNING
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -1,4 +1,4 @@
-"""What follows from a task's exit: its result is kept until it is stored, or it is forgotten."""
+"""Handling of task exits: a result is kept on its machine until the leader has stored it."""
 
 from __future__ import annotations
 
@@ -25,21 +25,23 @@
 
 log = logging.getLogger(__name__)
 
-FORGET_S = 5.0  # a stored result is forgotten with the next commands, or after this time
-MAX_STORED_RESULTS = 16  # or when there are so many
-STEADY_S = 30.0  # a replica that ran for as long did not fail at once
-LEAST_RUN_S = 0.5  # of a run time that is learned from
+MAX_FORGET_DELAY_S = 5.0  # stored results are deleted with the next commands, or after this time
+MAX_STORED_RESULTS = 16  # stored results of a machine that are deleted at once
+MIN_STABLE_RUN_S = 30.0  # a longer run resets the consecutive failures of a replica
+MIN_RUN_S = 0.5  # lower bound of a learned run time
 
-MACHINE_FAILURES: Final = (ExitCause.ERROR, ExitCause.NOT_FOUND)  # these count against the machine
-NO_FAILURES: Final = (
+# Exit causes that count against the machine.
+MACHINE_FAILURE_CAUSES: Final = (ExitCause.ERROR, ExitCause.NOT_FOUND)
+# Exit causes that are not the task's fault; the task is requeued without a retry delay.
+NON_FAILURE_CAUSES: Final = (
     ExitCause.STOPPED,
     ExitCause.INSUFFICIENT_RESOURCES,
     ExitCause.GANG_MEMBER_LOST,
-)  # not the task's fault: it is not paused
+)
 
 
 class TaskExits:
-    """Takes over the exits that heartbeats list."""
+    """Handles the exited tasks that heartbeats list."""
 
     def __init__(
         self,
@@ -57,20 +59,20 @@
         self._speed = speed
         self._changes = changes
 
-    def exited(
+    def handle_exit(
         self, now: Seconds, machine: Machine, item: TaskStatus, task_attempt: TaskAttempt
     ) -> list[Command]:
-        """Keep an exited task's result until it is stored, forget everything else.
+        """Keep the result of a successful task; requeue any other task if it must run again.
 
         Returns:
-            The command to forget it, or none.
+            The command to delete the exited task from its machine, or none.
         """
         job = self._cache.jobs.get(item.task.job)
         is_replica = job is not None and job.open and job.spec.is_service
         if item.cause == ExitCause.DONE and not is_replica:
             is_kept = self._keep_result(now, machine, item, task_attempt, job)
         else:
-            self._note_failure(now, machine, item, task_attempt, is_replica)
+            self._record_failure(now, machine, item, task_attempt, is_replica)
             is_kept = False
         return [] if is_kept else [Command("forget", item.task, item.attempt)]
 
@@ -82,32 +84,37 @@
         task_attempt: TaskAttempt,
         job: JobRecord | None,
     ) -> bool:
-        """Note a task's result; False if nothing here accounts for it: it is not used."""
+        """Record a task's result.
+
+        Returns:
+            Whether the result is kept; False if no assignment or reservation of this shard
+            belongs to the attempt, so the result is not used.
+        """
         task = item.task
         machine.failures.clear()
         if job is None or not job.open or task.number in job.done:
-            self._tasks.leave_slot(machine, task)
-            machine.stored.setdefault(task, now)
+            self._tasks.release_slot(machine, task)
+            machine.stored_results.setdefault(task, now)
             return True
         array_task = self._tasks.get(task)
         if array_task is not None:
             if array_task.state != FINISHED:
-                self._learn(now, machine, task, task_attempt, array_task)
-                self._tasks.leave_slot(machine, task)
+                self._learn_run_time(now, machine, task, task_attempt, array_task)
+                self._tasks.release_slot(machine, task)
                 self._tasks.set_state(task, array_task, FINISHED)
                 array_task.machine = machine.id
             return True
         reservation = self._reservations.by_job.get(task.job)
         if reservation is not None and reservation.attempt == item.attempt:
             if not self._reservations.is_done(task.job, reservation):
-                self._reservations.note_done(task.job, reservation)
-                self._learn(now, machine, task, task_attempt, None)
+                self._reservations.record_done(task.job, reservation)
+                self._learn_run_time(now, machine, task, task_attempt, None)
                 self._changes.dirty = True
             return True
         self._tasks.remove_attempt(machine, task)
         return False
 
-    def _note_failure(
+    def _record_failure(
         self,
         now: Seconds,
         machine: Machine,
@@ -128,11 +135,11 @@
         if (
             reservation is not None
             and reservation.attempt == item.attempt
-            and not reservation.failure
+            and not reservation.failure_reason
         ):
-            reservation.failure = item.cause or EXITED
-            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.failure)
-        if item.cause in MACHINE_FAILURES:
+            reservation.failure_reason = item.cause or EXITED
+            log.info("event=gang_failed job=%s reason=%s", task.job, reservation.failure_reason)
+        if item.cause in MACHINE_FAILURE_CAUSES:
             machine.failures[task.job] = now
         self._tasks.remove_attempt(machine, task)
         array_task = self._tasks.get(task)
@@ -142,12 +149,12 @@
             and array_task.state == ON_MACHINE
         ):
             running_at = task_attempt.running_at
-            if is_replica and running_at is not None and now - running_at > STEADY_S:
+            if is_replica and running_at is not None and now - running_at > MIN_STABLE_RUN_S:
                 array_task.failures = 0
-            self._tasks.requeue(now, task, array_task, failed=item.cause not in NO_FAILURES)
+            self._tasks.requeue(now, task, array_task, failed=item.cause not in NON_FAILURE_CAUSES)
         self._changes.dirty = True
 
-    def _learn(
+    def _learn_run_time(
         self,
         now: Seconds,
         machine: Machine,
@@ -155,7 +162,7 @@
         task_attempt: TaskAttempt,
         array_task: ArrayTask | None,
     ) -> None:
-        """Learn from a run time: how long such jobs take, and how fast the machine is."""
+        """Update the run-time estimate of the job class and the speed of the machine."""
         spec = self._tasks.spec(task)
         if (
             spec is None
@@ -164,31 +171,33 @@
             or (array_task is not None and array_task.failures)
         ):
             return
-        ran_s = max(LEAST_RUN_S, now - task_attempt.running_at)
-        self._estimates.learn(spec.job_class, spec.estimated_run_s, ran_s)
+        run_s = max(MIN_RUN_S, now - task_attempt.running_at)
+        self._estimates.learn(spec.job_class, spec.estimated_run_s, run_s)
         if array_task is None or spec.estimated_run_s <= 0.0:
             return
-        self._speed.note(machine, task.job, ran_s, spec.estimated_run_s)
+        self._speed.record_run_time(machine, task.job, run_s, spec.estimated_run_s)
 
-    def forget_stored(self, now: Seconds, machine: Machine, at_once: bool) -> list[Command]:
-        """Forget results that are stored.
+    def forget_stored(self, now: Seconds, machine: Machine, forget_now: bool) -> list[Command]:
+        """The commands to delete results that the leader has stored.
 
-        Each change of its tasks makes a worker send a heartbeat, so what need not be forgotten at
-        once waits for commands that change something anyway.
+        A worker sends a heartbeat after each change of its tasks. Deletions are therefore delayed
+        until other commands change its tasks anyway.
 
         Args:
             now: The time.
             machine: The machine that has the results.
-            at_once: Whether there are such commands, or the machine is to be empty soon.
+            forget_now: Whether there are other commands or the machine is being drained.
         """
-        stored = machine.stored
+        stored = machine.stored_results
         for task in [t for t in stored if t not in machine.task_attempts]:
             del stored[task]
         oldest_at = min(stored.values(), default=now)
-        if not (at_once or len(stored) >= MAX_STORED_RESULTS or now - oldest_at > FORGET_S):
+        if not (
+            forget_now or len(stored) >= MAX_STORED_RESULTS or now - oldest_at > MAX_FORGET_DELAY_S
+        ):
             return []
         commands = [Command("forget", t, machine.task_attempts[t].attempt) for t in stored]
         for task in stored:
             self._tasks.remove_attempt(machine, task)
-        machine.stored = {}
+        machine.stored_results = {}
         return commands
