--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -112,7 +112,9 @@
         if spec.image not in machine.images:
             machine_type = self._cache.types.get(machine.type)
             rate = (
-                machine_type.fetch_gb_per_s if machine_type is not None else DEFAULT_FETCH_RATE_GB_PER_S
+                machine_type.fetch_gb_per_s
+                if machine_type is not None
+                else DEFAULT_FETCH_RATE_GB_PER_S
             )
             cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
             cost_s += machine.pending_image_fetches()
