--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -153,10 +153,10 @@
         if array_task is not None:
             if array_task.state == ON_MACHINE:
                 if array_task.machine != machine.id:
-                    log.error("event=task_on_two_machines task=%s/%d", task.job, task.number)
+                    log.error("event=task_on_two_machines task=%s/%d", task.job, task.task_index)
                 return
             if array_task.state in (WAITING, ASSIGNED, RELEASED):
-                log.error("event=task_unexpected task=%s/%d", task.job, task.number)
+                log.error("event=task_unexpected task=%s/%d", task.job, task.task_index)
             if array_task.state != FINISHED:
                 self._tasks.detach(task, array_task)
                 self._tasks.set_state(task, array_task, ON_MACHINE)
@@ -166,10 +166,10 @@
         if (
             reservation is not None
             and reservation.attempt == item.attempt
-            and reservation.placements.get(task.number) == machine.id
+            and reservation.placements.get(task.task_index) == machine.id
         ):
-            reservation.launched_indices.add(task.number)
-            reservation.listed_indices.add(task.number)
+            reservation.launched_indices.add(task.task_index)
+            reservation.listed_indices.add(task.task_index)
 
     def record_missing(self, now: Seconds, machine: Machine, task: TaskRef, reason: str) -> None:
         """Record that a task is no longer on its machine.
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -92,7 +92,7 @@
         """
         task = item.task
         machine.failures.clear()
-        if job is None or not job.open or task.number in job.done:
+        if job is None or not job.open or task.task_index in job.done:
             self._tasks.release_slot(machine, task)
             machine.stored_results.setdefault(task, now)
             return True
@@ -126,7 +126,7 @@
         log.debug(
             "event=task_exited task=%s/%d attempt=%d machine=%s cause=%s",
             task.job,
-            task.number,
+            task.task_index,
             item.attempt,
             machine.id,
             item.cause,
