--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -114,7 +114,7 @@
     if not path:
         return None
     # Imported on demand: controllers without partitions need neither it nor its solver.
-    from dapplewick.partitions.plan import PlanError, unknown_names
+    from dapplewick.partitions.plan import PlanError, find_unknown_name
     from dapplewick.partitions.plan import load as load_plan
     from dapplewick.partitions.service import PartitionService
 
@@ -124,7 +124,7 @@
     except PlanError as err:
         raise StartupError(f"shares: {err}") from None
     teams = (team.name for team in deployment.teams)
-    problem = unknown_names(plan, teams, deployment.zones, None)
+    problem = find_unknown_name(plan, teams, deployment.zones, None)
     if problem:
         raise StartupError(f"shares: {path}: {problem}")
     return PartitionService(plan)
