--- a/src/dapplewick/controller/owned_shards.py
+++ b/src/dapplewick/controller/owned_shards.py
@@ -71,5 +71,5 @@
             tuning=self._tuning,
             classes_with_objectives=self._deployment.classes_with_objectives(),
             lease_s=self._deployment.workers.lease_s,
-            report_s=self._deployment.workers.report_s,
+            heartbeat_interval_s=self._deployment.workers.report_s,
         )
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -5,7 +5,7 @@
 from dapplewick.core.shard.changes import ChangeLog
 from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
-from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.queues import TaskQueues
 from dapplewick.core.shard.state import (
     ASSIGNED,
     RELEASED,
@@ -27,7 +27,7 @@
 MAX_RETRY_DELAY_S = 60.0
 
 
-class ArrayTasks:
+class ArrayTaskTable:
     """Moves a shard's array tasks between states, slots and queues.
 
     Replicas of services are handled as array tasks, too.
@@ -37,7 +37,7 @@
         self,
         cache: WatchCache,
         machines: MachineTable,
-        queues: Queues,
+        queues: TaskQueues,
         images: ImageIndex,
         changes: ChangeLog,
     ) -> None:
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from dapplewick.core.estimates import UNBOUNDED_RUN_S, Estimates
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import EXITED, GangReservation, Machine, TaskAttempt
 from dapplewick.protocol.job_spec import JobSpec
@@ -17,14 +17,14 @@
 OVERRUN_FRACTION = 0.2  # of its run time so far: minimum expected remaining time of a task
 
 
-class Backfill:
+class BackfillPolicy:
     """Compares estimated run times of array tasks with the remaining waits of gangs."""
 
     def __init__(
         self,
         estimates: Estimates,
         machines: MachineTable,
-        reservations: GangReservations,
+        reservations: GangReservationTable,
         threshold_s: Seconds,
     ) -> None:
         self._estimates = estimates
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -4,27 +4,27 @@
 
 from collections.abc import Collection, Iterable
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.backfill import Backfill
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.backfill import BackfillPolicy
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.free_capacity import FreeCapacity
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.state import Machine
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds, TaskRef
 
 
-class Candidates:
+class CandidateSelector:
     """Finds the jobs that fit on a machine and selects the next of their waiting tasks."""
 
     def __init__(
         self,
         cache: WatchCache,
-        tasks: ArrayTasks,
+        tasks: ArrayTaskTable,
         constraints: PlacementConstraints,
         free_capacity: FreeCapacity,
-        reservations: GangReservations,
-        backfill: Backfill,
+        reservations: GangReservationTable,
+        backfill: BackfillPolicy,
     ) -> None:
         self._cache = cache
         self._tasks = tasks
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -27,7 +27,7 @@
     task_index: int
 
 
-class GangReservations:
+class GangReservationTable:
     """The gang reservations of a shard, indexed by gang and by machine."""
 
     def __init__(
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -5,9 +5,9 @@
 import logging
 from typing import Final
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
 from dapplewick.core.shard.changes import ChangeLog
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
@@ -25,7 +25,7 @@
     Machine,
     TaskAttempt,
 )
-from dapplewick.core.shard.task_exits import TaskExits
+from dapplewick.core.shard.task_exits import TaskExitHandler
 from dapplewick.protocol.workers import Command, Heartbeat, TaskStatus
 from dapplewick.types import MachineId, Seconds, TaskIndex, TaskRef
 
@@ -48,11 +48,11 @@
         self,
         unreconciled: set[MachineId],
         machines: MachineTable,
-        tasks: ArrayTasks,
-        reservations: GangReservations,
+        tasks: ArrayTaskTable,
+        reservations: GangReservationTable,
         images: ImageIndex,
         health: MachineHealth,
-        exits: TaskExits,
+        exits: TaskExitHandler,
         changes: ChangeLog,
     ) -> None:
         self.unreconciled = unreconciled  # no heartbeat with this shard's token yet
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -8,14 +8,14 @@
 
 import random
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.backfill import Backfill
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.backfill import BackfillPolicy
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.free_capacity import FreeCapacity
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
-from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.queues import TaskQueues
 from dapplewick.core.shard.replicas import ReplicaPlacement
 from dapplewick.core.shard.state import WAITING, ArrayTask, Machine, Slot
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
@@ -25,19 +25,19 @@
 MAX_QUEUE_LENGTH = 8  # array tasks that wait for one slot
 
 
-class Joining:
+class TaskAssigner:
     """Assigns unqueued array tasks to slots and queues."""
 
     def __init__(
         self,
         machines: MachineTable,
-        tasks: ArrayTasks,
-        queues: Queues,
+        tasks: ArrayTaskTable,
+        queues: TaskQueues,
         images: ImageIndex,
         constraints: PlacementConstraints,
         free_capacity: FreeCapacity,
-        reservations: GangReservations,
-        backfill: Backfill,
+        reservations: GangReservationTable,
+        backfill: BackfillPolicy,
         replicas: ReplicaPlacement,
         generator: random.Random,
     ) -> None:
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -4,12 +4,12 @@
 
 import logging
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.candidates import Candidates
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.candidates import CandidateSelector
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
-from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.queues import TaskQueues
 from dapplewick.core.shard.state import (
     ASSIGNED,
     FETCHING,
@@ -18,7 +18,7 @@
     Slot,
     TaskAttempt,
 )
-from dapplewick.core.shard.work_stealing import MIN_FREE_CPUS, WorkStealing
+from dapplewick.core.shard.work_stealing import MIN_FREE_CPUS, WorkStealer
 from dapplewick.protocol.workers import Command
 from dapplewick.types import (
     IDS_PER_TOKEN,
@@ -33,19 +33,19 @@
 log = logging.getLogger(__name__)
 
 
-class Launches:
+class TaskLauncher:
     """Assigns waiting tasks to a machine's slots and starts the assigned tasks."""
 
     def __init__(
         self,
         token: FencingToken,
         machines: MachineTable,
-        tasks: ArrayTasks,
-        queues: Queues,
+        tasks: ArrayTaskTable,
+        queues: TaskQueues,
         images: ImageIndex,
-        reservations: GangReservations,
-        candidates: Candidates,
-        stealing: WorkStealing,
+        reservations: GangReservationTable,
+        candidates: CandidateSelector,
+        stealing: WorkStealer,
     ) -> None:
         self._token = token
         self._machines = machines
--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.state import EXITED, Machine, TaskAttempt
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, Resources, TaskRef
@@ -59,11 +59,11 @@
         preempted.add(task)
 
 
-class Preemption:
+class PreemptionSelector:
     """Selects preemptions for gangs with permission to preempt and for replicas."""
 
     def __init__(
-        self, cache: WatchCache, tasks: ArrayTasks, reservations: GangReservations
+        self, cache: WatchCache, tasks: ArrayTaskTable, reservations: GangReservationTable
     ) -> None:
         self._cache = cache
         self._tasks = tasks
--- a/src/dapplewick/core/shard/queues.py
+++ b/src/dapplewick/core/shard/queues.py
@@ -9,7 +9,7 @@
 from dapplewick.types import JobId, TaskRef
 
 
-class Queues:
+class TaskQueues:
     """Tracks the shard's non-empty slot queues and its unqueued array tasks."""
 
     def __init__(self) -> None:
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 
 from dapplewick.core.shard.constraints import PlacementConstraints
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.preemption import is_stopping, may_be_preempted
 from dapplewick.core.shard.state import EXITED, Machine, TaskAttempt
@@ -43,7 +43,7 @@
         cache: WatchCache,
         machines: MachineTable,
         constraints: PlacementConstraints,
-        reservations: GangReservations,
+        reservations: GangReservationTable,
         heartbeat_interval_s: Seconds,
     ) -> None:
         self._cache = cache
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -13,28 +13,28 @@
 
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.backfill import Backfill
-from dapplewick.core.shard.candidates import Candidates
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.backfill import BackfillPolicy
+from dapplewick.core.shard.candidates import CandidateSelector
 from dapplewick.core.shard.changes import ChangeLog
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.free_capacity import FreeCapacity
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.heartbeats import HeartbeatReconciler
 from dapplewick.core.shard.images import ImageIndex
-from dapplewick.core.shard.joining import Joining
-from dapplewick.core.shard.launches import Launches
+from dapplewick.core.shard.joining import TaskAssigner
+from dapplewick.core.shard.launches import TaskLauncher
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
-from dapplewick.core.shard.preemption import Preemption
-from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.preemption import PreemptionSelector
+from dapplewick.core.shard.queues import TaskQueues
 from dapplewick.core.shard.replicas import ReplicaPlacement
-from dapplewick.core.shard.slow_machines import SpeedComparison
+from dapplewick.core.shard.slow_machines import SlowMachineDetector
 from dapplewick.core.shard.state import EXITED, Machine
 from dapplewick.core.shard.status import StatusReporter
-from dapplewick.core.shard.stops import Stops
-from dapplewick.core.shard.task_exits import TaskExits
-from dapplewick.core.shard.work_stealing import WorkStealing
+from dapplewick.core.shard.stops import TaskStopper
+from dapplewick.core.shard.task_exits import TaskExitHandler
+from dapplewick.core.shard.work_stealing import WorkStealer
 from dapplewick.protocol.peers import ShardStatus
 from dapplewick.protocol.workers import Command, Heartbeat
 from dapplewick.storage.watch_cache import WatchCache
@@ -60,7 +60,7 @@
         seed: Combined with the token to seed the random generator.
         classes_with_objectives: The job classes for which users set objectives.
         lease_s: How long a machine continues without an answer.
-        report_s: The interval between a machine's heartbeats.
+        heartbeat_interval_s: The interval between a machine's heartbeats.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         seed: int = 0,
         classes_with_objectives: frozenset[str] = frozenset(),
         lease_s: Seconds = 15.0,
-        report_s: Seconds = 2.5,
+        heartbeat_interval_s: Seconds = 2.5,
     ) -> None:
         tuning = tuning or Tuning()
         self.shard = shard
@@ -89,30 +89,32 @@
         self._changes = changes = ChangeLog()
         self._machines = machines = MachineTable(cache, changes)
         self.machines = machines.by_id
-        self.queues = queues = Queues()
+        self.queues = queues = TaskQueues()
         self.images = images = ImageIndex()
         self.unreconciled: set[MachineId] = set()
-        self._tasks = tasks = ArrayTasks(cache, machines, queues, images, changes)
+        self._tasks = tasks = ArrayTaskTable(cache, machines, queues, images, changes)
         self.array_tasks = tasks.by_job
-        self._gangs = gangs = GangReservations(shard, cache, machines, changes)
+        self._gangs = gangs = GangReservationTable(shard, cache, machines, changes)
         self.reservations = gangs.by_job
         # Components that decide which tasks fit on which machines.
         constraints = PlacementConstraints(zone_of(shard))
         accelerators = AcceleratorDemand(cache, classes_with_objectives)
         gang_demand = GangDemand(cache, tuning.spare_slots)
         self._health = health = MachineHealth(shard, cache, changes, lease_s, now)
-        self._speed = speed = SpeedComparison()
-        self.backfill = backfill = Backfill(estimates, machines, gangs, tuning.threshold_s)
+        self._speed = speed = SlowMachineDetector()
+        self.backfill = backfill = BackfillPolicy(estimates, machines, gangs, tuning.threshold_s)
         self._free_capacity = capacity = FreeCapacity(cache, machines, accelerators, gang_demand)
-        self._replicas = replicas = ReplicaPlacement(cache, machines, constraints, gangs, report_s)
-        candidates = Candidates(cache, tasks, constraints, capacity, gangs, backfill)
+        self._replicas = replicas = ReplicaPlacement(
+            cache, machines, constraints, gangs, heartbeat_interval_s
+        )
+        candidates = CandidateSelector(cache, tasks, constraints, capacity, gangs, backfill)
         # Components that act on heartbeats and ticks.
-        self._exits = exits = TaskExits(cache, estimates, tasks, gangs, speed, changes)
+        self._exits = exits = TaskExitHandler(cache, estimates, tasks, gangs, speed, changes)
         self._reconciler = HeartbeatReconciler(
             self.unreconciled, machines, tasks, gangs, images, health, exits, changes
         )
         generator = random.Random(seed ^ token)
-        self._joining = Joining(
+        self._joining = TaskAssigner(
             machines,
             tasks,
             queues,
@@ -124,9 +126,11 @@
             replicas,
             generator,
         )
-        self._stops = Stops(cache, tasks, gangs, replicas, Preemption(cache, tasks, gangs))
-        stealing = WorkStealing(queues, tasks, candidates)
-        self._launches = Launches(
+        self._stops = TaskStopper(
+            cache, tasks, gangs, replicas, PreemptionSelector(cache, tasks, gangs)
+        )
+        stealing = WorkStealer(queues, tasks, candidates)
+        self._launches = TaskLauncher(
             token, machines, tasks, queues, images, gangs, candidates, stealing
         )
         self._reporter = StatusReporter(
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -20,7 +20,7 @@
 MAX_JOBS = 500  # jobs whose mean is stored
 
 
-class SpeedComparison:
+class SlowMachineDetector:
     """Compares tasks of the same job, so that errors in its run-time estimate cancel out."""
 
     def __init__(self) -> None:
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -9,10 +9,10 @@
 
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.priorities import NON_PREEMPTIBLE_PRIORITY
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.backfill import Backfill
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.backfill import BackfillPolicy
 from dapplewick.core.shard.changes import ChangeLog
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.machine_health import MachineHealth
 from dapplewick.core.shard.machines import MachineTable
 from dapplewick.core.shard.state import (
@@ -68,10 +68,10 @@
         cache: WatchCache,
         estimates: Estimates,
         machines: MachineTable,
-        tasks: ArrayTasks,
-        reservations: GangReservations,
+        tasks: ArrayTaskTable,
+        reservations: GangReservationTable,
         health: MachineHealth,
-        backfill: Backfill,
+        backfill: BackfillPolicy,
         changes: ChangeLog,
         unreconciled: Set[MachineId],
     ) -> None:
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Set
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.preemption import Preemption
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.gang_reservations import GangReservationTable
+from dapplewick.core.shard.preemption import PreemptionSelector
 from dapplewick.core.shard.replicas import ReplicaPlacement
 from dapplewick.core.shard.state import (
     EXITED,
@@ -24,16 +24,16 @@
 STOP_GRACE_S = 5.0  # added to the time that a task needs to save its state
 
 
-class Stops:
+class TaskStopper:
     """Stops tasks that are not needed, must leave their machine, or are preempted."""
 
     def __init__(
         self,
         cache: WatchCache,
-        tasks: ArrayTasks,
-        reservations: GangReservations,
+        tasks: ArrayTaskTable,
+        reservations: GangReservationTable,
         replicas: ReplicaPlacement,
-        preemption: Preemption,
+        preemption: PreemptionSelector,
     ) -> None:
         self._cache = cache
         self._tasks = tasks
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -6,10 +6,10 @@
 from typing import Final
 
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.shard.array_tasks import ArrayTasks
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
 from dapplewick.core.shard.changes import ChangeLog
-from dapplewick.core.shard.gang_reservations import GangReservations
-from dapplewick.core.shard.slow_machines import SpeedComparison
+from dapplewick.core.shard.gang_reservations import GangReservationTable
+from dapplewick.core.shard.slow_machines import SlowMachineDetector
 from dapplewick.core.shard.state import (
     EXITED,
     FINISHED,
@@ -40,16 +40,16 @@
 )
 
 
-class TaskExits:
+class TaskExitHandler:
     """Handles the exited tasks that heartbeats list."""
 
     def __init__(
         self,
         cache: WatchCache,
         estimates: Estimates,
-        tasks: ArrayTasks,
-        reservations: GangReservations,
-        speed: SpeedComparison,
+        tasks: ArrayTaskTable,
+        reservations: GangReservationTable,
+        speed: SlowMachineDetector,
         changes: ChangeLog,
     ) -> None:
         self._cache = cache
--- a/src/dapplewick/core/shard/work_stealing.py
+++ b/src/dapplewick/core/shard/work_stealing.py
@@ -8,19 +8,21 @@
 
 from collections.abc import Collection, Iterable
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.candidates import Candidates
-from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.candidates import CandidateSelector
+from dapplewick.core.shard.queues import TaskQueues
 from dapplewick.core.shard.state import Machine, Slot
 from dapplewick.types import JobId, Seconds, TaskRef
 
 MIN_FREE_CPUS = 1e-6  # below this free capacity, no task fits on a machine
 
 
-class WorkStealing:
+class WorkStealer:
     """Fills a machine's free capacity with tasks queued at other slots and unqueued tasks."""
 
-    def __init__(self, queues: Queues, tasks: ArrayTasks, candidates: Candidates) -> None:
+    def __init__(
+        self, queues: TaskQueues, tasks: ArrayTaskTable, candidates: CandidateSelector
+    ) -> None:
         self._queues = queues
         self._tasks = tasks
         self._candidates = candidates
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -13,7 +13,7 @@
 
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, ReportGap
 from dapplewick.core.leader.provisioner import Provisioner
-from dapplewick.core.shard.preemption import Preemption
+from dapplewick.core.shard.preemption import PreemptionSelector
 from dapplewick.core.shard.state import Machine
 from dapplewick.protocol.cloud import MachineType, encode_machine_types
 from dapplewick.protocol.job_spec import JobSpec
@@ -373,7 +373,7 @@
 
 
 def lower_work_is_not_stopped(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Preemption, "_preempt_for_replicas", lambda *_: None)
+    patch.setattr(PreemptionSelector, "_preempt_for_replicas", lambda *_: None)
 
 
 GUARDS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], None]]] = [
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -11,7 +11,7 @@
 from dapplewick.core.leader.shard_contacts import ShardContacts
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.heartbeats import HeartbeatReconciler
-from dapplewick.core.shard.stops import Stops
+from dapplewick.core.shard.stops import TaskStopper
 from dapplewick.types import Seconds
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -32,7 +32,7 @@
 
 
 def no_stop_of_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Stops, "stop_commands", lambda *_: [])
+    patch.setattr(TaskStopper, "stop_commands", lambda *_: [])
 
 
 def no_check_that_the_watch_cache_is_current(patch: pytest.MonkeyPatch) -> None:
