--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -28,7 +28,7 @@
 
 
 class ArrayTaskTable:
-    """Moves a shard's array tasks between states, slots and queues.
+    """Holds a shard's array tasks and moves them between states, slots and queues.
 
     Replicas of services are handled as array tasks, too.
     """
@@ -150,7 +150,7 @@
     # Waiting
 
     def requeue(self, now: Seconds, task: TaskRef, array_task: ArrayTask, failed: bool) -> None:
-        """Set a task to waiting and unqueued; after a failure it is first delayed."""
+        """Return a task to the unqueued tasks, after a failure with a delay."""
         self.set_state(task, array_task, WAITING)
         array_task.machine = None
         array_task.waiting_since = now
--- a/src/dapplewick/core/shard/backfill.py
+++ b/src/dapplewick/core/shard/backfill.py
@@ -14,11 +14,12 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
-OVERRUN_FRACTION = 0.2  # of its run time so far: minimum expected remaining time of a task
+# Minimum expected remaining run time of a task, as a fraction of its run time so far.
+OVERRUN_FRACTION = 0.2
 
 
 class BackfillPolicy:
-    """Compares estimated run times of array tasks with the remaining waits of gangs."""
+    """Decides which array tasks may be backfilled, from run-time estimates and gangs' waits."""
 
     def __init__(
         self,
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -38,8 +38,8 @@
     ) -> dict[JobId, None]:
         """The jobs of which an array task may start on this machine now.
 
-        Jobs whose image is on the machine come first; this order breaks ties between queues of
-        equal length.
+        Jobs whose image is on the machine come first, because among queues of equal length, work
+        stealing prefers the queue of the earlier job.
         """
         reserved = self._reservations.reserved_resources(machine.id)
         # The capacity that a job may use depends only on these properties of its specification.
@@ -52,7 +52,7 @@
                 continue
             spec = job.spec
             if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
-                continue  # spread the replicas of a service over machines
+                continue  # the replicas of a service are spread over machines
             kind = (spec.gpus > 0, spec.priority, spec.is_service)
             available = available_by_kind.get(kind)
             if available is None:
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity that a job's tasks may use, without capacity reserved for other work."""
+"""Free capacity of a machine that a job's tasks may use, without reserves for other work."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 
 
 class FreeCapacity:
-    """Reserves capacity for tasks with accelerators and idle slots for future gangs."""
+    """Computes usable free capacity, less reserves for accelerator tasks and future gangs."""
 
     def __init__(
         self,
         cache: WatchCache,
         machines: MachineTable,
         accelerators: AcceleratorDemand,
-        gangs: GangDemand,
+        gang_demand: GangDemand,
     ) -> None:
         self._cache = cache
         self._machines = machines
         self._accelerators = accelerators
-        self._gangs = gangs
-        self._has_few_slots = False  # whether idle slots of gang size are at or below the reserve
+        self._gang_demand = gang_demand
+        # Whether the idle slots of gang size do not exceed this shard's part of the gang reserve.
+        self._has_few_idle_slots = False
 
     def update(self, now: Seconds, wall_time: Seconds) -> None:
         """Update the demand for accelerators and gang slots, and the count of idle slots.
@@ -36,17 +37,17 @@
             wall_time: The wall-clock time, in which the submission times of jobs are given.
         """
         self._accelerators.update(now, wall_time)
-        self._gangs.update(now)
-        self._has_few_slots = self._few_idle_slots_left()
+        self._gang_demand.update(now)
+        self._has_few_idle_slots = self._few_idle_slots_left()
 
     def _few_idle_slots_left(self) -> bool:
         """Whether at most this shard's part of the slots reserved for gangs is idle."""
         machines = self._machines.by_id.values()
-        resources = self._gangs.resources
-        has_other_machines = any(
+        resources = self._gang_demand.resources
+        has_small_machines = any(
             m.was_usable and not resources.fits_in(m.capacity) for m in machines
         )
-        reserved_slots = self._gangs.reserved_slots(has_other_machines)
+        reserved_slots = self._gang_demand.reserved_slots(has_small_machines)
         if reserved_slots < 0.5:
             return False
         idle = sum(resources.fit_count(m.free()) for m in machines)
@@ -58,6 +59,6 @@
         if spec.gpus > 0 or spec.is_service:
             return free
         reserve = self._accelerators.resources_to_reserve(machine.capacity, free)
-        if self._has_few_slots and self._gangs.is_restricted(spec):
-            free = self._gangs.outside_reserved_slots(free)
+        if self._has_few_idle_slots and self._gang_demand.is_restricted(spec):
+            free = self._gang_demand.outside_reserved_slots(free)
         return free if reserve is NO_RESOURCES else free.minus(reserve)
--- a/src/dapplewick/core/shard/gang_reservations.py
+++ b/src/dapplewick/core/shard/gang_reservations.py
@@ -1,4 +1,7 @@
-"""Slots that a shard reserves for gangs: the second and third points of the design."""
+"""Slots that a shard reserves for gangs; a gang starts once all its slots are idle.
+
+This implements the second and third points of the design (`docs/design.md`).
+"""
 
 from __future__ import annotations
 
@@ -80,7 +83,7 @@
             self._remove(job_id, self.by_job[job_id])
         self.by_job[job_id] = reservation
         if any(m not in self._cache.machines for m in reservation.indices_on):
-            # The machine was deleted before this shard received the reservation, so no later
+            # A machine was deleted before this shard received the reservation, so no later
             # change of the machine's record will fail the attempt.
             reservation.failure_reason = "machine gone"
         for machine_id in reservation.indices_on:
@@ -132,7 +135,10 @@
         ]
 
     def reserved_resources(self, machine_id: MachineId) -> Resources:
-        """Resources of a machine's reserved slots; the object NO_RESOURCES without reservations."""
+        """The resources of a machine's reserved slots.
+
+        Without reservations this is the object `NO_RESOURCES`, so callers may compare by identity.
+        """
         if machine_id not in self._by_machine:
             return NO_RESOURCES
         resources = NO_RESOURCES
@@ -155,17 +161,17 @@
     # Start of all tasks of a gang together
 
     def update_readiness(self) -> None:
-        """Update all gangs that can start now or can no longer start."""
+        """Update whether each gang can start now, later or no longer."""
         for job_id, reservation in self.by_job.items():
             self._update_readiness(job_id, reservation)
 
     def update_readiness_on(self, machine_id: MachineId) -> None:
-        """Update the gangs with slots on this machine that can start now or no longer."""
+        """Update whether the gangs with slots on a machine can start now, later or no longer."""
         for job_id, reservation in self.on_machine(machine_id).items():
             self._update_readiness(job_id, reservation)
 
     def _update_readiness(self, job_id: JobId, reservation: GangReservation) -> None:
-        """Mark a gang as ready if all its slots are idle, or as failed if a machine leaves."""
+        """Mark a gang as ready if all its slots are idle, or failed if a machine is leaving."""
         if reservation.ready or reservation.failure_reason or not self.is_active(job_id):
             return
         if any(self._is_leaving_shard(m) for m in reservation.indices_on):
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -52,16 +52,16 @@
         reservations: GangReservationTable,
         images: ImageIndex,
         health: MachineHealth,
-        exits: TaskExitHandler,
+        exit_handler: TaskExitHandler,
         changes: ChangeLog,
     ) -> None:
-        self.unreconciled = unreconciled  # no heartbeat with this shard's token yet
+        self.unreconciled = unreconciled  # machines without a heartbeat with this shard's token
         self._machines = machines
         self._tasks = tasks
         self._reservations = reservations
         self._images = images
         self._health = health
-        self._exits = exits
+        self._exit_handler = exit_handler
         self._changes = changes
 
     def requeue_if_all_reconciled(self, now: Seconds) -> None:
@@ -111,11 +111,11 @@
         for item in heartbeat.tasks:
             task_attempt = self._update_attempt(now, machine, item)
             if is_current and item.stage == EXITED:
-                commands += self._exits.handle_exit(now, machine, item, task_attempt)
+                commands += self._exit_handler.handle_exit(now, machine, item, task_attempt)
             elif is_current:
                 self.record_present(machine, item)
         if is_current:
-            self._find_lost_starts(machine, is_new_incarnation)
+            self._handle_lost_starts(machine, is_new_incarnation)
         return commands
 
     def _update_attempt(self, now: Seconds, machine: Machine, item: TaskStatus) -> TaskAttempt:
@@ -200,8 +200,8 @@
         ):
             reservation.failure_reason = reason
 
-    def _find_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
-        """Handle start commands to this machine whose gang tasks are not listed."""
+    def _handle_lost_starts(self, machine: Machine, is_new_incarnation: bool) -> None:
+        """Handle gang tasks whose start was sent to this machine but which it does not list."""
         for job_id, reservation in self._reservations.on_machine(machine.id).items():
             if reservation.failure_reason or self._reservations.is_done(job_id, reservation):
                 continue
@@ -217,9 +217,10 @@
     def _record_lost_start(
         reservation: GangReservation, index: int, is_new_incarnation: bool
     ) -> None:
-        # If the task was never listed, the answer with its start command was lost and the start
-        # is sent again. After a new incarnation of the machine or a failover, the task may have
-        # run, and an attempt must not be started twice.
+        # If no heartbeat has listed the task, the answer with its start command was lost, and the
+        # command is sent again. But a task that was listed, or that was started before a failover
+        # or a new incarnation of the machine, may have run. An attempt must not be started twice,
+        # so the attempt fails.
         if index in reservation.listed_indices or reservation.inherited or is_new_incarnation:
             reservation.failure_reason = "start lost"
         else:
--- a/src/dapplewick/core/shard/joining.py
+++ b/src/dapplewick/core/shard/joining.py
@@ -52,7 +52,7 @@
         self._replicas = replicas
         self._random = generator
 
-    def join_all(self, now: Seconds) -> None:
+    def assign_unqueued(self, now: Seconds) -> None:
         """Assign each unqueued array task; tasks without a suitable slot stay unqueued."""
         unqueued = self._queues.unqueued
         if not unqueued:
@@ -67,7 +67,7 @@
             if array_task is None or array_task.state != WAITING or array_task.slot is not None:
                 continue
             spec = self._tasks.spec(task)
-            # If one task finds no slot or queue, others with the same placement key find none.
+            # If one task finds no slot or queue, others with the same placement key do not either.
             if spec is None or spec.placement_key in unplaceable:
                 unqueued.append(task)
                 continue
@@ -99,7 +99,7 @@
             Whether the task was assigned or queued.
         """
         if spec.is_service:
-            # A replica does not wait in a queue because the tasks ahead of it may run long.
+            # Replicas do not wait in queues, because the tasks ahead of them may run long.
             machine = self._replicas.best_machine(now, spec, task.job, eligible)
             if machine is not None:
                 self._tasks.assign_new_slot(now, task, machine)
@@ -150,9 +150,11 @@
             fits.append(machine)
             if not resources.fits_in(free.minus(self._reservations.reserved_resources(machine.id))):
                 continue
-            spare_gpus = machine.capacity.gpus if spec.gpus == 0 else 0.0
-            cold = 0.0 if spec.image in machine.images else 1.0 + machine.pending_image_fetches()
-            key = (spare_gpus, cold, free.cpus)
+            unused_gpus = machine.capacity.gpus if spec.gpus == 0 else 0.0
+            fetch_cost = (
+                0.0 if spec.image in machine.images else 1.0 + machine.pending_image_fetches()
+            )
+            key = (unused_gpus, fetch_cost, free.cpus)
             if best is None or key < best_key:
                 best, best_key = machine, key
         if best is not None:
@@ -161,9 +163,9 @@
 
     def _slot_with_shortest_queue(self, spec: JobSpec, eligible: list[Machine]) -> Slot | None:
         queues = [
-            (len(slot.queue), is_cold, slot)
+            (len(slot.queue), lacks_image, slot)
             for machine in eligible
-            for is_cold in [spec.image not in machine.images]
+            for lacks_image in [spec.image not in machine.images]
             for slot in machine.slots
             if len(slot.queue) < MAX_QUEUE_LENGTH and not slot.holds_replica
         ]
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -45,7 +45,7 @@
         images: ImageIndex,
         reservations: GangReservationTable,
         candidates: CandidateSelector,
-        stealing: WorkStealer,
+        stealer: WorkStealer,
     ) -> None:
         self._token = token
         self._machines = machines
@@ -54,7 +54,7 @@
         self._images = images
         self._reservations = reservations
         self._candidates = candidates
-        self._stealing = stealing
+        self._stealer = stealer
         self._attempt_count = 0
 
     def launch(self, now: Seconds, machine: Machine) -> list[Command]:
@@ -62,7 +62,7 @@
         commands = self.launch_gangs(now, machine)
         if machine.free().cpus > MIN_FREE_CPUS:
             self._fill_from_queues(now, machine)
-            self._stealing.steal(now, machine)
+            self._stealer.steal(now, machine)
         self._launch_assigned(now, machine, commands)
         return commands
 
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -17,11 +17,11 @@
 MAX_LOST_STARTS = 3
 # A machine is faulty after failures of this many jobs without a success in between.
 MIN_FAULTY_FAILURES = 4
-# Fraction of a lease. If an incarnation ends sooner after its last confirmed heartbeat, it did not
-# end because heartbeats were missing: the machine did not receive the answers.
+# Fraction of a lease. If a machine begins a new incarnation sooner than this after its last
+# confirmed heartbeat, it did send heartbeats within its lease but did not receive the answers.
 UNREACHABLE_LEASE_FRACTION = 0.95
-# Number of leases. If a second incarnation ends within this time of the first, the machine does
-# not receive answers.
+# Number of leases. If a second incarnation of a machine ends within this time of the first, the
+# machine does not receive answers.
 REPEATED_INCARNATION_LEASES = 4.0
 
 
@@ -40,8 +40,8 @@
         self._cache = cache
         self._changes = changes
         self._lease_s = lease_s
-        # Time without contact is counted from here at the earliest. Before this time heartbeats
-        # were refused or could not be read, or this ownership had not begun.
+        # Time without contact is counted from this time at the earliest. Before it, heartbeats
+        # were refused or could not be read, or this controller did not own the shard.
         self.accepting_heartbeats_since = now
 
     def is_faulty(self, machine: Machine) -> bool:
@@ -50,18 +50,18 @@
 
     def update_usable(self, now: Seconds, machine: Machine) -> bool:
         """Update whether new work may be sent to a machine; report a change to the leader."""
-        is_drained = self._cache.transfers.draining_transfer(machine.id) is not None
-        is_usable = not is_drained and self._is_healthy(now, machine)
+        is_draining = self._cache.transfers.draining_transfer(machine.id) is not None
+        is_usable = not is_draining and self._is_healthy(now, machine)
         if is_usable != machine.was_usable:
             machine.was_usable = is_usable
             self._changes.record_machine(machine.id)
             self._changes.dirty = True
         return is_usable
 
-    def is_healthy_but_drained(self, now: Seconds, machine: Machine) -> bool:
+    def is_healthy_but_draining(self, now: Seconds, machine: Machine) -> bool:
         """Whether a transfer is the only reason to send no new work to this machine."""
-        is_drained = self._cache.transfers.draining_transfer(machine.id) is not None
-        return is_drained and self._is_healthy(now, machine)
+        is_draining = self._cache.transfers.draining_transfer(machine.id) is not None
+        return is_draining and self._is_healthy(now, machine)
 
     def _is_healthy(self, now: Seconds, machine: Machine) -> bool:
         """Whether a machine belongs to this shard, is up and executes commands."""
@@ -106,7 +106,8 @@
             return
         # If the lease ended although this controller answered the heartbeats, the answers do not
         # reach the machine. A machine contacts all controllers in turn, so its heartbeats to this
-        # one may also be a lease apart; in that case a second end soon after the first shows it.
+        # one may also be a lease apart. A single end of a lease then proves nothing, but a second
+        # one soon after it shows that the answers are lost.
         is_repeated = (
             now - machine.incarnation_ended_at < self._lease_s * REPEATED_INCARNATION_LEASES
         )
@@ -137,5 +138,6 @@
             machine.lost_starts += 1
             machine.lost_starts_at = now
         elif now - machine.lost_starts_at > self._lease_s:
-            # The machine received an answer: otherwise its lease would have ended by now.
+            # No start is unconfirmed, and the machine has received an answer since the last lost
+            # start: otherwise its lease would have ended by now.
             machine.lost_starts = 0
--- a/src/dapplewick/core/shard/preemption.py
+++ b/src/dapplewick/core/shard/preemption.py
@@ -60,7 +60,7 @@
 
 
 class PreemptionSelector:
-    """Selects preemptions for gangs with permission to preempt and for replicas."""
+    """Selects the tasks to preempt for replicas and for gangs that may preempt."""
 
     def __init__(
         self, cache: WatchCache, tasks: ArrayTaskTable, reservations: GangReservationTable
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -1,7 +1,7 @@
 """Placement of service replicas, and when they move to another machine.
 
 A replica is scheduled as an array task with its priority, but is not expected to end. It does not
-wait in a queue because the tasks ahead of it may run long.
+wait in a queue, because the tasks ahead of it may run long.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 # capacity for it.
 EVICTION_LEAD_S = 6.0
 PREEMPTION_COST_S = 4.0  # time until preempted tasks have stopped, plus their lost work
-# Placement penalties, in seconds of start-up delay that a better machine is worth: for each other
-# replica of the service on the machine, for a spot machine, and for a machine with accelerators.
+# Placement penalties: the additional start-up delay that is accepted to avoid, in this order, each
+# other replica of the service on the machine, a spot machine, and a machine with accelerators.
 SAME_SERVICE_COST_S, SPOT_COST_S, ACCELERATOR_COST_S = 30.0, 20.0, 5.0
-FREE_CPU_COST_S = 0.01  # for each free CPU, to fill machines with little free capacity first
+FREE_CPU_COST_S = 0.01  # penalty for each free CPU, so that fuller machines are filled first
 DRAIN_DELAY_S = 75.0  # an expensive machine with only replicas for this long is drained
 DRAIN_PRICE_RATIO = 2.0  # expensive: above this multiple of the cheapest machine type that fits
 MIN_FETCH_RATE_GB_PER_S = 0.01  # lower bound of the image fetch rate
@@ -81,8 +81,8 @@
                 self._available_with_preemption(machine, available, spec.priority)
             ):
                 continue
-            # The answer to one heartbeat stops the preempted tasks and the next one starts the
-            # replica, which is faster than fetching an image.
+            # The answer to one heartbeat stops the preempted tasks, and the answer to the next
+            # starts the replica. This is faster than fetching an image.
             cost_s = (
                 self._placement_cost(now, spec, job_id, machine) + PREEMPTION_COST_S * must_preempt
             )
@@ -132,10 +132,10 @@
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
             return True
-        is_drained = (
+        is_draining = (
             machine.draining or self._cache.transfers.draining_transfer(machine.id) is not None
         )
-        if machine.spot_notice_s is None and not machine.slow and not is_drained:
+        if machine.spot_notice_s is None and not machine.slow and not is_draining:
             return False
         eligible = (
             m for m in self._other_usable_machines(machine) if self._constraints.allow(spec, m)
@@ -145,7 +145,7 @@
             return False
         # Without the image on the target the replica is down for longer, so it moves only because
         # of a spot notice or when the drain is overdue.
-        is_overdue = is_drained and now - machine.idle_since > 2.0 * DRAIN_DELAY_S
+        is_overdue = is_draining and now - machine.idle_since > 2.0 * DRAIN_DELAY_S
         return spec.image in target.images or machine.spot_notice_s is not None or is_overdue
 
     def _other_usable_machines(self, machine: Machine) -> list[Machine]:
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -44,7 +44,7 @@
 log = logging.getLogger(__name__)
 
 STALL_THRESHOLD_S = 2.0  # after a longer gap between ticks, the process may have unread heartbeats
-FULL_SCAN_INTERVAL_S = 1.0  # between passes over all machines, reservations and waiting tasks
+FULL_SCAN_INTERVAL_S = 1.0  # time between scans of all machines, reservations and waiting tasks
 
 
 class ShardScheduler:
@@ -85,7 +85,7 @@
         self._ticked_at = now
         self._full_scan_at = NEVER_S
         # This constructor is long because it creates all components in the order of their
-        # dependencies. The components with shared state come first.
+        # dependencies. The components that hold the shared state come first.
         self._changes = changes = ChangeLog()
         self._machines = machines = MachineTable(cache, changes)
         self.machines = machines.by_id
@@ -94,44 +94,65 @@
         self.unreconciled: set[MachineId] = set()
         self._tasks = tasks = ArrayTaskTable(cache, machines, queues, images, changes)
         self.array_tasks = tasks.by_job
-        self._gangs = gangs = GangReservationTable(shard, cache, machines, changes)
-        self.reservations = gangs.by_job
+        self._gang_reservations = gang_reservations = GangReservationTable(
+            shard, cache, machines, changes
+        )
+        self.reservations = gang_reservations.by_job
         # Components that decide which tasks fit on which machines.
         constraints = PlacementConstraints(zone_of(shard))
         accelerators = AcceleratorDemand(cache, classes_with_objectives)
         gang_demand = GangDemand(cache, tuning.spare_slots)
         self._health = health = MachineHealth(shard, cache, changes, lease_s, now)
-        self._speed = speed = SlowMachineDetector()
-        self.backfill = backfill = BackfillPolicy(estimates, machines, gangs, tuning.threshold_s)
-        self._free_capacity = capacity = FreeCapacity(cache, machines, accelerators, gang_demand)
+        self._slow_machine_detector = slow_machine_detector = SlowMachineDetector()
+        self.backfill = backfill = BackfillPolicy(
+            estimates, machines, gang_reservations, tuning.threshold_s
+        )
+        self._free_capacity = free_capacity = FreeCapacity(
+            cache, machines, accelerators, gang_demand
+        )
         self._replicas = replicas = ReplicaPlacement(
-            cache, machines, constraints, gangs, heartbeat_interval_s
+            cache, machines, constraints, gang_reservations, heartbeat_interval_s
+        )
+        candidates = CandidateSelector(
+            cache, tasks, constraints, free_capacity, gang_reservations, backfill
         )
-        candidates = CandidateSelector(cache, tasks, constraints, capacity, gangs, backfill)
         # Components that act on heartbeats and ticks.
-        self._exits = exits = TaskExitHandler(cache, estimates, tasks, gangs, speed, changes)
+        self._exit_handler = exit_handler = TaskExitHandler(
+            cache, estimates, tasks, gang_reservations, slow_machine_detector, changes
+        )
         self._reconciler = HeartbeatReconciler(
-            self.unreconciled, machines, tasks, gangs, images, health, exits, changes
+            self.unreconciled,
+            machines,
+            tasks,
+            gang_reservations,
+            images,
+            health,
+            exit_handler,
+            changes,
         )
         generator = random.Random(seed ^ token)
-        self._joining = TaskAssigner(
+        self._assigner = TaskAssigner(
             machines,
             tasks,
             queues,
             images,
             constraints,
-            capacity,
-            gangs,
+            free_capacity,
+            gang_reservations,
             backfill,
             replicas,
             generator,
         )
-        self._stops = TaskStopper(
-            cache, tasks, gangs, replicas, PreemptionSelector(cache, tasks, gangs)
+        self._stopper = TaskStopper(
+            cache,
+            tasks,
+            gang_reservations,
+            replicas,
+            PreemptionSelector(cache, tasks, gang_reservations),
         )
-        stealing = WorkStealer(queues, tasks, candidates)
-        self._launches = TaskLauncher(
-            token, machines, tasks, queues, images, gangs, candidates, stealing
+        stealer = WorkStealer(queues, tasks, candidates)
+        self._launcher = TaskLauncher(
+            token, machines, tasks, queues, images, gang_reservations, candidates, stealer
         )
         self._reporter = StatusReporter(
             shard,
@@ -140,7 +161,7 @@
             estimates,
             machines,
             tasks,
-            gangs,
+            gang_reservations,
             health,
             backfill,
             changes,
@@ -192,10 +213,11 @@
         job = self.cache.jobs.get(job_id)
         assigned = job.assigned(self.shard) - job.done if job is not None and job.open else set()
         replicas_wait = self._tasks.apply_record(now, job_id, job, assigned, failover)
-        self._gangs.apply_record(now, job_id, job, failover)
+        self._gang_reservations.apply_record(now, job_id, job, failover)
         self._changes.dirty = True
         if replicas_wait:
-            self._joining.join_all(now)  # before the next tick, because users wait for replicas
+            # Not left to the next tick, because users wait for replicas.
+            self._assigner.assign_unqueued(now)
 
     def machine_changed(self, now: Seconds, machine_id: MachineId) -> None:
         """Apply a change of a machine's record; a deleted record removes the machine."""
@@ -210,8 +232,8 @@
         elif machine is not None:
             self._health.update_usable(now, machine)
         elif record.shard == self.shard and record.up and record.min_token:
-            # Transferred to this shard. The entry makes sure that the machine is reported as
-            # without contact if it never sends a heartbeat.
+            # The machine was transferred to this shard. With an entry in the table it is reported
+            # as without contact if it never sends a heartbeat.
             self._machines.get_or_add(machine_id, now)
 
     def _remove_machine(self, now: Seconds, machine_id: MachineId) -> None:
@@ -224,11 +246,12 @@
             self._tasks.requeue_slots(machine)
             for task in list(machine.task_attempts):
                 self._reconciler.record_missing(now, machine, task, "machine gone")
-        self._gangs.fail_attempts_on(machine_id)
+        self._gang_reservations.fail_attempts_on(machine_id)
         self._reconciler.requeue_if_all_reconciled(now)
         self._changes.dirty = True
         if had_replicas:
-            self._joining.join_all(now)  # before the next tick, because users wait for replicas
+            # Not left to the next tick, because users wait for replicas.
+            self._assigner.assign_unqueued(now)
 
     def _drop_transferred_machine(self, machine: Machine) -> None:
         """Remove a machine that was transferred to another shard.
@@ -269,9 +292,9 @@
         is_new_incarnation = self._health.apply_heartbeat(now, machine, heartbeat)
         if is_new_incarnation:
             self.images.clear(machine)
-        # A heartbeat without this shard's token may not list tasks whose start command from the
-        # previous owner is still in transit. Only a heartbeat with the token proves that a task is
-        # not on the machine.
+        # The previous owner's start commands may still be in transit when a machine sends a
+        # heartbeat without this shard's token, so that heartbeat may lack tasks which start later.
+        # Only a heartbeat with the token proves that a task is not on the machine.
         is_current = heartbeat.token == self.token_for(machine.id)
         if is_current:
             self._reconciler.record_confirmed(now, machine)
@@ -281,8 +304,8 @@
         )
         if is_current:
             self._reconciler.requeue_if_all_reconciled(now)
-        self._gangs.update_readiness_on(machine.id)
-        commands += self._stops.stop_commands(now, machine)
+        self._gang_reservations.update_readiness_on(machine.id)
+        commands += self._stopper.stop_commands(now, machine)
         commands += self._start_commands(now, machine, may_launch and is_current)
         if machine.stored_results:
             commands = self._forget_commands(now, machine, bool(commands)) + commands
@@ -305,15 +328,15 @@
     def _start_commands(self, now: Seconds, machine: Machine, may_launch: bool) -> list[Command]:
         is_usable = self._health.update_usable(now, machine)
         if is_usable and may_launch:
-            return self._launches.launch(now, machine)
-        if may_launch and self._health.is_healthy_but_drained(now, machine):
+            return self._launcher.launch(now, machine)
+        if may_launch and self._health.is_healthy_but_draining(now, machine):
             # A ready gang starts in its reserved slots before the machine is transferred.
-            return self._launches.launch_gangs(now, machine)
+            return self._launcher.launch_gangs(now, machine)
         return []
 
     def _forget_commands(self, now: Seconds, machine: Machine, has_commands: bool) -> list[Command]:
-        is_drained = self.cache.transfers.draining_transfer(machine.id) is not None
-        return self._exits.forget_stored(now, machine, is_drained or has_commands)
+        is_draining = self.cache.transfers.draining_transfer(machine.id) is not None
+        return self._exit_handler.forget_stored(now, machine, is_draining or has_commands)
 
     def _update_idle_since(self, now: Seconds, machine: Machine, had_tasks: bool) -> None:
         """Reset a machine's idle time while it has work other than replicas."""
@@ -327,7 +350,7 @@
         # A machine that has just lost all its tasks, for example because its lease ended in an
         # outage, is not idle yet.
         has_lost_all = had_tasks and not machine.task_attempts
-        if is_busy or has_lost_all or self._gangs.slots_on(machine.id):
+        if is_busy or has_lost_all or self._gang_reservations.slots_on(machine.id):
             machine.idle_since = now
 
     # Time
@@ -349,15 +372,15 @@
         if now - self._full_scan_at >= FULL_SCAN_INTERVAL_S:
             self._full_scan_at = now
             self._full_scan(now, wall_time, watch_current)
-        self._joining.join_all(now)
+        self._assigner.assign_unqueued(now)
 
     def _full_scan(self, now: Seconds, wall_time: Seconds, watch_current: bool) -> None:
-        self._speed.update(self.machines.values())
+        self._slow_machine_detector.update(self.machines.values())
         self._free_capacity.update(now, wall_time)
         for machine in self.machines.values():
             if not self._health.update_usable(now, machine) and machine.slots:
                 self._tasks.requeue_slots(machine)
-        self._gangs.update_readiness()
+        self._gang_reservations.update_readiness()
         for machine in self._replicas.drain_expensive(now, bool(self.queues.unqueued)):
             self._health.update_usable(now, machine)
         if watch_current:
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -12,19 +12,22 @@
 
 log = logging.getLogger(__name__)
 
-# All logarithms are natural ones of run time over estimated run time, minus the mean of the job.
+# A log ratio is ln(run time / estimated run time). Samples are log ratios minus the job's mean.
 SLOW_LOG_RATIO_MARGIN = 0.6  # a machine is slow if its mean exceeds the median by this much
 MIN_COMPARED_MACHINES = 3  # more machines than this must have enough samples
 MIN_JOB_TASKS = 2  # tasks of a job that must have ended before its later tasks are compared
-MAX_LOG_RATIO = 1.5  # bound of a single sample, to limit the effect of outliers
+MAX_LOG_RATIO = 1.5  # bound of the absolute value of a sample, to limit the effect of outliers
 MAX_JOBS = 500  # jobs whose mean is stored
 
 
 class SlowMachineDetector:
-    """Compares tasks of the same job, so that errors in its run-time estimate cancel out."""
+    """Marks slow machines.
+
+    It compares tasks of the same job, so that errors in the job's run-time estimate cancel out.
+    """
 
     def __init__(self) -> None:
-        self._means: dict[JobId, tuple[float, int]] = {}  # mean logarithm and count by job
+        self._means: dict[JobId, tuple[float, int]] = {}  # mean log ratio and task count by job
 
     def record_run_time(
         self, machine: Machine, job_id: JobId, run_s: Seconds, estimate_s: Seconds
--- a/src/dapplewick/core/shard/state.py
+++ b/src/dapplewick/core/shard/state.py
@@ -19,7 +19,7 @@
     TaskRef,
 )
 
-MAX_IMAGES = 64  # images stored per machine; the oldest entry is removed first
+MAX_IMAGES = 64  # images recorded per machine; the oldest entry is removed first
 SLOWDOWN_SAMPLES = 12  # run times needed before a machine is compared with others
 
 # Stages of a task attempt as plain strings. They are compared for each task of each heartbeat, and
@@ -37,9 +37,7 @@
     WAITING = 0  # unqueued, in a slot's queue, or in its retry delay after a failure
     ASSIGNED = 1  # the current task of a slot; its start has not been sent
     ON_MACHINE = 2
-    UNCONFIRMED = (
-        3  # assigned before this ownership; may be on a machine that is not reconciled yet
-    )
+    UNCONFIRMED = 3  # assigned before this owner took over; may be on a machine not yet reconciled
     RELEASED = 4  # released to the leader for reassignment
     FINISHED = 5  # the machine keeps its result until the leader has stored it
 
@@ -85,8 +83,8 @@
     def __init__(self, machine: MachineId) -> None:
         self.machine = machine
         self.current: TaskRef | None = None
-        self.resources = NO_RESOURCES  # of the current task
-        self.image = ""  # of the current task
+        self.resources = NO_RESOURCES  # resources of the current task
+        self.image = ""  # image of the current task
         self.holds_replica = False  # a slot with a replica has no queue
         self.queue: deque[TaskRef] = deque()
 
@@ -176,13 +174,15 @@
         self.spot_notice_s: Seconds | None = None
         self.task_attempts: dict[TaskRef, TaskAttempt] = {}
         self.slots: list[Slot] = []
-        # Tasks whose results are stored and may be deleted, with the time when this was found.
+        # Tasks whose results are stored, so that the machine may delete them, with the time when
+        # the shard found this.
         self.stored_results: dict[TaskRef, Seconds] = {}
         self.images: dict[str, None] = {}
         self.idle_since = now
         self.failures: dict[JobId, Seconds] = {}  # last failure by job, since the last success
         self.slowdown_samples: deque[float] = deque(maxlen=SLOWDOWN_SAMPLES)
-        self.draining = False  # runs only replicas, which should move to other machines
+        # Expensive and with replicas only, which fit on other machines and should move there.
+        self.draining = False
         self.slow = False  # its tasks take much longer than on other machines
         self.cached_usage: Resources | None = None  # None: must be recomputed
         self.was_usable = False  # result of the last check whether it may get new work
@@ -259,7 +259,7 @@
 
     def __init__(self, attempt: int, placements: dict[int, MachineId], now: Seconds) -> None:
         self.attempt = attempt
-        self.placements = placements
+        self.placements = placements  # machine by task index
         self.indices_on: dict[MachineId, list[int]] = {}  # task indices by machine
         for index, machine_id in placements.items():
             self.indices_on.setdefault(machine_id, []).append(index)
@@ -270,5 +270,5 @@
         self.failure_reason = ""  # why this attempt cannot succeed; empty if it may
         self.preempt = False  # whether tasks of lower priority are preempted for it
         self.created_at = now
-        self.wait_computed_at = -1.0  # when the remaining wait was last computed
-        self.remaining_wait_s = 0.0  # the remaining wait at that time
+        self.wait_computed_at = -1.0  # when `remaining_wait_s` was computed
+        self.remaining_wait_s = 0.0  # estimated time until all slots are idle
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -50,12 +50,12 @@
 K = TypeVar("K", MachineId, JobId)
 
 
-class _UnusedMachines(NamedTuple):
-    """Machines without contact or without tasks."""
+class _MachineActivity(NamedTuple):
+    """Machines without contact, idle machines, and the age of the newest contact."""
 
     without_contact: dict[MachineId, MachineContactGap]
     idle: dict[MachineId, Seconds]
-    last_contact_ago_s: Seconds  # age of the newest contact with any machine; -1 without machines
+    last_contact_age_s: Seconds  # age of the newest contact with any machine; -1 without machines
 
 
 class StatusReporter:
@@ -106,7 +106,7 @@
         _prune(changes.gangs, self._reservations.by_job, base)
         number = changes.status_number
         changes.status_number += 1
-        unused = self._unused_machines(now)
+        activity = self._machine_activity(now)
         return ShardStatus(
             shard=self._shard,
             token=self._token,
@@ -117,9 +117,9 @@
             machines=machines,
             jobs=jobs,
             gangs=gangs,
-            machine_contact_gaps=unused.without_contact,
-            idle=unused.idle,
-            last_contact_age_s=unused.last_contact_ago_s,
+            machine_contact_gaps=activity.without_contact,
+            idle=activity.idle,
+            last_contact_age_s=activity.last_contact_age_s,
             drained_jobs=self._drained_jobs(),
             unreconciled=len(self._unreconciled),
             estimates=self._estimates.dump(),
@@ -164,11 +164,11 @@
             faulty=self._health.is_faulty(machine),
         )
 
-    def _unused_machines(self, now: Seconds) -> _UnusedMachines:
+    def _machine_activity(self, now: Seconds) -> _MachineActivity:
         """Find the machines without contact and the idle ones in one pass over all machines."""
         without_contact: dict[MachineId, MachineContactGap] = {}
         idle: dict[MachineId, Seconds] = {}
-        last_contact_ago_s = -1.0
+        last_contact_age_s = -1.0
         accepting_heartbeats_since = self._health.accepting_heartbeats_since
         for machine in self._machines.by_id.values():
             record = self._cache.machines.get(machine.id)
@@ -180,17 +180,18 @@
             # machines were deleted as soon as the state service was available again.
             no_contact_s = now - max(machine.last_confirmed_at, accepting_heartbeats_since)
             if no_contact_s > CONTACT_TIMEOUT_S:
-                # Its replicas can start elsewhere only after it is deleted, so the leader waits
-                # for it for a shorter time.
+                # Replicas and tasks of cancelled jobs make the contact gap urgent. Replicas can
+                # start elsewhere only after the machine is deleted, so the leader waits a shorter
+                # time for it.
                 is_urgent = self._may_have_cancelled(machine) or machine.has_replicas()
                 without_contact[machine.id] = MachineContactGap(round(no_contact_s, 1), is_urgent)
             is_up = record.up and not record.terminating
-            if is_up and (last_contact_ago_s < 0.0 or no_contact_s < last_contact_ago_s):
-                last_contact_ago_s = no_contact_s
+            if is_up and (last_contact_age_s < 0.0 or no_contact_s < last_contact_age_s):
+                last_contact_age_s = no_contact_s
             is_empty = not machine.task_attempts and not machine.slots
             if is_empty and now - machine.idle_since > MIN_IDLE_S:
                 idle[machine.id] = round(now - machine.idle_since, 1)
-        return _UnusedMachines(without_contact, idle, round(last_contact_ago_s, 1))
+        return _MachineActivity(without_contact, idle, round(last_contact_age_s, 1))
 
     def _may_have_cancelled(self, machine: Machine) -> bool:
         """Whether a task of a cancelled job is or may be on this machine."""
@@ -249,15 +250,15 @@
 
     def _drained_jobs(self) -> list[JobId]:
         """Ended jobs that are assigned to this shard and have no task on its machines."""
-        over = [
+        ended = [
             job_id
             for job_id, job in self._cache.iter_live_jobs()
             if not job.open and self._shard in job.assignments
         ]
-        if not over or self._unreconciled:
+        if not ended or self._unreconciled:
             return []
         present = {t.job for m in self._machines.by_id.values() for t in m.task_attempts}
-        return [job_id for job_id in over if job_id not in present]
+        return [job_id for job_id in ended if job_id not in present]
 
     def running_counts(self) -> Iterator[tuple[JobId, int]]:
         """The number of running tasks on this shard's machines by job, for display."""
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -25,7 +25,7 @@
 
 
 class TaskStopper:
-    """Stops tasks that are not needed, must leave their machine, or are preempted."""
+    """Issues stop commands for tasks that are not needed, must move, or are preempted."""
 
     def __init__(
         self,
@@ -33,22 +33,22 @@
         tasks: ArrayTaskTable,
         reservations: GangReservationTable,
         replicas: ReplicaPlacement,
-        preemption: PreemptionSelector,
+        preemption_selector: PreemptionSelector,
     ) -> None:
         self._cache = cache
         self._tasks = tasks
         self._reservations = reservations
         self._replicas = replicas
-        self._preemption = preemption
+        self._preemption_selector = preemption_selector
 
     def stop_commands(self, now: Seconds, machine: Machine) -> list[Command]:
         """The stop commands for a machine's tasks.
 
-        A task that can save its state gets one stop command. Any other task gets one with each
-        heartbeat until it is gone.
+        A task that can save its state gets one stop command. Any other task, and any task of an
+        ended job, gets one with each heartbeat until it is gone.
         """
         commands = []
-        preempted = self._preemption.preempted_on(machine)
+        preempted = self._preemption_selector.preempted_on(machine)
         for task, task_attempt in machine.task_attempts.items():
             if task_attempt.stage == EXITED or task_attempt.start_unconfirmed:
                 continue
@@ -81,8 +81,8 @@
             is_needed = self._is_gang_attempt_active(task, task_attempt, job)
         else:
             array_task = self._tasks.get(task)
-            # An unconfirmed task was assigned before this ownership, possibly to this machine; it
-            # may run until all machines are reconciled.
+            # An unconfirmed task was assigned before this owner took over the shard, possibly to
+            # this machine. It may run until all machines are reconciled.
             is_needed = array_task is not None and (
                 array_task.machine == machine.id or array_task.state == UNCONFIRMED
             )
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 MAX_FORGET_DELAY_S = 5.0  # stored results are deleted with the next commands, or after this time
-MAX_STORED_RESULTS = 16  # stored results of a machine that are deleted at once
+MAX_STORED_RESULTS = 16  # with this many stored results, a machine is sent the deletions at once
 MIN_STABLE_RUN_S = 30.0  # a longer run resets the consecutive failures of a replica
 MIN_RUN_S = 0.5  # lower bound of a learned run time
 
@@ -49,14 +49,14 @@
         estimates: Estimates,
         tasks: ArrayTaskTable,
         reservations: GangReservationTable,
-        speed: SlowMachineDetector,
+        slow_machine_detector: SlowMachineDetector,
         changes: ChangeLog,
     ) -> None:
         self._cache = cache
         self._estimates = estimates
         self._tasks = tasks
         self._reservations = reservations
-        self._speed = speed
+        self._slow_machine_detector = slow_machine_detector
         self._changes = changes
 
     def handle_exit(
@@ -162,7 +162,7 @@
         task_attempt: TaskAttempt,
         array_task: ArrayTask | None,
     ) -> None:
-        """Update the run-time estimate of the job class and the speed of the machine."""
+        """Update the run-time estimate of the job class and the machine's slowdown samples."""
         spec = self._tasks.spec(task)
         if (
             spec is None
@@ -175,7 +175,7 @@
         self._estimates.learn(spec.job_class, spec.estimated_run_s, run_s)
         if array_task is None or spec.estimated_run_s <= 0.0:
             return
-        self._speed.record_run_time(machine, task.job, run_s, spec.estimated_run_s)
+        self._slow_machine_detector.record_run_time(machine, task.job, run_s, spec.estimated_run_s)
 
     def forget_stored(self, now: Seconds, machine: Machine, forget_now: bool) -> list[Command]:
         """The commands to delete results that the leader has stored.
