--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -52,7 +52,9 @@
                 continue
             spec = job.spec
             if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
-                continue  # the replicas of a service are spread over machines
+                # Replicas of a service are spread over machines where possible; only
+                # `ReplicaPlacement` may place a second one on the same machine, at a cost.
+                continue
             kind = (spec.gpus > 0, spec.priority, spec.is_service)
             available = available_by_kind.get(kind)
             if available is None:
