--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -4,27 +4,27 @@
 
 from collections.abc import Collection, Iterable
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.backfill import Backfill
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.backfill import BackfillPolicy
 from dapplewick.core.shard.constraints import PlacementConstraints
 from dapplewick.core.shard.free_capacity import FreeCapacity
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.state import Machine
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NO_RESOURCES, JobId, Resources, Seconds, TaskRef
 
 
-class Candidates:
+class CandidateSelector:
     """Finds the jobs that fit on a machine and selects the next of their waiting tasks."""
 
     def __init__(
         self,
         cache: WatchCache,
-        tasks: ArrayTasks,
+        tasks: ArrayTaskTable,
         constraints: PlacementConstraints,
         free_capacity: FreeCapacity,
-        reservations: GangReservations,
-        backfill: Backfill,
+        reservations: GangReservationTable,
+        backfill: BackfillPolicy,
     ) -> None:
         self._cache = cache
         self._tasks = tasks
@@ -38,8 +38,8 @@
     ) -> dict[JobId, None]:
         """The jobs of which an array task may start on this machine now.
 
-        Jobs whose image is on the machine come first; this order breaks ties between queues of
-        equal length.
+        Jobs whose image is on the machine come first, because among queues of equal length, work
+        stealing prefers the queue of the earlier job.
         """
         reserved = self._reservations.reserved_resources(machine.id)
         # The capacity that a job may use depends only on these properties of its specification.
@@ -52,7 +52,9 @@
                 continue
             spec = job.spec
             if spec.is_service and any(t.job == job_id for t in machine.task_attempts):
-                continue  # spread the replicas of a service over machines
+                # Replicas of a service are spread over machines where possible; only
+                # `ReplicaPlacement` may place a second one on the same machine, at a cost.
+                continue
             kind = (spec.gpus > 0, spec.priority, spec.is_service)
             available = available_by_kind.get(kind)
             if available is None:
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -4,12 +4,12 @@
 
 import logging
 
-from dapplewick.core.shard.array_tasks import ArrayTasks
-from dapplewick.core.shard.candidates import Candidates
-from dapplewick.core.shard.gang_reservations import GangReservations
+from dapplewick.core.shard.array_tasks import ArrayTaskTable
+from dapplewick.core.shard.candidates import CandidateSelector
+from dapplewick.core.shard.gang_reservations import GangReservationTable
 from dapplewick.core.shard.images import ImageIndex
 from dapplewick.core.shard.machines import MachineTable
-from dapplewick.core.shard.queues import Queues
+from dapplewick.core.shard.queues import TaskQueues
 from dapplewick.core.shard.state import (
     ASSIGNED,
     FETCHING,
@@ -18,7 +18,7 @@
     Slot,
     TaskAttempt,
 )
-from dapplewick.core.shard.work_stealing import MIN_FREE_CPUS, WorkStealing
+from dapplewick.core.shard.work_stealing import MIN_FREE_CPUS, WorkStealer
 from dapplewick.protocol.workers import Command
 from dapplewick.types import (
     IDS_PER_TOKEN,
@@ -33,19 +33,19 @@
 log = logging.getLogger(__name__)
 
 
-class Launches:
+class TaskLauncher:
     """Assigns waiting tasks to a machine's slots and starts the assigned tasks."""
 
     def __init__(
         self,
         token: FencingToken,
         machines: MachineTable,
-        tasks: ArrayTasks,
-        queues: Queues,
+        tasks: ArrayTaskTable,
+        queues: TaskQueues,
         images: ImageIndex,
-        reservations: GangReservations,
-        candidates: Candidates,
-        stealing: WorkStealing,
+        reservations: GangReservationTable,
+        candidates: CandidateSelector,
+        stealer: WorkStealer,
     ) -> None:
         self._token = token
         self._machines = machines
@@ -54,7 +54,7 @@
         self._images = images
         self._reservations = reservations
         self._candidates = candidates
-        self._stealing = stealing
+        self._stealer = stealer
         self._attempt_count = 0
 
     def launch(self, now: Seconds, machine: Machine) -> list[Command]:
@@ -62,7 +62,7 @@
         commands = self.launch_gangs(now, machine)
         if machine.free().cpus > MIN_FREE_CPUS:
             self._fill_from_queues(now, machine)
-            self._stealing.steal(now, machine)
+            self._stealer.steal(now, machine)
         self._launch_assigned(now, machine, commands)
         return commands
 
