--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -13,7 +13,9 @@
 RATE_DECAY_S = 60.0  # decay time constant of the gang arrival rate
 MIN_RATE_WINDOW_S = 5.0  # minimum observation time for the arrival rate
 GANG_SLOT_DEVIATIONS = 1.5  # idle slots, in standard deviations of gang task arrivals and ends
-NO_OBJECTIVE_WAIT_S = 60.0  # work without objectives reserves nothing before this wait
+# If some classes have objectives, resources are reserved for a job of another class only after the
+# job has waited for this long.
+NO_OBJECTIVE_RESERVATION_DELAY_S = 60.0
 MIN_WANTED_FRACTION = 0.01  # of all accelerators; nothing is reserved for less
 SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is wanted
 SEEN_GANGS_ALLOWANCE = (
@@ -70,7 +72,7 @@
                 if (
                     self._classes_with_objectives
                     and spec.job_class not in self._classes_with_objectives
-                    and wall_time - job.submitted_at < NO_OBJECTIVE_WAIT_S
+                    and wall_time - job.submitted_at < NO_OBJECTIVE_RESERVATION_DELAY_S
                 ):
                     continue
                 self.priority = max(self.priority, spec.priority)
@@ -90,11 +92,11 @@
                 count += machine_type.gpus
         return count
 
-    def wanted(self) -> bool:
+    def needs_reservation(self) -> bool:
         """Return whether enough accelerators are wanted to reserve resources for them."""
         return self._wanted_fraction > MIN_WANTED_FRACTION
 
-    def scarce(self) -> bool:
+    def is_scarce(self) -> bool:
         """Return whether most accelerators are wanted; their CPUs then go to accelerator work."""
         return self._wanted_fraction > SCARCE_FRACTION
 
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -26,16 +26,16 @@
     image: str
 
 
-class ArrayAssignment:
+class ArrayAssigner:
     """Assigns tasks to the idle slots of shards, and a few more tasks to the shards' queues."""
 
     def __init__(
-        self, drafts: JobDrafts, quotas: TeamQuotas, shards: ObservedShards, gangs: GangDemand
+        self, drafts: JobDrafts, quotas: TeamQuotas, shards: ObservedShards, gang_demand: GangDemand
     ) -> None:
         self._drafts = drafts
         self._quotas = quotas
         self._shards = shards
-        self._gangs = gangs
+        self._gang_demand = gang_demand
         self._first_incomplete: dict[JobId, int] = {}  # all lower tasks are complete
 
     def assign(
@@ -104,7 +104,7 @@
         if wanted <= 0:
             return None
         split = _Split(job, shard_capacities, wanted)
-        split.assign_idle_slots(self._gangs, only_with_image)
+        split.assign_idle_slots(self._gang_demand, only_with_image)
         if not only_with_image:
             split.assign_beyond_idle_slots(queue_capacity)
         return split
@@ -181,10 +181,10 @@
         """Return how many tasks were assigned to shards."""
         return sum(self.counts.values())
 
-    def assign_idle_slots(self, gangs: GangDemand, only_with_image: bool) -> None:
+    def assign_idle_slots(self, gang_demand: GangDemand, only_with_image: bool) -> None:
         """Assign tasks to the shards' idle slots, except slots reserved for gangs."""
         for shard in self._shards:
-            shard.reserve_idle_slots_for_gangs(gangs, self._shard_fraction)
+            shard.reserve_idle_slots_for_gangs(gang_demand, self._shard_fraction)
             limit = min(self.remaining, self._zone_remaining[shard.zone])
             self.counts[shard.shard] = 0
             self._assign(shard, shard.reserve_up_to(self._spec, limit, only_with_image))
--- a/src/dapplewick/core/leader/array_order.py
+++ b/src/dapplewick/core/leader/array_order.py
@@ -13,7 +13,9 @@
 from dapplewick.tuning import Tuning
 from dapplewick.types import JobId, Seconds
 
-NO_OBJECTIVE_WAIT_S = 90.0  # arrays without objectives yield to gangs with objectives for this time
+NO_OBJECTIVE_YIELD_S = (
+    90.0  # arrays without objectives yield to gangs with objectives for this time
+)
 # Users expect the largest jobs of a class to start within 240 s. An array that has waited for half
 # of that without a task has one task assigned before all others; the other 120 s allow for a slot
 # to become idle.
@@ -82,7 +84,7 @@
     def eligible(self, wall_time: Seconds, pending: list[PendingArray]) -> list[PendingArray]:
         """Return the work that may be assigned; arrays without objectives yield to waiting gangs.
 
-        An array without objectives yields for `NO_OBJECTIVE_WAIT_S` while a gang with objectives
+        An array without objectives yields for `NO_OBJECTIVE_YIELD_S` while a gang with objectives
         waits. Otherwise its tasks would use each idle slot before enough slots are idle for the
         gang.
         """
@@ -100,7 +102,7 @@
             for array in pending
             if array.job.spec.job_class in self._classes_with_objectives
             or array.job.spec.is_service
-            or wall_time - array.job.submitted_at > NO_OBJECTIVE_WAIT_S
+            or wall_time - array.job.submitted_at > NO_OBJECTIVE_YIELD_S
         ]
 
     def overdue(self, wall_time: Seconds, pending: Iterable[PendingArray]) -> list[PendingArray]:
--- a/src/dapplewick/core/leader/capacity_requests.py
+++ b/src/dapplewick/core/leader/capacity_requests.py
@@ -82,7 +82,7 @@
         zones: list[str],
         estimates: Estimates,
         tuning: Tuning,
-        gangs: GangDemand,
+        gang_demand: GangDemand,
         shards: ObservedShards,
         drafts: JobDrafts,
     ) -> None:
@@ -90,7 +90,7 @@
         self._zones = zones
         self._estimates = estimates
         self._tuning = tuning
-        self._gangs = gangs
+        self._gang_demand = gang_demand
         self._shards = shards
         self._drafts = drafts
 
@@ -112,11 +112,13 @@
             arrays.setdefault(constraints, []).append(array)
         for compatible in arrays.values():
             requests += self._array_requests(wall_time, compatible)
-        if self._gangs.latest_spec is not None and self._gangs.slots >= MIN_GANG_SLOTS:
+        if self._gang_demand.latest_spec is not None and self._gang_demand.slots >= MIN_GANG_SLOTS:
             # Idle slots are reserved for gangs expected to arrive: machines that are provisioned
             # only once a gang has arrived are up too late for it.
             requests.append(
-                CapacityRequest(self._gangs.latest_spec, math.ceil(self._gangs.slots), False)
+                CapacityRequest(
+                    self._gang_demand.latest_spec, math.ceil(self._gang_demand.slots), False
+                )
             )
         # Requests for accelerators come first, so that gangs without accelerators are planned on
         # the CPUs that remain on the machines requested for accelerators.
--- a/src/dapplewick/core/leader/capacity_snapshots.py
+++ b/src/dapplewick/core/leader/capacity_snapshots.py
@@ -30,7 +30,7 @@
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
-        self._demand = demand
+        self._accelerator_demand = demand
 
     def build(
         self, now: Seconds, served_teams: Callable[[ShardName], frozenset[str] | None]
@@ -92,7 +92,7 @@
             record.spot,
             machine_type.resources,
             status,
-            self._demand,
+            self._accelerator_demand,
             shard.clock_offset_s,
         )
         return capacity
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -10,10 +10,10 @@
 from dapplewick.core.leader.capacity_requests import CapacityRequest, CapacityRequestPlanner
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.provisioner import Provisioner
-from dapplewick.core.leader.scale_in import ScaleIn
+from dapplewick.core.leader.scale_in import ScaleInPlanner
 from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.core.leader.shard_contacts import ShardContacts
-from dapplewick.core.leader.term_ids import TermIds
+from dapplewick.core.leader.term_ids import TermIdGenerator
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.keys import PROVISIONING_REQUESTS
 from dapplewick.storage.machine_records import ProvisioningRequest
@@ -27,7 +27,7 @@
 INITIAL_STATUS_WAIT_S = 1.0  # a new leader waits this long for the first statuses of shard owners
 
 
-class ClusterScaling:
+class ClusterAutoscaler:
     """Decides how many machines to provision and to terminate, once all shards have reported.
 
     Attributes:
@@ -42,9 +42,9 @@
         contacts: ShardContacts,
         capacity_requests: CapacityRequestPlanner,
         provisioner: Provisioner,
-        scale_in: ScaleIn,
+        scale_in: ScaleInPlanner,
         machine_lifecycle: MachineLifecycle,
-        ids: TermIds,
+        ids: TermIdGenerator,
         now: Seconds,
     ) -> None:
         self._cache = cache
@@ -94,7 +94,7 @@
                 del self.cloud_answers[name]
                 continue
             if machines is None or len(machines) < request.count:
-                self._provisioner.record_no_capacity(now, request)
+                self._provisioner.record_refusal(now, request)
             self._machine_lifecycle.add_provisioned(name, request, machines or [], wall_time)
             key = PROVISIONING_REQUESTS + name
             version = self._cache.version(key)
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -28,7 +28,7 @@
 
 
 def place_gang(
-    spec: JobSpec, shards: Iterable[ShardCapacity], limit_s: Seconds, patience_s: Seconds
+    spec: JobSpec, shards: Iterable[ShardCapacity], limit_s: Seconds, preemption_delay_s: Seconds
 ) -> ChosenSlots | None:
     """Choose machines for a gang's tasks, or return None if the gang has to wait; reserves nothing.
 
@@ -40,11 +40,11 @@
         spec: The gang.
         shards: The shards in which the gang may be placed.
         limit_s: Slots that are busy for longer than this are not reserved.
-        patience_s: Longer waits are shortened by preempting work of lower priority.
+        preemption_delay_s: Longer waits are shortened by preempting work of lower priority.
     """
     shards = list(shards)
     if spec.max_tasks_per_zone >= spec.task_count:
-        slots = _place_in_one_shard(spec, shards, limit_s, patience_s)
+        slots = _place_in_one_shard(spec, shards, limit_s, preemption_delay_s)
         if slots is not None:
             return slots
     if not spec.same_zone:
@@ -57,10 +57,14 @@
 
 
 def _place_in_one_shard(
-    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, patience_s: Seconds
+    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, preemption_delay_s: Seconds
 ) -> ChosenSlots | None:
     idle = _idle_in_one_shard(spec, shards)
-    return idle if idle is not None else _soonest_reservation(spec, shards, limit_s, patience_s)
+    return (
+        idle
+        if idle is not None
+        else _soonest_reservation(spec, shards, limit_s, preemption_delay_s)
+    )
 
 
 def _idle_in_one_shard(spec: JobSpec, shards: list[ShardCapacity]) -> ChosenSlots | None:
@@ -80,12 +84,12 @@
 
 
 def _soonest_reservation(
-    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, patience_s: Seconds
+    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, preemption_delay_s: Seconds
 ) -> ChosenSlots | None:
     """Choose slots to reserve in the shard where all of them become idle soonest."""
     best: _ReservationOption | None = None
     for shard in shards:
-        slots = _reservable_slots(spec, shard, limit_s, patience_s)
+        slots = _reservable_slots(spec, shard, limit_s, preemption_delay_s)
         if slots is None:
             continue
         wait_s = _wait_s(spec, slots)
@@ -95,14 +99,14 @@
 
 
 def _reservable_slots(
-    spec: JobSpec, shard: ShardCapacity, limit_s: Seconds, patience_s: Seconds
+    spec: JobSpec, shard: ShardCapacity, limit_s: Seconds, preemption_delay_s: Seconds
 ) -> ChosenSlots | None:
     # Slots that are busy with long work are not reserved: the gang's idle slots would stay unused.
     count = spec.task_count
     if shard.runs_lower_priority_than(spec.priority):
         if shard.slots_within(spec, limit_s) < count:
             return None
-        return fit_reserved(shard.capacities, spec, count, patience_s, limit_s)
+        return fit_reserved(shard.capacities, spec, count, preemption_delay_s, limit_s)
     if shard.slots_within(spec, ONE_GROUP_LIMIT_FACTOR * limit_s) < count:
         return None
     capacities = fit_behind(*shard.slot_groups(spec), count, limit_s)
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -31,7 +31,7 @@
 PIECE_OVERHEAD_BYTES = 60  # size of a placement piece without its tasks
 
 
-class JobWrites:
+class JobWriteBuilder:
     """Builds the writes for drafts of job records, within the lowest configured value size."""
 
     def __init__(self, cache: WatchCache, shard_names: list[str], value_bytes: int) -> None:
--- a/src/dapplewick/core/leader/load_log.py
+++ b/src/dapplewick/core/leader/load_log.py
@@ -16,7 +16,7 @@
 LOAD_LOG_INTERVAL_S = 10.0
 
 
-class LoadLog:
+class LoadLogger:
     """Logs the load at a fixed interval if debug logging is enabled."""
 
     def __init__(self, drafts: JobDrafts, provisioner: Provisioner, now: Seconds) -> None:
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -273,16 +273,16 @@
         Without this rule, a gang without accelerators could preempt accelerator work to use its
         CPUs, which left most accelerators idle.
         """
-        return spec.gpus == 0 and self.demand is not None and self.demand.scarce()
+        return spec.gpus == 0 and self.demand is not None and self.demand.is_scarce()
 
 
-# Sort key of `spare_key`: accelerators that the job does not need, whether the image is missing,
+# Sort key of `best_fit_key`: accelerators that the job does not need, whether the image is missing,
 # whether the machine is on-demand, free CPUs and free memory. A plain tuple, because one is built
 # for every candidate machine each time tasks are assigned.
-SpareKey = tuple[float, bool, bool, float, float]
+BestFitKey = tuple[float, bool, bool, float, float]
 
 
-def spare_key(capacity: MachineCapacity, spec: JobSpec) -> SpareKey:
+def best_fit_key(capacity: MachineCapacity, spec: JobSpec) -> BestFitKey:
     """A sort key that orders a job's candidate machines by the resources wasted on each.
 
     Machines without unneeded accelerators come first, then those that have the image, then spot
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_MACHINES = 150  # per group; the value size limit may lower this
+MAX_GROUP_MACHINES = 150  # per group; the value size limit may lower this
 GROUP_OVERHEAD_BYTES = 200  # size of an encoded record without its machines
 MACHINE_STATE_BYTES = 18  # size of a machine's encoded state, without its name
 MACHINE_FLOOR_BYTES = 18  # size of a machine's encoded token floor, without its name
@@ -68,7 +68,7 @@
         if with_floors:
             machine_bytes += longest_name + MACHINE_FLOOR_BYTES
         return max(
-            1, min(MAX_MACHINES, (self._value_bytes - GROUP_OVERHEAD_BYTES) // machine_bytes)
+            1, min(MAX_GROUP_MACHINES, (self._value_bytes - GROUP_OVERHEAD_BYTES) // machine_bytes)
         )
 
     def is_oversized(self, group: MachineGroupRecord) -> bool:
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -37,7 +37,7 @@
 LOST_RESPONSE_S = 6.2
 
 
-class ReportGap(NamedTuple):
+class HeartbeatGap(NamedTuple):
     """A period without heartbeats from a machine.
 
     Attributes:
@@ -167,7 +167,7 @@
         now: Seconds,
         wall_time: Seconds,
         statuses: Mapping[MachineId, MachineStatus],
-        report_gaps: Mapping[MachineId, ReportGap],
+        heartbeat_gaps: Mapping[MachineId, HeartbeatGap],
         zones: list[str],
     ) -> None:
         """Inspect every machine, and draft the changes of its record.
@@ -176,7 +176,7 @@
             now: The steady clock.
             wall_time: The wall clock.
             statuses: The machines' statuses according to their shards.
-            report_gaps: The machines whose shards report missing heartbeats.
+            heartbeat_gaps: The machines whose shards report missing heartbeats.
             zones: The zones of this deployment; machines in other zones are not adopted.
         """
         newly_up: dict[str, list[MachineId]] = {}
@@ -188,7 +188,7 @@
                 continue
             status = statuses.get(machine_id)
             reason = self._termination_reason(
-                now, machine_id, record, status, report_gaps.get(machine_id)
+                now, machine_id, record, status, heartbeat_gaps.get(machine_id)
             )
             if reason:
                 self.terminate(machine_id, reason)
@@ -217,7 +217,7 @@
         machine_id: MachineId,
         record: MachineRecord,
         status: MachineStatus | None,
-        gap: ReportGap | None,
+        gap: HeartbeatGap | None,
     ) -> str:
         """The reason to terminate a machine; empty if there is none."""
         if not record.up:
--- a/src/dapplewick/core/leader/machine_types.py
+++ b/src/dapplewick/core/leader/machine_types.py
@@ -38,7 +38,7 @@
         )
 
 
-class MachineTypes:
+class MachineTypeWriter:
     """Keeps the stored machine types in step with the cloud's catalogue.
 
     Attributes:
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -16,26 +16,26 @@
 from dapplewick.core.demand import AcceleratorDemand, GangDemand
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.invariants import InvariantCounts
-from dapplewick.core.leader.array_assignment import ArrayAssignment
+from dapplewick.core.leader.array_assignment import ArrayAssigner
 from dapplewick.core.leader.array_order import ArrayOrder
 from dapplewick.core.leader.capacity_requests import CapacityRequestPlanner
 from dapplewick.core.leader.capacity_snapshots import CapacitySnapshotBuilder
-from dapplewick.core.leader.cluster_scaling import SCALING_INTERVAL_S, ClusterScaling
+from dapplewick.core.leader.cluster_scaling import SCALING_INTERVAL_S, ClusterAutoscaler
 from dapplewick.core.leader.job_drafts import JobDrafts
-from dapplewick.core.leader.job_writes import JobWrites
+from dapplewick.core.leader.job_writes import JobWriteBuilder
 from dapplewick.core.leader.limit_audit import LimitAudit
-from dapplewick.core.leader.load_log import LoadLog
-from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, ReportGap
-from dapplewick.core.leader.machine_types import MachineTypes
+from dapplewick.core.leader.load_log import LoadLogger
+from dapplewick.core.leader.machine_lifecycle import HeartbeatGap, MachineLifecycle
+from dapplewick.core.leader.machine_types import MachineTypeWriter
 from dapplewick.core.leader.observed_shard import ObservedShard, ObservedShards
 from dapplewick.core.leader.provisioner import Provisioner
 from dapplewick.core.leader.quotas import TeamQuotas
-from dapplewick.core.leader.reconciliation import Reconciliation
-from dapplewick.core.leader.scale_in import ScaleIn
+from dapplewick.core.leader.reconciliation import JobReconciler
+from dapplewick.core.leader.scale_in import ScaleInPlanner
 from dapplewick.core.leader.shard_contacts import ShardContacts
-from dapplewick.core.leader.term_ids import TermIds
-from dapplewick.core.leader.wait_reasons import WaitReasons
-from dapplewick.core.leader.waiting_gangs import WaitingGangs
+from dapplewick.core.leader.term_ids import TermIdGenerator
+from dapplewick.core.leader.wait_reasons import WaitReasonReporter
+from dapplewick.core.leader.waiting_gangs import GangPlacer
 from dapplewick.protocol.cloud import MachineList, MachineType
 from dapplewick.protocol.peers import MachineStatus, ShardStatus
 from dapplewick.storage.conditional_write import ConditionalWrite
@@ -78,7 +78,7 @@
         contacts: The time since the last contact with the owner of each shard.
         wait_reasons: The reasons why jobs wait.
         machine_lifecycle: The state of each machine, apart from its stored record.
-        provisioned: The cloud's responses to provisioning requests, by request name.
+        cloud_answers: The cloud's answers to provisioning requests, by request name.
         partitions: Moves machines between partitions; None if zones have no partitions.
     """
 
@@ -103,11 +103,11 @@
         self._controller_names = {settings.host_name, *(p.host_name for p in settings.peers)}
         self._zones = zones
         self._heartbeat_s = deployment.workers.report_s
-        self._ids = TermIds(epoch)
+        self._ids = TermIdGenerator(epoch)
         self._drafts = drafts = JobDrafts(cache)
         self._observed = observed = ObservedShards(cache, estimates)
-        self._demand = AcceleratorDemand(cache, deployment.classes_with_objectives())
-        self._gangs = GangDemand(cache, tuning.spare_slots)
+        self._accelerator_demand = AcceleratorDemand(cache, deployment.classes_with_objectives())
+        self._gang_demand = GangDemand(cache, tuning.spare_slots)
         self._provisioner = provisioner = Provisioner(
             cache,
             zones,
@@ -126,15 +126,24 @@
             limits.txn_ops,
             self._heartbeat_s,
         )
-        self._job_writes = JobWrites(cache, shard_names or zones, limits.value_bytes)
-        self._machine_types = MachineTypes(cache, limits.value_bytes)
-        self._reconciliation = Reconciliation(cache, drafts, observed, tuning.patience_s)
+        self._job_write_builder = JobWriteBuilder(cache, shard_names or zones, limits.value_bytes)
+        self._machine_type_writer = MachineTypeWriter(cache, limits.value_bytes)
+        self._job_reconciler = JobReconciler(cache, drafts, observed, tuning.patience_s)
         self._quotas = TeamQuotas(deployment.teams, drafts)
         self.contacts = ShardContacts(cache, zones, observed, invariants)
         self._limit_audit = LimitAudit(cache, observed, self.contacts, invariants)
-        self._capacity_view = CapacitySnapshotBuilder(cache, drafts, observed, self._demand)
-        self._waiting_gangs = WaitingGangs(
-            drafts, self._quotas, self._demand, provisioner, estimates, tuning, zones, self._ids
+        self._snapshot_builder = CapacitySnapshotBuilder(
+            cache, drafts, observed, self._accelerator_demand
+        )
+        self._gang_placer = GangPlacer(
+            drafts,
+            self._quotas,
+            self._accelerator_demand,
+            provisioner,
+            estimates,
+            tuning,
+            zones,
+            self._ids,
         )
         self._array_order = ArrayOrder(
             drafts,
@@ -144,21 +153,27 @@
             deployment.classes_with_objectives(),
             tuning,
         )
-        self._array_assignment = ArrayAssignment(drafts, self._quotas, observed, self._gangs)
-        self._scaling = ClusterScaling(
+        self._array_assigner = ArrayAssigner(drafts, self._quotas, observed, self._gang_demand)
+        self._autoscaler = ClusterAutoscaler(
             cache,
             self.contacts,
-            CapacityRequestPlanner(cache, zones, estimates, tuning, self._gangs, observed, drafts),
+            CapacityRequestPlanner(
+                cache, zones, estimates, tuning, self._gang_demand, observed, drafts
+            ),
             provisioner,
-            ScaleIn(cache, drafts, observed, provisioner, self._gangs, self.machine_lifecycle),
+            ScaleInPlanner(
+                cache, drafts, observed, provisioner, self._gang_demand, self.machine_lifecycle
+            ),
             self.machine_lifecycle,
             self._ids,
             now,
         )
-        self.wait_reasons = WaitReasons(cache, drafts, observed, self.contacts, self._quotas, now)
-        self._load_log = LoadLog(drafts, provisioner, now)
+        self.wait_reasons = WaitReasonReporter(
+            cache, drafts, observed, self.contacts, self._quotas, now
+        )
+        self._load_logger = LoadLogger(drafts, provisioner, now)
         self.shards = observed.by_name
-        self.provisioned = self._scaling.cloud_answers
+        self.cloud_answers = self._autoscaler.cloud_answers
         self.partitions: PartitionRebalancer | None = None
 
     @property
@@ -173,7 +188,7 @@
     @property
     def types(self) -> list[MachineType]:
         """The cloud's catalog of machine types; empty until the cloud has responded."""
-        return self._machine_types.catalog
+        return self._machine_type_writer.catalog
 
     # Inputs
 
@@ -192,7 +207,7 @@
 
     def record_provisioning_response(self, name: str, machines: list[MachineId] | None) -> None:
         """Record the machines provisioned for a request; None if the cloud refused it."""
-        self.provisioned[name] = machines
+        self.cloud_answers[name] = machines
 
     def record_deleted_machines(self, machines: Iterable[MachineId]) -> None:
         """Record that the cloud has deleted these machines."""
@@ -204,7 +219,7 @@
 
     def receive_catalog(self, types: list[MachineType]) -> None:
         """Store the cloud's catalog of machine types."""
-        self._machine_types.catalog = types
+        self._machine_type_writer.catalog = types
         self._provisioner.set_catalog(types)
 
     def record_writes(self, now: Seconds, changes: Iterable[ConditionalWrite]) -> None:
@@ -212,7 +227,7 @@
         for change in changes:
             job_id = job_of(change.key)
             if job_id is not None:
-                self._job_writes.record_write(now, job_id)
+                self._job_write_builder.record_write(now, job_id)
             elif change.key.startswith(MACHINES):
                 self.machine_lifecycle.record_written(now, change.key[len(MACHINES) :])
 
@@ -233,20 +248,20 @@
         self.contacts.check(now)
         self._limit_audit.check(now)
         self.machine_lifecycle.begin()
-        self._reconciliation.reconcile(now)
+        self._job_reconciler.reconcile(now)
         self._review_machines(now, wall_time)
-        self._demand.update(now, wall_time)
-        self._gangs.update(now)
+        self._accelerator_demand.update(now, wall_time)
+        self._gang_demand.update(now)
         self._quotas.recount()
         if self.partitions is not None:
             self.partitions.update_starving_teams(
                 wall_time, (job for _, job in self._drafts.live_jobs())
             )
-        shard_capacities = self._capacity_view.build(now, self._served_teams)
-        self._waiting_gangs.place(wall_time, shard_capacities)
+        shard_capacities = self._snapshot_builder.build(now, self._served_teams)
+        self._gang_placer.place(wall_time, shard_capacities)
         pending = self._array_order.pending(wall_time)
         eligible = self._array_order.eligible(wall_time, pending)
-        self._array_assignment.assign(
+        self._array_assigner.assign(
             shard_capacities, eligible, self._array_order.overdue(wall_time, eligible)
         )
         self.wait_reasons.update(
@@ -254,10 +269,10 @@
             wall_time,
             shard_capacities,
             self._provisioner,
-            self._scaling.unmet,
+            self._autoscaler.unmet,
         )
-        types = self._machine_types.changes()
-        requests = self._scaling.changes(now, wall_time, shard_capacities, pending)
+        types = self._machine_type_writer.changes()
+        requests = self._autoscaler.changes(now, wall_time, shard_capacities, pending)
         moves = self._partition_changes(now, wall_time)
         # Machine records precede the removal of the provisioning request that created the machines.
         # The write budget cuts off the end of this list; if it kept the removal and cut off the
@@ -271,23 +286,23 @@
             *self._job_changes(now),
         ]
         changes.sort(key=lambda change: change.priority)
-        self._load_log.log_if_due(now, wall_time, shard_capacities, pending)
+        self._load_logger.log_if_due(now, wall_time, shard_capacities, pending)
         return changes
 
     def _review_machines(self, now: Seconds, wall_time: Seconds) -> None:
         """Detect machines that have started, are unknown or must be terminated."""
         statuses: dict[MachineId, MachineStatus] = {}
-        silences: dict[MachineId, ReportGap] = {}
+        gaps: dict[MachineId, HeartbeatGap] = {}
         for shard in self._observed.owned():
             statuses.update(shard.machines)
-            others_reported = shard.latest_status.last_contact_age_s < self._heartbeat_s
+            others_reachable = shard.latest_status.last_contact_age_s < self._heartbeat_s
             # Each status lists all machines without contact, not only the changed ones. An old
             # status understates how long the machines have been without contact.
-            for machine_id, silent in shard.latest_status.machine_contact_gaps.items():
+            for machine_id, contact_gap in shard.latest_status.machine_contact_gaps.items():
                 if not self._observed.has_moved(machine_id, shard):
-                    silence = ReportGap(silent.gap_s, silent.urgent, others_reported)
-                    silences[machine_id] = silence
-        self.machine_lifecycle.review(now, wall_time, statuses, silences, self._zones)
+                    gap = HeartbeatGap(contact_gap.gap_s, contact_gap.urgent, others_reachable)
+                    gaps[machine_id] = gap
+        self.machine_lifecycle.review(now, wall_time, statuses, gaps, self._zones)
 
     def _served_teams(self, shard: ShardName) -> frozenset[str] | None:
         return self.partitions.served_teams(shard) if self.partitions is not None else None
@@ -316,24 +331,24 @@
         on it. So each controller in the settings must have published the formats it supports, since
         one that has not may still return with the older version.
         """
-        understood = min(
+        supported = min(
             (
                 self._cache.supported_formats.get(ControllerName(name), FIRST_FORMAT)
                 for name in self._controller_names
             ),
             default=FIRST_FORMAT,
         )
-        if self._cache.format >= understood:
+        if self._cache.format >= supported:
             return []
-        log.info("event=format_raised version=%d", understood)
-        value, version = {"version": understood}, self._cache.version(FORMAT)
+        log.info("event=format_raised version=%d", supported)
+        value, version = {"version": supported}, self._cache.version(FORMAT)
         return [ConditionalWrite(FORMAT, value, version, WritePriority.URGENT)]
 
     def _job_changes(self, now: Seconds) -> list[ConditionalWrite]:
         """Return the writes that store, split and clean up job records."""
-        changes = self._job_writes.conversion_writes()
-        for job_id in self._job_writes.oversized_placements():
+        changes = self._job_write_builder.conversion_writes()
+        for job_id in self._job_write_builder.oversized_placements():
             self._drafts.edit(job_id, WritePriority.NORMAL)
         for job_id, (job, priority) in self._drafts.items():
-            changes += self._job_writes.changes(now, job_id, job, priority)
-        return changes + self._job_writes.obsolete_key_removals(self._drafts.job_ids())
+            changes += self._job_write_builder.changes(now, job_id, job, priority)
+        return changes + self._job_write_builder.obsolete_key_removals(self._drafts.job_ids())
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -30,7 +30,7 @@
 POOL_CROWDING_PENALTY = 0.1
 
 
-class ScaleOut(NamedTuple):
+class ScaleOutDecision(NamedTuple):
     """The result of one scale-out decision.
 
     Attributes:
@@ -69,7 +69,7 @@
         """Replace the catalogue of machine types with the one that the cloud returned."""
         self._offers.set_catalog(types)
 
-    def record_no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
+    def record_refusal(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
         """Record that the cloud could not provide all machines of a request."""
         self._offers.record_refusal(now, provisioning_request)
 
@@ -111,7 +111,7 @@
         wall_time: Seconds,
         capacity_requests: list[CapacityRequest],
         shard_capacities: list[ShardCapacity],
-    ) -> ScaleOut:
+    ) -> ScaleOutDecision:
         """Decide which machines to request beyond those that are up, booting or requested.
 
         If a capacity request finds free slots on machines that are up, no machine is requested
@@ -140,7 +140,7 @@
             self._tuning.spend_cap,
         )
         unmet = [request for request in capacity_requests if not scaling.satisfy(request)]
-        return ScaleOut(scaling.provisioning_requests(), unmet)
+        return ScaleOutDecision(scaling.provisioning_requests(), unmet)
 
 
 class _ScalingPass:
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 
-class Reconciliation:
+class JobReconciler:
     """Drafts changes of job records from the progress that the shards report.
 
     Progress is completed and released tasks, ended attempts of gangs, and reserved gang slots that
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -18,7 +18,7 @@
 from dapplewick.types import MachineId, Seconds
 
 
-class ScaleIn:
+class ScaleInPlanner:
     """Terminates machines idle beyond their limit, except those that waiting work could use."""
 
     def __init__(
@@ -27,24 +27,24 @@
         drafts: JobDrafts,
         shards: ObservedShards,
         provisioner: Provisioner,
-        gangs: GangDemand,
+        gang_demand: GangDemand,
         machine_lifecycle: MachineLifecycle,
     ) -> None:
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
         self._provisioner = provisioner
-        self._gangs = gangs
+        self._gang_demand = gang_demand
         self._machine_lifecycle = machine_lifecycle
 
     def spare_slots(self, shard_capacities: Iterable[ShardCapacity]) -> int:
         """The number of idle slots of the gangs' size beyond those reserved for expected gangs."""
         idle = sum(
-            self._gangs.resources.fit_count(machine.free)
+            self._gang_demand.resources.fit_count(machine.free)
             for shard in shard_capacities
             for machine in shard.open_capacities
         )
-        return idle - math.ceil(self._gangs.slots)
+        return idle - math.ceil(self._gang_demand.slots)
 
     def terminate_idle(self, unmet: list[CapacityRequest], spare_slots: int) -> None:
         """Draft the termination of idle machines.
@@ -92,9 +92,9 @@
     def _gang_slots(self, record: MachineRecord) -> int:
         """The slots of the gangs' size on a machine; 0 while none are reserved for gangs."""
         machine_type = self._cache.types.get(record.type)
-        if machine_type is None or self._gangs.slots < MIN_GANG_SLOTS:
+        if machine_type is None or self._gang_demand.slots < MIN_GANG_SLOTS:
             return 0
-        return self._gangs.resources.fit_count(machine_type.resources)
+        return self._gang_demand.resources.fit_count(machine_type.resources)
 
     def _would_serve_unmet(
         self, record: MachineRecord, requests: Iterable[CapacityRequest]
--- a/src/dapplewick/core/leader/shard_capacity.py
+++ b/src/dapplewick/core/leader/shard_capacity.py
@@ -11,7 +11,7 @@
 from dapplewick.core.leader.machine_capacity import (
     RESOURCE_TOLERANCE,
     MachineCapacity,
-    spare_key,
+    best_fit_key,
 )
 from dapplewick.core.priorities import NON_PREEMPTIBLE_PRIORITY
 from dapplewick.protocol.job_spec import JobSpec, PlacementKey
@@ -192,7 +192,7 @@
             capacities = [c for c in capacities if spec.image in c.images]
         if not capacities:
             return 0
-        capacities.sort(key=lambda c: spare_key(c, spec))
+        capacities.sort(key=lambda c: best_fit_key(c, spec))
         reserved = 0
         for capacity in capacities:
             count = min(max_tasks - reserved, capacity.slot_count(spec))
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from dapplewick.core.leader.machine_capacity import MachineCapacity, SpareKey, spare_key
+from dapplewick.core.leader.machine_capacity import BestFitKey, MachineCapacity, best_fit_key
 from dapplewick.core.leader.shard_capacity import EndGroup
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
@@ -26,7 +26,7 @@
     """Choose machines with idle slots for `count` tasks, or return None; reserves nothing."""
     eligible = sorted(
         (c for c in capacities if c.allows(spec) and c.slot_count(spec) > 0),
-        key=lambda c: spare_key(c, spec),
+        key=lambda c: best_fit_key(c, spec),
     )
     chosen: list[MachineCapacity] = []
     for capacity in eligible:
@@ -41,7 +41,7 @@
 
     unneeded_gpus: float
     wait_s: Seconds
-    spare_key: SpareKey
+    best_fit_key: BestFitKey
     position: int  # index in the shard; breaks ties, so that `capacity` is not compared
     capacity: MachineCapacity
 
@@ -50,7 +50,7 @@
     capacities: Iterable[MachineCapacity],
     spec: JobSpec,
     count: int,
-    patience_s: Seconds,
+    preemption_delay_s: Seconds,
     limit_s: Seconds,
 ) -> ChosenSlots | None:
     """Choose slots to reserve for `count` tasks until all are idle, or return None.
@@ -61,10 +61,10 @@
         capacities: The machines of one shard.
         spec: The gang.
         count: The number of tasks.
-        patience_s: Longer waits are shortened by preempting work of lower priority.
+        preemption_delay_s: Longer waits are shortened by preempting work of lower priority.
         limit_s: Slots that are busy for longer than this are not used.
     """
-    options = _reservable_machines(capacities, spec, patience_s, limit_s)
+    options = _reservable_machines(capacities, spec, preemption_delay_s, limit_s)
     chosen: list[MachineCapacity] = []
     preempt = False
     for option in options:
@@ -75,7 +75,7 @@
             if wait is None or min(wait.without_preemption_s, wait.with_preemption_s) > limit_s:
                 break
             if (
-                wait.without_preemption_s > patience_s
+                wait.without_preemption_s > preemption_delay_s
                 and wait.with_preemption_s < wait.without_preemption_s
             ):
                 preempt = True
@@ -88,7 +88,10 @@
 
 
 def _reservable_machines(
-    capacities: Iterable[MachineCapacity], spec: JobSpec, patience_s: Seconds, limit_s: Seconds
+    capacities: Iterable[MachineCapacity],
+    spec: JobSpec,
+    preemption_delay_s: Seconds,
+    limit_s: Seconds,
 ) -> list[_ReservableMachine]:
     options: list[_ReservableMachine] = []
     for position, capacity in enumerate(capacities):
@@ -97,17 +100,23 @@
         wait = capacity.slot_wait(spec)
         if wait is None:
             continue
-        natural_s, preempting_s = wait
-        wait_s = natural_s if natural_s <= patience_s else max(preempting_s, patience_s)
+        without_preemption_s, with_preemption_s = wait
+        wait_s = (
+            without_preemption_s
+            if without_preemption_s <= preemption_delay_s
+            else max(with_preemption_s, preemption_delay_s)
+        )
         if wait_s > limit_s:
             continue
-        if preempting_s >= natural_s:
+        if with_preemption_s >= without_preemption_s:
             # Without preemption, the tasks queued on the machine have to wait for longer; tasks
             # that are preempted do not.
             wait_s += capacity.queue_length
         unneeded_gpus = capacity.total.gpus if spec.gpus == 0 else 0.0
         options.append(
-            _ReservableMachine(unneeded_gpus, wait_s, spare_key(capacity, spec), position, capacity)
+            _ReservableMachine(
+                unneeded_gpus, wait_s, best_fit_key(capacity, spec), position, capacity
+            )
         )
     options.sort()
     return options
--- a/src/dapplewick/core/leader/term_ids.py
+++ b/src/dapplewick/core/leader/term_ids.py
@@ -5,7 +5,7 @@
 from dapplewick.types import IDS_PER_TOKEN, Attempt, FencingToken
 
 
-class TermIds:
+class TermIdGenerator:
     """Generates attempt numbers and request names from the leader's fencing token and a counter.
 
     A fencing token is never issued twice, so attempt numbers and request names are unique. The
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -71,7 +71,7 @@
     reason: WaitReason
 
 
-class WaitReasons:
+class WaitReasonReporter:
     """Determines why jobs wait, and reports groups of jobs that have waited for long.
 
     Attributes:
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -15,7 +15,7 @@
 from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.core.leader.shard_reservation import ShardReservation
 from dapplewick.core.leader.slot_selection import ChosenSlots
-from dapplewick.core.leader.term_ids import TermIds
+from dapplewick.core.leader.term_ids import TermIdGenerator
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.storage.job_records import GangPlacement, JobRecord
 from dapplewick.storage.write_priority import WritePriority
@@ -35,7 +35,7 @@
     job: JobRecord
 
 
-class WaitingGangs:
+class GangPlacer:
     """Places waiting gangs until none fits, by priority, then size (largest first), then age."""
 
     def __init__(
@@ -47,14 +47,14 @@
         estimates: Estimates,
         tuning: Tuning,
         zones: list[str],
-        ids: TermIds,
+        ids: TermIdGenerator,
     ) -> None:
         self._drafts = drafts
         self._quotas = quotas
-        self._demand = demand
+        self._accelerator_demand = demand
         self._provisioner = provisioner
         self._estimates = estimates
-        self._patience_s = tuning.patience_s
+        self._preemption_delay_s = tuning.patience_s
         self._zones = zones
         self._ids = ids
         self._shard_reservation = ShardReservation()
@@ -66,18 +66,18 @@
         self._limit_reservations.begin()
         unplaced = self._place_each(self._waiting(), wall_time, shard_capacities)
         higher_priority = [
-            gang for gang in unplaced if gang.job.spec.priority > self._demand.priority
+            gang for gang in unplaced if gang.job.spec.priority > self._accelerator_demand.priority
         ]
-        if higher_priority and self._demand.wanted():
+        if higher_priority and self._accelerator_demand.needs_reservation():
             higher_priority = self._without_starting_machines(wall_time, higher_priority)
-        if higher_priority and self._demand.wanted():
+        if higher_priority and self._accelerator_demand.needs_reservation():
             # No machines without accelerators will be available soon, and these gangs have a higher
             # priority than accelerator work, so they may use the resources reserved for it.
             for shard in shard_capacities:
                 shard.set_demand(None)
             self._place_each(higher_priority, wall_time, shard_capacities)
             for shard in shard_capacities:
-                shard.set_demand(self._demand)
+                shard.set_demand(self._accelerator_demand)
 
     def _waiting(self) -> list[WaitingGang]:
         """Return the gangs without a placement, in the order in which they are tried."""
@@ -109,7 +109,7 @@
                 continue
             limit_s = self._reservation_limit_s(spec, waited_s)
             open_shards = self._shard_reservation.open_shards(shard_capacities)
-            slots = place_gang(spec, open_shards, limit_s, self._patience_s)
+            slots = place_gang(spec, open_shards, limit_s, self._preemption_delay_s)
             if slots is None:
                 unplaced.append(gang)
                 self._shard_reservation.request(
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -14,7 +14,7 @@
 
 from dapplewick import config
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader.job_writes import JobWrites
+from dapplewick.core.leader.job_writes import JobWriteBuilder
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.encoding import encoded_size
@@ -445,7 +445,7 @@
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(JobRecord, "may_exceed", lambda _, __, ___: False)
-    patch.setattr(JobWrites, "conversion_writes", lambda _: [])
+    patch.setattr(JobWriteBuilder, "conversion_writes", lambda _: [])
 
 
 @pytest.mark.parametrize("patch", [the_format_is_raised_by_guess, no_chunks])
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -11,7 +11,7 @@
 import pytest
 from msgspec.structs import replace
 
-from dapplewick.core.leader.machine_lifecycle import MachineLifecycle, ReportGap
+from dapplewick.core.leader.machine_lifecycle import HeartbeatGap, MachineLifecycle
 from dapplewick.core.leader.provisioner import Provisioner
 from dapplewick.core.shard.preemption import Preemption
 from dapplewick.core.shard.state import Machine
@@ -425,17 +425,17 @@
 @pytest.mark.parametrize(
     ("silence", "goes"),
     [
-        (ReportGap(6.1, True, True), False),  # one answer was lost, perhaps
-        (ReportGap(6.3, True, True), True),
-        (ReportGap(6.3, False, True), False),
-        (ReportGap(6.9, True, False), False),  # its owner may have lost the way to all of them
-        (ReportGap(7.1, True, False), True),
-        (ReportGap(14.9, False, True), False),
-        (ReportGap(15.1, False, False), True),
+        (HeartbeatGap(6.1, True, True), False),  # one answer was lost, perhaps
+        (HeartbeatGap(6.3, True, True), True),
+        (HeartbeatGap(6.3, False, True), False),
+        (HeartbeatGap(6.9, True, False), False),  # its owner may have lost the way to all of them
+        (HeartbeatGap(7.1, True, False), True),
+        (HeartbeatGap(14.9, False, True), False),
+        (HeartbeatGap(15.1, False, False), True),
     ],
 )
 def test_a_silent_machine_goes_sooner_where_replicas_wait_for_it(
-    silence: ReportGap, goes: bool
+    silence: HeartbeatGap, goes: bool
 ) -> None:
     bench = Bench(1)
     name = bench.names[0]
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -27,7 +27,7 @@
 from dapplewick.controller.controller import Controller
 from dapplewick.coordination.peer_exchange import PeerContact
 from dapplewick.core.estimates import Estimates
-from dapplewick.core.leader.job_writes import JobWrites
+from dapplewick.core.leader.job_writes import JobWriteBuilder
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.partitions import plan
@@ -172,9 +172,9 @@
     return [[neutral(change)[0], text(change.value), *neutral(change)[2:]] for change in changes]
 
 
-def _draft_of(given: Any) -> tuple[JobWrites, WatchCache, JobId]:
+def _draft_of(given: Any) -> tuple[JobWriteBuilder, WatchCache, JobId]:
     cache = watch_cache_of(given["records"])
-    return JobWrites(cache, ["a", "b"], given["most"]), cache, JobId(given["job"])
+    return JobWriteBuilder(cache, ["a", "b"], given["most"]), cache, JobId(given["job"])
 
 
 def write_placements(given: Any) -> Any:
@@ -491,7 +491,7 @@
         else:
             await calls._refresh_machine_list(leader)
         read = [
-            leader.provisioned,
+            leader.cloud_answers,
             leader.machine_lifecycle.deleted,
             leader.machine_lifecycle.listed,
             leader.types,
