--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -110,7 +110,7 @@
 
     def _start_provisioning(self, group: TaskGroup, planner: LeaderPlanner) -> None:
         for name in self._cache.provisioning_requests:
-            is_new = name not in self._provisioning and name not in planner.cloud_answers
+            is_new = name not in self._provisioning and name not in planner.provisioning_responses
             if is_new and self._budget.try_acquire():
                 self._provisioning.add(name)
                 group.start_soon(self._provision, planner, name)
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -77,22 +77,24 @@
             shape = _SlotShape(spec.placement_key, spec.image if only_with_image else "")
             if shape in exhausted:
                 continue
-            split = self._split(array, shard_capacities, queue_capacity, only_with_image, limit)
-            if split is None:
+            allocation = self._allocate(
+                array, shard_capacities, queue_capacity, only_with_image, limit
+            )
+            if allocation is None:
                 continue
-            if split.remaining > 0 and not (spec.same_zone or spec.spread):
+            if allocation.remaining > 0 and not (spec.same_zone or spec.spread):
                 exhausted.add(shape)
-            if split.total() > 0:
-                self._draft(array.job_id, split)
+            if allocation.total() > 0:
+                self._draft(array.job_id, allocation)
 
-    def _split(
+    def _allocate(
         self,
         array: PendingArray,
         shard_capacities: list[ShardCapacity],
         queue_capacity: dict[ShardName, int],
         only_with_image: bool,
         limit: int | None,
-    ) -> _Split | None:
+    ) -> _JobAllocation | None:
         """Reserve slots for a job; None if all tasks are assigned or its team is at its limit."""
         job = self._drafts.current(array.job_id)
         spec = job.spec
@@ -103,17 +105,17 @@
             wanted = min(wanted, limit)
         if wanted <= 0:
             return None
-        split = _Split(job, shard_capacities, wanted)
-        split.assign_idle_slots(self._gang_demand, only_with_image)
+        allocation = _JobAllocation(job, shard_capacities, wanted)
+        allocation.assign_idle_slots(self._gang_demand, only_with_image)
         if not only_with_image:
-            split.assign_beyond_idle_slots(queue_capacity)
-        return split
+            allocation.assign_beyond_idle_slots(queue_capacity)
+        return allocation
 
-    def _draft(self, job_id: JobId, split: _Split) -> None:
-        job, total = split.job, split.total()
+    def _draft(self, job_id: JobId, allocation: _JobAllocation) -> None:
+        job, total = allocation.job, allocation.total()
         tasks = self._next_tasks(job_id, job, total)
         draft = self._drafts.edit(job_id, WritePriority.NORMAL)
-        for shard, count in split.counts.items():
+        for shard, count in allocation.counts.items():
             if count:
                 shard_tasks, tasks = tasks[:count], tasks[count:]
                 draft.assignments[shard] = draft.assigned(shard) | set(shard_tasks)
@@ -152,7 +154,7 @@
         return queue_capacity
 
 
-class _Split:
+class _JobAllocation:
     """The number of a job's tasks assigned to each shard, within the job's limit for each zone.
 
     Attributes:
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -31,7 +31,7 @@
     """Decides how many machines to provision and to terminate, once all shards have reported.
 
     Attributes:
-        cloud_answers: The cloud's answers to provisioning requests that are still recorded, by
+        provisioning_responses: The cloud's responses to provisioning requests that are still
             request name: the machines provided, or None if the cloud refused.
         unmet: The capacity requests that could not be served at the last scaling decision.
     """
@@ -56,7 +56,7 @@
         self._ids = ids
         self._started_at = now
         self._scaled_at = NEVER_S
-        self.cloud_answers: dict[str, list[MachineId] | None] = {}
+        self.provisioning_responses: dict[str, list[MachineId] | None] = {}
         self.unmet: list[CapacityRequest] = []
 
     def changes(
@@ -73,7 +73,7 @@
         Returns:
             The writes that add new provisioning requests and remove answered ones.
         """
-        changes = self._process_cloud_answers(now, wall_time)
+        changes = self._process_provisioning_responses(now, wall_time)
         if now - self._scaled_at >= SCALING_INTERVAL_S and self._is_ready(now):
             self._scaled_at = now
             requests = self._capacity_requests.capacity_requests(wall_time, pending)
@@ -85,13 +85,15 @@
             self._scale_in.terminate_idle(scale_out.unmet, spare_slots)
         return changes
 
-    def _process_cloud_answers(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
+    def _process_provisioning_responses(
+        self, now: Seconds, wall_time: Seconds
+    ) -> list[ConditionalWrite]:
         """Draft the machines that the cloud provided, and remove the answered requests."""
         changes = []
-        for name, machines in list(self.cloud_answers.items()):
+        for name, machines in list(self.provisioning_responses.items()):
             request = self._cache.provisioning_requests.get(name)
             if request is None:
-                del self.cloud_answers[name]
+                del self.provisioning_responses[name]
                 continue
             if machines is None or len(machines) < request.count:
                 self._provisioner.record_refusal(now, request)
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -78,7 +78,7 @@
         contacts: The time since the last contact with the owner of each shard.
         wait_reasons: The reasons why jobs wait.
         machine_lifecycle: The state of each machine, apart from its stored record.
-        cloud_answers: The cloud's answers to provisioning requests, by request name.
+        provisioning_responses: The cloud's responses to provisioning requests, by request name.
         partitions: Moves machines between partitions; None if zones have no partitions.
     """
 
@@ -173,7 +173,7 @@
         )
         self._load_logger = LoadLogger(drafts, provisioner, now)
         self.shards = observed.by_name
-        self.cloud_answers = self._autoscaler.cloud_answers
+        self.provisioning_responses = self._autoscaler.provisioning_responses
         self.partitions: PartitionRebalancer | None = None
 
     @property
@@ -207,7 +207,7 @@
 
     def record_provisioning_response(self, name: str, machines: list[MachineId] | None) -> None:
         """Record the machines provisioned for a request; None if the cloud refused it."""
-        self.cloud_answers[name] = machines
+        self.provisioning_responses[name] = machines
 
     def record_deleted_machines(self, machines: Iterable[MachineId]) -> None:
         """Record that the cloud has deleted these machines."""
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -491,7 +491,7 @@
         else:
             await calls._refresh_machine_list(leader)
         read = [
-            leader.cloud_answers,
+            leader.provisioning_responses,
             leader.machine_lifecycle.deleted,
             leader.machine_lifecycle.listed,
             leader.types,
