--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -12,17 +12,18 @@
 GANG_WINDOW_S = 45.0  # gang tasks that arrive within this time should find idle slots
 RATE_DECAY_S = 60.0  # decay time constant of the gang arrival rate
 MIN_RATE_WINDOW_S = 5.0  # minimum observation time for the arrival rate
-GANG_SLOT_DEVIATIONS = 1.5  # idle slots, in standard deviations of gang task arrivals and ends
+# Reserved slots, in standard deviations of the gang tasks that arrive minus those that end.
+GANG_SLOT_DEVIATIONS = 1.5
 # If some classes have objectives, resources are reserved for a job of another class only after the
 # job has waited for this long.
 NO_OBJECTIVE_RESERVATION_DELAY_S = 60.0
-MIN_WANTED_FRACTION = 0.01  # of all accelerators; nothing is reserved for less
+MIN_WANTED_FRACTION = 0.01  # nothing is reserved if a smaller fraction of accelerators is wanted
 SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is wanted
-SEEN_GANGS_ALLOWANCE = (
-    500  # counted gangs kept, plus two per live job, before ended ones are removed
-)
+# Ended gangs are removed from the set of counted gangs once it has more entries than this number
+# plus two per live job.
+SEEN_GANGS_ALLOWANCE = 500
 DEMAND_DECAY_S = 20.0  # decay time constant of a past accelerator demand
-MIN_GANG_SLOTS = 0.5  # nothing is reserved for a smaller demand
+MIN_GANG_SLOTS = 0.5  # nothing is reserved if gangs need fewer slots
 
 
 class AcceleratorDemand:
@@ -67,8 +68,8 @@
         for _, job in self.cache.iter_live_jobs():
             spec = job.spec
             if spec.gpus > 0 and job.open:
-                # If only other classes have objectives, no resources are kept from their work for
-                # this job until the job has waited for long.
+                # If only other classes have objectives, no resources are withheld from their work
+                # for this job until the job has waited for long.
                 if (
                     self._classes_with_objectives
                     and spec.job_class not in self._classes_with_objectives
@@ -130,8 +131,8 @@
 class GangDemand:
     """The number of idle slots to reserve for gangs that cannot preempt array tasks.
 
-    A gang of higher priority preempts array tasks; any other gang waits for them to end. So array
-    tasks without accelerators may not use a few idle slots of the gangs' size.
+    A gang of higher priority preempts array tasks; any other gang waits for them to end. Therefore
+    a few idle slots of the gangs' size are withheld from array tasks without accelerators.
 
     Attributes:
         latest_spec: The latest gang to arrive; None before the first.
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -68,7 +68,7 @@
         limit: int | None = None,
     ) -> None:
         """Assign slots to at most `limit` tasks of each array, in order, until none are free."""
-        # If one job receives fewer slots than it needs, no slot is free for jobs of the same shape.
+        # Shapes of which one job received fewer slots than it needs; none is free for later jobs.
         exhausted: set[_SlotShape] = set()
         for array in arrays:
             if array.unassigned <= 0:
@@ -95,7 +95,7 @@
         only_with_image: bool,
         limit: int | None,
     ) -> _JobAllocation | None:
-        """Reserve slots for a job; None if all tasks are assigned or its team is at its limit."""
+        """Reserve slots for unassigned tasks; None without such tasks or at the team's limit."""
         job = self._drafts.current(array.job_id)
         spec = job.spec
         assigned = sum(len(tasks) for tasks in job.assignments.values())
@@ -155,11 +155,11 @@
 
 
 class _JobAllocation:
-    """The number of a job's tasks assigned to each shard, within the job's limit for each zone.
+    """Distributes a job's tasks over shards, within the job's limit for each zone.
 
     Attributes:
         job: The job with the changes of this pass.
-        counts: The number of tasks for each shard, in the order in which shards were chosen.
+        counts: The number of tasks assigned to each shard, in the order in which shards are tried.
         remaining: The number of tasks that are assigned to no shard.
     """
 
@@ -170,7 +170,8 @@
         shards = [s for s in shard_capacities if any(c.allows(spec) for c in s.capacities)]
         if spec.same_zone:
             shards = _in_one_zone(job, shards)
-        # Shards reserved for certain teams precede shared shards; then most idle slots first.
+        # Shards reserved for certain teams precede shared shards; then those with the most idle
+        # slots come first.
         shards.sort(key=lambda s: (s.teams is None, -s.idle_slots(spec)))
         self._shards = shards
         self._zone_remaining = {
--- a/src/dapplewick/core/leader/capacity_snapshots.py
+++ b/src/dapplewick/core/leader/capacity_snapshots.py
@@ -40,7 +40,7 @@
         Shards without a recent status are left out.
 
         Args:
-            now: The steady clock.
+            now: The monotonic clock, in seconds.
             served_teams: Returns the teams whose work may be placed in a shard; None for all.
         """
         by_name: dict[str, ShardCapacity] = {}
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -1,4 +1,4 @@
-"""Scaling of the cluster: results of provisioning requests, scaling out and scaling in."""
+"""Autoscaling of the cluster: responses to provisioning requests, scaling out, scaling in."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
     Attributes:
         provisioning_responses: The cloud's responses to provisioning requests that are still
-            request name: the machines provided, or None if the cloud refused.
-        unmet: The capacity requests that could not be served at the last scaling decision.
+            recorded, by request name: the machines provided, or None if the cloud refused.
+        unmet: The capacity requests that could not be fully served at the last scaling decision.
     """
 
     def __init__(
@@ -66,12 +66,12 @@
         shard_capacities: list[ShardCapacity],
         pending: list[PendingArray],
     ) -> list[ConditionalWrite]:
-        """Process the cloud's answers and decide on scaling.
+        """Process the cloud's responses and decide on scaling.
 
         Terminations and newly provisioned machines are drafted with `MachineLifecycle`.
 
         Returns:
-            The writes that add new provisioning requests and remove answered ones.
+            The writes that add new provisioning requests and remove completed ones.
         """
         changes = self._process_provisioning_responses(now, wall_time)
         if now - self._scaled_at >= SCALING_INTERVAL_S and self._is_ready(now):
@@ -88,7 +88,7 @@
     def _process_provisioning_responses(
         self, now: Seconds, wall_time: Seconds
     ) -> list[ConditionalWrite]:
-        """Draft the machines that the cloud provided, and remove the answered requests."""
+        """Draft the machines that the cloud provided, and remove the completed requests."""
         changes = []
         for name, machines in list(self.provisioning_responses.items()):
             request = self._cache.provisioning_requests.get(name)
--- a/src/dapplewick/core/leader/gang_placement.py
+++ b/src/dapplewick/core/leader/gang_placement.py
@@ -17,7 +17,8 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds, Zone
 
-LONG_RESERVATION_S = 10.0  # for a gang with a longer reservation, more machines are provisioned
+# More machines are provisioned for a gang whose reserved slots stay busy for longer than this.
+LONG_RESERVATION_S = 10.0
 
 
 class _ReservationOption(NamedTuple):
@@ -28,7 +29,10 @@
 
 
 def place_gang(
-    spec: JobSpec, shards: Iterable[ShardCapacity], limit_s: Seconds, preemption_delay_s: Seconds
+    spec: JobSpec,
+    shards: Iterable[ShardCapacity],
+    limit_s: Seconds,
+    preemption_threshold_s: Seconds,
 ) -> ChosenSlots | None:
     """Choose machines for a gang's tasks, or return None if the gang has to wait; reserves nothing.
 
@@ -40,11 +44,12 @@
         spec: The gang.
         shards: The shards in which the gang may be placed.
         limit_s: Slots that are busy for longer than this are not reserved.
-        preemption_delay_s: Longer waits are shortened by preempting work of lower priority.
+        preemption_threshold_s: Work of lower priority is preempted if the gang would otherwise wait
+            for longer than this.
     """
     shards = list(shards)
     if spec.max_tasks_per_zone >= spec.task_count:
-        slots = _place_in_one_shard(spec, shards, limit_s, preemption_delay_s)
+        slots = _place_in_one_shard(spec, shards, limit_s, preemption_threshold_s)
         if slots is not None:
             return slots
     if not spec.same_zone:
@@ -57,13 +62,13 @@
 
 
 def _place_in_one_shard(
-    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, preemption_delay_s: Seconds
+    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, preemption_threshold_s: Seconds
 ) -> ChosenSlots | None:
     idle = _idle_in_one_shard(spec, shards)
     return (
         idle
         if idle is not None
-        else _soonest_reservation(spec, shards, limit_s, preemption_delay_s)
+        else _soonest_reservation(spec, shards, limit_s, preemption_threshold_s)
     )
 
 
@@ -84,12 +89,12 @@
 
 
 def _soonest_reservation(
-    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, preemption_delay_s: Seconds
+    spec: JobSpec, shards: list[ShardCapacity], limit_s: Seconds, preemption_threshold_s: Seconds
 ) -> ChosenSlots | None:
     """Choose slots to reserve in the shard where all of them become idle soonest."""
     best: _ReservationOption | None = None
     for shard in shards:
-        slots = _reservable_slots(spec, shard, limit_s, preemption_delay_s)
+        slots = _reservable_slots(spec, shard, limit_s, preemption_threshold_s)
         if slots is None:
             continue
         wait_s = _wait_s(spec, slots)
@@ -99,14 +104,15 @@
 
 
 def _reservable_slots(
-    spec: JobSpec, shard: ShardCapacity, limit_s: Seconds, preemption_delay_s: Seconds
+    spec: JobSpec, shard: ShardCapacity, limit_s: Seconds, preemption_threshold_s: Seconds
 ) -> ChosenSlots | None:
-    # Slots that are busy with long work are not reserved: the gang's idle slots would stay unused.
+    # Slots that are busy with long work are not reserved: the gang's slots that are already idle
+    # would stay unused until that work ends.
     count = spec.task_count
     if shard.runs_lower_priority_than(spec.priority):
         if shard.slots_within(spec, limit_s) < count:
             return None
-        return fit_reserved(shard.capacities, spec, count, preemption_delay_s, limit_s)
+        return fit_reserved(shard.capacities, spec, count, preemption_threshold_s, limit_s)
     if shard.slots_within(spec, ONE_GROUP_LIMIT_FACTOR * limit_s) < count:
         return None
     capacities = fit_behind(*shard.slot_groups(spec), count, limit_s)
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -212,7 +212,7 @@
         return outgrows
 
     def obsolete_key_removals(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
-        """Return writes that remove keys of jobs that no controller reads any more."""
+        """Return writes that remove the chunks and placement pieces that are no longer read."""
         unread: list[str] = []
         for job_id in [*self._cache.chunks, *self._cache.placements]:
             job = self._cache.jobs.get(job_id)
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -17,7 +17,9 @@
 
 log = logging.getLogger(__name__)
 
-RELEASE_TIMEOUT_S = 60.0  # counted only while all shards and machines are in contact
+# It is a violation if ended work holds a limit for longer than this, counted only while all shards
+# and machines are in contact.
+RELEASE_TIMEOUT_S = 60.0
 
 
 class LimitAudit:
--- a/src/dapplewick/core/leader/limit_reservations.py
+++ b/src/dapplewick/core/leader/limit_reservations.py
@@ -1,8 +1,9 @@
 """Reservation of a team's limit for a gang of the team that has waited too long.
 
 A team at its limit regains quota a few tasks at a time, and smaller work of the team would use each
-part of it, so that the largest gangs never find quota for all their tasks. So the quota that the
-first gang to have waited too long needs, in placement order, is withheld from work that follows.
+part of it, so that the largest gangs never find quota for all their tasks. Therefore, for the first
+gang in placement order that has waited too long, the quota that it needs is withheld from the
+team's work that is considered after it.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 
 # While quota is withheld, the team's other work waits although slots are idle, which users accept
 # for less than 90 s: a limit of 80 s leaves 10 s to assign and launch the work that has waited.
-# Tasks with longer run times may keep the gang waiting: while they end one by one, either the gang
-# or the other work has to wait for more than 90 s.
+# Tasks that run for longer than the limit may keep the gang waiting: while they end one by one,
+# either the gang or the other work has to wait for more than 90 s.
 # After a cool-down, in which all of the other work may start, quota is withheld again.
 MAX_WITHHELD_S = 80.0
 
--- a/src/dapplewick/core/leader/machine_capacity.py
+++ b/src/dapplewick/core/leader/machine_capacity.py
@@ -26,7 +26,7 @@
     """The estimated end of a task on a machine, and the resources that it then releases.
 
     Attributes:
-        at: The estimated time of the end, by the leader's steady clock.
+        at: The estimated time of the end, by the leader's monotonic clock.
         resources: The resources that the task releases.
         priority: The priority of the task's job.
         group: The gang, whose tasks all end together; empty for an array task.
@@ -76,7 +76,7 @@
         reported_free: The free resources according to the shard's status.
         free: `reported_free` less the resources reserved in this pass.
         ends: The expected ends of the running tasks, earliest first.
-        array_tasks: The number of array tasks that run here.
+        array_tasks: The number of array tasks that run on the machine.
         max_cpus: The CPUs that are free once all running tasks have ended.
         queue_length: The number of tasks queued on the machine.
         demand: The accelerator demand for which CPUs and memory are reserved; None for none.
@@ -276,9 +276,9 @@
         return spec.gpus == 0 and self.demand is not None and self.demand.is_scarce()
 
 
-# Sort key of `best_fit_key`: accelerators that the job does not need, whether the image is missing,
-# whether the machine is on-demand, free CPUs and free memory. A plain tuple, because one is built
-# for every candidate machine each time tasks are assigned.
+# The sort key that `best_fit_key` returns: accelerators that the job does not need, whether the
+# image is missing, whether the machine is on-demand, free CPUs and free memory. A plain tuple,
+# because one is built for every candidate machine each time tasks are assigned.
 BestFitKey = tuple[float, bool, bool, float, float]
 
 
@@ -317,7 +317,7 @@
         total: The resources of its type.
         status: The machine's status as the shard's owner reported it.
         demand: The accelerator demand for which CPUs and memory are reserved.
-        clock_offset_s: The leader's steady clock minus that of the shard's owner.
+        clock_offset_s: The leader's monotonic clock minus that of the shard's owner.
     """
     return MachineCapacity(
         machine_id,
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -25,7 +25,7 @@
 MAX_GROUP_MACHINES = 150  # per group; the value size limit may lower this
 GROUP_OVERHEAD_BYTES = 200  # size of an encoded record without its machines
 MACHINE_STATE_BYTES = 18  # size of a machine's encoded state, without its name
-MACHINE_FLOOR_BYTES = 18  # size of a machine's encoded token floor, without its name
+MIN_TOKEN_BYTES = 18  # size of a machine's encoded minimum token, without its name
 DEFAULT_NAME_CHARS = 10  # assumed length of machine names where a group has no machines
 
 
@@ -56,17 +56,17 @@
     def __init__(self, value_bytes: int) -> None:
         self._value_bytes = value_bytes
 
-    def max_machines(self, machines: Iterable[str], with_floors: bool = False) -> int:
+    def max_machines(self, machines: Iterable[str], with_min_tokens: bool = False) -> int:
         """The maximum number of machines in a record, given the longest of these names.
 
         Args:
             machines: The names of the machines.
-            with_floors: Whether the record also holds a token floor for each machine.
+            with_min_tokens: Whether the record also holds each machine's minimum fencing token.
         """
         longest_name = max((len(machine) for machine in machines), default=DEFAULT_NAME_CHARS)
         machine_bytes = longest_name + MACHINE_STATE_BYTES
-        if with_floors:
-            machine_bytes += longest_name + MACHINE_FLOOR_BYTES
+        if with_min_tokens:
+            machine_bytes += longest_name + MIN_TOKEN_BYTES
         return max(
             1, min(MAX_GROUP_MACHINES, (self._value_bytes - GROUP_OVERHEAD_BYTES) // machine_bytes)
         )
@@ -256,7 +256,7 @@
         self._drafts[name] = GroupDraft(group, priority)
 
     def move(
-        self, floors: Mapping[MachineId, int], partition: str, transaction_group: str
+        self, min_tokens: Mapping[MachineId, int], partition: str, transaction_group: str
     ) -> list[MachineId]:
         """Draft the move of machines of one group to another partition.
 
@@ -264,8 +264,8 @@
         that each machine is in exactly one group at every revision.
 
         Args:
-            floors: The machines, each with the minimum fencing token that commands to its worker
-                must carry after the move.
+            min_tokens: The machines, each with the minimum fencing token that commands to its
+                worker must carry after the move.
             partition: The partition to move the machines to.
             transaction_group: The name of the transaction, for `moves`.
 
@@ -273,14 +273,14 @@
             The machines that are moved: none if another draft of this pass changes one of the
             groups, and only some if the new group becomes full.
         """
-        name = self._cache.group_of[next(iter(floors))]
+        name = self._cache.group_of[next(iter(min_tokens))]
         group = self._cache.groups[name]
         # If another group also lists a machine, its record would undo the move.
-        listed_once = all(self._cache.is_in_one_group(machine) for machine in floors)
+        listed_once = all(self._cache.is_in_one_group(machine) for machine in min_tokens)
         is_busy = name in self._drafts or name == self._splitter.group_name
         if is_busy or self._limits.is_oversized(group) or not listed_once:
             return []
-        max_machines = self._limits.max_machines(floors, with_floors=True)
+        max_machines = self._limits.max_machines(min_tokens, with_min_tokens=True)
         kind = GroupKind.of(group)._replace(partition=partition)
         target_name = self._group_with_space(kind, max_machines - 1)
         if target_name is None:
@@ -290,10 +290,10 @@
         elif target_name in self._drafts or target_name in (name, self._splitter.group_name):
             return []
         target_group = self._edit(target_name, WritePriority.NORMAL)
-        moved = list(floors)[: max_machines - len(target_group.machines)]
+        moved = list(min_tokens)[: max_machines - len(target_group.machines)]
         for machine in moved:
             target_group.machines[machine] = group.machines[machine]
-            target_group.min_tokens[machine] = floors[machine]
+            target_group.min_tokens[machine] = min_tokens[machine]
             group = group.without(machine)
         self._drafts[name] = GroupDraft(group, WritePriority.NORMAL)
         self._transaction_groups[name] = self._transaction_groups[target_name] = transaction_group
--- a/src/dapplewick/core/leader/machine_lifecycle.py
+++ b/src/dapplewick/core/leader/machine_lifecycle.py
@@ -116,10 +116,10 @@
         return self._groups.changes()
 
     def move(
-        self, floors: Mapping[MachineId, int], partition: str, transaction_group: str
+        self, min_tokens: Mapping[MachineId, int], partition: str, transaction_group: str
     ) -> list[MachineId]:
         """Draft the move of machines to another partition; see `MachineGroupDrafts.move`."""
-        return self._groups.move(floors, partition, transaction_group)
+        return self._groups.move(min_tokens, partition, transaction_group)
 
     def moves(self, transaction_group: str) -> list[ConditionalWrite]:
         """The writes of the moves drafted for this transaction group."""
@@ -173,10 +173,11 @@
         """Inspect every machine, and draft the changes of its record.
 
         Args:
-            now: The steady clock.
-            wall_time: The wall clock.
+            now: The monotonic clock, in seconds.
+            wall_time: The wall clock, in seconds.
             statuses: The machines' statuses according to their shards.
-            heartbeat_gaps: The machines whose shards report missing heartbeats.
+            heartbeat_gaps: The machines whose shards have received no heartbeat from them for a
+                while, with the period without heartbeats.
             zones: The zones of this deployment; machines in other zones are not adopted.
         """
         newly_up: dict[str, list[MachineId]] = {}
--- a/src/dapplewick/core/leader/machine_offers.py
+++ b/src/dapplewick/core/leader/machine_offers.py
@@ -52,7 +52,7 @@
 
 
 class MachineOffers:
-    """The cloud's current offers, according to its catalogue and its latest refusals."""
+    """The cloud's current offers, according to its catalog and its latest refusals."""
 
     def __init__(self, cache: WatchCache, zones: list[str]) -> None:
         self._cache = cache
@@ -61,7 +61,7 @@
         self._refused_at: dict[MachinePool, Seconds] = {}
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        """Set the catalogue that the cloud returned; until then the stored types are used."""
+        """Set the catalog that the cloud returned; until then the stored types are used."""
         self._catalog = {machine_type.name: machine_type for machine_type in types}
 
     def record_refusal(self, now: Seconds, request: ProvisioningRequest) -> None:
@@ -82,7 +82,7 @@
         serve.
 
         Args:
-            now: The steady clock.
+            now: The monotonic clock, in seconds.
             spec: The job specification.
             zones: The zones in which machines may be provisioned.
             requested: The number of machines already requested from each pool in this pass.
@@ -118,7 +118,7 @@
         return requested.get(pool, 0) < MAX_MACHINES_PER_REQUEST
 
     def hourly_price(self, machine_type: str, spot: bool) -> float:
-        """The price per hour of a machine; 0 if its type is in neither catalogue nor records."""
+        """The price per hour of a machine; 0 if its type is in neither catalog nor records."""
         known = self._catalog.get(machine_type) or self._cache.types.get(machine_type)
         if known is None:
             return 0.0
--- a/src/dapplewick/core/leader/machine_types.py
+++ b/src/dapplewick/core/leader/machine_types.py
@@ -39,10 +39,10 @@
 
 
 class MachineTypeWriter:
-    """Keeps the stored machine types in step with the cloud's catalogue.
+    """Builds the writes that update the stored machine types to the cloud's catalog.
 
     Attributes:
-        catalog: The catalogue that the cloud returned; empty before its first response.
+        catalog: The catalog that the cloud returned; empty before its first response.
     """
 
     def __init__(self, cache: WatchCache, value_bytes: int) -> None:
@@ -51,7 +51,7 @@
         self.catalog: list[MachineType] = []
 
     def changes(self) -> list[ConditionalWrite]:
-        """The writes that bring the stored types up to date.
+        """The writes that update the stored types; none before the cloud's first response.
 
         The types are stored in one record, or under one key per type if they exceed the value size
         limit.
--- a/src/dapplewick/core/leader/observed_shard.py
+++ b/src/dapplewick/core/leader/observed_shard.py
@@ -32,8 +32,8 @@
     Attributes:
         token: The owner's fencing token.
         status_number: The number of the latest status; 0 before the first status.
-        received_at: When the latest status was received, by the leader's steady clock.
-        clock_offset_s: The leader's steady clock minus the owner's, in seconds.
+        received_at: When the latest status was received, by the leader's monotonic clock.
+        clock_offset_s: The leader's monotonic clock minus the owner's, in seconds.
         seen_revision: The revision of the state service that the owner had read.
         machines: The status of each machine of the shard.
         capacities: The machines' capacities for planning, which are built on demand.
--- a/src/dapplewick/core/leader/planner.py
+++ b/src/dapplewick/core/leader/planner.py
@@ -197,7 +197,7 @@
         return self._observed.receive(now, status)
 
     def unreachable_shards(self) -> set[ShardName]:
-        """Return the shards that need another owner; see `ObservedShards.unreachable`."""
+        """Return the shards that need another owner; see `ObservedShards.unreachable_shards`."""
         return self._observed.unreachable_shards()
 
     def shards_without_contact(self, now: Seconds) -> set[ShardName]:
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -66,7 +66,7 @@
         self._offers = MachineOffers(cache, zones)
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        """Replace the catalogue of machine types with the one that the cloud returned."""
+        """Replace the catalog of machine types with the one that the cloud returned."""
         self._offers.set_catalog(types)
 
     def record_refusal(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
@@ -82,7 +82,7 @@
         return self._offers.boot_limit_s(machine_type)
 
     def expected_machines(self, wall_time: Seconds) -> list[MachineCapacity]:
-        """Machines that are booting or requested, each as an empty machine.
+        """The machines that are booting or requested, each with all its resources free.
 
         Machines that are overdue (see `OVERDUE_BOOT_FACTOR`) are excluded: they may never finish
         booting, and no work should wait for them.
@@ -119,7 +119,7 @@
         request more machines. The slots found are reserved in `shard_capacities`.
 
         Args:
-            now: The steady clock.
+            now: The monotonic clock, in seconds.
             wall_time: The wall clock, which is compared with times of provisioning.
             capacity_requests: The demand, in the order in which it is served.
             shard_capacities: The capacity of all shards; this method changes it.
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -30,12 +30,12 @@
         cache: WatchCache,
         drafts: JobDrafts,
         shards: ObservedShards,
-        preemption_delay_s: Seconds,
+        preemption_threshold_s: Seconds,
     ) -> None:
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
-        self._preemption_delay_s = preemption_delay_s
+        self._preemption_threshold_s = preemption_threshold_s
         # When each gang was first seen holding reserved slots without preempting.
         self._reserved_since: dict[JobId, Seconds] = {}
 
@@ -101,7 +101,7 @@
                 continue
             if GANG_RESERVED in states and not gang.preempt and job.spec.priority > lowest_priority:
                 reserved_since[job_id] = self._reserved_since.get(job_id, now)
-                if now - reserved_since[job_id] > self._preemption_delay_s:
+                if now - reserved_since[job_id] > self._preemption_threshold_s:
                     self._preempt(job_id, gang)
         self._reserved_since = reserved_since
 
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -19,7 +19,7 @@
 
 
 class ScaleInPlanner:
-    """Terminates machines idle beyond their limit, except those that waiting work could use."""
+    """Drafts the termination of idle machines, except those that waiting work could use."""
 
     def __init__(
         self,
@@ -50,8 +50,8 @@
         """Draft the termination of idle machines.
 
         Args:
-            unmet: Capacity requests that could not be served by provisioning; a machine that
-                could serve one of them is not terminated.
+            unmet: The capacity requests that could not be fully served; a machine that could serve
+                one of them is not terminated.
             spare_slots: The number of slots of the gangs' size that may be removed.
         """
         placed = {
@@ -78,7 +78,8 @@
     ) -> bool:
         """Whether a machine is up, still in this shard, in no transfer, and idle past its limit.
 
-        A spot machine with a reclaim notice (`leaving`) qualifies without being idle that long.
+        A machine that is `leaving` (it has a spot notice, is slow, unreachable or drained)
+        qualifies without being idle for that long.
         """
         status = shard.machines.get(machine_id)
         if status is None or record.terminating or not record.up:
--- a/src/dapplewick/core/leader/shard_reservation.py
+++ b/src/dapplewick/core/leader/shard_reservation.py
@@ -1,8 +1,8 @@
 """Reservation of one shard for a gang that has waited too long.
 
-Gangs are placed largest first, but slots become idle a few at a time and smaller gangs fit into
-each few: under sustained overload the largest gangs would never fit. So in each pass one shard is
-reserved for the first gang, in placement order, that has waited for long and finds no slots. The
+Gangs are placed largest first. However, slots become idle a few at a time, and smaller gangs use
+them: under sustained overload the largest gangs would never fit. Therefore one shard is reserved in
+each pass for the first gang, in placement order, that has waited for long and finds no slots. The
 gangs after it, which are smaller or younger, are placed in the other shards.
 """
 
@@ -13,7 +13,7 @@
 from dapplewick.types import Seconds, ShardName
 
 OVERDUE_S = 60.0  # a gang that has waited for this long may have a shard reserved
-MAX_OVERDUE_S = 240.0  # a gang that has waited for this long no longer holds up others
+MAX_OVERDUE_S = 240.0  # after this wait no shard is reserved, so that other gangs are not delayed
 MAX_RESERVATION_S = 45.0  # a reservation ends after this time without a gang placed in the shard
 COOLDOWN_S = 10.0  # no new reservation for this time, so that other gangs can use idle slots
 
--- a/src/dapplewick/core/leader/slot_selection.py
+++ b/src/dapplewick/core/leader/slot_selection.py
@@ -10,7 +10,8 @@
 from dapplewick.protocol.job_spec import JobSpec
 from dapplewick.types import Seconds
 
-ONE_GROUP_LIMIT_FACTOR = 4.0  # factor on the wait limit if one group frees all slots
+# The wait limit is multiplied by this if all slots become idle with the end of one group of tasks.
+ONE_GROUP_LIMIT_FACTOR = 4.0
 
 
 class ChosenSlots(NamedTuple):
@@ -50,7 +51,7 @@
     capacities: Iterable[MachineCapacity],
     spec: JobSpec,
     count: int,
-    preemption_delay_s: Seconds,
+    preemption_threshold_s: Seconds,
     limit_s: Seconds,
 ) -> ChosenSlots | None:
     """Choose slots to reserve for `count` tasks until all are idle, or return None.
@@ -61,10 +62,11 @@
         capacities: The machines of one shard.
         spec: The gang.
         count: The number of tasks.
-        preemption_delay_s: Longer waits are shortened by preempting work of lower priority.
+        preemption_threshold_s: Work of lower priority is preempted if the gang would otherwise wait
+            for longer than this.
         limit_s: Slots that are busy for longer than this are not used.
     """
-    options = _reservable_machines(capacities, spec, preemption_delay_s, limit_s)
+    options = _reservable_machines(capacities, spec, preemption_threshold_s, limit_s)
     chosen: list[MachineCapacity] = []
     preempt = False
     for option in options:
@@ -75,7 +77,7 @@
             if wait is None or min(wait.without_preemption_s, wait.with_preemption_s) > limit_s:
                 break
             if (
-                wait.without_preemption_s > preemption_delay_s
+                wait.without_preemption_s > preemption_threshold_s
                 and wait.with_preemption_s < wait.without_preemption_s
             ):
                 preempt = True
@@ -90,7 +92,7 @@
 def _reservable_machines(
     capacities: Iterable[MachineCapacity],
     spec: JobSpec,
-    preemption_delay_s: Seconds,
+    preemption_threshold_s: Seconds,
     limit_s: Seconds,
 ) -> list[_ReservableMachine]:
     options: list[_ReservableMachine] = []
@@ -103,8 +105,8 @@
         without_preemption_s, with_preemption_s = wait
         wait_s = (
             without_preemption_s
-            if without_preemption_s <= preemption_delay_s
-            else max(with_preemption_s, preemption_delay_s)
+            if without_preemption_s <= preemption_threshold_s
+            else max(with_preemption_s, preemption_threshold_s)
         )
         if wait_s > limit_s:
             continue
--- a/src/dapplewick/core/leader/wait_reasons.py
+++ b/src/dapplewick/core/leader/wait_reasons.py
@@ -42,7 +42,7 @@
     SHARD_WITHOUT_CONTACT = "shard_not_heard"  # the capacity of some shard is unknown
     OVER_LIMIT = "over_limit"  # exceeds its team's limit, less the withheld part
     BEHIND_OTHERS = "behind_others"  # idle slots go to, or are reserved for, other work
-    MACHINES_STARTING = "machines_coming"  # machines that fit the job are starting
+    MACHINES_STARTING = "machines_coming"  # machines that fit the job are booting or requested
     NO_CAPACITY = "no_capacity"  # the cloud has no more machines that fit the job
     NO_SLOT = "no_slot"  # all slots that fit the job are in use
 
@@ -108,9 +108,9 @@
         Args:
             now: The monotonic clock, in seconds.
             wall_time: The wall clock, in seconds, which is compared with submission times.
-            shard_capacities: The capacity that this pass has left free.
-            provisioner: Lists the machines that are provisioned but have not started.
-            unmet: The capacity requests for which nothing could be provisioned.
+            shard_capacities: The capacity of all shards, less what this pass has reserved.
+            provisioner: Lists the machines that are booting or requested.
+            unmet: The capacity requests that could not be fully served.
         """
         if now - self._updated_at < REPORT_INTERVAL_S:
             return
--- a/src/dapplewick/core/leader/waiting_gangs.py
+++ b/src/dapplewick/core/leader/waiting_gangs.py
@@ -54,7 +54,7 @@
         self._accelerator_demand = demand
         self._provisioner = provisioner
         self._estimates = estimates
-        self._preemption_delay_s = tuning.patience_s
+        self._preemption_threshold_s = tuning.patience_s
         self._zones = zones
         self._ids = ids
         self._shard_reservation = ShardReservation()
@@ -109,7 +109,7 @@
                 continue
             limit_s = self._reservation_limit_s(spec, waited_s)
             open_shards = self._shard_reservation.open_shards(shard_capacities)
-            slots = place_gang(spec, open_shards, limit_s, self._preemption_delay_s)
+            slots = place_gang(spec, open_shards, limit_s, self._preemption_threshold_s)
             if slots is None:
                 unplaced.append(gang)
                 self._shard_reservation.request(
