--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -26,16 +26,16 @@
     image: str
 
 
-class ArrayAssignment:
+class ArrayAssigner:
     """Assigns tasks to the idle slots of shards, and a few more tasks to the shards' queues."""
 
     def __init__(
-        self, drafts: JobDrafts, quotas: TeamQuotas, shards: ObservedShards, gangs: GangDemand
+        self, drafts: JobDrafts, quotas: TeamQuotas, shards: ObservedShards, gang_demand: GangDemand
     ) -> None:
         self._drafts = drafts
         self._quotas = quotas
         self._shards = shards
-        self._gangs = gangs
+        self._gang_demand = gang_demand
         self._first_incomplete: dict[JobId, int] = {}  # all lower tasks are complete
 
     def assign(
@@ -68,7 +68,7 @@
         limit: int | None = None,
     ) -> None:
         """Assign slots to at most `limit` tasks of each array, in order, until none are free."""
-        # If one job receives fewer slots than it needs, no slot is free for jobs of the same shape.
+        # Shapes of which one job received fewer slots than it needs; none is free for later jobs.
         exhausted: set[_SlotShape] = set()
         for array in arrays:
             if array.unassigned <= 0:
@@ -77,23 +77,25 @@
             shape = _SlotShape(spec.placement_key, spec.image if only_with_image else "")
             if shape in exhausted:
                 continue
-            split = self._split(array, shard_capacities, queue_capacity, only_with_image, limit)
-            if split is None:
+            allocation = self._allocate(
+                array, shard_capacities, queue_capacity, only_with_image, limit
+            )
+            if allocation is None:
                 continue
-            if split.remaining > 0 and not (spec.same_zone or spec.spread):
+            if allocation.remaining > 0 and not (spec.same_zone or spec.spread):
                 exhausted.add(shape)
-            if split.total() > 0:
-                self._draft(array.job_id, split)
+            if allocation.total() > 0:
+                self._draft(array.job_id, allocation)
 
-    def _split(
+    def _allocate(
         self,
         array: PendingArray,
         shard_capacities: list[ShardCapacity],
         queue_capacity: dict[ShardName, int],
         only_with_image: bool,
         limit: int | None,
-    ) -> _Split | None:
-        """Reserve slots for a job; None if all tasks are assigned or its team is at its limit."""
+    ) -> _JobAllocation | None:
+        """Reserve slots for unassigned tasks; None without such tasks or at the team's limit."""
         job = self._drafts.current(array.job_id)
         spec = job.spec
         assigned = sum(len(tasks) for tasks in job.assignments.values())
@@ -103,17 +105,17 @@
             wanted = min(wanted, limit)
         if wanted <= 0:
             return None
-        split = _Split(job, shard_capacities, wanted)
-        split.assign_idle_slots(self._gangs, only_with_image)
+        allocation = _JobAllocation(job, shard_capacities, wanted)
+        allocation.assign_idle_slots(self._gang_demand, only_with_image)
         if not only_with_image:
-            split.assign_beyond_idle_slots(queue_capacity)
-        return split
+            allocation.assign_beyond_idle_slots(queue_capacity)
+        return allocation
 
-    def _draft(self, job_id: JobId, split: _Split) -> None:
-        job, total = split.job, split.total()
+    def _draft(self, job_id: JobId, allocation: _JobAllocation) -> None:
+        job, total = allocation.job, allocation.total()
         tasks = self._next_tasks(job_id, job, total)
         draft = self._drafts.edit(job_id, WritePriority.NORMAL)
-        for shard, count in split.counts.items():
+        for shard, count in allocation.counts.items():
             if count:
                 shard_tasks, tasks = tasks[:count], tasks[count:]
                 draft.assignments[shard] = draft.assigned(shard) | set(shard_tasks)
@@ -152,12 +154,12 @@
         return queue_capacity
 
 
-class _Split:
-    """The number of a job's tasks assigned to each shard, within the job's limit for each zone.
+class _JobAllocation:
+    """Distributes a job's tasks over shards, within the job's limit for each zone.
 
     Attributes:
         job: The job with the changes of this pass.
-        counts: The number of tasks for each shard, in the order in which shards were chosen.
+        counts: The number of tasks assigned to each shard, in the order in which shards are tried.
         remaining: The number of tasks that are assigned to no shard.
     """
 
@@ -168,7 +170,8 @@
         shards = [s for s in shard_capacities if any(c.allows(spec) for c in s.capacities)]
         if spec.same_zone:
             shards = _in_one_zone(job, shards)
-        # Shards reserved for certain teams precede shared shards; then most idle slots first.
+        # Shards reserved for certain teams precede shared shards; then those with the most idle
+        # slots come first.
         shards.sort(key=lambda s: (s.teams is None, -s.idle_slots(spec)))
         self._shards = shards
         self._zone_remaining = {
@@ -181,10 +184,10 @@
         """Return how many tasks were assigned to shards."""
         return sum(self.counts.values())
 
-    def assign_idle_slots(self, gangs: GangDemand, only_with_image: bool) -> None:
+    def assign_idle_slots(self, gang_demand: GangDemand, only_with_image: bool) -> None:
         """Assign tasks to the shards' idle slots, except slots reserved for gangs."""
         for shard in self._shards:
-            shard.reserve_idle_slots_for_gangs(gangs, self._shard_fraction)
+            shard.reserve_idle_slots_for_gangs(gang_demand, self._shard_fraction)
             limit = min(self.remaining, self._zone_remaining[shard.zone])
             self.counts[shard.shard] = 0
             self._assign(shard, shard.reserve_up_to(self._spec, limit, only_with_image))
--- a/src/dapplewick/core/leader/capacity_snapshots.py
+++ b/src/dapplewick/core/leader/capacity_snapshots.py
@@ -30,7 +30,7 @@
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
-        self._demand = demand
+        self._accelerator_demand = demand
 
     def build(
         self, now: Seconds, served_teams: Callable[[ShardName], frozenset[str] | None]
@@ -40,7 +40,7 @@
         Shards without a recent status are left out.
 
         Args:
-            now: The steady clock.
+            now: The monotonic clock, in seconds.
             served_teams: Returns the teams whose work may be placed in a shard; None for all.
         """
         by_name: dict[str, ShardCapacity] = {}
@@ -92,7 +92,7 @@
             record.spot,
             machine_type.resources,
             status,
-            self._demand,
+            self._accelerator_demand,
             shard.clock_offset_s,
         )
         return capacity
--- a/src/dapplewick/core/leader/cluster_scaling.py
+++ b/src/dapplewick/core/leader/cluster_scaling.py
@@ -1,4 +1,4 @@
-"""Scaling of the cluster: results of provisioning requests, scaling out and scaling in."""
+"""Autoscaling of the cluster: responses to provisioning requests, scaling out, scaling in."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from dapplewick.core.leader.capacity_requests import CapacityRequest, CapacityRequestPlanner
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.provisioner import Provisioner
-from dapplewick.core.leader.scale_in import ScaleIn
+from dapplewick.core.leader.scale_in import ScaleInPlanner
 from dapplewick.core.leader.shard_capacity import ShardCapacity
 from dapplewick.core.leader.shard_contacts import ShardContacts
-from dapplewick.core.leader.term_ids import TermIds
+from dapplewick.core.leader.term_ids import TermIdGenerator
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.keys import PROVISIONING_REQUESTS
 from dapplewick.storage.machine_records import ProvisioningRequest
@@ -27,13 +27,13 @@
 INITIAL_STATUS_WAIT_S = 1.0  # a new leader waits this long for the first statuses of shard owners
 
 
-class ClusterScaling:
+class ClusterAutoscaler:
     """Decides how many machines to provision and to terminate, once all shards have reported.
 
     Attributes:
-        cloud_answers: The cloud's answers to provisioning requests that are still recorded, by
-            request name: the machines provided, or None if the cloud refused.
-        unmet: The capacity requests that could not be served at the last scaling decision.
+        provisioning_responses: The cloud's responses to provisioning requests that are still
+            recorded, by request name: the machines provided, or None if the cloud refused.
+        unmet: The capacity requests that could not be fully served at the last scaling decision.
     """
 
     def __init__(
@@ -42,9 +42,9 @@
         contacts: ShardContacts,
         capacity_requests: CapacityRequestPlanner,
         provisioner: Provisioner,
-        scale_in: ScaleIn,
+        scale_in: ScaleInPlanner,
         machine_lifecycle: MachineLifecycle,
-        ids: TermIds,
+        ids: TermIdGenerator,
         now: Seconds,
     ) -> None:
         self._cache = cache
@@ -56,7 +56,7 @@
         self._ids = ids
         self._started_at = now
         self._scaled_at = NEVER_S
-        self.cloud_answers: dict[str, list[MachineId] | None] = {}
+        self.provisioning_responses: dict[str, list[MachineId] | None] = {}
         self.unmet: list[CapacityRequest] = []
 
     def changes(
@@ -66,14 +66,14 @@
         shard_capacities: list[ShardCapacity],
         pending: list[PendingArray],
     ) -> list[ConditionalWrite]:
-        """Process the cloud's answers and decide on scaling.
+        """Process the cloud's responses and decide on scaling.
 
         Terminations and newly provisioned machines are drafted with `MachineLifecycle`.
 
         Returns:
-            The writes that add new provisioning requests and remove answered ones.
+            The writes that add new provisioning requests and remove completed ones.
         """
-        changes = self._process_cloud_answers(now, wall_time)
+        changes = self._process_provisioning_responses(now, wall_time)
         if now - self._scaled_at >= SCALING_INTERVAL_S and self._is_ready(now):
             self._scaled_at = now
             requests = self._capacity_requests.capacity_requests(wall_time, pending)
@@ -85,16 +85,18 @@
             self._scale_in.terminate_idle(scale_out.unmet, spare_slots)
         return changes
 
-    def _process_cloud_answers(self, now: Seconds, wall_time: Seconds) -> list[ConditionalWrite]:
-        """Draft the machines that the cloud provided, and remove the answered requests."""
+    def _process_provisioning_responses(
+        self, now: Seconds, wall_time: Seconds
+    ) -> list[ConditionalWrite]:
+        """Draft the machines that the cloud provided, and remove the completed requests."""
         changes = []
-        for name, machines in list(self.cloud_answers.items()):
+        for name, machines in list(self.provisioning_responses.items()):
             request = self._cache.provisioning_requests.get(name)
             if request is None:
-                del self.cloud_answers[name]
+                del self.provisioning_responses[name]
                 continue
             if machines is None or len(machines) < request.count:
-                self._provisioner.record_no_capacity(now, request)
+                self._provisioner.record_refusal(now, request)
             self._machine_lifecycle.add_provisioned(name, request, machines or [], wall_time)
             key = PROVISIONING_REQUESTS + name
             version = self._cache.version(key)
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -31,7 +31,7 @@
 PIECE_OVERHEAD_BYTES = 60  # size of a placement piece without its tasks
 
 
-class JobWrites:
+class JobWriteBuilder:
     """Builds the writes for drafts of job records, within the lowest configured value size."""
 
     def __init__(self, cache: WatchCache, shard_names: list[str], value_bytes: int) -> None:
@@ -212,7 +212,7 @@
         return outgrows
 
     def obsolete_key_removals(self, drafted: Collection[JobId]) -> list[ConditionalWrite]:
-        """Return writes that remove keys of jobs that no controller reads any more."""
+        """Return writes that remove the chunks and placement pieces that are no longer read."""
         unread: list[str] = []
         for job_id in [*self._cache.chunks, *self._cache.placements]:
             job = self._cache.jobs.get(job_id)
--- a/src/dapplewick/core/leader/provisioner.py
+++ b/src/dapplewick/core/leader/provisioner.py
@@ -30,7 +30,7 @@
 POOL_CROWDING_PENALTY = 0.1
 
 
-class ScaleOut(NamedTuple):
+class ScaleOutDecision(NamedTuple):
     """The result of one scale-out decision.
 
     Attributes:
@@ -66,10 +66,10 @@
         self._offers = MachineOffers(cache, zones)
 
     def set_catalog(self, types: Iterable[MachineType]) -> None:
-        """Replace the catalogue of machine types with the one that the cloud returned."""
+        """Replace the catalog of machine types with the one that the cloud returned."""
         self._offers.set_catalog(types)
 
-    def record_no_capacity(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
+    def record_refusal(self, now: Seconds, provisioning_request: ProvisioningRequest) -> None:
         """Record that the cloud could not provide all machines of a request."""
         self._offers.record_refusal(now, provisioning_request)
 
@@ -82,7 +82,7 @@
         return self._offers.boot_limit_s(machine_type)
 
     def expected_machines(self, wall_time: Seconds) -> list[MachineCapacity]:
-        """Machines that are booting or requested, each as an empty machine.
+        """The machines that are booting or requested, each with all its resources free.
 
         Machines that are overdue (see `OVERDUE_BOOT_FACTOR`) are excluded: they may never finish
         booting, and no work should wait for them.
@@ -111,7 +111,7 @@
         wall_time: Seconds,
         capacity_requests: list[CapacityRequest],
         shard_capacities: list[ShardCapacity],
-    ) -> ScaleOut:
+    ) -> ScaleOutDecision:
         """Decide which machines to request beyond those that are up, booting or requested.
 
         If a capacity request finds free slots on machines that are up, no machine is requested
@@ -119,7 +119,7 @@
         request more machines. The slots found are reserved in `shard_capacities`.
 
         Args:
-            now: The steady clock.
+            now: The monotonic clock, in seconds.
             wall_time: The wall clock, which is compared with times of provisioning.
             capacity_requests: The demand, in the order in which it is served.
             shard_capacities: The capacity of all shards; this method changes it.
@@ -140,7 +140,7 @@
             self._tuning.spend_cap,
         )
         unmet = [request for request in capacity_requests if not scaling.satisfy(request)]
-        return ScaleOut(scaling.provisioning_requests(), unmet)
+        return ScaleOutDecision(scaling.provisioning_requests(), unmet)
 
 
 class _ScalingPass:
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 
-class Reconciliation:
+class JobReconciler:
     """Drafts changes of job records from the progress that the shards report.
 
     Progress is completed and released tasks, ended attempts of gangs, and reserved gang slots that
@@ -30,12 +30,12 @@
         cache: WatchCache,
         drafts: JobDrafts,
         shards: ObservedShards,
-        preemption_delay_s: Seconds,
+        preemption_threshold_s: Seconds,
     ) -> None:
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
-        self._preemption_delay_s = preemption_delay_s
+        self._preemption_threshold_s = preemption_threshold_s
         # When each gang was first seen holding reserved slots without preempting.
         self._reserved_since: dict[JobId, Seconds] = {}
 
@@ -101,7 +101,7 @@
                 continue
             if GANG_RESERVED in states and not gang.preempt and job.spec.priority > lowest_priority:
                 reserved_since[job_id] = self._reserved_since.get(job_id, now)
-                if now - reserved_since[job_id] > self._preemption_delay_s:
+                if now - reserved_since[job_id] > self._preemption_threshold_s:
                     self._preempt(job_id, gang)
         self._reserved_since = reserved_since
 
--- a/src/dapplewick/core/leader/scale_in.py
+++ b/src/dapplewick/core/leader/scale_in.py
@@ -18,8 +18,8 @@
 from dapplewick.types import MachineId, Seconds
 
 
-class ScaleIn:
-    """Terminates machines idle beyond their limit, except those that waiting work could use."""
+class ScaleInPlanner:
+    """Drafts the termination of idle machines, except those that waiting work could use."""
 
     def __init__(
         self,
@@ -27,31 +27,31 @@
         drafts: JobDrafts,
         shards: ObservedShards,
         provisioner: Provisioner,
-        gangs: GangDemand,
+        gang_demand: GangDemand,
         machine_lifecycle: MachineLifecycle,
     ) -> None:
         self._cache = cache
         self._drafts = drafts
         self._shards = shards
         self._provisioner = provisioner
-        self._gangs = gangs
+        self._gang_demand = gang_demand
         self._machine_lifecycle = machine_lifecycle
 
     def spare_slots(self, shard_capacities: Iterable[ShardCapacity]) -> int:
         """The number of idle slots of the gangs' size beyond those reserved for expected gangs."""
         idle = sum(
-            self._gangs.resources.fit_count(machine.free)
+            self._gang_demand.resources.fit_count(machine.free)
             for shard in shard_capacities
             for machine in shard.open_capacities
         )
-        return idle - math.ceil(self._gangs.slots)
+        return idle - math.ceil(self._gang_demand.slots)
 
     def terminate_idle(self, unmet: list[CapacityRequest], spare_slots: int) -> None:
         """Draft the termination of idle machines.
 
         Args:
-            unmet: Capacity requests that could not be served by provisioning; a machine that
-                could serve one of them is not terminated.
+            unmet: The capacity requests that could not be fully served; a machine that could serve
+                one of them is not terminated.
             spare_slots: The number of slots of the gangs' size that may be removed.
         """
         placed = {
@@ -78,7 +78,8 @@
     ) -> bool:
         """Whether a machine is up, still in this shard, in no transfer, and idle past its limit.
 
-        A spot machine with a reclaim notice (`leaving`) qualifies without being idle that long.
+        A machine that is `leaving` (it has a spot notice, is slow, unreachable or drained)
+        qualifies without being idle for that long.
         """
         status = shard.machines.get(machine_id)
         if status is None or record.terminating or not record.up:
@@ -92,9 +93,9 @@
     def _gang_slots(self, record: MachineRecord) -> int:
         """The slots of the gangs' size on a machine; 0 while none are reserved for gangs."""
         machine_type = self._cache.types.get(record.type)
-        if machine_type is None or self._gangs.slots < MIN_GANG_SLOTS:
+        if machine_type is None or self._gang_demand.slots < MIN_GANG_SLOTS:
             return 0
-        return self._gangs.resources.fit_count(machine_type.resources)
+        return self._gang_demand.resources.fit_count(machine_type.resources)
 
     def _would_serve_unmet(
         self, record: MachineRecord, requests: Iterable[CapacityRequest]
