--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -62,7 +62,7 @@
         ...
 
 
-class CloudCalls:
+class CloudCaller:
     """Sends the provisioning requests and deletions in the records, and reads the cloud's state.
 
     Requests are sent only while this controller leads and its presence lease is valid.
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -12,21 +12,24 @@
 
 from dapplewick.config import Settings, parse_host_port
 from dapplewick.controller.budgets import Budgets, budgets_of, max_client_sockets
-from dapplewick.controller.cloud_calls import CloudCalls
-from dapplewick.controller.core_notifier import CoreNotifier
-from dapplewick.controller.latencies import Latencies
+from dapplewick.controller.cloud_calls import CloudCaller
+from dapplewick.controller.latencies import LatencyHistograms
 from dapplewick.controller.leader_loop import LeaderLoop
 from dapplewick.controller.leader_writer import LeaderWriter
 from dapplewick.controller.overload import OverloadMonitor
 from dapplewick.controller.owned_shards import OwnedShards
 from dapplewick.controller.partition_host import PartitionHost
-from dapplewick.controller.partition_switch import PartitionSwitch, supported_format
+from dapplewick.controller.partition_service_selector import (
+    PartitionServiceSelector,
+    supported_format,
+)
 from dapplewick.controller.peer_endpoint import PeerEndpoint
+from dapplewick.controller.record_change_notifier import RecordChangeNotifier
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.record_limits import RecordLimits
 from dapplewick.controller.router import Router
 from dapplewick.controller.shard_loop import ShardLoop
-from dapplewick.controller.status import ControllerStatus
+from dapplewick.controller.status import StatusReporter
 from dapplewick.controller.supervision import run_supervised
 from dapplewick.controller.user_api import UserApi
 from dapplewick.controller.worker_endpoint import WorkerEndpoint
@@ -139,7 +142,7 @@
             self.identity,
             self.state,
             self.cache,
-            CoreNotifier(self.cache, self._owned_shards, self.leadership),
+            RecordChangeNotifier(self.cache, self._owned_shards, self.leadership),
             budgets=budgets,
             gossip_wake=self.gossip_wake,
             now=self.now,
@@ -194,9 +197,9 @@
     def _create_endpoints(self, partitions: PartitionService | None) -> None:
         """Create the endpoints for peers, operators and HTTP clients."""
         deployment = self.settings.deployment
-        self.latencies = Latencies()
+        self.latencies = LatencyHistograms()
         self.overload = OverloadMonitor(self.now)
-        self.partitions = self._create_partition_switch(partitions)
+        self.partitions = self._create_partition_service_selector(partitions)
         user_api = UserApi(
             deployment,
             self.records,
@@ -206,7 +209,7 @@
             self.limits,
             self.wall_time,
         )
-        self.status = ControllerStatus(
+        self.status = StatusReporter(
             identity=self.identity,
             records=self.records,
             presence=self.presence,
@@ -253,7 +256,9 @@
             now=self.now,
         )
 
-    def _create_partition_switch(self, partitions: PartitionService | None) -> PartitionSwitch:
+    def _create_partition_service_selector(
+        self, partitions: PartitionService | None
+    ) -> PartitionServiceSelector:
         host = PartitionHost(
             settings=self.settings,
             estimates=self.estimates,
@@ -267,7 +272,9 @@
             records=self.records,
             limits=self.limits,
         )
-        return PartitionSwitch(partitions, host, self.cache, self.settings.deployment.zones)
+        return PartitionServiceSelector(
+            partitions, host, self.cache, self.settings.deployment.zones
+        )
 
     def _create_loops(self) -> None:
         """Create the loops of the leader, the shards and the cloud calls."""
@@ -288,7 +295,7 @@
             election=self.election,
             leadership=self.leadership,
             assigner=self.assigner,
-            silence=self.peers.reachability,
+            reachability=self.peers.reachability,
             isolation=LeaderIsolation(self.cache, self.identity.name),
             owned_shards=self._owned_shards,
             confirmations=self.confirmations,
@@ -299,7 +306,7 @@
             wall_time=self.wall_time,
             rng=self._random,
         )
-        self.cloud_calls = CloudCalls(
+        self.cloud_calls = CloudCaller(
             self.cloud,
             self.cloud_budget,
             self.cache,
--- a/src/dapplewick/controller/job_states.py
+++ b/src/dapplewick/controller/job_states.py
@@ -40,7 +40,7 @@
         """Return the time of the monotonic clock, in seconds."""
         ...
 
-    async def current(self) -> Seconds:
+    async def wait_until_current(self) -> Seconds:
         """Wait until the cache holds all changes stored before this call.
 
         Returns:
@@ -52,7 +52,7 @@
         ...
 
 
-class JobStates:
+class JobStateReader:
     """Reads jobs for responses to users.
 
     Every read raises RequestRefusedError if it can't guarantee that its result is recent enough.
@@ -78,7 +78,7 @@
         The age of the read is not checked for a final state, nor with `for_change`: the write that
         follows such a read is conditional on the version that was read.
         """
-        requested_at = await self._records.current()
+        requested_at = await self._records.wait_until_current()
         job = self.cached(job_id)
         is_age_irrelevant = job is not None and (for_change or not job.open)
         if not is_age_irrelevant and self._records.now() - requested_at > MAX_READ_AGE_S:
--- a/src/dapplewick/controller/latencies.py
+++ b/src/dapplewick/controller/latencies.py
@@ -18,7 +18,7 @@
     max: int
 
 
-class Latencies:
+class LatencyHistograms:
     """A histogram in milliseconds for each kind of request."""
 
     def __init__(self) -> None:
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -12,7 +12,7 @@
 
 from dapplewick.controller.leader_writer import LeaderWriter
 from dapplewick.controller.owned_shards import OwnedShards
-from dapplewick.controller.partition_switch import PartitionSwitch
+from dapplewick.controller.partition_service_selector import PartitionServiceSelector
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.coordination.election import Election
 from dapplewick.coordination.identity import Identity
@@ -57,11 +57,11 @@
     election: Election
     leadership: Leadership
     assigner: ShardAssigner
-    silence: PeerReachability
+    reachability: PeerReachability
     isolation: LeaderIsolation
     owned_shards: OwnedShards
     confirmations: StatusConfirmations
-    partitions: PartitionSwitch
+    partitions: PartitionServiceSelector
     writer: LeaderWriter
     new_planner: Callable[[FencingToken, Seconds], LeaderPlanner]
     now: Callable[[], Seconds]
@@ -111,10 +111,10 @@
         await self.election.campaign(owns_shards=bool(self.owned_shards.schedulers))
 
     def _has_no_peer_contact(self) -> bool:
-        return self.isolation.has_no_peer_contact(self._silent_controllers(self.now()))
+        return self.isolation.has_no_peer_contact(self._unreachable_controllers(self.now()))
 
-    def _silent_controllers(self, now: Seconds) -> frozenset[ControllerName]:
-        return self.silence.unreachable(now, self.records.cache.controllers)
+    def _unreachable_controllers(self, now: Seconds) -> frozenset[ControllerName]:
+        return self.reachability.unreachable(now, self.records.cache.controllers)
 
     async def _wait_for_next_pass(self) -> None:
         """Wait for a change, then for the delay between passes, which an urgent wake cuts short."""
@@ -154,7 +154,7 @@
         return OwnerReachability(
             shards_without_machine_contact=planner.unreachable_shards(),
             shards_without_owner_contact=planner.shards_without_contact(now),
-            unreachable_controllers=self._silent_controllers(now),
+            unreachable_controllers=self._unreachable_controllers(now),
         )
 
     def _is_isolated(self, snapshot: OwnerReachability, now: Seconds) -> bool:
--- a/src/dapplewick/controller/partition_host.py
+++ b/src/dapplewick/controller/partition_host.py
@@ -52,6 +52,6 @@
         """Return the size limits of values and transactions that apply now."""
         return self.limits.current()
 
-    def stored(self, key: str, value: object, version: int) -> None:
+    def apply_stored_write(self, key: str, value: object, version: int) -> None:
         """Apply a stored write of this process to the watch cache."""
-        self.records.stored(key, value, version)
+        self.records.apply_stored_write(key, value, version)
--- a/src/dapplewick/controller/partition_switch.py
+++ b/src/dapplewick/controller/partition_service_selector.py
@@ -13,7 +13,7 @@
     from dapplewick.partitions.service import PartitionService
 
 
-class PartitionSwitch:
+class PartitionServiceSelector:
     """Provides the partition service.
 
     A service is needed if partitions are enabled, or if partitions of an earlier configuration
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from dapplewick.controller.partition_switch import PartitionSwitch
-from dapplewick.controller.status import ControllerStatus
+from dapplewick.controller.partition_service_selector import PartitionServiceSelector
+from dapplewick.controller.status import StatusReporter
 from dapplewick.controller.user_api import NO_PATH, UserApi
 from dapplewick.coordination.leadership import Leadership
 from dapplewick.coordination.peer_exchange import PeerExchange
@@ -30,8 +30,8 @@
     leadership: Leadership
     exchange: PeerExchange
     confirmations: StatusConfirmations
-    partitions: PartitionSwitch
-    status: ControllerStatus
+    partitions: PartitionServiceSelector
+    status: StatusReporter
     user_api: UserApi
     now: Callable[[], Seconds]
 
@@ -90,7 +90,7 @@
         """Respond to a user's request, forwarded by a peer that can't reach the state service."""
         forwarded = peers.decode(message, ForwardedRequest)
         request = Request(forwarded.method, forwarded.target, forwarded.body, False)
-        answer = await self.user_api.answer(request) or NO_PATH
+        answer = await self.user_api.handle_locally(request) or NO_PATH
         response = ForwardedResponse(
             status=answer.status, body=answer.body, retry_after=answer.retry_after
         )
--- a/src/dapplewick/controller/core_notifier.py
+++ b/src/dapplewick/controller/record_change_notifier.py
@@ -11,7 +11,7 @@
 from dapplewick.types import JobId, MachineId, Seconds
 
 
-class CoreNotifier:
+class RecordChangeNotifier:
     """Passes changed records to the schedulers of the owned shards and wakes the planner."""
 
     def __init__(self, cache: WatchCache, owned_shards: OwnedShards, leadership: Leadership):
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -9,7 +9,7 @@
 import anyio
 
 from dapplewick.controller.budgets import Budgets
-from dapplewick.controller.core_notifier import CoreNotifier
+from dapplewick.controller.record_change_notifier import RecordChangeNotifier
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.wake import WakeSignal
 from dapplewick.storage.errors import (
@@ -46,7 +46,7 @@
         identity: Identity,
         state: StateClient,
         cache: WatchCache,
-        notifier: CoreNotifier,
+        notifier: RecordChangeNotifier,
         *,
         budgets: Budgets,
         gossip_wake: WakeSignal,
@@ -68,7 +68,7 @@
         self._read_checks = ReadChecks(lambda: self._poll_changes(0), now, budgets.check_interval_s)
         cache.listeners.append(self._on_key_changed)
 
-    async def current(self) -> Seconds:
+    async def wait_until_current(self) -> Seconds:
         """Wait until the watch cache holds all changes stored before this call.
 
         Returns:
@@ -80,7 +80,7 @@
         return await self._read_checks.current()
 
     async def run_checks(self) -> None:
-        """Perform the freshness checks that callers of `current` wait for, until cancelled."""
+        """Perform the freshness checks for callers of `wait_until_current`, until cancelled."""
         await self._read_checks.run()
 
     async def run_watch(self) -> None:
@@ -101,7 +101,7 @@
         """Record that the state service has just responded."""
         self.contact_at = self.now()
 
-    def stored(self, key: str, value: object, version: int) -> None:
+    def apply_stored_write(self, key: str, value: object, version: int) -> None:
         """Apply a stored write of this process to the watch cache and notify the schedulers."""
         self.cache.put(key, value, version)
         if key.startswith(JOBS) and isinstance(value, dict) and value.get("stage") == CANCELLED:
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from dapplewick.controller.latencies import Latencies
+from dapplewick.controller.latencies import LatencyHistograms
 from dapplewick.controller.overload import OverloadMonitor
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.user_api import JOBS_PATH, NO_METHOD, NO_PATH, UserApi
@@ -34,14 +34,14 @@
     peers: PeerExchange
     worker_endpoint: WorkerEndpoint
     user_api: UserApi
-    latencies: Latencies
+    latencies: LatencyHistograms
     now: Callable[[], Seconds]
 
     async def handle(self, request: Request) -> Response:
         """Handle a request of a worker, a user or the platform."""
         path = request.target.partition("?")[0]
         if path == HEARTBEAT_PATH:
-            return self.worker_endpoint.answer(request) if request.method == "POST" else NO_METHOD
+            return self.worker_endpoint.handle(request) if request.method == "POST" else NO_METHOD
         if path == HEALTH_PATH:
             if request.method != "GET":
                 return NO_METHOD
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from dapplewick import __version__
-from dapplewick.controller.latencies import Latencies
+from dapplewick.controller.latencies import LatencyHistograms
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.leadership import Leadership
@@ -22,7 +22,7 @@
 
 
 @dataclass(eq=False, kw_only=True)
-class ControllerStatus:
+class StatusReporter:
     """Builds the status of a controller from plain values, for the command line and consoles.
 
     The keys of the status must not change, since consoles of earlier versions read them.
@@ -35,7 +35,7 @@
     state: StateClient
     cloud_budget: RateLimiter
     schedulers: Mapping[ShardName, ShardScheduler]
-    latencies: Latencies
+    latencies: LatencyHistograms
     invariants: InvariantCounts
     leadership: Leadership
     now: Callable[[], Seconds]
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from dapplewick.config import Deployment
-from dapplewick.controller.job_states import JobStates, UnreadableJobError
-from dapplewick.controller.partition_switch import PartitionSwitch
+from dapplewick.controller.job_states import JobStateReader, UnreadableJobError
+from dapplewick.controller.partition_service_selector import PartitionServiceSelector
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.record_limits import RecordLimits
 from dapplewick.coordination.peer_exchange import PeerExchange
@@ -58,14 +58,14 @@
         records: RecordFollower,
         state: StateClient,
         peers: PeerExchange,
-        partitions: PartitionSwitch,
+        partitions: PartitionServiceSelector,
         limits: RecordLimits,
         wall_time: Callable[[], Seconds],
     ) -> None:
         self._deployment = deployment
         self._teams = {team.name: team for team in deployment.teams}
         self._records = records
-        self._states = JobStates(records)
+        self._states = JobStateReader(records)
         self._state = state
         self._peers = peers
         self._partitions = partitions
@@ -78,12 +78,12 @@
         If the state service is unavailable to this process, the request is forwarded once to a peer
         that has contact to it. This is safe since all these requests are idempotent.
         """
-        answer = await self.answer(request)
+        answer = await self.handle_locally(request)
         if answer is UNAVAILABLE:
             return await self._peers.forward(request) or answer
         return answer
 
-    async def answer(self, request: Request) -> Response | None:
+    async def handle_locally(self, request: Request) -> Response | None:
         """Handle a request at or below JOBS_PATH locally; return None for other paths."""
         path = request.target.partition("?")[0]
         if path == JOBS_PATH:
@@ -160,7 +160,7 @@
         if spec.is_service and cache.format < CURRENT_FORMAT:
             # The cached format may be outdated. The stored one decides, so that the responses of
             # all controllers agree.
-            await self._records.current()
+            await self._records.wait_until_current()
             if cache.format < CURRENT_FORMAT:
                 return SERVICES_NOT_SUPPORTED
         if not cache.types:
@@ -206,7 +206,7 @@
             # which may have ended since. If no job is found, the write may still be applied later;
             # the user's retry finds the job then.
             return await self._state_or_else(job_id, UNAVAILABLE)
-        self._records.stored(key, value, version)
+        self._records.apply_stored_write(key, value, version)
         log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
         return self._state_without_counts(201, job_id, self._states.cached(job_id))
 
@@ -281,7 +281,7 @@
                 # The next attempt reads the job again. A write of this attempt that is applied late
                 # either conflicts with a newer version or cancels the job too.
                 continue
-            self._records.stored(key, value, version)
+            self._records.apply_stored_write(key, value, version)
             log.info("event=job_cancelled job=%s", job_id)
             return self._state_without_counts(200, job_id, self._states.cached(job_id))
         return UNAVAILABLE
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -50,7 +50,7 @@
     worker_times: WorkerTimes
     now: Callable[[], Seconds]
 
-    def answer(self, request: Request) -> Response:
+    def handle(self, request: Request) -> Response:
         """Respond to a heartbeat.
 
         Returns:
--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -160,7 +160,7 @@
             await self._write_leader()
             epoch = self._epoch()
         if epoch != self._synced_epoch:
-            await self._records.current()
+            await self._records.wait_until_current()
             if epoch != self._epoch():
                 raise RequestRefusedError("another epoch began while the records were read")
             self._synced_epoch = epoch
@@ -193,7 +193,7 @@
         try:
             version = await self._state.transaction(conditions, puts, deletes)
         except TransactionConflictError:
-            await self._records.current()
+            await self._records.wait_until_current()
             raise
         except OutcomeUnknownError:
             # The write may still be applied later. Rewriting the leader's key prevents this,
@@ -222,5 +222,5 @@
             leases={LEADER: self._presence.lease},
             urgent=True,
         )
-        self._records.stored(LEADER, value, version)
-        await self._records.current()
+        self._records.apply_stored_write(LEADER, value, version)
+        await self._records.wait_until_current()
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -207,7 +207,7 @@
             method=request.method, target=request.target, body=request.body
         )
         link = self._links[self._random.choice(eligible)]
-        reply = await link.ask(peers.encode(forwarded), FORWARDED_TIMEOUT_S)
+        reply = await link.request(peers.encode(forwarded), FORWARDED_TIMEOUT_S)
         if reply is None or reply.get("status") in (None, 503):
             return None
         response = peers.decode(reply, ForwardedResponse)
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -109,7 +109,7 @@
             {key: before}, {key: value}, leases={key: lease}, urgent=True
         )
         self.lease = lease
-        self._records.stored(key, value, version)
+        self._records.apply_stored_write(key, value, version)
 
     def _is_overwritten(self) -> bool:
         """Whether the presence record is missing or belongs to another incarnation."""
--- a/src/dapplewick/coordination/records.py
+++ b/src/dapplewick/coordination/records.py
@@ -30,7 +30,7 @@
         """Record that the state service has just answered."""
         ...
 
-    def stored(self, key: str, value: object, version: int) -> None:
+    def apply_stored_write(self, key: str, value: object, version: int) -> None:
         """Apply a write of this process that is known to have succeeded to the watch cache."""
         ...
 
@@ -38,7 +38,7 @@
         """Notify the planner and the shard schedulers of records that changed in the cache."""
         ...
 
-    async def current(self) -> Seconds:
+    async def wait_until_current(self) -> Seconds:
         """Return once the watch cache contains every change made before this call.
 
         Returns:
--- a/src/dapplewick/partitions/host.py
+++ b/src/dapplewick/partitions/host.py
@@ -24,7 +24,7 @@
 class PeerClient(Protocol):
     """Sends requests to another controller."""
 
-    async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
+    async def request(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
         """Send a request and return the answer, or None if none arrives in time."""
 
 
@@ -68,7 +68,7 @@
     def limits_now(self) -> StateLimits:
         """The current size limits of values and transactions of the state service."""
 
-    def stored(self, key: str, value: object, version: int) -> None:
+    def apply_stored_write(self, key: str, value: object, version: int) -> None:
         """Apply a confirmed write of this controller to the cached records."""
 
     def wake_leader(self, at_once: bool = False) -> None:
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -105,7 +105,7 @@
         except (RequestRefusedError, OutcomeUnknownError):
             return unavailable("the state service did not confirm it; look with `shares show`")
         for key, value in changes.items():
-            self._host.stored(key, value, revision)
+            self._host.apply_stored_write(key, value, revision)
         if deletes:
             cache.remove(PARTITION_PLAN, revision)
         return PlanStored(revision=Revision(revision))
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -105,7 +105,7 @@
             link = self._host.links.get(ControllerName(record.controller))
         if link is None or message.get("forwarded"):
             return messages.encode(messages.unavailable("no controller leads now"))
-        answer = await link.ask({**message, "forwarded": True}, LEADER_TIMEOUT_S)
+        answer = await link.request({**message, "forwarded": True}, LEADER_TIMEOUT_S)
         if answer is None:
             return messages.encode(messages.unavailable("the leader does not answer"))
         return answer
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -40,7 +40,7 @@
         self._pending[kind] = message
         self._wake.set()
 
-    async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
+    async def request(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
         """Send a request on a new connection and return the reply.
 
         Returns:
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -116,7 +116,7 @@
     def post(self, kind: str, message: dict[str, Any]) -> None:
         self.waiting[kind] = cbor2.dumps(message)
 
-    async def ask(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
+    async def request(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
         recorder.record("ask", sender=self.sender, target=self.target, message=message)
         controller = self.world.controllers.get(self.target)
         with anyio.move_on_after(within):
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -253,7 +253,7 @@
         """Keep a message."""
         self.posted.append([kind, cbor2.dumps(message).hex()])
 
-    async def ask(self, message: dict[str, Any], _within: float) -> Any:
+    async def request(self, message: dict[str, Any], _within: float) -> Any:
         """Keep a question, and give the answer."""
         self.asked.append(cbor2.dumps(message).hex())
         return self.answer
@@ -696,7 +696,7 @@
 
 def _recorded_scenario(world: World, kept: Kept, script: Any, length: float) -> None:
     """Play a scenario and keep what controllers send and answer."""
-    call, post, ask, handle = Wire.request, Link.post, Link.ask, Controller.handle
+    call, post, ask, handle = Wire.request, Link.post, Link.request, Controller.handle
 
     async def keep_call(
         self: Wire, method: str, target: str, body: bytes | None, within: float
