--- a/src/dapplewick/cli/status_text.py
+++ b/src/dapplewick/cli/status_text.py
@@ -97,7 +97,7 @@
     return [
         *_controller_lines(status),
         *_version_lines(status),
-        *_work_lines(status),
+        *_job_lines(status),
         *_owned_lines(status),
         *_latency_lines(status),
         *_violation_lines(status),
@@ -124,14 +124,14 @@
     return [f"format {status['format']}  versions {text}"]
 
 
-def _work_lines(status: ControllerStatus) -> list[str]:
+def _job_lines(status: ControllerStatus) -> list[str]:
     services = [
         f"service {job}  replicas {service['replicas']}  granted {service['granted']}  "
         f"running {service['running']}"
         for job, service in sorted(status.get("services", {}).items())
     ]
     jobs = "  ".join(f"{stage} {count}" for stage, count in sorted(status["jobs"].items()))
-    budgets = "  ".join(f"{name} {left}" for name, left in status["budgets"].items())
+    budgets = "  ".join(f"{name} {available}" for name, available in status["budgets"].items())
     return [*services, f"jobs {jobs}", f"budgets {budgets}"]
 
 
--- a/src/dapplewick/config.py
+++ b/src/dapplewick/config.py
@@ -41,7 +41,15 @@
 
 
 class Objective(msgspec.Struct):
-    """A service level objective for a class of jobs, or for all jobs if `class_` is None."""
+    """A service level objective for a class of jobs, or for all jobs if `class_` is None.
+
+    Attributes:
+        kind: What the objective limits. The scheduler uses the kinds "finished" and "deadline".
+        class_: The class of jobs.
+        within_s: For "finished": seconds from a job's submission to its completion.
+        share: Not used by the controllers.
+        times: For "deadline": factor on the job's own deadline.
+    """
 
     kind: str
     class_: str | None = msgspec.field(default=None, name="class")
@@ -51,7 +59,16 @@
 
 
 class WorkerTimes(msgspec.Struct):
-    """Intervals and timeouts of the workers, in seconds."""
+    """Intervals and timeouts of the workers, in seconds.
+
+    Attributes:
+        report_s: Interval between a machine's heartbeats.
+        lease_s: How long a worker continues its tasks without a response to a heartbeat.
+        gang_wait_s: How long a gang's task waits on its machine for the other tasks of its attempt;
+            not used by the controllers.
+        gang_peer_s: A timeout of workers for gangs; not used by the controllers.
+        cancel_s: Time within which the tasks of a cancelled job must have ended.
+    """
 
     report_s: float
     lease_s: float
--- a/src/dapplewick/controller/budgets.py
+++ b/src/dapplewick/controller/budgets.py
@@ -8,7 +8,7 @@
 from dapplewick.coordination.election import WriteRates
 from dapplewick.storage.state_client import CALL_TIMEOUT_S
 
-STATE_LIMIT_SHARE = 0.9  # of the state service's limits, for all controllers together
+STATE_LIMIT_SHARE = 0.9  # of the state service's limits, used by all controllers together
 LEADER_WRITE_SHARE = 0.8  # of all controllers' writes, reserved for the leader
 WATCH_REQUEST_SHARE = 0.35  # of this controller's requests; each batch of changes costs a new watch
 FRESHNESS_CHECK_SHARE = 0.4  # of this controller's requests
@@ -22,7 +22,7 @@
     """Request rates that one controller may use."""
 
     calls_per_s: float  # requests to the state service
-    writes_per_s: WriteRates  # writes to the state service, as leader and otherwise
+    writes_per_s: WriteRates  # writes to the state service, as leader and as non-leader
     watch_delay_s: float  # between the response to a watch and the next watch
     check_interval_s: float  # between two freshness checks of the watch cache
     cloud_calls_per_s: float
@@ -30,8 +30,8 @@
 
 def budgets_of(deployment: Deployment) -> Budgets:
     """Divide a deployment's limits among its controllers."""
-    # The limits may change to announced values at an unannounced moment, so the lower of the
-    # present and the announced value of each limit applies from the start.
+    # The state service switches to its announced limits without notice, so the lower of the current
+    # and the announced value of each limit applies from the start.
     limits = deployment.state.lowest()
     calls_per_s = limits.rps * STATE_LIMIT_SHARE / deployment.count
     writes_per_s = limits.write_rps * STATE_LIMIT_SHARE
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -63,9 +63,10 @@
 
 
 class CloudCaller:
-    """Sends the provisioning requests and deletions in the records, and reads the cloud's state.
+    """Sends the provisioning requests and deletions that are in the records.
 
-    Requests are sent only while this controller leads and its presence lease is valid.
+    Also polls the cloud's catalogue and machine list for the planner. Requests are sent only while
+    this controller leads and its presence lease is valid.
     """
 
     def __init__(
@@ -128,6 +129,7 @@
             group.start_soon(self._delete, planner, terminating)
 
     async def _call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
+        """Send a request; without a response, return status 0 and the text of the error."""
         try:
             return await self._cloud.request(method, target, body, CALL_TIMEOUT_S)
         except HttpError as err:
@@ -143,10 +145,12 @@
                 spot=provisioning_request.spot,
                 count=provisioning_request.count,
             )
-            status, answer = await self._call("POST", "/hosts", body)
+            status, response_body = await self._call("POST", "/hosts", body)
             if status == 200:
-                planner.record_provisioning_response(name, parse_provisioned_machines(answer))
-            elif status == 400 or (status == 503 and b"no capacity" in answer):
+                planner.record_provisioning_response(
+                    name, parse_provisioned_machines(response_body)
+                )
+            elif status == 400 or (status == 503 and b"no capacity" in response_body):
                 planner.record_provisioning_response(name, None)
             else:
                 log.info("event=provisioning_failed request=%s status=%d", name, status)
@@ -173,10 +177,11 @@
             self._deleting.difference_update(machines)
 
     async def _refresh_catalog(self, planner: LeaderPlanner) -> bool:
-        status, answer = await self._call("GET", "/catalog", None)
+        """Fetch the catalogue for the planner; return whether this succeeded."""
+        status, response_body = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
-                planner.receive_catalog(parse_catalog(answer))
+                planner.receive_catalog(parse_catalog(response_body))
                 self._leadership.request_pass()
                 return True
         except Exception as err:  # noqa: BLE001 a malformed catalogue must not stop the other calls
@@ -189,10 +194,10 @@
         try:
             while True:
                 target = f"/hosts?limit={PAGE_SIZE}" + (f"&since={since}" if since else "")
-                status, answer = await self._call("GET", target, None)
+                status, response_body = await self._call("GET", target, None)
                 if status != 200:
                     return
-                page = parse_machine_list(answer)
+                page = parse_machine_list(response_body)
                 machines += page.machines
                 if not page.more or not page.machines or len(machines) > MAX_LISTED_MACHINES:
                     break
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -370,16 +370,16 @@
             OSError: a listen address is unavailable.
         """
         deployment = self.settings.deployment
-        max_clients = max_client_sockets(deployment)
+        max_client_connections = max_client_sockets(deployment)
         host, port = parse_host_port(self.settings.client_listen, "client_listen")
         client_listener = await anyio.create_tcp_listener(
-            local_host=host, local_port=port, backlog=max_clients
+            local_host=host, local_port=port, backlog=max_client_connections
         )
         host, port = parse_host_port(self.settings.peer_listen, "peer_listen")
         peer_listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=PEER_LISTEN_BACKLOG
         )
-        max_peers = 8 + 4 * deployment.count
+        max_peer_connections = 8 + 4 * deployment.count
 
         def serve(stream: anyio.abc.ByteStream, set_idle: IdleCallback) -> Awaitable[None]:
             return serve_connection(stream, self.handle, set_idle)
@@ -389,8 +389,8 @@
 
         async with anyio.create_task_group() as group:
             group.start_soon(self.run_loops)
-            group.start_soon(ConnectionAcceptor(max_peers, receive).run, peer_listener)
-            await ConnectionAcceptor(max_clients, serve).run(client_listener)
+            group.start_soon(ConnectionAcceptor(max_peer_connections, receive).run, peer_listener)
+            await ConnectionAcceptor(max_client_connections, serve).run(client_listener)
 
     async def run_loops(self) -> None:
         """Run all background loops until cancelled; requests are not served here."""
--- a/src/dapplewick/controller/latencies.py
+++ b/src/dapplewick/controller/latencies.py
@@ -19,13 +19,13 @@
 
 
 class LatencyHistograms:
-    """A histogram in milliseconds for each kind of request."""
+    """Keeps a latency histogram in milliseconds for each kind of request."""
 
     def __init__(self) -> None:
         self._histograms: dict[str, HdrHistogram] = {}
 
     def record(self, name: str, seconds: float) -> None:
-        """Record one duration in seconds, clamped to the histogram's range."""
+        """Record a request's duration under its kind, clamped to the histogram's range."""
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = self._histograms[name] = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -39,7 +39,7 @@
 CAMPAIGN_INTERVAL_S = 0.3  # between two campaigns of a controller that does not lead
 # A controller without contact to its peers lets the others campaign first for this long.
 ISOLATED_CAMPAIGN_DELAY_S = 3.0
-# The longest wait for a change after a pass; MIN_PASS_DELAY_S to MAX_PASS_DELAY_S are added to it.
+# After a pass, the leader waits at most this long for a change, then for the delay between passes.
 MAX_CHANGE_WAIT_S = 0.5
 MIN_PASS_DELAY_S = 0.25
 MAX_PASS_DELAY_S = 0.8
@@ -117,7 +117,7 @@
         return self.reachability.unreachable(now, self.records.cache.controllers)
 
     async def _wait_for_next_pass(self) -> None:
-        """Wait for a change, then for the delay between passes, which an urgent wake cuts short."""
+        """Wait for a change, then for the delay between passes; urgent work ends the delay."""
         with anyio.move_on_after(MAX_CHANGE_WAIT_S):
             self.leadership.pass_wake.clear()
             await self.leadership.pass_wake.wait()
@@ -139,34 +139,34 @@
             self.election.begin_term(planner, epoch)
         planner.epoch = epoch
         self._attach_partitions(planner)
-        snapshot = self._owners_snapshot(planner, now)
-        if self._is_isolated(snapshot, now):
+        owner_reachability = self._owner_reachability(planner, now)
+        if self._is_isolated(owner_reachability, now):
             await self.election.step_down(epoch)
             self.isolation.record_step_down(now)
             return
-        await self._assign_shards(snapshot, epoch, now)
+        await self._assign_shards(owner_reachability, epoch, now)
         self._apply_own_shard_statuses(planner, now)
         changes = planner.plan(now, self.wall_time())
         self._last_pass_duration_s = self.now() - now
         await self.writer.write(epoch, now, changes)
 
-    def _owners_snapshot(self, planner: LeaderPlanner, now: Seconds) -> OwnerReachability:
+    def _owner_reachability(self, planner: LeaderPlanner, now: Seconds) -> OwnerReachability:
         return OwnerReachability(
             shards_without_machine_contact=planner.unreachable_shards(),
             shards_without_owner_contact=planner.shards_without_contact(now),
             unreachable_controllers=self._unreachable_controllers(now),
         )
 
-    def _is_isolated(self, snapshot: OwnerReachability, now: Seconds) -> bool:
+    def _is_isolated(self, owner_reachability: OwnerReachability, now: Seconds) -> bool:
         """Whether this leader has contact to no peer and no worker, so that another should lead."""
         populated = {
             name for name, scheduler in self.owned_shards.schedulers.items() if scheduler.machines
         }
         return self.isolation.should_step_down(
             now,
-            snapshot.unreachable_controllers,
+            owner_reachability.unreachable_controllers,
             populated,
-            snapshot.shards_without_machine_contact,
+            owner_reachability.shards_without_machine_contact,
         )
 
     def _attach_partitions(self, planner: LeaderPlanner) -> None:
@@ -177,10 +177,10 @@
         self.assigner.partition_shards = service.wanted_shards() if service is not None else []
 
     async def _assign_shards(
-        self, snapshot: OwnerReachability, epoch: FencingToken, now: Seconds
+        self, owner_reachability: OwnerReachability, epoch: FencingToken, now: Seconds
     ) -> None:
         """Write the new owners of shards, each in a transaction of its own."""
-        for assignment in self.assigner.changes(now, snapshot):
+        for assignment in self.assigner.changes(now, owner_reachability):
             key = SHARDS + assignment.shard
             log.info(
                 "event=shard_assigned shard=%s controller=%s reason=%s",
--- a/src/dapplewick/controller/leader_writer.py
+++ b/src/dapplewick/controller/leader_writer.py
@@ -18,7 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-URGENT_WRITE_RESERVE = 0.3  # of a second's writes, which PROGRESS writes leave to more urgent ones
+# Share of one second's writes that PROGRESS writes leave to writes of higher priority.
+URGENT_WRITE_RESERVE = 0.3
 
 
 class LeaderWriter:
--- a/src/dapplewick/controller/overload.py
+++ b/src/dapplewick/controller/overload.py
@@ -11,7 +11,7 @@
 SAMPLE_INTERVAL_S = 0.25
 MAX_LAG_S = 1.0  # with more lag, users' requests are refused
 LAG_DECAY = 0.8  # factor by which the recorded lag decays with each sample
-NO_TIMER_DUE_AT = 1e18
+NO_TIMER_DUE_AT = 1e18  # later than any time: no timer is running
 
 
 class OverloadMonitor:
--- a/src/dapplewick/controller/partition_service_selector.py
+++ b/src/dapplewick/controller/partition_service_selector.py
@@ -14,7 +14,7 @@
 
 
 class PartitionServiceSelector:
-    """Provides the partition service.
+    """Selects the partition service of this controller.
 
     A service is needed if partitions are enabled, or if partitions of an earlier configuration
     still exist.
@@ -42,7 +42,8 @@
         """Return the service that moves machines between partitions now, if one is needed.
 
         If partitions are disabled while partitions or transfers of an earlier configuration still
-        exist, a service without a plan returns all machines to the shards of their zones.
+        exist, a service without a plan returns all machines to the default shards of their
+        zones.
         """
         if self.service is not None:
             return self.service
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -90,11 +90,11 @@
         """Respond to a user's request, forwarded by a peer that can't reach the state service."""
         forwarded = peers.decode(message, ForwardedRequest)
         request = Request(forwarded.method, forwarded.target, forwarded.body, False)
-        answer = await self.user_api.handle_locally(request) or NO_PATH
-        response = ForwardedResponse(
-            status=answer.status, body=answer.body, retry_after=answer.retry_after
+        response = await self.user_api.handle_locally(request) or NO_PATH
+        forwarded_response = ForwardedResponse(
+            status=response.status, body=response.body, retry_after=response.retry_after
         )
-        return peers.encode(response)
+        return peers.encode(forwarded_response)
 
     async def _answer_partition_command(self, message: dict[str, Any]) -> dict[str, Any]:
         """Respond to an operator's command on partitions."""
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -102,7 +102,7 @@
         self.contact_at = self.now()
 
     def apply_stored_write(self, key: str, value: object, version: int) -> None:
-        """Apply a stored write of this process to the watch cache and notify the schedulers."""
+        """Apply a stored write of this process to the watch cache and pass on the changes."""
         self.cache.put(key, value, version)
         if key.startswith(JOBS) and isinstance(value, dict) and value.get("stage") == CANCELLED:
             # Gossip lets shard owners that can't read the records stop the job's tasks sooner.
@@ -123,7 +123,7 @@
         self._changed_keys.append(key)
 
     async def _load(self) -> None:
-        """Load all records into the watch cache, in place of its content."""
+        """Replace the content of the watch cache by all current records."""
         sent_at = self.now()
         items, revision = await self._state.listing(ROOT)
         self.cache.reload(items, revision)
--- a/src/dapplewick/controller/record_limits.py
+++ b/src/dapplewick/controller/record_limits.py
@@ -21,7 +21,8 @@
         """Return the size limits of values and transactions that apply now.
 
         Controllers of the previous version can't read records that are split into chunks. Until the
-        format is raised, values may therefore be as large as the limit before any announced change.
+        record format is raised, values may therefore be as large as the limit that applied before
+        any announced change.
         """
         if self._cache.format >= CURRENT_FORMAT:
             return self._lowest
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -51,11 +51,11 @@
             # Refusing users' requests saves most of their processor time, which heartbeats need to
             # keep workers' leases alive.
             return OVERLOADED
-        answer = await self.user_api.handle(request)
-        if answer is None:
+        response = await self.user_api.handle(request)
+        if response is None:
             return NO_PATH
         self.latencies.record("submit" if path == JOBS_PATH else "poll", self.now() - started_at)
-        return answer
+        return response
 
     def is_healthy(self) -> bool:
         """Whether this controller can serve users at least as well as its peers."""
@@ -64,8 +64,9 @@
         now = self.now()
         if now - self.records.contact_at < MAX_CONTACT_AGE_S:
             return True
-        # If only this controller lost the state service, the platform should route users to its
-        # peers. In an outage for all controllers it stays healthy, since being taken out of service
-        # would cost further seconds once the state service is back. Contacts are at most one lease
-        # renewal apart, so by now no peer reports a contact from before such an outage.
+        # If only this controller has lost contact with the state service, the platform should route
+        # users to its peers. If all controllers have lost contact, this one stays healthy, since
+        # being taken out of service would cost further seconds once the state service is back. Each
+        # controller contacts the state service at least once per lease renewal, so by now no peer
+        # still reports a contact from before such an outage.
         return not self.peers.any_peer_reaches_state_service(now)
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-# Records of at most this age count as current: except in an outage a watch responds sooner.
+# Records up to this age count as current: a watch responds sooner, except in an outage.
 MAX_CURRENT_RECORD_AGE_S = 6.0
 # The delay between ticks is the duration of the last round times TICK_DELAY_FACTOR, within these
-# limits. A longer delay does not hold up tasks, since heartbeats also launch tasks that no tick has
-# put into a queue yet.
+# limits. A longer delay does not delay tasks, since a heartbeat also launches tasks that no tick
+# has assigned to a machine's queue yet.
 MIN_TICK_DELAY_S = 0.2
 MAX_TICK_DELAY_S = 0.5
 TICK_DELAY_FACTOR = 40.0
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -133,7 +133,7 @@
 def run_controller(config: str, script: str | None, partition_plan_path: str | None = None) -> int:
     """Run a controller until it is killed.
 
-    Invalid settings, an invalid script or an invalid plan end the start with a one-line message.
+    Invalid settings, an invalid script or an invalid plan end startup with a one-line message.
 
     Returns:
         The exit code: 2 for invalid settings, scripts and plans, 1 if an address is unavailable.
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -78,10 +78,10 @@
         If the state service is unavailable to this process, the request is forwarded once to a peer
         that has contact to it. This is safe since all these requests are idempotent.
         """
-        answer = await self.handle_locally(request)
-        if answer is UNAVAILABLE:
-            return await self._peers.forward(request) or answer
-        return answer
+        response = await self.handle_locally(request)
+        if response is UNAVAILABLE:
+            return await self._peers.forward(request) or response
+        return response
 
     async def handle_locally(self, request: Request) -> Response | None:
         """Handle a request at or below JOBS_PATH locally; return None for other paths."""
@@ -89,21 +89,21 @@
         if path == JOBS_PATH:
             if request.method != "POST":
                 return NO_METHOD
-            return await self._answer_if_available(lambda: self.submit(request))
+            return await self._call_if_available(lambda: self.submit(request))
         if not path.startswith(JOBS_PATH + "/"):
             return None
         job, slash, action = path[len(JOBS_PATH) + 1 :].partition("/")
         if not slash:
             if request.method != "GET":
                 return NO_METHOD
-            return await self._answer_if_available(lambda: self.poll(JobId(job)))
+            return await self._call_if_available(lambda: self.poll(JobId(job)))
         if action != "abort":
             return NO_PATH
         if request.method != "POST":
             return NO_METHOD
-        return await self._answer_if_available(lambda: self.abort(JobId(job)))
+        return await self._call_if_available(lambda: self.abort(JobId(job)))
 
-    async def _answer_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
+    async def _call_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
         if not self._records.ready:
             return UNAVAILABLE
         try:
@@ -192,7 +192,7 @@
             job.chunk_size = chunk_tasks(spec.task_count, shards, max_value_bytes)
         return job
 
-    async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
+    async def _accept(self, job_id: JobId, task_count: int, value: object) -> Response:
         """Store a new job.
 
         The response gives the job's state after the write, not the value that was to be written.
@@ -201,13 +201,13 @@
         try:
             version = await self._state.transaction({key: 0}, {key: value})
         except (TransactionConflictError, OutcomeUnknownError):
-            # Either the job exists, or the response was lost: that of the transaction that stored
-            # the job, or of one that was rejected because another controller had stored the job,
-            # which may have ended since. If no job is found, the write may still be applied later;
-            # the user's retry finds the job then.
+            # Either the job existed already, or the response was lost. In the latter case the
+            # transaction may have stored the job, or it may have been rejected because another
+            # controller had stored the job; that job may have ended since. If no job is found, the
+            # write may still be applied later; the user's retry finds the job then.
             return await self._state_or_else(job_id, UNAVAILABLE)
         self._records.apply_stored_write(key, value, version)
-        log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
+        log.info("event=job_accepted job=%s tasks=%d", job_id, task_count)
         return self._state_without_counts(201, job_id, self._states.cached(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -27,8 +27,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LAUNCH_AGE_S = 9.0  # launches need records or known cancellations of a lower age
-CANCELLATION_MARGIN_S = 3.0  # for the delays of a cancellation besides a worker's lease
+# Tasks are only launched if the records, or else the known cancellations, are less old.
+MAX_LAUNCH_AGE_S = 9.0
+CANCELLATION_MARGIN_S = 3.0  # for all delays of a cancellation other than the worker's lease
 
 TOO_LARGE = Response(400, b'{"error":"body over 64 KiB"}')
 MALFORMED = Response(400, b'{"error":"malformed report"}')
@@ -74,17 +75,18 @@
             and scheduler.token >= latest_owner.token
             and scheduler.token_for(heartbeat.machine) >= heartbeat.token
         ):
-            return self._answer_as_owner(now, scheduler, heartbeat)
+            return self._respond_as_owner(now, scheduler, heartbeat)
         return self._redirect_to_owner(name, latest_owner)
 
-    def _answer_as_owner(
+    def _respond_as_owner(
         self, now: Seconds, scheduler: ShardScheduler, heartbeat: Heartbeat
     ) -> Response:
         # A 200 response renews the worker's lease. If this process can't see a cancellation, the
-        # job's tasks end when the leases of their workers expire, so leases are only renewed while
-        # they would still expire in time. A lease counts from the sending of the heartbeat, so
-        # neither a delayed heartbeat nor a suspension of this process extends it, and a hanging
-        # machine runs its tasks no longer than its lease.
+        # job's tasks end only when the leases of their workers expire. Leases are therefore renewed
+        # only as long as a renewed lease would still expire in time for a cancellation that was
+        # missed. A lease counts from the sending of the heartbeat, so neither a delayed heartbeat
+        # nor a suspension of this process extends it, and a hanging machine runs its tasks no
+        # longer than its lease.
         cancellations_known_at = self.cancellations.complete_as_of(now)
         times = self.worker_times
         max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
@@ -93,10 +95,10 @@
             return RECORDS_TOO_OLD
         # Launching tasks does not require this controller's presence lease. If the shard has a
         # newer owner, tasks launched under the token of this process appear in the machine's first
-        # heartbeat to that owner, which treats the machine as unreconciled until then. Assignments
-        # of the records to this owner are withdrawn only after it has reported that the tasks are
-        # not present in its shard. So launches continue in an outage, as long as no cancellation
-        # can have been missed.
+        # heartbeat to that owner, which treats the machine's tasks as unknown until then.
+        # Assignments of the records to this owner are withdrawn only after it has reported that the
+        # tasks are not present in its shard. So launches continue in an outage, as long as no
+        # cancellation can have been missed.
         has_current_records = (
             self.presence.lease_valid() and now - self.records.current_at < MAX_LAUNCH_AGE_S
         )
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -180,7 +180,16 @@
 
 
 class StatusConfirmation(msgspec.Struct, kw_only=True):
-    """The leader's confirmation of a shard's statuses up to `number`."""
+    """The leader's confirmation of a shard's statuses up to `number`.
+
+    Attributes:
+        kind: the kind of the message.
+        shard: the shard.
+        token: the fencing token of the shard's owner.
+        incarnation: the incarnation of the leader's process.
+        number: the number up to which the leader has the shard's statuses.
+        version: the record format that the leader supports.
+    """
 
     kind: str = KIND_STATUS_CONFIRMATION
     shard: ShardName = msgspec.field(name="zone")
@@ -194,6 +203,14 @@
     """A message that each controller sends to all others about once a second.
 
     The same map also holds the fields of a `CancellationMessage`.
+
+    Attributes:
+        kind: the kind of the message.
+        controller: the sender.
+        version: the record format that the sender supports.
+        running: the number of running tasks of each job in the shards that the sender owns.
+        shards: the fencing token and the owner of each shard in the sender's watch cache.
+        reaches_state_service: whether the sender has recently had contact to the state service.
     """
 
     kind: str = KIND_GOSSIP
--- a/src/dapplewick/protocol/state_service.py
+++ b/src/dapplewick/protocol/state_service.py
@@ -1,4 +1,4 @@
-"""The state service's wire protocol: a consensus-backed key-value store with leases, watches."""
+"""The state service's wire protocol: a consensus-backed key-value store with leases and watches."""
 
 from __future__ import annotations
 
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -23,9 +23,8 @@
 
 COUNTER_LIMIT = 1 << 64  # counts, versions, tokens and attempts in the protocol are lower than this
 MAX_TASK_INDEX_DIGITS = 9
-TASK_CACHE_SIZE = (
-    20_000  # parsed task names, about 4 MB; with more tasks, names are parsed repeatedly
-)
+# Parsed task names that are cached, about 4 MB; with more tasks, names are parsed repeatedly.
+TASK_CACHE_SIZE = 20_000
 
 
 class TaskStage(StrEnum):
@@ -205,7 +204,7 @@
 
 
 def encode_heartbeat_response(token: FencingToken, commands: list[Command]) -> bytes:
-    """Encode the response to a heartbeat: the shard owner's fencing token and ordered commands."""
+    """Encode the response to a heartbeat: the shard owner's token, and commands in order."""
     items: list[dict[str, Any]] = []
     for command in commands:
         item: dict[str, Any] = {
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -138,10 +138,10 @@
     async with stream:
         while True:
             try:
-                answer = await handle(await read_frame(stream, buffer))
-                if answer is not None:
+                reply = await handle(await read_frame(stream, buffer))
+                if reply is not None:
                     with anyio.fail_after(SEND_TIMEOUT_S):
-                        await send_frame(stream, answer)
+                        await send_frame(stream, reply)
             except (
                 OSError,
                 TimeoutError,
--- a/src/dapplewick/tuning.py
+++ b/src/dapplewick/tuning.py
@@ -11,14 +11,18 @@
 class Tuning(msgspec.Struct, frozen=True):
     """The settings of an operators' script, with their defaults."""
 
-    threshold_s: float = 0.0  # backfill threshold T, see `core/shard/backfill.py`
-    patience_s: float = 4.0  # longest gang wait without preemption of lower-priority work
-    horizon_s: float = 25.0  # time within which all waiting array tasks should start
-    horizon_accelerator_s: float = 60.0  # the same for array tasks that need accelerators
-    spare_slots: float = 1.0  # factor on the measured number of idle slots for expected gangs
+    # A task may be backfilled on a machine with slots reserved for a gang if the task's estimated
+    # run time is at most the gang's remaining wait plus this threshold.
+    threshold_s: float = 0.0
+    patience_s: float = 4.0  # a gang that would wait longer preempts tasks of lower priority
+    horizon_s: float = 25.0  # time within which all waiting array tasks should have started
+    horizon_accelerator_s: float = 60.0  # the same time for array tasks that need accelerators
+    # Factor on the number of idle slots that are reserved for expected gangs; the number follows
+    # from the measured arrivals of gang tasks.
+    spare_slots: float = 1.0
     idle_s: float = 40.0  # idle time before a machine of average price is terminated
     spend_cap: float = 0.0  # maximum price per hour of all rented machines; 0: no limit
-    class_weights: dict[str, float] = {}  # within a priority, heavier classes go first
+    class_weights: dict[str, float] = {}  # by class; in a priority, higher weights have precedence
 
 
 SETTING_LIMITS: dict[str, tuple[float, float]] = {
