--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -37,7 +37,7 @@
 
 NOT_READY_POLL_INTERVAL_S = 0.1
 CAMPAIGN_INTERVAL_S = 0.3  # between two campaigns of a controller that does not lead
-# A controller without contact to its peers lets the others campaign first for this long.
+# Delay of a campaign by a controller without peer contact, so that others campaign first.
 ISOLATED_CAMPAIGN_DELAY_S = 3.0
 # After a pass, the leader waits at most this long for a change, then for the delay between passes.
 MAX_CHANGE_WAIT_S = 0.5
@@ -104,7 +104,7 @@
     async def _campaign(self) -> None:
         """Try to become leader.
 
-        If this controller has no contact to any peer, it waits first so that others can campaign.
+        If this controller has no contact with any peer, it waits first so that others can campaign.
         """
         if self.records.cache.leader is None and self._has_no_peer_contact():
             await anyio.sleep(ISOLATED_CAMPAIGN_DELAY_S)
@@ -158,7 +158,7 @@
         )
 
     def _is_isolated(self, owner_reachability: OwnerReachability, now: Seconds) -> bool:
-        """Whether this leader has contact to no peer and no worker, so that another should lead."""
+        """Whether another should lead, since this leader has contact with no peer and no worker."""
         populated = {
             name for name, scheduler in self.owned_shards.schedulers.items() if scheduler.machines
         }
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -16,8 +16,8 @@
 
 HEARTBEAT_PATH = "/checkin"
 HEALTH_PATH = "/healthz"
-# A controller without contact to the state service for longer, while a peer has contact, is
-# unhealthy.
+# A controller that has had no contact with the state service for longer is unhealthy, if a peer has
+# contact.
 MAX_CONTACT_AGE_S = 5.0
 
 HEALTHY = Response(200)
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -76,7 +76,7 @@
         """Handle a request at or below JOBS_PATH; return None for other paths.
 
         If the state service is unavailable to this process, the request is forwarded once to a peer
-        that has contact to it. This is safe since all these requests are idempotent.
+        that has contact with it. This is safe since all these requests are idempotent.
         """
         response = await self.handle_locally(request)
         if response is UNAVAILABLE:
@@ -101,7 +101,7 @@
             return NO_PATH
         if request.method != "POST":
             return NO_METHOD
-        return await self._call_if_available(lambda: self.abort(JobId(job)))
+        return await self._call_if_available(lambda: self.cancel(JobId(job)))
 
     async def _call_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
         if not self._records.ready:
@@ -256,7 +256,7 @@
         """
         return await self._state_or_else(job_id, NOT_FOUND)
 
-    async def abort(self, job_id: JobId) -> Response:
+    async def cancel(self, job_id: JobId) -> Response:
         """Cancel a job; a job that is done or cancelled stays unchanged.
 
         Raises:
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -111,7 +111,7 @@
 
 
 class MachineContactGap(msgspec.Struct, array_like=True, frozen=True):
-    """The time without contact to a machine whose heartbeats are overdue.
+    """The time without contact with a machine whose heartbeats are overdue.
 
     Attributes:
         gap_s: seconds since the last heartbeat with the owner's fencing token, or since the owner
@@ -210,7 +210,7 @@
         version: the record format that the sender supports.
         running: the number of running tasks of each job in the shards that the sender owns.
         shards: the fencing token and the owner of each shard in the sender's watch cache.
-        reaches_state_service: whether the sender has recently had contact to the state service.
+        reaches_state_service: whether the sender has recently had contact with the state service.
     """
 
     kind: str = KIND_GOSSIP
@@ -222,7 +222,7 @@
 
 
 class ForwardedRequest(msgspec.Struct, kw_only=True):
-    """A user's request, forwarded to a controller that has contact to the state service."""
+    """A user's request, forwarded to a controller that has contact with the state service."""
 
     kind: str = KIND_FORWARDED_REQUEST
     method: str
