--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from dapplewick.controller.latencies import Latencies
+from dapplewick.controller.latencies import LatencyHistograms
 from dapplewick.controller.overload import OverloadMonitor
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.user_api import JOBS_PATH, NO_METHOD, NO_PATH, UserApi
@@ -16,8 +16,8 @@
 
 HEARTBEAT_PATH = "/checkin"
 HEALTH_PATH = "/healthz"
-# A controller without contact to the state service for longer, while a peer has contact, is
-# unhealthy.
+# A controller that has had no contact with the state service for longer is unhealthy, if a peer has
+# contact.
 MAX_CONTACT_AGE_S = 5.0
 
 HEALTHY = Response(200)
@@ -34,14 +34,14 @@
     peers: PeerExchange
     worker_endpoint: WorkerEndpoint
     user_api: UserApi
-    latencies: Latencies
+    latencies: LatencyHistograms
     now: Callable[[], Seconds]
 
     async def handle(self, request: Request) -> Response:
         """Handle a request of a worker, a user or the platform."""
         path = request.target.partition("?")[0]
         if path == HEARTBEAT_PATH:
-            return self.worker_endpoint.answer(request) if request.method == "POST" else NO_METHOD
+            return self.worker_endpoint.handle(request) if request.method == "POST" else NO_METHOD
         if path == HEALTH_PATH:
             if request.method != "GET":
                 return NO_METHOD
@@ -51,11 +51,11 @@
             # Refusing users' requests saves most of their processor time, which heartbeats need to
             # keep workers' leases alive.
             return OVERLOADED
-        answer = await self.user_api.handle(request)
-        if answer is None:
+        response = await self.user_api.handle(request)
+        if response is None:
             return NO_PATH
         self.latencies.record("submit" if path == JOBS_PATH else "poll", self.now() - started_at)
-        return answer
+        return response
 
     def is_healthy(self) -> bool:
         """Whether this controller can serve users at least as well as its peers."""
@@ -64,8 +64,9 @@
         now = self.now()
         if now - self.records.contact_at < MAX_CONTACT_AGE_S:
             return True
-        # If only this controller lost the state service, the platform should route users to its
-        # peers. In an outage for all controllers it stays healthy, since being taken out of service
-        # would cost further seconds once the state service is back. Contacts are at most one lease
-        # renewal apart, so by now no peer reports a contact from before such an outage.
+        # If only this controller has lost contact with the state service, the platform should route
+        # users to its peers. If all controllers have lost contact, this one stays healthy, since
+        # being taken out of service would cost further seconds once the state service is back. Each
+        # controller contacts the state service at least once per lease renewal, so by now no peer
+        # still reports a contact from before such an outage.
         return not self.peers.any_peer_reaches_state_service(now)
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from dapplewick.config import Deployment
-from dapplewick.controller.job_states import JobStates, UnreadableJobError
-from dapplewick.controller.partition_switch import PartitionSwitch
+from dapplewick.controller.job_states import JobStateReader, UnreadableJobError
+from dapplewick.controller.partition_service_selector import PartitionServiceSelector
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.controller.record_limits import RecordLimits
 from dapplewick.coordination.peer_exchange import PeerExchange
@@ -58,14 +58,14 @@
         records: RecordFollower,
         state: StateClient,
         peers: PeerExchange,
-        partitions: PartitionSwitch,
+        partitions: PartitionServiceSelector,
         limits: RecordLimits,
         wall_time: Callable[[], Seconds],
     ) -> None:
         self._deployment = deployment
         self._teams = {team.name: team for team in deployment.teams}
         self._records = records
-        self._states = JobStates(records)
+        self._states = JobStateReader(records)
         self._state = state
         self._peers = peers
         self._partitions = partitions
@@ -76,34 +76,34 @@
         """Handle a request at or below JOBS_PATH; return None for other paths.
 
         If the state service is unavailable to this process, the request is forwarded once to a peer
-        that has contact to it. This is safe since all these requests are idempotent.
+        that has contact with it. This is safe since all these requests are idempotent.
         """
-        answer = await self.answer(request)
-        if answer is UNAVAILABLE:
-            return await self._peers.forward(request) or answer
-        return answer
+        response = await self.handle_locally(request)
+        if response is UNAVAILABLE:
+            return await self._peers.forward(request) or response
+        return response
 
-    async def answer(self, request: Request) -> Response | None:
+    async def handle_locally(self, request: Request) -> Response | None:
         """Handle a request at or below JOBS_PATH locally; return None for other paths."""
         path = request.target.partition("?")[0]
         if path == JOBS_PATH:
             if request.method != "POST":
                 return NO_METHOD
-            return await self._answer_if_available(lambda: self.submit(request))
+            return await self._call_if_available(lambda: self.submit(request))
         if not path.startswith(JOBS_PATH + "/"):
             return None
         job, slash, action = path[len(JOBS_PATH) + 1 :].partition("/")
         if not slash:
             if request.method != "GET":
                 return NO_METHOD
-            return await self._answer_if_available(lambda: self.poll(JobId(job)))
+            return await self._call_if_available(lambda: self.poll(JobId(job)))
         if action != "abort":
             return NO_PATH
         if request.method != "POST":
             return NO_METHOD
-        return await self._answer_if_available(lambda: self.abort(JobId(job)))
+        return await self._call_if_available(lambda: self.cancel(JobId(job)))
 
-    async def _answer_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
+    async def _call_if_available(self, call: Callable[[], Awaitable[Response]]) -> Response:
         if not self._records.ready:
             return UNAVAILABLE
         try:
@@ -160,7 +160,7 @@
         if spec.is_service and cache.format < CURRENT_FORMAT:
             # The cached format may be outdated. The stored one decides, so that the responses of
             # all controllers agree.
-            await self._records.current()
+            await self._records.wait_until_current()
             if cache.format < CURRENT_FORMAT:
                 return SERVICES_NOT_SUPPORTED
         if not cache.types:
@@ -192,7 +192,7 @@
             job.chunk_size = chunk_tasks(spec.task_count, shards, max_value_bytes)
         return job
 
-    async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
+    async def _accept(self, job_id: JobId, task_count: int, value: object) -> Response:
         """Store a new job.
 
         The response gives the job's state after the write, not the value that was to be written.
@@ -201,13 +201,13 @@
         try:
             version = await self._state.transaction({key: 0}, {key: value})
         except (TransactionConflictError, OutcomeUnknownError):
-            # Either the job exists, or the response was lost: that of the transaction that stored
-            # the job, or of one that was rejected because another controller had stored the job,
-            # which may have ended since. If no job is found, the write may still be applied later;
-            # the user's retry finds the job then.
+            # Either the job existed already, or the response was lost. In the latter case the
+            # transaction may have stored the job, or it may have been rejected because another
+            # controller had stored the job; that job may have ended since. If no job is found, the
+            # write may still be applied later; the user's retry finds the job then.
             return await self._state_or_else(job_id, UNAVAILABLE)
-        self._records.stored(key, value, version)
-        log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
+        self._records.apply_stored_write(key, value, version)
+        log.info("event=job_accepted job=%s tasks=%d", job_id, task_count)
         return self._state_without_counts(201, job_id, self._states.cached(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
@@ -256,7 +256,7 @@
         """
         return await self._state_or_else(job_id, NOT_FOUND)
 
-    async def abort(self, job_id: JobId) -> Response:
+    async def cancel(self, job_id: JobId) -> Response:
         """Cancel a job; a job that is done or cancelled stays unchanged.
 
         Raises:
@@ -281,7 +281,7 @@
                 # The next attempt reads the job again. A write of this attempt that is applied late
                 # either conflicts with a newer version or cancels the job too.
                 continue
-            self._records.stored(key, value, version)
+            self._records.apply_stored_write(key, value, version)
             log.info("event=job_cancelled job=%s", job_id)
             return self._state_without_counts(200, job_id, self._states.cached(job_id))
         return UNAVAILABLE
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -111,7 +111,7 @@
 
 
 class MachineContactGap(msgspec.Struct, array_like=True, frozen=True):
-    """The time without contact to a machine whose heartbeats are overdue.
+    """The time without contact with a machine whose heartbeats are overdue.
 
     Attributes:
         gap_s: seconds since the last heartbeat with the owner's fencing token, or since the owner
@@ -180,7 +180,16 @@
 
 
 class StatusConfirmation(msgspec.Struct, kw_only=True):
-    """The leader's confirmation of a shard's statuses up to `number`."""
+    """The leader's confirmation of a shard's statuses up to `number`.
+
+    Attributes:
+        kind: the kind of the message.
+        shard: the shard.
+        token: the fencing token of the shard's owner.
+        incarnation: the incarnation of the leader's process.
+        number: the number up to which the leader has the shard's statuses.
+        version: the record format that the leader supports.
+    """
 
     kind: str = KIND_STATUS_CONFIRMATION
     shard: ShardName = msgspec.field(name="zone")
@@ -194,6 +203,14 @@
     """A message that each controller sends to all others about once a second.
 
     The same map also holds the fields of a `CancellationMessage`.
+
+    Attributes:
+        kind: the kind of the message.
+        controller: the sender.
+        version: the record format that the sender supports.
+        running: the number of running tasks of each job in the shards that the sender owns.
+        shards: the fencing token and the owner of each shard in the sender's watch cache.
+        reaches_state_service: whether the sender has recently had contact with the state service.
     """
 
     kind: str = KIND_GOSSIP
@@ -205,7 +222,7 @@
 
 
 class ForwardedRequest(msgspec.Struct, kw_only=True):
-    """A user's request, forwarded to a controller that has contact to the state service."""
+    """A user's request, forwarded to a controller that has contact with the state service."""
 
     kind: str = KIND_FORWARDED_REQUEST
     method: str
--- a/src/dapplewick/transport/peer.py
+++ b/src/dapplewick/transport/peer.py
@@ -40,7 +40,7 @@
         self._pending[kind] = message
         self._wake.set()
 
-    async def ask(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
+    async def request(self, message: dict[str, Any], timeout_s: Seconds) -> dict[str, Any] | None:
         """Send a request on a new connection and return the reply.
 
         Returns:
@@ -138,10 +138,10 @@
     async with stream:
         while True:
             try:
-                answer = await handle(await read_frame(stream, buffer))
-                if answer is not None:
+                reply = await handle(await read_frame(stream, buffer))
+                if reply is not None:
                     with anyio.fail_after(SEND_TIMEOUT_S):
-                        await send_frame(stream, answer)
+                        await send_frame(stream, reply)
             except (
                 OSError,
                 TimeoutError,
