--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -174,7 +174,7 @@
         if service is not None:
             service.update_term(planner)
         planner.partitions = service.rebalancer if service is not None else None
-        self.assigner.partition_shards = service.wanted_shards() if service is not None else []
+        self.assigner.partition_shards = service.required_shards() if service is not None else []
 
     async def _assign_shards(
         self, snapshot: OwnerReachability, epoch: FencingToken, now: Seconds
--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -9,7 +9,7 @@
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.solver import Cell
 from dapplewick.partitions.targets import TargetsInForce
-from dapplewick.partitions.transfer_drafts import PLAN, TransferDrafts
+from dapplewick.partitions.transfer_drafts import ORIGIN_PLAN, TransferDrafts
 from dapplewick.storage.transfers import (
     COMPLETE,
     MAX_TRANSFER_MACHINES,
@@ -32,7 +32,7 @@
         record: the transfer.
         wall_time: Unix time, in seconds.
     """
-    operator_ended = record.origin != PLAN and record.state in (COMPLETE, OVERDUE)
+    operator_ended = record.origin != ORIGIN_PLAN and record.state in (COMPLETE, OVERDUE)
     return (
         operator_ended
         and bool(plan.partitions)
@@ -91,7 +91,8 @@
         blocked = {
             (zone_of(record.source), record.type)
             for record in self._drafts.records().values()
-            if record.origin != PLAN and (record.open or blocks_plan(plan, record, wall_time))
+            if record.origin != ORIGIN_PLAN
+            and (record.open or blocks_plan(plan, record, wall_time))
         }
         kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.counts()}
         for zone, type_ in sorted(kinds - blocked):
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -20,7 +20,7 @@
 ENDED_TRANSFER_RETENTION_S = 60.0  # operators can see an ended transfer for this long
 
 
-class RecordCleanup:
+class RecordCleaner:
     """Selects the records of transfers and of partitions' shards to remove."""
 
     def __init__(self, cache: WatchCache, index: MachineIndex, drafts: TransferDrafts) -> None:
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -8,7 +8,7 @@
 from dapplewick.config import Deployment
 from dapplewick.errors import DapplewickError
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
+from dapplewick.partitions.transfer_drafts import ORIGIN_OPERATOR, TransferCommand
 from dapplewick.storage.transfers import CANCELLED, MAX_TRANSFER_MACHINES, REQUESTED, TransferRecord
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import Seconds, TransferId, partition_of, shard_name, zone_of
@@ -67,7 +67,7 @@
         REQUESTED,
         wall_time,
         wall_time + plan.move_within_s,
-        origin=OPERATOR,
+        origin=ORIGIN_OPERATOR,
     )
     if transfer not in cache.transfers.records:
         _check_available(cache, record)
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -66,7 +66,7 @@
         return by_gpus or by_cpus
 
 
-def measure(
+def partition_demands(
     plan: PartitionPlan,
     teams: Iterable[Team],
     jobs: Iterable[JobRecord],
--- a/src/dapplewick/partitions/draining.py
+++ b/src/dapplewick/partitions/draining.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.selection import MachineSelector
 from dapplewick.partitions.timing import TransferStopwatch
-from dapplewick.partitions.transfer_drafts import OPERATOR, OPERATOR_RETRY, TransferDrafts
+from dapplewick.partitions.transfer_drafts import ORIGIN_OPERATOR, ORIGIN_RETRY, TransferDrafts
 from dapplewick.storage.transfers import (
     CANCELLED,
     DRAINING,
@@ -27,7 +27,7 @@
 RESELECTION_DELAY_S = 120.0  # before a machine that did not become empty in time is selected again
 
 
-class TransferDraining:
+class MachineDrainer:
     """Assigns machines to transfers for draining, during one term of a leader."""
 
     def __init__(
@@ -90,7 +90,7 @@
         for machine in record.draining:
             self._excluded_until[MachineId(machine)] = now + RESELECTION_DELAY_S
         self._drafts.update(transfer, state=OVERDUE, draining=[])
-        if record.origin == OPERATOR:
+        if record.origin == ORIGIN_OPERATOR:
             self._request_remainder(wall_time, transfer, record, plan)
         return True
 
@@ -106,13 +106,13 @@
             state=REQUESTED,
             requested_at=wall_time,
             overdue_at=wall_time + plan.move_within_s,
-            origin=OPERATOR_RETRY,
+            origin=ORIGIN_RETRY,
         )
         successor = TransferId(f"{transfer}-again")
         self._drafts.request(successor, remainder)
         self._drafts.group_with_successor(transfer, successor)
 
-    def drain_more(self, now: Seconds, transfer: TransferId, selection: MachineSelection) -> None:
+    def drain_more(self, now: Seconds, transfer: TransferId, selection: MachineSelector) -> None:
         """Select further machines for a transfer, up to the number that it still needs."""
         record = self._drafts.record(transfer)
         if record is None or not record.open or record.missing <= 0:
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -14,7 +14,7 @@
 
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
-from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.selection import MachineSelector
 from dapplewick.partitions.timing import TransferStopwatch
 from dapplewick.partitions.transfer_drafts import TransferDrafts
 from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
@@ -28,7 +28,7 @@
 MAX_HANDOVER_MACHINES = 20  # in one transaction
 
 
-class MachineHandover:
+class HandoverDrafter:
     """Hands over machines of a transfer to the target shard once they are proven empty."""
 
     def __init__(
@@ -42,7 +42,7 @@
         self,
         now: Seconds,
         transfer: TransferId,
-        selection: MachineSelection,
+        selection: MachineSelector,
         shards: Iterable[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
@@ -81,7 +81,7 @@
         self,
         transfer: TransferId,
         record: TransferRecord,
-        selection: MachineSelection,
+        selection: MachineSelector,
         shards: Iterable[ObservedShard],
     ) -> list[MachineId]:
         """The machines of a transfer that are proven empty, if the target shard has an owner."""
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -45,7 +45,7 @@
 CONFIRMATION_TIMEOUT_S = 3.0  # afterwards the answer refers the operator to `shares show`
 
 
-class OperatorCommands:
+class OperatorCommandHandler:
     """Executes operators' commands while this controller leads."""
 
     def __init__(
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -13,12 +13,12 @@
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.balancing import Balancer
-from dapplewick.partitions.cleanup import RecordCleanup
-from dapplewick.partitions.draining import TransferDraining
-from dapplewick.partitions.handover import MachineHandover
+from dapplewick.partitions.cleanup import RecordCleaner
+from dapplewick.partitions.draining import MachineDrainer
+from dapplewick.partitions.handover import HandoverDrafter
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.selection import MachineSelector
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.partitions.timing import TransferDurations, TransferStopwatch
 from dapplewick.partitions.transfer_drafts import TransferCommand, TransferDrafts
@@ -57,9 +57,9 @@
         self._drafts = TransferDrafts(cache)
         stopwatch = TransferStopwatch(durations)
         self._balancer = Balancer(cache, index, zones, self._drafts)
-        self._draining = TransferDraining(cache, self._drafts, stopwatch)
-        self._handover = MachineHandover(cache, self._drafts, stopwatch)
-        self._cleanup = RecordCleanup(cache, index, self._drafts)
+        self._draining = MachineDrainer(cache, self._drafts, stopwatch)
+        self._handover = HandoverDrafter(cache, self._drafts, stopwatch)
+        self._cleanup = RecordCleaner(cache, index, self._drafts)
 
     def update_starving_teams(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Find the teams that may borrow idle capacity of all partitions.
@@ -88,7 +88,7 @@
             return frozenset()
         return frozenset(partition.teams) | self._starving_teams
 
-    def wanted_shards(self) -> list[ShardName]:
+    def required_shards(self) -> list[ShardName]:
         """The shards of partitions that have a target or receive machines by an open transfer."""
         if self._cache.format < PARTITIONS_FORMAT:
             return []
@@ -127,7 +127,7 @@
         self._drafts.begin_pass()
         self._draining.begin_pass(now)
         self._index.refresh()
-        selection = MachineSelection(now, self._cache, self._index, shards, placed)
+        selection = MachineSelector(now, self._cache, self._index, shards, placed)
         self._draft_commands()
         if self.targets.known:
             self._balancer.request_transfers(wall_time, self.plan, self.targets)
@@ -142,7 +142,8 @@
     def _draft_commands(self) -> None:
         """Draft the operators' pending commands.
 
-        `OperatorCommands` removes a command once its record is stored or its time limit expires.
+        `OperatorCommandHandler` removes a command once its record is stored or its time limit
+        expires.
         """
         for transfer, record in self.commands:
             existing = self._drafts.record(transfer)
@@ -156,7 +157,7 @@
         self,
         now: Seconds,
         wall_time: Seconds,
-        selection: MachineSelection,
+        selection: MachineSelector,
         shards: list[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
@@ -181,4 +182,4 @@
         """The removals of unused shards; none before the targets are known."""
         if not self.targets.known:
             return []
-        return self._cleanup.shard_removals(self.wanted_shards())
+        return self._cleanup.shard_removals(self.required_shards())
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -33,7 +33,7 @@
     machine: MachineId
 
 
-class MachineSelection:
+class MachineSelector:
     """Selects machines in one pass, based on the records and the shard owners' statuses."""
 
     def __init__(
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -9,11 +9,11 @@
 from dapplewick.partitions import messages
 from dapplewick.partitions.host import LeaderTerm, PartitionHost
 from dapplewick.partitions.index import MachineIndex
-from dapplewick.partitions.operator_commands import OperatorCommands
+from dapplewick.partitions.operator_commands import OperatorCommandHandler
 from dapplewick.partitions.plan import PartitionPlan
 from dapplewick.partitions.plan_in_force import PlanInForce, RateLimitedErrorLog
 from dapplewick.partitions.rebalancer import PartitionRebalancer
-from dapplewick.partitions.target_solving import Solver, TargetSolving, solve_in_thread
+from dapplewick.partitions.target_solving import Solver, TargetUpdater, solve_in_thread
 from dapplewick.partitions.timing import TransferDurations
 from dapplewick.types import ControllerName, ShardName, shard_name
 
@@ -47,10 +47,10 @@
         self._plan_in_force = PlanInForce(
             self._initial_plan, host.cache, host.settings.deployment, error_log
         )
-        self._target_solving = TargetSolving(
+        self._target_solving = TargetUpdater(
             host, self._index, self._plan_in_force, error_log, self._solver
         )
-        self._commands = OperatorCommands(host, self._plan_in_force, self._durations)
+        self._commands = OperatorCommandHandler(host, self._plan_in_force, self._durations)
 
     # Called by the controller
 
@@ -62,9 +62,9 @@
             *(shard_name(zone, partition) for zone in zones for partition in partitions),
         ]
 
-    def wanted_shards(self) -> list[ShardName]:
+    def required_shards(self) -> list[ShardName]:
         """The shards of partitions that need an owner."""
-        return self.rebalancer.wanted_shards() if self.rebalancer is not None else []
+        return self.rebalancer.required_shards() if self.rebalancer is not None else []
 
     def update_term(self, term: LeaderTerm) -> None:
         """Update the plan, and create a new rebalancer if the term of leadership is new."""
--- a/src/dapplewick/partitions/target_solving.py
+++ b/src/dapplewick/partitions/target_solving.py
@@ -7,7 +7,7 @@
 
 import anyio.to_thread
 
-from dapplewick.partitions.demand import measure
+from dapplewick.partitions.demand import partition_demands
 from dapplewick.partitions.host import PartitionHost
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import DAY_MINUTES
@@ -26,7 +26,7 @@
     return await anyio.to_thread.run_sync(solve, problem)
 
 
-class TargetSolving:
+class TargetUpdater:
     """Computes targets for the plan in force."""
 
     def __init__(
@@ -74,7 +74,9 @@
         self._index.refresh()
         wall_time = host.wall_time()
         jobs = [job for _, job in host.cache.iter_live_jobs()]
-        demand = measure(plan, host.settings.deployment.teams, jobs, host.estimates, wall_time)
+        demand = partition_demands(
+            plan, host.settings.deployment.teams, jobs, host.estimates, wall_time
+        )
         minute = int(wall_time // 60) % DAY_MINUTES
         return Problem(
             plan, minute, supply(host.cache, self._index), demand, current_counts(self._index)
--- a/src/dapplewick/partitions/transfer_drafts.py
+++ b/src/dapplewick/partitions/transfer_drafts.py
@@ -24,7 +24,7 @@
 MAX_GROUPED_DRAFTS = 4
 
 # The origins of a transfer: the plan, an operator, or the retry of an operator's overdue transfer.
-PLAN, OPERATOR, OPERATOR_RETRY = "plan", "operator", "again"
+ORIGIN_PLAN, ORIGIN_OPERATOR, ORIGIN_RETRY = "plan", "operator", "again"
 
 
 class TransferCommand(NamedTuple):
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -12,7 +12,7 @@
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.rebalancer import PartitionRebalancer
 from dapplewick.partitions.timing import TransferDurations
-from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand
+from dapplewick.partitions.transfer_drafts import ORIGIN_OPERATOR, TransferCommand
 from dapplewick.protocol.peers import MachineStatus, ShardStatus
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.formats import PARTITIONS_FORMAT
@@ -125,7 +125,7 @@
 
     def command_move(self) -> None:
         record = TransferRecord(
-            0, "a", self.shards[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
+            0, "a", self.shards[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=ORIGIN_OPERATOR
         )
         self.keeper.commands = [TransferCommand(TransferId("o-00000001"), record)]
 
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -20,13 +20,13 @@
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.core.leader.provisioner import Provisioner
-from dapplewick.partitions.handover import MachineHandover
+from dapplewick.partitions.handover import HandoverDrafter
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import Partition, PartitionPlan, PartitionRule
 from dapplewick.partitions.rebalancer import PartitionRebalancer
-from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.selection import MachineSelector
 from dapplewick.partitions.timing import TransferDurations
-from dapplewick.partitions.transfer_drafts import OPERATOR, TransferCommand, TransferDrafts
+from dapplewick.partitions.transfer_drafts import ORIGIN_OPERATOR, TransferCommand, TransferDrafts
 from dapplewick.protocol.peers import MachineStatus, ShardStatus, TaskEnd
 from dapplewick.protocol.state_service import Event
 from dapplewick.storage.conditional_write import ConditionalWrite
@@ -237,7 +237,7 @@
             REQUESTED,
             self.now,
             self.now + PLAN.move_within_s,
-            origin=OPERATOR,
+            origin=ORIGIN_OPERATOR,
         )
         self.keeper.commands = [TransferCommand(TransferId(f"o-{self.commands}"), record)]
 
@@ -258,7 +258,7 @@
         ]
         changes = self.keeper.changes(self.now, self.now, capacities, set(), self.machine_lifecycle)
         self.keeper.commands = []
-        for shard in self.keeper.wanted_shards():
+        for shard in self.keeper.required_shards():
             if SHARDS + shard not in self.store.keys:
                 self.new_owner(shard)  # as the leader's choice of owners does
         for batch in self.transactions(changes):
@@ -400,7 +400,7 @@
 
 GUARDS: dict[str, tuple[Any, str, Any]] = {
     "a floor above all tokens": (WatchCache, "token_for", lambda _, __, token: token),
-    "a machine that is proven empty": (MachineSelection, "is_empty", lambda *_: True),
+    "a machine that is proven empty": (MachineSelector, "is_empty", lambda *_: True),
     "one transaction": (TransferDrafts, "write", untied),
 }
 
@@ -425,7 +425,7 @@
     """A cancelled transfer's machine has got work again, and the next transfer of it must not rest
     on the status from before; a status may be seconds old."""
     if not guarded:
-        monkeypatch.setattr(MachineHandover, "_owner_has_seen_transfer", lambda *_: True)
+        monkeypatch.setattr(HandoverDrafter, "_owner_has_seen_transfer", lambda *_: True)
     simulation = Simulation(1, 1)
     machine, owner = simulation.names[0], simulation.owners[OWN]
     worker = simulation.workers[machine]
--- a/tests/unit/test_partition_plan.py
+++ b/tests/unit/test_partition_plan.py
@@ -16,7 +16,7 @@
 from dapplewick.config import Team
 from dapplewick.controller.startup import start
 from dapplewick.core.estimates import Estimates
-from dapplewick.partitions.demand import PartitionDemand, measure
+from dapplewick.partitions.demand import PartitionDemand, partition_demands
 from dapplewick.partitions.plan import PartitionPlan, PlanError, convert, find_unknown_name, parse
 from dapplewick.partitions.solver import Cell, MachineKind, Problem, Supply, bounds, solve
 from dapplewick.partitions.targets import TargetsInForce
@@ -284,7 +284,7 @@
     jobs[0].done = {0, 1}
     late = job("blue", 1, 4.0)
     late.stage = "done"
-    said = measure(plan, teams, [*jobs, late, job("green", 5, 1.0)], Estimates(), 1000.0)
+    said = partition_demands(plan, teams, [*jobs, late, job("green", 5, 1.0)], Estimates(), 1000.0)
     assert said["s"].total.cpus == 20.0 + 8.0 + 12.0
     assert said["s"].urgent.cpus == 8.0 + 12.0  # within the guarantee, and due soon
 
