--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -24,11 +24,11 @@
 def blocks_plan(plan: PartitionPlan, record: TransferRecord, wall_time: Seconds) -> bool:
     """Whether an operator's ended transfer still prevents the plan from moving machines.
 
-    This concerns machines of the transfer's type in its zone. Otherwise the plan would undo the
-    operator's transfer as soon as it has ended.
+    While it does, the plan moves no machines of the transfer's type in its zone; otherwise the plan
+    would undo the operator's transfer as soon as it has ended.
 
     Args:
-        plan: the plan in force, which sets how long the transfer takes precedence.
+        plan: the plan in force, which sets how long the plan is blocked.
         record: the transfer.
         wall_time: Unix time, in seconds.
     """
@@ -46,9 +46,9 @@
     def __init__(self) -> None:
         self.surplus: dict[ShardName, int] = {}
         self.shortages: dict[ShardName, int] = {}
-        self.unassigned = (
-            0  # in the zone's own shard, without machines that are to leave it; may be < 0
-        )
+        # Machines in the zone's own shard, without those that open transfers will move out of it;
+        # may be negative.
+        self.unassigned = 0
 
     def record_excess(self, shard: ShardName, excess: int) -> None:
         """Record how many machines a shard has above its target; negative if below it."""
@@ -84,9 +84,10 @@
     def request_transfers(
         self, wall_time: Seconds, plan: PartitionPlan, targets: TargetsInForce
     ) -> None:
-        """Draft transfers towards the targets.
+        """Draft the transfers that bring the partitions to their targets.
 
-        A machine type in a zone is skipped while an operator's transfer of it takes precedence.
+        A machine type in a zone is skipped while an operator's transfer of it is open or blocks the
+        plan.
         """
         blocked = {
             (zone_of(record.source), record.type)
@@ -94,7 +95,7 @@
             if record.origin != ORIGIN_PLAN
             and (record.open or blocks_plan(plan, record, wall_time))
         }
-        kinds = {(zone_of(kind.shard), kind.type) for kind, _ in self._index.counts()}
+        kinds = {(zone_of(pool.shard), pool.type) for pool, _ in self._index.counts()}
         for zone, type_ in sorted(kinds - blocked):
             if zone in self._zones:
                 self._balance(wall_time, plan, targets, zone, type_)
@@ -128,9 +129,9 @@
     ) -> Imbalance:
         """Surpluses and shortages, as they will be once all open transfers are complete."""
         partitions = {
-            partition_of(kind.shard)
-            for kind, _ in self._index.counts()
-            if zone_of(kind.shard) == zone
+            partition_of(pool.shard)
+            for pool, _ in self._index.counts()
+            if zone_of(pool.shard) == zone
         }
         partitions |= {cell.partition for cell, _ in targets.items() if cell.zone == zone}
         incoming, outgoing = self._in_flight(zone, type_)
@@ -164,7 +165,8 @@
         Args:
             shard: a shard with a shortage (if `outgoing`) or a surplus of machines.
             type_: the machine type.
-            limit: the maximum number of remaining machines of the cancelled transfers together.
+            limit: the maximum number of machines that the cancelled transfers together still had to
+                move.
             outgoing: whether to cancel transfers from the shard instead of transfers to it.
 
         Returns:
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -27,7 +27,7 @@
         self._cache = cache
         self._index = index
         self._drafts = drafts
-        self._ended_at: dict[TransferId, Seconds] = {}
+        self._end_seen_at: dict[TransferId, Seconds] = {}  # when a pass first saw the end
 
     def transfer_removals(
         self, now: Seconds, wall_time: Seconds, plan: PartitionPlan
@@ -39,7 +39,7 @@
                 continue
             if blocks_plan(plan, record, wall_time):
                 continue
-            if now - self._ended_at.setdefault(transfer, now) > ENDED_TRANSFER_RETENTION_S:
+            if now - self._end_seen_at.setdefault(transfer, now) > ENDED_TRANSFER_RETENTION_S:
                 removals.append(self._removal(TRANSFERS + transfer))
         return removals
 
--- a/src/dapplewick/partitions/demand.py
+++ b/src/dapplewick/partitions/demand.py
@@ -52,12 +52,17 @@
             return
         demand = per_task.times(count)
         self._remaining_limit = self._remaining_limit.minus(demand)
-        if due_soon or self._within_guarantee(demand):
+        if due_soon or self._deduct_from_guarantee(demand):
             self.urgent = self.urgent.plus(demand)
         else:
             self.other = self.other.plus(demand)
 
-    def _within_guarantee(self, demand: Resources) -> bool:
+    def _deduct_from_guarantee(self, demand: Resources) -> bool:
+        """Deduct a demand from the remaining guarantee if it fits, and return whether it does.
+
+        A demand with accelerators is compared with the guarantee by these alone, any other demand
+        by its CPUs.
+        """
         remaining = self._remaining_guarantee
         by_gpus = demand.gpus > 0 and demand.gpus <= remaining.gpus
         by_cpus = demand.gpus == 0 and 0 < demand.cpus <= remaining.cpus
@@ -101,6 +106,7 @@
 
 
 def _is_due_soon(job: JobRecord, estimates: Estimates, wall_time: Seconds) -> bool:
+    """Whether a job is due soon; a service always is, and other jobs without deadline never are."""
     if job.spec.deadline_s is None or job.spec.is_service:
         return job.spec.is_service
     return (
--- a/src/dapplewick/partitions/description.py
+++ b/src/dapplewick/partitions/description.py
@@ -42,7 +42,7 @@
         leader: str,
         plan: PartitionPlan,
         targets: TargetsInForce,
-        times: dict[str, DurationSummary],
+        durations: dict[str, DurationSummary],
     ) -> PartitionsDescription:
         """Describe all partitions, their machines and targets, and the transfers, oldest first."""
         transfers = sorted(
@@ -51,7 +51,7 @@
         return PartitionsDescription(
             leader=leader,
             plan=msgspec.to_builtins(plan),
-            times=times,
+            times=durations,
             format=self._cache.format,
             targets_known=targets.known,
             teams={name: partition.teams for name, partition in plan.partitions.items()},
@@ -104,7 +104,7 @@
     def _blocking_reason(
         self, name: TransferId, record: TransferRecord, machine_id: MachineId
     ) -> str:
-        """Why a drained machine has not been handed over, as one sentence for operators."""
+        """Why a draining machine has not been handed over, as one sentence for operators."""
         machine = self._cache.machines.get(machine_id)
         if machine is None or machine.terminating:
             return "it is gone or about to go; another will be chosen"
@@ -133,6 +133,7 @@
     def _work_reason(
         self, shard: ObservedShard, machine_id: MachineId, status: MachineStatus
     ) -> str:
+        """Why a machine that has reported to its owner has not been handed over."""
         ends = status.ends
         if ends:
             last = max(end.at for end in ends) + shard.clock_offset_s - self._now
--- a/src/dapplewick/partitions/draining.py
+++ b/src/dapplewick/partitions/draining.py
@@ -23,12 +23,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BUSY_WAIT_S = 20.0  # afterwards, a busy draining machine no longer limits further draining
+# A machine that has been draining for longer does not count against the limit of busy machines.
+MAX_BUSY_WAIT_S = 20.0
 RESELECTION_DELAY_S = 120.0  # before a machine that did not become empty in time is selected again
 
 
 class MachineDrainer:
-    """Assigns machines to transfers for draining, during one term of a leader."""
+    """Selects the machines that are drained for transfers, during one term of a leader."""
 
     def __init__(
         self, cache: WatchCache, drafts: TransferDrafts, stopwatch: TransferStopwatch
@@ -47,11 +48,15 @@
         }
 
     def record_handover(self, transfer: TransferId) -> None:
-        """Record a handover of this pass; the transfer drains more machines in the next pass."""
+        """Record that this pass hands over machines of a transfer.
+
+        In this pass the transfer drains no further machines, and no other transfer takes over its
+        machines.
+        """
         self._handed_over.add(transfer)
 
-    def prune(self, transfer: TransferId) -> None:
-        """Remove machines from a transfer that are gone, terminating or in another shard."""
+    def remove_unavailable(self, transfer: TransferId) -> None:
+        """Remove from a transfer the machines that are gone, terminating or in another shard."""
         record = self._drafts.open_records()[transfer]
         valid = []
         for machine in record.draining:
@@ -112,7 +117,7 @@
         self._drafts.request(successor, remainder)
         self._drafts.group_with_successor(transfer, successor)
 
-    def drain_more(self, now: Seconds, transfer: TransferId, selection: MachineSelector) -> None:
+    def drain_more(self, now: Seconds, transfer: TransferId, selector: MachineSelector) -> None:
         """Select further machines for a transfer, up to the number that it still needs."""
         record = self._drafts.record(transfer)
         if record is None or not record.open or record.missing <= 0:
@@ -122,12 +127,14 @@
         already_draining = {
             MachineId(m) for r in self._drafts.open_records().values() for m in r.draining
         }
-        blocking = {
+        recently_draining = {
             machine
             for machine in map(MachineId, record.draining)
             if self._stopwatch.draining_duration(machine, now) < MAX_BUSY_WAIT_S
         }
-        chosen = selection.choose(record, self._excluded_until.keys(), already_draining, blocking)
+        chosen = selector.choose(
+            record, self._excluded_until.keys(), already_draining, recently_draining
+        )
         if not chosen:
             chosen = self._take_over_machines(transfer, record)
         if not chosen:
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -29,7 +29,7 @@
 
 
 class HandoverDrafter:
-    """Hands over machines of a transfer to the target shard once they are proven empty."""
+    """Drafts the handover of a transfer's machines to the target shard."""
 
     def __init__(
         self, cache: WatchCache, drafts: TransferDrafts, stopwatch: TransferStopwatch
@@ -42,19 +42,19 @@
         self,
         now: Seconds,
         transfer: TransferId,
-        selection: MachineSelector,
+        selector: MachineSelector,
         shards: Iterable[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
-        """Hand over the machines of a transfer that are proven empty.
+        """Draft the handover of machines of a transfer that are proven empty.
 
         Returns:
-            The writes of one transaction: the groups of both partitions and the transfer, with the
-            fencing tokens of both shards as preconditions. Empty if no machine can be handed
-            over.
+            The writes of one transaction: the machine groups of both partitions and the transfer,
+            with the fencing tokens of both shards as preconditions. Empty if no machine can be
+            handed over.
         """
         record = self._drafts.open_records()[transfer]
-        empty = self._empty_machines(transfer, record, selection, shards)
+        empty = self._empty_machines(transfer, record, selector, shards)
         if not empty:
             return []
         group_name = f"transfer/{transfer}"
@@ -81,7 +81,7 @@
         self,
         transfer: TransferId,
         record: TransferRecord,
-        selection: MachineSelector,
+        selector: MachineSelector,
         shards: Iterable[ObservedShard],
     ) -> list[MachineId]:
         """The machines of a transfer that are proven empty, if the target shard has an owner."""
@@ -91,7 +91,7 @@
             return []
         if not self._cache.version(SHARDS + record.target):
             return []  # the target shard has no owner yet
-        return [m for m in map(MachineId, record.draining) if selection.is_empty(record, m)]
+        return [m for m in map(MachineId, record.draining) if selector.is_empty(record, m)]
 
     def _owner_has_seen_transfer(
         self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
@@ -111,7 +111,10 @@
         machine_lifecycle: MachineLifecycle,
         group_name: str,
     ) -> list[MachineId]:
-        """Draft the move of machines of one group, with a new minimum token for each worker."""
+        """Draft the move of some machines of one group, with a new minimum token for each worker.
+
+        A transaction moves at most `MAX_HANDOVER_MACHINES`; later passes move the other machines.
+        """
         group = self._cache.group_of[empty[0]]
         selected = [m for m in empty if self._cache.group_of[m] == group][:MAX_HANDOVER_MACHINES]
         source_token = FencingToken(self._cache.version(SHARDS + record.source))
--- a/src/dapplewick/partitions/index.py
+++ b/src/dapplewick/partitions/index.py
@@ -1,6 +1,7 @@
 """An index of machines by shard and type, updated incrementally from changed records.
 
-The cost of a rebalancing pass thus depends on the number of moving machines, not of all machines.
+The cost of a rebalancing pass thus depends on the number of moving machines, not on the number of
+all machines.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 from dapplewick.types import MachineId, ShardName
 
 
-class ShardMachineType(NamedTuple):
-    """A key of the index: a machine type in one shard."""
+class MachinePool(NamedTuple):
+    """The machines of one type in one shard; a key of the index."""
 
     shard: ShardName
     type: str
@@ -26,10 +27,10 @@
 
     def __init__(self, cache: WatchCache) -> None:
         self._cache = cache
-        self._machines: dict[ShardMachineType, dict[MachineId, None]] = {}
+        self._machines: dict[MachinePool, dict[MachineId, None]] = {}
         self._shard_of: dict[MachineId, ShardName] = {}  # includes terminating machines
         self._shard_counts: Counter[ShardName] = Counter()
-        self._kind_of: dict[MachineId, ShardMachineType] = {}
+        self._pool_of: dict[MachineId, MachinePool] = {}
         self._machines_of_group: dict[str, set[MachineId]] = {}
         self._changed: dict[str, None] = dict.fromkeys(cache.groups)
         cache.listeners.append(self._on_key_change)
@@ -53,20 +54,20 @@
     def _update_machine(self, machine: MachineId) -> None:
         record = self._cache.machines.get(machine)
         self._update_shard_count(machine, record.shard if record is not None else None)
-        kind = None
+        pool = None
         if record is not None and not record.terminating:
-            kind = ShardMachineType(record.shard, record.type)
-        old = self._kind_of.get(machine)
-        if old == kind:
+            pool = MachinePool(record.shard, record.type)
+        old = self._pool_of.get(machine)
+        if old == pool:
             return
         if old is not None:
             del self._machines[old][machine]
-            del self._kind_of[machine]
+            del self._pool_of[machine]
             if not self._machines[old]:
                 del self._machines[old]
-        if kind is not None:
-            self._machines.setdefault(kind, {})[machine] = None
-            self._kind_of[machine] = kind
+        if pool is not None:
+            self._machines.setdefault(pool, {})[machine] = None
+            self._pool_of[machine] = pool
 
     def _update_shard_count(self, machine: MachineId, shard: ShardName | None) -> None:
         old = self._shard_of.pop(machine, None)
@@ -80,16 +81,16 @@
         """Whether any machine, including terminating ones, is recorded in a shard."""
         return self._shard_counts[shard] > 0
 
-    def counts(self) -> Iterator[tuple[ShardMachineType, int]]:
+    def counts(self) -> Iterator[tuple[MachinePool, int]]:
         """The number of machines of each type in each shard, without zero counts."""
-        for kind, machines in self._machines.items():
-            yield kind, len(machines)
+        for pool, machines in self._machines.items():
+            yield pool, len(machines)
 
     def count(self, shard: str, type_: str) -> int:
         """The number of machines of a type in a shard."""
-        return len(self._machines.get(ShardMachineType(ShardName(shard), type_), ()))
+        return len(self._machines.get(MachinePool(ShardName(shard), type_), ()))
 
     def machines(self, shard: str, type_: str) -> KeysView[MachineId]:
         """The machines of a type in a shard."""
         empty: dict[MachineId, None] = {}
-        return self._machines.get(ShardMachineType(ShardName(shard), type_), empty).keys()
+        return self._machines.get(MachinePool(ShardName(shard), type_), empty).keys()
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -49,11 +49,11 @@
     """Executes operators' commands while this controller leads."""
 
     def __init__(
-        self, host: PartitionHost, plan_in_force: PlanInForce, times: TransferDurations
+        self, host: PartitionHost, plan_in_force: PlanInForce, durations: TransferDurations
     ) -> None:
         self._host = host
         self._plan_in_force = plan_in_force
-        self._durations = times
+        self._durations = durations
 
     async def answer(
         self, message: Mapping[str, object], term: LeaderTerm, rebalancer: PartitionRebalancer
@@ -153,7 +153,10 @@
         return await self._execute(rebalancer, cancel_command(message, self._host.cache))
 
     async def _execute(self, rebalancer: PartitionRebalancer, command: TransferCommand) -> Answer:
-        """Queue a transfer command for the next pass, and answer once its record is stored."""
+        """Queue a transfer command for the next pass, and answer once its record is stored.
+
+        If it is not known to be stored within `CONFIRMATION_TIMEOUT_S`, the answer says so.
+        """
         rebalancer.commands.append(command)
         try:
             with anyio.move_on_after(CONFIRMATION_TIMEOUT_S):
--- a/src/dapplewick/partitions/plan.py
+++ b/src/dapplewick/partitions/plan.py
@@ -115,19 +115,19 @@
     return parse(path, text)
 
 
-def convert(values: object, place: str = "") -> PartitionPlan:
+def convert(values: object, prefix: str = "") -> PartitionPlan:
     """Convert plain values, as set by a script or stored in a record, to a valid plan.
 
     Raises:
-        PlanError: the plan is invalid; the message begins with `place`.
+        PlanError: the plan is invalid; the message begins with `prefix`.
     """
     try:
         plan = msgspec.convert(values, type=PartitionPlan)
     except msgspec.ValidationError as err:
-        raise PlanError(f"{place}{_one_line(err)}") from None
+        raise PlanError(f"{prefix}{_one_line(err)}") from None
     problem = _plan_problem(plan)
     if problem:
-        raise PlanError(f"{place}{problem}")
+        raise PlanError(f"{prefix}{problem}")
     return plan
 
 
@@ -151,11 +151,11 @@
         problem = _partition_problem(name, partition)
         if problem:
             return f"shares[{name!r}]{problem}"
-    return _guarantees_problem(plan)
+    return _first_overcommitment(plan)
 
 
 def _partition_problem(name: str, partition: Partition) -> str:
-    """The first problem of a partition, after the path of its field; empty if it is valid."""
+    """The first problem of a partition, preceded by its field's path; empty if it is valid."""
     if NAME_PATTERN.fullmatch(name) is None:
         return ": a name has up to 20 of a-z, 0-9 and -"
     if not partition.teams or len(set(partition.teams)) < len(partition.teams):
@@ -172,7 +172,7 @@
 
 
 def _rule_problem(rule: PartitionRule) -> str:
-    """The first problem of a rule, after the name of its field; empty if it is valid."""
+    """The first problem of a rule, preceded by its field's name; empty if it is valid."""
     if not rule.types:
         return "types: at least one is needed"
     if rule.zones is not None and not rule.zones:
@@ -186,8 +186,8 @@
     return ""
 
 
-def _guarantees_problem(plan: PartitionPlan) -> str:
-    """The first overcommitment of any type in any zone at any time; empty if there is none."""
+def _first_overcommitment(plan: PartitionPlan) -> str:
+    """Describe the first overcommitment of any type, zone and time; empty if there is none."""
     rules = [rule for partition in plan.partitions.values() for rule in partition.rules]
     types = dict.fromkeys(type_ for rule in rules for type_ in rule.types)
     # The empty name stands for all zones that no rule lists: the same rules cover them.
@@ -203,7 +203,10 @@
 
 
 def _overcommitment(plan: PartitionPlan, type_: str, zone: str, minute: int) -> str:
-    """The partition whose minimum raises the sum of minimums above 1; empty if there is none."""
+    """Describe the partition whose minimum raises the sum of the minimums above 1.
+
+    Empty if there is none.
+    """
     total = 0.0
     for name, partition in plan.partitions.items():
         rule = partition.rule(type_, zone, minute)
--- a/src/dapplewick/partitions/plan_in_force.py
+++ b/src/dapplewick/partitions/plan_in_force.py
@@ -50,7 +50,10 @@
         self._version = 0
 
     def refresh(self, now: Seconds) -> None:
-        """Adopt the stored plan if it has changed; an invalid plan is logged and ignored."""
+        """Adopt the stored plan if it has changed; an invalid plan is logged and ignored.
+
+        A controller that started without a plan ignores all stored plans.
+        """
         if self._initial is None:
             return
         version = self._cache.version(PARTITION_PLAN)
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -1,9 +1,9 @@
-"""The leader's rebalancing of partitions, from the request of a transfer to its end.
+"""The leader's rebalancing: transfers are requested, drained, handed over and ended.
 
-A state machine without I/O. Each pass reads the cached records and the statuses of the shards'
-owners, and returns the writes to make. Every write is conditional on the record versions that it is
-based on, so a process may fail after any step: a machine is in exactly one partition at each
-revision.
+The rebalancer is a state machine without I/O. Each pass reads the cached records and the statuses
+of the shards' owners, and returns the writes to make. Every write is conditional on the record
+versions that it is based on, so a process may fail after any step: a machine is in exactly one
+partition at each revision.
 """
 
 from __future__ import annotations
@@ -57,16 +57,16 @@
         self._drafts = TransferDrafts(cache)
         stopwatch = TransferStopwatch(durations)
         self._balancer = Balancer(cache, index, zones, self._drafts)
-        self._draining = MachineDrainer(cache, self._drafts, stopwatch)
-        self._handover = HandoverDrafter(cache, self._drafts, stopwatch)
-        self._cleanup = RecordCleaner(cache, index, self._drafts)
+        self._drainer = MachineDrainer(cache, self._drafts, stopwatch)
+        self._handover_drafter = HandoverDrafter(cache, self._drafts, stopwatch)
+        self._cleaner = RecordCleaner(cache, index, self._drafts)
 
     def update_starving_teams(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Find the teams that may borrow idle capacity of all partitions.
 
         These teams have a job that has waited for more than `LOAN_DELAY_S` and has neither a placed
-        gang nor any assigned or done task. Loans prevent work from waiting while idle capacity fits
-        the work.
+        gang nor any assigned or done task. Without loans their work would wait although idle
+        capacity fits it.
         """
         self._starving_teams = frozenset(
             job.spec.team
@@ -89,7 +89,10 @@
         return frozenset(partition.teams) | self._starving_teams
 
     def required_shards(self) -> list[ShardName]:
-        """The shards of partitions that have a target or receive machines by an open transfer."""
+        """The shards of the plan's partitions that need an owner.
+
+        These have a target above 0 or receive machines by an open transfer.
+        """
         if self._cache.format < PARTITIONS_FORMAT:
             return []
         wanted = {
@@ -125,17 +128,17 @@
         if self._cache.format < PARTITIONS_FORMAT:
             return []
         self._drafts.begin_pass()
-        self._draining.begin_pass(now)
+        self._drainer.begin_pass(now)
         self._index.refresh()
-        selection = MachineSelector(now, self._cache, self._index, shards, placed)
+        selector = MachineSelector(now, self._cache, self._index, shards, placed)
         self._draft_commands()
         if self.targets.known:
             self._balancer.request_transfers(wall_time, self.plan, self.targets)
-        handovers = self._advance_transfers(now, wall_time, selection, shards, machine_lifecycle)
+        handovers = self._advance_transfers(now, wall_time, selector, shards, machine_lifecycle)
         return [
             *handovers,
             *self._drafts.writes(),
-            *self._cleanup.transfer_removals(now, wall_time, self.plan),
+            *self._cleaner.transfer_removals(now, wall_time, self.plan),
             *self._shard_removals(),
         ]
 
@@ -157,7 +160,7 @@
         self,
         now: Seconds,
         wall_time: Seconds,
-        selection: MachineSelector,
+        selector: MachineSelector,
         shards: list[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
@@ -167,19 +170,21 @@
         for transfer, _ in in_order:
             if transfer not in self._drafts.open_records():
                 continue  # cancelled in this pass, as a later transfer took over its machines
-            self._draining.prune(transfer)
-            if self._draining.end_overdue(now, wall_time, transfer, self.plan):
+            self._drainer.remove_unavailable(transfer)
+            if self._drainer.end_overdue(now, wall_time, transfer, self.plan):
                 continue
-            writes = self._handover.hand_over(now, transfer, selection, shards, machine_lifecycle)
+            writes = self._handover_drafter.hand_over(
+                now, transfer, selector, shards, machine_lifecycle
+            )
             if writes:
                 handovers += writes
-                self._draining.record_handover(transfer)
+                self._drainer.record_handover(transfer)
             else:
-                self._draining.drain_more(now, transfer, selection)
+                self._drainer.drain_more(now, transfer, selector)
         return handovers
 
     def _shard_removals(self) -> list[ConditionalWrite]:
         """The removals of unused shards; none before the targets are known."""
         if not self.targets.known:
             return []
-        return self._cleanup.shard_removals(self.required_shards())
+        return self._cleaner.shard_removals(self.required_shards())
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -1,4 +1,4 @@
-"""Selects the machines that a partition gives up: idle ones first, then by expected wait."""
+"""Selects the machines that a partition gives up: idle ones first, then those empty soonest."""
 
 from __future__ import annotations
 
@@ -22,8 +22,10 @@
 
 MAX_NAMES_BYTES = 480  # of draining machines' names in a record: half of the smallest value limit
 SAMPLE_SIZE = 200  # machines that are compared, in addition to idle ones
-MAX_BUSY_FRACTION = 0.25  # of a transfer's candidates and draining machines, drained while busy
-UNRECONCILED_WAIT_S = 30.0  # assumed for a machine that has not been reconciled yet
+# The limit of busy machines that are drained at once, relative to a transfer's candidates and
+# draining machines together.
+MAX_BUSY_FRACTION = 0.25
+UNRECONCILED_WAIT_S = 30.0  # assumed for an unreconciled machine; minimum for a gang's machine
 
 
 class Candidate(NamedTuple):
@@ -55,7 +57,7 @@
         transfer: TransferRecord,
         excluded: Set[MachineId],
         already_draining: Set[MachineId],
-        blocking: Set[MachineId],
+        recently_draining: Set[MachineId],
     ) -> list[MachineId]:
         """Choose further machines for a transfer to drain, by expected time until they are empty.
 
@@ -66,12 +68,13 @@
             transfer: the transfer, which needs further machines.
             excluded: machines that recently did not become empty in time.
             already_draining: machines that any transfer drains in this pass.
-            blocking: draining machines that count against the limit of busy machines. Machines
-                that have drained for long, for example with a long task, do not count.
+            recently_draining: the transfer's machines that have been draining for a short time.
+                They count against the limit of busy machines while they are busy. Machines that
+                have been draining for long, for example with a long task, do not count.
         """
         candidates = self._candidates(transfer, excluded, already_draining)
         remaining_count = min(transfer.missing, MAX_DRAINING_MACHINES - len(transfer.draining))
-        remaining_busy = self._remaining_busy_limit(transfer, len(candidates), blocking)
+        remaining_busy = self._remaining_busy_limit(transfer, len(candidates), recently_draining)
         chosen: list[MachineId] = []
         names_bytes = sum(len(machine) + 3 for machine in transfer.draining)
         for expected_wait_s, machine_id in candidates:
@@ -103,29 +106,29 @@
 
     def _machines_to_compare(self, transfer: TransferRecord) -> Iterable[MachineId]:
         """All machines of the type if they are few, else idle machines and a random sample."""
-        machines_of_kind = self._index.machines(transfer.source, transfer.type)
-        if len(machines_of_kind) <= SAMPLE_SIZE:
-            return machines_of_kind
+        machines_of_type = self._index.machines(transfer.source, transfer.type)
+        if len(machines_of_type) <= SAMPLE_SIZE:
+            return machines_of_type
         shard = self._shards.get(ShardName(transfer.source))
         idle = shard.latest_status.idle if shard is not None else {}
-        known_idle = [machine for machine in idle if machine in machines_of_kind][
+        known_idle = [machine for machine in idle if machine in machines_of_type][
             :MAX_DRAINING_MACHINES
         ]
         rng = random.Random(transfer.generation * MAX_TRANSFER_MACHINES + transfer.moved)
-        return dict.fromkeys([*known_idle, *rng.sample(list(machines_of_kind), SAMPLE_SIZE)])
+        return dict.fromkeys([*known_idle, *rng.sample(list(machines_of_type), SAMPLE_SIZE)])
 
     def _remaining_busy_limit(
-        self, transfer: TransferRecord, candidates: int, blocking: Set[MachineId]
+        self, transfer: TransferRecord, candidate_count: int, recently_draining: Set[MachineId]
     ) -> int:
         """The number of further busy machines that may be drained."""
-        limit = max(1, math.ceil(MAX_BUSY_FRACTION * (candidates + len(transfer.draining))))
-        busy = sum(not self.is_empty(transfer, machine) for machine in blocking)
+        limit = max(1, math.ceil(MAX_BUSY_FRACTION * (candidate_count + len(transfer.draining))))
+        busy = sum(not self.is_empty(transfer, machine) for machine in recently_draining)
         return limit - busy
 
     def is_empty(self, transfer: TransferRecord, machine_id: MachineId) -> bool:
         """Whether a machine is proven to have no tasks and to receive none.
 
-        The proof is the shard owner's status, unless the machine has never started.
+        The proof is the status from the shard's owner, or that the machine has not started yet.
         """
         record = self._cache.machines.get(machine_id)
         if record is None or record.terminating or record.shard != transfer.source:
@@ -151,14 +154,16 @@
             return UNRECONCILED_WAIT_S
         if status.leaving or status.faulty:
             return None  # the machine will be terminated
-        expected_wait_s = self._last_end_delay(shard, status)
+        expected_wait_s = self._tasks_end_in_s(shard, status)
         if machine_id in self._gang_machines:
             expected_wait_s = max(expected_wait_s, UNRECONCILED_WAIT_S)
         return expected_wait_s
 
-    def _last_end_delay(self, shard: ObservedShard, status: MachineStatus) -> Seconds:
+    def _tasks_end_in_s(self, shard: ObservedShard, status: MachineStatus) -> Seconds:
+        """The time in seconds until a machine's last task is expected to end; 0 without tasks."""
         if not status.ends:
             return 0.0
-        # Services never end: their machines are selected last, after their replicas have moved.
+        # Services never end, so their machines are selected last; they are empty once the replicas
+        # have moved.
         last = max(end.at for end in status.ends)
         return min(UNBOUNDED_RUN_S, max(1.0, last + shard.clock_offset_s - self._now))
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -19,7 +19,7 @@
 
 MIN_SOLVE_DELAY_S = 5.0  # minimum delay between two runs of the solver
 SOLVE_DELAY_FACTOR = 40.0  # minimum delay, as a multiple of the last run's duration
-LEADER_TIMEOUT_S = 3.5
+LEADER_TIMEOUT_S = 3.5  # for the leader's answer to a forwarded command
 
 
 class PartitionService:
@@ -47,10 +47,10 @@
         self._plan_in_force = PlanInForce(
             self._initial_plan, host.cache, host.settings.deployment, error_log
         )
-        self._target_solving = TargetUpdater(
+        self._target_updater = TargetUpdater(
             host, self._index, self._plan_in_force, error_log, self._solver
         )
-        self._commands = OperatorCommandHandler(host, self._plan_in_force, self._durations)
+        self._command_handler = OperatorCommandHandler(host, self._plan_in_force, self._durations)
 
     # Called by the controller
 
@@ -67,7 +67,10 @@
         return self.rebalancer.required_shards() if self.rebalancer is not None else []
 
     def update_term(self, term: LeaderTerm) -> None:
-        """Update the plan, and create a new rebalancer if the term of leadership is new."""
+        """Update the plan, and create a new rebalancer if the term of leadership is new.
+
+        The rebalancer of a new term starts from the stored records.
+        """
         if self._term is not term:
             self._term = term
             zones = self._host.settings.deployment.zones
@@ -78,25 +81,26 @@
         assert self.rebalancer is not None
         self.rebalancer.plan = self._plan_in_force.plan
         if self._initial_plan is None:
-            self.rebalancer.targets.known = True  # all targets are 0: machines return to zones
+            # All targets are 0, so all machines return to the zones' own shards.
+            self.rebalancer.targets.known = True
 
     async def run(self) -> None:
         """Solve the plan periodically while this controller leads."""
         while True:
             started_at = self._host.now()
             if self.rebalancer is not None and self._host.leader is self._term:
-                await self._target_solving.run_once(self.rebalancer.targets)
+                await self._target_updater.run_once(self.rebalancer.targets)
             elapsed_s = self._host.now() - started_at
             await anyio.sleep(max(MIN_SOLVE_DELAY_S, SOLVE_DELAY_FACTOR * elapsed_s))
 
     # Commands of operators
 
     async def answer(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer an operator's command, which is forwarded to the leader if another one leads."""
+        """Answer an operator's command, or forward it if another controller leads."""
         term = self._host.leader
         if term is None or self.rebalancer is None or term is not self._term:
             return await self._forward_to_leader(message)
-        return messages.encode(await self._commands.answer(message, term, self.rebalancer))
+        return messages.encode(await self._command_handler.answer(message, term, self.rebalancer))
 
     async def _forward_to_leader(self, message: dict[str, Any]) -> dict[str, Any]:
         record = self._host.cache.leader
--- a/src/dapplewick/partitions/target_solving.py
+++ b/src/dapplewick/partitions/target_solving.py
@@ -27,7 +27,7 @@
 
 
 class TargetUpdater:
-    """Computes targets for the plan in force."""
+    """Solves the plan in force, and adopts the solution as the new targets."""
 
     def __init__(
         self,
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -25,8 +25,8 @@
 def supply(cache: WatchCache, index: MachineIndex) -> dict[MachineKind, Supply]:
     """The supply of machines of each type in each zone."""
     counts: Counter[MachineKind] = Counter()
-    for kind, count in index.counts():
-        counts[MachineKind(zone_of(kind.shard), kind.type)] += count
+    for pool, count in index.counts():
+        counts[MachineKind(zone_of(pool.shard), pool.type)] += count
     return {
         kind: Supply(cache.types[kind.type].resources, count)
         for kind, count in counts.items()
@@ -37,9 +37,9 @@
 def current_counts(index: MachineIndex) -> dict[Cell, int]:
     """The machines of each type and zone in each partition, without the zones' own shards."""
     return {
-        Cell(partition_of(kind.shard), zone_of(kind.shard), kind.type): count
-        for kind, count in index.counts()
-        if partition_of(kind.shard)
+        Cell(partition_of(pool.shard), zone_of(pool.shard), pool.type): count
+        for pool, count in index.counts()
+        if partition_of(pool.shard)
     }
 
 
@@ -47,7 +47,7 @@
     """The targets that the plan's transfers work towards.
 
     Attributes:
-        known: whether targets were set; the plan requests no transfers before.
+        known: whether targets have been set; until then no transfers are requested for the plan.
     """
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
             log.info("event=plan_unsolved targets=%d", len(self._targets))
             return False
         if not self.known:
-            # A new leader starts from the machines that partitions have.
+            # A new leader's initial targets are the machines that the partitions have.
             self._targets = dict(problem.current_counts)
             self.known = True
         limits = bounds(problem)
@@ -107,11 +107,11 @@
     """
     if sum(targets.values()) > kind_supply.machines:
         return False
-    nothing = Bounds(0, 0)
+    no_machines = Bounds(0, 0)
     return all(
-        limits.get(cell, nothing).min_machines
+        limits.get(cell, no_machines).min_machines
         <= targets.get(cell, 0)
-        <= limits.get(cell, nothing).max_machines
+        <= limits.get(cell, no_machines).max_machines
         for cell in targets.keys() | limits.keys()
     )
 
--- a/src/dapplewick/partitions/timing.py
+++ b/src/dapplewick/partitions/timing.py
@@ -27,7 +27,7 @@
         self._machines.record_value(_milliseconds(duration_s))
 
     def record_transfer(self, duration_s: Seconds) -> None:
-        """Record the time from a transfer's first selected machine to its end, in seconds."""
+        """Record a transfer's time from its first selected machine to completion, in seconds."""
         self._transfers.record_value(_milliseconds(duration_s))
 
     def summaries(self) -> dict[str, DurationSummary]:
@@ -40,7 +40,7 @@
 
     def __init__(self, durations: TransferDurations) -> None:
         self._durations = durations
-        self._drained_at: dict[MachineId, Seconds] = {}
+        self._drain_started_at: dict[MachineId, Seconds] = {}
         self._started_at: dict[TransferId, Seconds] = {}
 
     def record_draining(
@@ -48,18 +48,18 @@
     ) -> None:
         """Record that machines start to drain for a transfer."""
         for machine in machines:
-            self._drained_at[machine] = now
+            self._drain_started_at[machine] = now
         self._started_at.setdefault(transfer, now)
 
     def draining_duration(self, machine: MachineId, now: Seconds) -> Seconds:
         """How long a machine has been draining, in seconds; very long if the start is unknown."""
-        return now - self._drained_at.get(machine, NEVER_S)
+        return now - self._drain_started_at.get(machine, NEVER_S)
 
     def record_handovers(self, machines: Iterable[MachineId], now: Seconds) -> None:
         """Record the durations of machines that were handed over."""
         for machine in machines:
-            if machine in self._drained_at:
-                self._durations.record_machine(now - self._drained_at.pop(machine))
+            if machine in self._drain_started_at:
+                self._durations.record_machine(now - self._drain_started_at.pop(machine))
 
     def record_completion(self, transfer: TransferId, now: Seconds) -> None:
         """Record the duration of a complete transfer."""
