--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -20,14 +20,14 @@
 ENDED_TRANSFER_RETENTION_S = 60.0  # operators can see an ended transfer for this long
 
 
-class RecordCleanup:
+class RecordCleaner:
     """Selects the records of transfers and of partitions' shards to remove."""
 
     def __init__(self, cache: WatchCache, index: MachineIndex, drafts: TransferDrafts) -> None:
         self._cache = cache
         self._index = index
         self._drafts = drafts
-        self._ended_at: dict[TransferId, Seconds] = {}
+        self._end_seen_at: dict[TransferId, Seconds] = {}  # when a pass first saw the end
 
     def transfer_removals(
         self, now: Seconds, wall_time: Seconds, plan: PartitionPlan
@@ -39,7 +39,7 @@
                 continue
             if blocks_plan(plan, record, wall_time):
                 continue
-            if now - self._ended_at.setdefault(transfer, now) > ENDED_TRANSFER_RETENTION_S:
+            if now - self._end_seen_at.setdefault(transfer, now) > ENDED_TRANSFER_RETENTION_S:
                 removals.append(self._removal(TRANSFERS + transfer))
         return removals
 
--- a/src/dapplewick/partitions/operator_commands.py
+++ b/src/dapplewick/partitions/operator_commands.py
@@ -45,15 +45,15 @@
 CONFIRMATION_TIMEOUT_S = 3.0  # afterwards the answer refers the operator to `shares show`
 
 
-class OperatorCommands:
+class OperatorCommandHandler:
     """Executes operators' commands while this controller leads."""
 
     def __init__(
-        self, host: PartitionHost, plan_in_force: PlanInForce, times: TransferDurations
+        self, host: PartitionHost, plan_in_force: PlanInForce, durations: TransferDurations
     ) -> None:
         self._host = host
         self._plan_in_force = plan_in_force
-        self._durations = times
+        self._durations = durations
 
     async def answer(
         self, message: Mapping[str, object], term: LeaderTerm, rebalancer: PartitionRebalancer
@@ -153,7 +153,10 @@
         return await self._execute(rebalancer, cancel_command(message, self._host.cache))
 
     async def _execute(self, rebalancer: PartitionRebalancer, command: TransferCommand) -> Answer:
-        """Queue a transfer command for the next pass, and answer once its record is stored."""
+        """Queue a transfer command for the next pass, and answer once its record is stored.
+
+        If it is not known to be stored within `CONFIRMATION_TIMEOUT_S`, the answer says so.
+        """
         rebalancer.commands.append(command)
         try:
             with anyio.move_on_after(CONFIRMATION_TIMEOUT_S):
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -1,9 +1,9 @@
-"""The leader's rebalancing of partitions, from the request of a transfer to its end.
+"""The leader's rebalancing: transfers are requested, drained, handed over and ended.
 
-A state machine without I/O. Each pass reads the cached records and the statuses of the shards'
-owners, and returns the writes to make. Every write is conditional on the record versions that it is
-based on, so a process may fail after any step: a machine is in exactly one partition at each
-revision.
+The rebalancer is a state machine without I/O. Each pass reads the cached records and the statuses
+of the shards' owners, and returns the writes to make. Every write is conditional on the record
+versions that it is based on, so a process may fail after any step: a machine is in exactly one
+partition at each revision.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
 from dapplewick.core.leader.observed_shard import ObservedShard
 from dapplewick.partitions.balancing import Balancer
-from dapplewick.partitions.cleanup import RecordCleanup
-from dapplewick.partitions.draining import TransferDraining
-from dapplewick.partitions.handover import MachineHandover
+from dapplewick.partitions.cleanup import RecordCleaner
+from dapplewick.partitions.draining import MachineDrainer
+from dapplewick.partitions.handover import HandoverDrafter
 from dapplewick.partitions.index import MachineIndex
 from dapplewick.partitions.plan import PartitionPlan
-from dapplewick.partitions.selection import MachineSelection
+from dapplewick.partitions.selection import MachineSelector
 from dapplewick.partitions.targets import TargetsInForce
 from dapplewick.partitions.timing import TransferDurations, TransferStopwatch
 from dapplewick.partitions.transfer_drafts import TransferCommand, TransferDrafts
@@ -57,16 +57,16 @@
         self._drafts = TransferDrafts(cache)
         stopwatch = TransferStopwatch(durations)
         self._balancer = Balancer(cache, index, zones, self._drafts)
-        self._draining = TransferDraining(cache, self._drafts, stopwatch)
-        self._handover = MachineHandover(cache, self._drafts, stopwatch)
-        self._cleanup = RecordCleanup(cache, index, self._drafts)
+        self._drainer = MachineDrainer(cache, self._drafts, stopwatch)
+        self._handover_drafter = HandoverDrafter(cache, self._drafts, stopwatch)
+        self._cleaner = RecordCleaner(cache, index, self._drafts)
 
     def update_starving_teams(self, wall_time: Seconds, jobs: Iterable[JobRecord]) -> None:
         """Find the teams that may borrow idle capacity of all partitions.
 
         These teams have a job that has waited for more than `LOAN_DELAY_S` and has neither a placed
-        gang nor any assigned or done task. Loans prevent work from waiting while idle capacity fits
-        the work.
+        gang nor any assigned or done task. Without loans their work would wait although idle
+        capacity fits it.
         """
         self._starving_teams = frozenset(
             job.spec.team
@@ -88,8 +88,11 @@
             return frozenset()
         return frozenset(partition.teams) | self._starving_teams
 
-    def wanted_shards(self) -> list[ShardName]:
-        """The shards of partitions that have a target or receive machines by an open transfer."""
+    def required_shards(self) -> list[ShardName]:
+        """The shards of the plan's partitions that need an owner.
+
+        These have a target above 0 or receive machines by an open transfer.
+        """
         if self._cache.format < PARTITIONS_FORMAT:
             return []
         wanted = {
@@ -125,24 +128,25 @@
         if self._cache.format < PARTITIONS_FORMAT:
             return []
         self._drafts.begin_pass()
-        self._draining.begin_pass(now)
+        self._drainer.begin_pass(now)
         self._index.refresh()
-        selection = MachineSelection(now, self._cache, self._index, shards, placed)
+        selector = MachineSelector(now, self._cache, self._index, shards, placed)
         self._draft_commands()
         if self.targets.known:
             self._balancer.request_transfers(wall_time, self.plan, self.targets)
-        handovers = self._advance_transfers(now, wall_time, selection, shards, machine_lifecycle)
+        handovers = self._advance_transfers(now, wall_time, selector, shards, machine_lifecycle)
         return [
             *handovers,
             *self._drafts.writes(),
-            *self._cleanup.transfer_removals(now, wall_time, self.plan),
+            *self._cleaner.transfer_removals(now, wall_time, self.plan),
             *self._shard_removals(),
         ]
 
     def _draft_commands(self) -> None:
         """Draft the operators' pending commands.
 
-        `OperatorCommands` removes a command once its record is stored or its time limit expires.
+        `OperatorCommandHandler` removes a command once its record is stored or its time limit
+        expires.
         """
         for transfer, record in self.commands:
             existing = self._drafts.record(transfer)
@@ -156,7 +160,7 @@
         self,
         now: Seconds,
         wall_time: Seconds,
-        selection: MachineSelection,
+        selector: MachineSelector,
         shards: list[ObservedShard],
         machine_lifecycle: MachineLifecycle,
     ) -> list[ConditionalWrite]:
@@ -166,19 +170,21 @@
         for transfer, _ in in_order:
             if transfer not in self._drafts.open_records():
                 continue  # cancelled in this pass, as a later transfer took over its machines
-            self._draining.prune(transfer)
-            if self._draining.end_overdue(now, wall_time, transfer, self.plan):
+            self._drainer.remove_unavailable(transfer)
+            if self._drainer.end_overdue(now, wall_time, transfer, self.plan):
                 continue
-            writes = self._handover.hand_over(now, transfer, selection, shards, machine_lifecycle)
+            writes = self._handover_drafter.hand_over(
+                now, transfer, selector, shards, machine_lifecycle
+            )
             if writes:
                 handovers += writes
-                self._draining.record_handover(transfer)
+                self._drainer.record_handover(transfer)
             else:
-                self._draining.drain_more(now, transfer, selection)
+                self._drainer.drain_more(now, transfer, selector)
         return handovers
 
     def _shard_removals(self) -> list[ConditionalWrite]:
         """The removals of unused shards; none before the targets are known."""
         if not self.targets.known:
             return []
-        return self._cleanup.shard_removals(self.wanted_shards())
+        return self._cleaner.shard_removals(self.required_shards())
