--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -1,1 +1,1 @@
-"""State machines, models and parsers, each alone."""
+"""Unit tests of state machines, models and parsers."""
--- a/tests/unit/test_atomic_transactions.py
+++ b/tests/unit/test_atomic_transactions.py
@@ -1,4 +1,4 @@
-"""Changes that belong into one transaction are written all or not at all, whatever the budget."""
+"""A transaction group is written completely or not at all, whatever the write budget."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
 
 
 def test_a_group_that_is_split_is_never_written_in_part() -> None:
-    """One piece alone lost the machines of the others from the records: the budget of writes cut
-    the list of changes wherever it ended."""
+    """Guards against the loss of machines from the records.
+
+    A machine group is split into several records. When the write budget cut the list of changes
+    inside such a split, one record was written alone and the machines of the others were lost.
+    """
     store = Store(60)
-    known = set(store.cache.machines)
+    machines_before = set(store.cache.machines)
     machine_lifecycle = store.machine_lifecycle()
     machine_lifecycle.begin()
     changes = machine_lifecycle.changes()
     assert len(changes) > 1
     assert len({change.transaction_group for change in changes}) == 1
-    for room in range(len(changes)):
-        assert first_whole_groups(changes, room) == []
+    for limit in range(len(changes)):
+        assert first_whole_groups(changes, limit) == []
     for change in first_whole_groups(changes, len(changes)):
         store.write(change.key, change.value)
-    assert set(store.cache.machines) == known
+    assert set(store.cache.machines) == machines_before
 
 
 @given(
@@ -60,7 +63,7 @@
         and kept[-1].transaction_group
         and kept[-1].transaction_group == rest[0].transaction_group
     )
-    # No shorter than it has to be: the next run would not fit.
+    # `kept` is as long as possible: the next run of changes would exceed the limit.
     if rest:
         following = (
             [c for c in rest if c.transaction_group == rest[0].transaction_group]
--- a/tests/unit/test_compare_behaviour.py
+++ b/tests/unit/test_compare_behaviour.py
@@ -1,4 +1,4 @@
-"""The comparison of two versions' behaviour finds what differs, and only that."""
+"""Tests of the tool that compares the recorded behaviour of two versions."""
 
 from __future__ import annotations
 
@@ -24,13 +24,16 @@
 ]
 
 
-def written(path: Path, events: list[str]) -> Path:
+def write_trace(path: Path, events: list[str]) -> Path:
     path.write_text("".join(events))
     return path
 
 
 def test_equal_traces_are_equal(tmp_path: Path) -> None:
-    base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", EVENTS)
+    base, present = (
+        write_trace(tmp_path / "base", EVENTS),
+        write_trace(tmp_path / "present", EVENTS),
+    )
     assert first_difference(base, present) is None
     assert measure(base) == measure(present)
     assert measure(base).events == len(EVENTS)
@@ -50,16 +53,19 @@
 def test_traces_that_differ_in_one_event_are_reported(
     tmp_path: Path, changed: list[str], line: int
 ) -> None:
-    base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", changed)
-    found = first_difference(base, present)
-    assert found is not None
-    assert found.line == line
-    assert found.before == EVENTS[max(0, line - 5) : line - 1]
-    assert found.base == (EVENTS[line - 1] if line <= len(EVENTS) else None)
-    assert found.present == (changed[line - 1] if line <= len(changed) else None)
-    text = report("quiet", found)
+    base, present = (
+        write_trace(tmp_path / "base", EVENTS),
+        write_trace(tmp_path / "present", changed),
+    )
+    difference = first_difference(base, present)
+    assert difference is not None
+    assert difference.line == line
+    assert difference.before == EVENTS[max(0, line - 5) : line - 1]
+    assert difference.base == (EVENTS[line - 1] if line <= len(EVENTS) else None)
+    assert difference.present == (changed[line - 1] if line <= len(changed) else None)
+    text = report("quiet", difference)
     assert f"quiet: the traces differ at line {line}" in text
-    assert ("(the trace has ended)" in text) is (None in (found.base, found.present))
+    assert ("(the trace has ended)" in text) is (None in (difference.base, difference.present))
 
 
 def test_a_difference_far_into_a_long_event_is_shown() -> None:
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server and client: against h11 as a slow model, and with what breaks the protocol."""
+"""The HTTP server and client, compared with h11 and tested with protocol violations."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def by_h11(data: bytes) -> Request:
-    """The model: the same request as h11 reads it."""
+    """Parse one request with h11, which serves as the reference implementation."""
     connection = h11.Connection(h11.SERVER)
     connection.receive_data(data)
     head: h11.Request | None = None
@@ -102,7 +102,7 @@
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 40,
     ],
 )
-def test_what_is_no_request_is_refused_within_bounds(data: bytes) -> None:
+def test_malformed_requests_are_rejected_within_bounds(data: bytes) -> None:
     parser = RequestParser()
     parser.feed(data)
 
@@ -116,7 +116,7 @@
 
 
 def test_a_body_over_the_limit_is_not_buffered() -> None:
-    """With a length or without one: the answer goes out before the rest is read."""
+    """The request is answered before its remaining body is read, with or without a length."""
     chunked = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     chunked += (b"1000\r\n" + b"x" * 4096 + b"\r\n") * 17
     length = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999\r\n\r\n"
@@ -137,7 +137,7 @@
 
 
 def test_a_trailer_without_an_end_is_refused_and_a_body_in_single_bytes_is_not() -> None:
-    """The parser keeps a trailer whole: what comes after the body counts like the body."""
+    """The parser buffers trailers, so their bytes count against the limit of the encoded body."""
     head = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     parser = RequestParser()
     parser.feed(head + b"1\r\na\r\n0\r\nX: ")
@@ -154,11 +154,11 @@
     assert parser.take() == Request("POST", "/", b"a" * MAX_BODY, False)
 
 
-Script = Callable[[anyio.abc.SocketStream], Awaitable[None]]
+ClientScript = Callable[[anyio.abc.SocketStream], Awaitable[None]]
 
 
-def serve(script: Script) -> list[Request]:
-    """Let a client talk to the server; gives the requests that were handled."""
+def serve(script: ClientScript) -> list[Request]:
+    """Run a client script against the server and return the requests that were handled."""
     handled: list[Request] = []
 
     async def handle(request: Request) -> Response:
@@ -206,15 +206,15 @@
 ) -> None:
     async def script(stream: anyio.abc.SocketStream) -> None:
         await stream.send(data)
-        got = await read_all(stream)
-        assert [part[:3] for part in got.split(b"HTTP/1.1 ")[1:]] == answers
-        assert (b"Retry-After: 2\r\n" in got) == (b"503" in answers)
-        assert b"Connection: close\r\n" in got
+        received = await read_all(stream)
+        assert [part[:3] for part in received.split(b"HTTP/1.1 ")[1:]] == answers
+        assert (b"Retry-After: 2\r\n" in received) == (b"503" in answers)
+        assert b"Connection: close\r\n" in received
 
     assert len(serve(script)) == sum(status != b"400" for status in answers)
 
 
-def test_a_client_that_waits_for_leave_gets_it_and_a_head_request_no_body() -> None:
+def test_expect_100_continue_is_answered_and_a_head_response_has_no_body() -> None:
     async def script(stream: anyio.abc.SocketStream) -> None:
         head = b"POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
         await stream.send(head)
@@ -244,7 +244,7 @@
         ([], None),
     ],
 )
-def test_a_response_is_whole_or_an_error(
+def test_a_response_is_complete_or_an_error(
     pieces: list[bytes], expected: tuple[int, bytes] | None
 ) -> None:
     async def main() -> None:
--- a/tests/unit/test_layers.py
+++ b/tests/unit/test_layers.py
@@ -1,7 +1,7 @@
-"""The layers of the package, as the import linter sees them.
+"""The import contracts between the layers of the package.
 
-The linter runs in a process of its own: it configures logging, which disables all loggers of its
-process for good.
+The import linter runs in a subprocess, because it configures logging and thereby permanently
+disables all loggers of its process.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def lint(config: Path, sources: Path) -> subprocess.CompletedProcess[str]:
-    """Check the contracts of a configuration on the packages in a folder."""
+    """Check the import contracts of a configuration file on the packages in a directory."""
     return subprocess.run(
         [sys.executable, "-c", LINTER, "--config", str(config), "--no-cache"],
         env=os.environ | {"PYTHONPATH": str(sources)},
@@ -29,14 +29,14 @@
 
 
 def test_layers_import_downwards_only_and_without_cycles() -> None:
-    """`pyproject.toml` holds the contracts."""
+    """The contracts are defined in `pyproject.toml`."""
     linted = lint(ROOT / "pyproject.toml", ROOT / "src")
     assert linted.returncode == 0, linted.stdout + linted.stderr
     assert "Contracts: 2 kept, 0 broken." in linted.stdout
 
 
-def test_an_import_upwards_is_noticed(tmp_path: Path) -> None:
-    """The same contract on a package whose lower layer imports the upper one."""
+def test_an_upward_import_is_detected(tmp_path: Path) -> None:
+    """A layer contract fails on a package whose lower layer imports the upper layer."""
     package = tmp_path / "upside_down"
     package.mkdir()
     (package / "__init__.py").touch()
--- a/tests/unit/test_list_unserved.py
+++ b/tests/unit/test_list_unserved.py
@@ -1,4 +1,4 @@
-"""The list of days on which a group of jobs was hardly served."""
+"""The list of simulation runs in which only a small part of a group of jobs was served."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     return {"head": head, "dirty": False, "cmd": "score", "site": site, "days": [day]}
 
 
-def test_it_names_groups_below_the_part_and_of_the_wanted_revision_and_site() -> None:
+def test_groups_below_the_threshold_are_listed_by_revision_and_site() -> None:
     journal = [
         ("first", entry("a" * 40, "north", [["route", 0.7, 0.49], ["team red", 1.0, 0.5]])),
         ("second", entry("b" * 40, "north", [["largest route", 0.7, 0.2]])),
--- a/tests/unit/test_pages.py
+++ b/tests/unit/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages for operators name every log event, and every module that logs it."""
+"""The operators' documentation lists every log event and the modules that log it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def logged_events() -> dict[str, set[str]]:
-    """The modules that log each event."""
+    """The modules that log each event, found in the sources."""
     modules: dict[str, set[str]] = {}
     for path in SOURCES.rglob("*.py"):
         for event in EVENT.findall(path.read_text()):
@@ -21,7 +21,7 @@
 
 
 def architecture_table() -> dict[str, set[str]]:
-    """The modules that log each event, as `docs/architecture.md` has them."""
+    """The modules that log each event, as listed in `docs/architecture.md`."""
     modules: dict[str, set[str]] = {}
     page = (ROOT / "docs" / "architecture.md").read_text()
     for module, events in re.findall(r"^\| `([\w/]+\.py)` \| ([a-z_, ]+) \|$", page, re.MULTILINE):
@@ -30,7 +30,7 @@
     return modules
 
 
-def test_the_architecture_page_leads_from_each_log_event_to_its_modules() -> None:
+def test_the_architecture_page_lists_the_modules_of_each_log_event() -> None:
     logged, table = logged_events(), architecture_table()
     assert len(logged) > 50
     assert {event: table.get(event) for event in logged} == logged
--- a/tests/unit/test_partition_history.py
+++ b/tests/unit/test_partition_history.py
@@ -1,4 +1,4 @@
-"""The checker of written revisions fails on bad histories, each made up for one rule."""
+"""The history checker reports invalid histories, each of which violates one rule."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     }
 
 
-BEGUN: list[Entry] = [
+TRANSFER_STARTED: list[Entry] = [
     (10, "dw/p/a", {"owner": "n0", "boot": "x"}, False),
     (11, f"dw/p/{NIGHT}", {"owner": "n1", "boot": "y"}, False),
     (12, "dw/m/r", group({"m1": "u", "m2": "u"}), False),
@@ -51,12 +51,12 @@
 
 
 def check(*entries: Entry) -> list[str]:
-    return PartitionHistory().check([*BEGUN, *entries])
+    return PartitionHistory().check([*TRANSFER_STARTED, *entries])
 
 
-def test_a_good_handover_is_found_good() -> None:
+def test_a_valid_handover_has_no_violations() -> None:
     history = PartitionHistory()
-    assert history.check([*BEGUN, *HANDED_OVER]) == []
+    assert history.check([*TRANSFER_STARTED, *HANDED_OVER]) == []
     assert history.handovers == [(14, "m1", "a", NIGHT)]
     assert history.open_transfers() == []
     assert history.counts() == {("a", "c8"): 1, (NIGHT, "c8"): 1}
@@ -103,5 +103,5 @@
         ([(14, "dw/s/u", transfer("draining", ["m1"]), False)], "drain the same machine"),
     ],
 )
-def test_a_bad_history_is_found_bad(entries: list[Entry], complaint: str) -> None:
-    assert any(complaint in said for said in check(*entries))
+def test_an_invalid_history_is_reported(entries: list[Entry], complaint: str) -> None:
+    assert any(complaint in violation for violation in check(*entries))
