--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -1,10 +1,10 @@
-"""The rebalancing of partitions against a slow plain model of machines, owners and workers.
+"""Partition rebalancing, tested against a simple model of machines, shard owners and workers.
 
-The real leader's side (`PartitionRebalancer`, `MachineLifecycle`, `WatchCache`)
-writes to a store in which any write may be lost, come late, or be the last of its leader. Owners
-are plain: each has its own cache, which lags behind, and starts work on whatever that shows to be
-its own. Workers keep the highest token that they have seen.
-The model counts by looking at everything.
+The leader's code (`PartitionRebalancer`, `MachineLifecycle`, `WatchCache`) is real. It writes to a
+modelled state service in which any write may be lost, be delayed, or be the last one of its leader.
+A modelled owner starts work on every machine that its own, lagging cache assigns to its shard. A
+modelled worker rejects tokens below the highest one it has received. The history of all revisions
+is checked as a whole at the end.
 """
 
 from __future__ import annotations
@@ -56,12 +56,12 @@
     move_within_s=30.0,
     hold_commands_s=1e6,
 )
-VALUE_BYTES = 1884  # what is left of 2 KiB
+VALUE_BYTES = 1884  # usable for a machine group's record with a value limit of 2 KiB
 TXN_OPS = 4
 
 
 class Store:
-    """The state service: conditional transactions, and a log of all revisions."""
+    """A model of the state service, with conditional transactions and a log of all revisions."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -69,7 +69,7 @@
         self.log: list[tuple[int, str, Any, bool]] = []
 
     def write(self, changes: list[ConditionalWrite]) -> bool:
-        """Carry out a transaction, if everything still has the version that it names."""
+        """Apply a transaction if all keys have the expected versions; return whether it was."""
         assert len(changes) <= TXN_OPS
         for change in changes:
             for key, version in ((change.key, change.expected_version), *change.preconditions):
@@ -88,55 +88,60 @@
         version = self.keys.get(key, (None, 0))[1]
         assert self.write([ConditionalWrite(key, value, version, WritePriority.URGENT)])
 
-    def follow(self, cache: WatchCache, most: int | None = None) -> None:
-        """Let a watch cache read on, perhaps not up to the newest revision."""
-        end = self.revision if most is None else min(self.revision, cache.revision + most)
+    def update_cache(self, cache: WatchCache, max_revisions: int | None = None) -> None:
+        """Update a watch cache by at most `max_revisions`, or up to the newest revision."""
+        end = (
+            self.revision
+            if max_revisions is None
+            else min(self.revision, cache.revision + max_revisions)
+        )
         events = [
-            Event(revision, delete=key) if gone else Event(revision, put=key, value=value)
-            for revision, key, value, gone in self.log
+            Event(revision, delete=key) if deleted else Event(revision, put=key, value=value)
+            for revision, key, value, deleted in self.log
             if cache.revision < revision <= end
         ]
         cache.apply_events(events, end)
 
 
 class Worker:
-    """A machine's worker: what runs there, for whom, and the highest token it has seen."""
+    """A machine's worker: the shards whose work it runs, and the highest token it received."""
 
     def __init__(self) -> None:
         self.token = 0
-        self.running: set[str] = set()  # names of the shards whose work is there
+        self.running: set[str] = set()  # the shards whose work runs on the machine
 
 
 class Owner:
-    """One incarnation of a shard's owner; earlier ones may go on for any time."""
+    """One incarnation of a shard's owner. A replaced incarnation may continue to send commands."""
 
     def __init__(self, shard: ShardName, token: int) -> None:
         self.shard = shard
         self.token = FencingToken(token)
         self.cache = WatchCache()
-        self.heard: dict[MachineId, set[str]] = {}  # what each worker reported under our token
+        # The shards whose work each machine runs, as its worker reported under this owner's token.
+        self.reported_work: dict[MachineId, set[str]] = {}
 
-    def command(self, machine: MachineId, worker: Worker, start: bool) -> None:
-        """A worker sends a heartbeat to this owner, which may start work in its answer."""
+    def handle_heartbeat(self, machine: MachineId, worker: Worker, start: bool) -> None:
+        """Handle a heartbeat of a worker, and start work in the answer if `start` and allowed."""
         record = self.cache.machines.get(machine)
         if record is None or record.shard != self.shard:
-            self.heard.pop(machine, None)
+            self.reported_work.pop(machine, None)
             return
         token = self.cache.token_for(machine, self.token)
         if token < worker.token:
-            return  # refused: another owner is entitled
-        settled = worker.token == token
+            return  # the worker rejects it, because another owner has a higher token
+        token_confirmed = worker.token == token
         worker.token = token
-        if not settled:
+        if not token_confirmed:
             return
-        free = self.cache.transfers.draining_transfer(machine) is None
-        if start and free and record.up and not record.terminating:
+        not_draining = self.cache.transfers.draining_transfer(machine) is None
+        if start and not_draining and record.up and not record.terminating:
             worker.running.add(self.shard)
-        self.heard[machine] = set(worker.running)
+        self.reported_work[machine] = set(worker.running)
 
     def status(self, number: int) -> ObservedShard:
-        """What the leader knows of the shard after this owner's newest status."""
-        view = ObservedShard(self.shard, self.token)
+        """The shard as the leader observes it after this owner's newest status."""
+        observed_shard = ObservedShard(self.shard, self.token)
         machines = {
             machine: MachineStatus(
                 free=NO_RESOURCES,
@@ -148,14 +153,14 @@
                 leaving=False,
                 faulty=False,
             )
-            for machine, running in self.heard.items()
+            for machine, running in self.reported_work.items()
         }
         drained = [
             machine
             for machine in self.cache.transfers.draining_machines()
-            if self.heard.get(machine) == set()
+            if self.reported_work.get(machine) == set()
         ]
-        view.apply(
+        observed_shard.apply(
             0.0,
             ShardStatus(
                 shard=self.shard,
@@ -175,57 +180,67 @@
                 drained=drained,
             ),
         )
-        return view
+        return observed_shard
 
 
 class Simulation:
-    """Store, leader, owners and workers together, driven by random numbers."""
+    """A state service, a leader, owners and workers, whose steps are drawn at random."""
 
     def __init__(self, seed: int, machines: int) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
         self.store = Store()
         self.store.put(FORMAT, {"version": PARTITIONS_FORMAT})
-        self.names = [MachineId(f"vm-{n:06d}") for n in range(machines)]
-        self.workers = {name: Worker() for name in self.names}
+        self.machine_ids = [MachineId(f"vm-{n:06d}") for n in range(machines)]
+        self.workers = {name: Worker() for name in self.machine_ids}
         for first in range(0, machines, 7):
-            some = self.names[first : first + 7]
-            group = {"type": "m", "zone": "a", "spot": False, "machines": dict.fromkeys(some, "u")}
+            group_machines = self.machine_ids[first : first + 7]
+            group = {
+                "type": "m",
+                "zone": "a",
+                "spot": False,
+                "machines": dict.fromkeys(group_machines, "u"),
+            }
             self.store.put(f"{MACHINES}r-{first}", group)
         self.owners: dict[ShardName, Owner] = {}
-        self.former: list[Owner] = []
+        self.former_owners: list[Owner] = []
         for shard in SHARDS_OF_ZONE:
             self.new_owner(shard)
-        self.late: list[list[ConditionalWrite]] = []  # transactions without an answer
-        self.commands = 0
-        self.statuses = 0
-        self.capacities: dict[ShardName, ObservedShard] = {}
+        self.unanswered: list[list[ConditionalWrite]] = []  # transactions that may still be applied
+        self.command_count = 0
+        self.status_count = 0
+        self.observed_shards: dict[ShardName, ObservedShard] = {}
         self.new_leader()
 
     def new_leader(self) -> None:
-        """A new leader reads all records before it plans; nothing of an earlier one comes later:
-        its writes name its epoch."""
-        self.late.clear()
+        """Replace the leader with one that has read all records.
+
+        Unanswered writes of the previous leader are dropped: its epoch is a condition of its
+        writes, so they can no longer succeed.
+        """
+        self.unanswered.clear()
         self.cache = WatchCache()
-        self.store.follow(self.cache)
+        self.store.update_cache(self.cache)
         provisioner = Provisioner(self.cache, ["a"], 1)
         self.machine_lifecycle = MachineLifecycle(
             self.cache, provisioner, 14.0, 4.0, VALUE_BYTES, TXN_OPS
         )
-        self.keeper = PartitionRebalancer(self.cache, MachineIndex(self.cache), ["a"], MoveTimes())
-        self.keeper.plan = PLAN
-        self.keeper.targets.known = True
-        self.capacities.clear()
+        self.rebalancer = PartitionRebalancer(
+            self.cache, MachineIndex(self.cache), ["a"], MoveTimes()
+        )
+        self.rebalancer.plan = PLAN
+        self.rebalancer.targets.known = True
+        self.observed_shards.clear()
 
     def new_owner(self, shard: ShardName) -> None:
         if shard in self.owners:
-            self.former.append(self.owners[shard])  # it may go on for as long as it likes
+            self.former_owners.append(self.owners[shard])  # it may still send commands
         self.store.put(SHARDS + shard, {"owner": f"n{self.store.revision}", "boot": "x"})
         owner = self.owners[shard] = Owner(shard, self.store.revision)
-        self.store.follow(owner.cache)
+        self.store.update_cache(owner.cache)
 
     def command_move(self, source: ShardName, target: ShardName, count: int) -> None:
-        self.commands += 1
+        self.command_count += 1
         record = TransferRecord(
             0,
             source,
@@ -237,33 +252,38 @@
             self.now + PLAN.move_within_s,
             origin=OPERATOR,
         )
-        self.keeper.commands = [TransferCommand(TransferId(f"o-{self.commands}"), record)]
-
-    def lead(self, faults: bool) -> None:
-        """A pass of the leader, whose writes may be lost, cut off or come late. After one without
-        an answer the next pass writes under a new epoch, so that it can't come any more."""
-        self.late.clear()
-        self.store.follow(self.cache)
-        if faults and not self.keeper.commands and self.random.random() < 0.05:
-            self.keeper.commands = [
+        self.rebalancer.commands = [TransferCommand(TransferId(f"o-{self.command_count}"), record)]
+
+    def run_pass(self, faults: bool) -> None:
+        """Run a planning pass of the leader, whose writes may be lost or delayed if `faults`.
+
+        After an unanswered write, the pass writes nothing more. The next pass uses a new epoch, so
+        that the unanswered write can no longer succeed.
+        """
+        self.unanswered.clear()
+        self.store.update_cache(self.cache)
+        if faults and not self.rebalancer.commands and self.random.random() < 0.05:
+            self.rebalancer.commands = [
                 TransferCommand(name, None)
                 for name, r in self.cache.transfers.records.items()
                 if r.open
             ]
         self.machine_lifecycle.begin()
-        capacities = [
-            v for p, v in self.capacities.items() if v.token == self.cache.version(SHARDS + p)
+        observed_shards = [
+            v for p, v in self.observed_shards.items() if v.token == self.cache.version(SHARDS + p)
         ]
-        changes = self.keeper.changes(self.now, self.now, capacities, set(), self.machine_lifecycle)
-        self.keeper.commands = []
-        for shard in self.keeper.wanted_shards():
+        changes = self.rebalancer.changes(
+            self.now, self.now, observed_shards, set(), self.machine_lifecycle
+        )
+        self.rebalancer.commands = []
+        for shard in self.rebalancer.wanted_shards():
             if SHARDS + shard not in self.store.keys:
-                self.new_owner(shard)  # as the leader's choice of owners does
+                self.new_owner(shard)  # in place of the leader's shard assignment
         for batch in self.transactions(changes):
             if not faults or self.random.random() < 0.7:
                 self.store.write(batch)
                 continue
-            self.late.append(batch)
+            self.unanswered.append(batch)
             return
 
     @staticmethod
@@ -281,61 +301,63 @@
         return out
 
     def step(self, faults: bool) -> None:
-        """Something happens."""
+        """Let one event, drawn at random, happen to the leader, an owner or a worker."""
         self.now += self.random.random()
-        machine = self.random.choice(self.names)
+        machine = self.random.choice(self.machine_ids)
         worker = self.workers[machine]
         pick = self.random.random()
         if pick < 0.25:
-            self.lead(faults)
+            self.run_pass(faults)
         elif pick < 0.45:
             owner = self.random.choice(list(self.owners.values()))
-            self.store.follow(owner.cache, None if not faults else self.random.randint(0, 4))
+            self.store.update_cache(owner.cache, None if not faults else self.random.randint(0, 4))
         elif pick < 0.55:
             owner = self.random.choice(list(self.owners.values()))
             if not faults or self.random.random() < 0.8:
-                self.statuses += 1
-                self.capacities[owner.shard] = owner.status(self.statuses)
+                self.status_count += 1
+                self.observed_shards[owner.shard] = owner.status(self.status_count)
         elif pick < 0.88:
             incarnations = (
-                [*self.owners.values(), *self.former] if faults else [*self.owners.values()]
+                [*self.owners.values(), *self.former_owners] if faults else [*self.owners.values()]
+            )
+            self.random.choice(incarnations).handle_heartbeat(
+                machine, worker, self.random.random() < 0.5
             )
-            self.random.choice(incarnations).command(machine, worker, self.random.random() < 0.5)
         elif pick < 0.97 or not faults:
-            worker.running.clear()  # its work ends by itself
+            worker.running.clear()  # the tasks on the machine finish
         elif pick < 0.985:
             self.new_owner(self.random.choice(SHARDS_OF_ZONE))
-        elif self.late and self.random.random() < 0.5:
-            self.store.write(self.late.pop(self.random.randrange(len(self.late))))
+        elif self.unanswered and self.random.random() < 0.5:
+            self.store.write(self.unanswered.pop(self.random.randrange(len(self.unanswered))))
         else:
             self.new_leader()
         self.check()
 
     def check(self) -> None:
         for name, worker in self.workers.items():
-            assert len(worker.running) <= 1, f"{name} has work of {worker.running}"
+            assert len(worker.running) <= 1, f"{name} runs work of several shards: {worker.running}"
 
     def calm(self, steps: int) -> None:
-        """Without faults: owners read on, send their status, and work ends."""
-        self.late.clear()
-        self.former.clear()
+        """Run steps without faults: owners update their caches and send statuses, tasks finish."""
+        self.unanswered.clear()
+        self.former_owners.clear()
         for _ in range(steps):
             self.now += 0.5
             for owner in self.owners.values():
-                self.store.follow(owner.cache)
+                self.store.update_cache(owner.cache)
                 for name, worker in self.workers.items():
-                    owner.command(name, worker, start=False)
-                self.statuses += 1
-                self.capacities[owner.shard] = owner.status(self.statuses)
+                    owner.handle_heartbeat(name, worker, start=False)
+                self.status_count += 1
+                self.observed_shards[owner.shard] = owner.status(self.status_count)
             for worker in self.workers.values():
                 if self.random.random() < 0.3:
                     worker.running.clear()
-            self.lead(faults=False)
+            self.run_pass(faults=False)
             self.check()
         for name, worker in self.workers.items():
-            holder = self.owners[self.cache.machines[name].shard]
-            token = holder.cache.token_for(name, holder.token)
-            assert worker.token == token, f"{name} does not listen to {holder.shard}"
+            current_owner = self.owners[self.cache.machines[name].shard]
+            token = current_owner.cache.token_for(name, current_owner.token)
+            assert worker.token == token, f"{name} has no token of {current_owner.shard}"
 
 
 @settings(max_examples=60, deadline=None)
@@ -376,8 +398,8 @@
         assert history.counts() == {("a", "m"): 7, (NIGHT, "m"): 2, (DAY, "m"): 3}
 
 
-def play_seed(seed: int) -> None:
-    """A simulation of random moves; fails if anything is wrong."""
+def simulate_seed(seed: int) -> None:
+    """Simulate random moves, and fail if a check of the model or of the history fails."""
     draw = random.Random(seed)
     simulation = Simulation(seed, draw.randint(1, 3))
     for _ in range(8):
@@ -389,79 +411,87 @@
     assert PartitionHistory().check(simulation.store.log) == []
 
 
-def untied(self: Any, transfer: Any, record: Any, _: str = "") -> ConditionalWrite:
+def write_ungrouped(self: Any, transfer: Any, record: Any, _: str = "") -> ConditionalWrite:
+    """A replacement of `TransferDrafts.write` that ignores the transaction group."""
     key = f"dw/s/{transfer}"
     return ConditionalWrite(
         key, to_builtins(record), self._cache.version(key), WritePriority.NORMAL
     )
 
 
+# For each guard, the class and method that implement it, and a replacement without the guard.
 GUARDS: dict[str, tuple[Any, str, Any]] = {
     "a floor above all tokens": (WatchCache, "token_for", lambda _, __, token: token),
     "a machine that is proven empty": (MachineSelection, "is_empty", lambda *_: True),
-    "one transaction": (TransferDrafts, "write", untied),
+    "one transaction": (TransferDrafts, "write", write_ungrouped),
 }
 
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_removed_guard_is_detected(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     for seed in range(5):
-        play_seed(seed)
+        simulate_seed(seed)
     monkeypatch.setattr(*GUARDS[guard])
     for seed in range(200):
         try:
-            play_seed(seed)
+            simulate_seed(seed)
         except AssertionError:
             return
-    raise AssertionError("200 plays were found good without it")
+    raise AssertionError("no fault was detected in 200 simulations without the guard")
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_what_an_owner_reported_before_a_transfer_proves_nothing(
+def test_a_status_from_before_a_transfer_does_not_prove_a_machine_empty(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A cancelled transfer's machine has got work again, and the next transfer of it must not rest
-    on the status from before; a status may be seconds old."""
+    """Guards against the handover of a machine that still runs work of its source shard.
+
+    A machine is reported drained, its transfer is cancelled, and it gets work again. The next
+    transfer must not rely on the earlier status, which may be seconds old.
+    """
     if not guarded:
         monkeypatch.setattr(MachineHandover, "_owner_knows", lambda *_: True)
     simulation = Simulation(1, 1)
-    machine, owner = simulation.names[0], simulation.owners[OWN]
+    machine, owner = simulation.machine_ids[0], simulation.owners[OWN]
     worker = simulation.workers[machine]
 
     def catch_up(start: bool) -> None:
-        simulation.store.follow(owner.cache)
-        owner.command(machine, worker, start)
-        owner.command(machine, worker, start)
+        simulation.store.update_cache(owner.cache)
+        owner.handle_heartbeat(machine, worker, start)
+        owner.handle_heartbeat(machine, worker, start)
 
     simulation.command_move(OWN, NIGHT, 1)
-    simulation.lead(faults=False)
+    simulation.run_pass(faults=False)
     catch_up(start=False)
-    simulation.capacities[OWN] = owner.status(1)
-    assert simulation.capacities[OWN].latest_status.drained == [machine]
+    simulation.observed_shards[OWN] = owner.status(1)
+    assert simulation.observed_shards[OWN].latest_status.drained == [machine]
     (first,) = simulation.cache.transfers.records or [TransferId("o-1")]
-    simulation.keeper.commands = [TransferCommand(first, None)]
-    simulation.lead(faults=False)
+    simulation.rebalancer.commands = [TransferCommand(first, None)]
+    simulation.run_pass(faults=False)
     catch_up(start=True)
     assert worker.running == {OWN}
     simulation.command_move(OWN, NIGHT, 1)
     for _ in range(3):
-        simulation.lead(faults=False)
-    simulation.store.follow(simulation.cache)
+        simulation.run_pass(faults=False)
+    simulation.store.update_cache(simulation.cache)
     assert (simulation.cache.machines[machine].shard == OWN) is guarded
 
 
 def test_the_model_detects_a_start_by_a_former_owner() -> None:
-    """Without floors a former holder's command is taken by the worker after the handover."""
+    """Shows that the model would detect a missing token floor.
+
+    Without the floor, a worker accepts a command of the former owner after the handover.
+    """
     simulation = Simulation(1, 2)
     simulation.command_move(OWN, NIGHT, 2)
     simulation.calm(10)
     former = Owner(OWN, int(simulation.owners[OWN].token))
-    simulation.store.follow(former.cache, 5)  # as it was before the transfer
-    machine, worker = simulation.names[0], simulation.workers[simulation.names[0]]
-    simulation.owners[NIGHT].command(machine, worker, start=True)
-    former.command(machine, worker, start=True)
-    former.command(machine, worker, start=True)
+    simulation.store.update_cache(former.cache, 5)  # the state before the transfer
+    machine, worker = simulation.machine_ids[0], simulation.workers[simulation.machine_ids[0]]
+    simulation.owners[NIGHT].handle_heartbeat(machine, worker, start=True)
+    former.handle_heartbeat(machine, worker, start=True)
+    former.handle_heartbeat(machine, worker, start=True)
     assert worker.running == {NIGHT}
-    worker.token = int(former.token)  # what it would have seen without a floor
-    former.command(machine, worker, start=True)
+    worker.token = int(former.token)  # the worker's token if the handover had set no floor
+    former.handle_heartbeat(machine, worker, start=True)
     assert worker.running == {NIGHT, OWN}
--- a/tests/unit/test_partition_plan.py
+++ b/tests/unit/test_partition_plan.py
@@ -1,4 +1,4 @@
-"""Plans of partitions: what is refused, what the solver makes of them, and how they change."""
+"""Partition plans: validation, solutions of the solver, and changes of the targets."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
     plan: PartitionPlan,
     machines: int,
     demand: dict[str, float] | None = None,
-    have: dict[str, int] | None = None,
+    existing: dict[str, int] | None = None,
     minute: int = 0,
 ) -> Problem:
-    wanted = {
+    demands = {
         name: PartitionDemand(NO_RESOURCES, Resources(cpus, 0.0, 0.0))
         for name, cpus in (demand or {}).items()
     }
-    cells = {Cell(name, "a", "m"): count for name, count in (have or {}).items()}
-    return Problem(plan, minute, {MachineKind("a", "m"): Supply(MACHINE, machines)}, wanted, cells)
+    cells = {Cell(name, "a", "m"): count for name, count in (existing or {}).items()}
+    return Problem(plan, minute, {MachineKind("a", "m"): Supply(MACHINE, machines)}, demands, cells)
 
 
 @pytest.mark.parametrize(
@@ -116,9 +116,9 @@
     plan = tmp_path / "plan.star"
     plan.write_text("shares = {'x': {'teams': ['nobody'], 'rules': [{'types': ['m']}]}}")
     assert start(["--shares", str(plan), "--config", config]) == 2
-    said = capsys.readouterr().err.strip()
-    assert "unknown team 'nobody'" in said
-    assert "\n" not in said
+    error = capsys.readouterr().err.strip()
+    assert "unknown team 'nobody'" in error
+    assert "\n" not in error
     assert start(["--shares", str(tmp_path / "none.star"), "--config", config]) == 2
     assert start(["--shares", str(plan)]) == 2
 
@@ -126,15 +126,15 @@
 def test_the_command_refuses_a_bad_plan_without_a_controller(tmp_path: Path) -> None:
     plan = tmp_path / "plan.star"
     plan.write_text("margin = 'wide'")
-    said = CliRunner().invoke(main, ["shares", "plan", "--at", "127.0.0.1:1", str(plan)])
-    assert said.exit_code == 2
-    assert "margin: Expected `float`" in said.output
+    result = CliRunner().invoke(main, ["shares", "plan", "--at", "127.0.0.1:1", str(plan)])
+    assert result.exit_code == 2
+    assert "margin: Expected `float`" in result.output
     plan.write_text("margin = 0.2")
     good = ["shares", "plan", "--check", "--at", "127.0.0.1:1", str(plan)]
     assert CliRunner().invoke(main, good).exit_code == 0
-    gone = CliRunner().invoke(main, ["shares", "show", "--at", "127.0.0.1:1"])
-    assert gone.exit_code == 1
-    assert len(gone.output.strip().splitlines()) == 1
+    unreachable = CliRunner().invoke(main, ["shares", "show", "--at", "127.0.0.1:1"])
+    assert unreachable.exit_code == 1
+    assert len(unreachable.output.strip().splitlines()) == 1
 
 
 def test_the_example_plan_is_good() -> None:
@@ -142,7 +142,7 @@
     assert parse("shares.star", text).margin == 0.1
 
 
-def test_what_is_promised_is_kept_and_demand_fills_the_rest() -> None:
+def test_minimum_shares_are_met_and_demand_gets_the_remaining_machines() -> None:
     plan = plan_of(night=[rule(least=0.25, most=0.75)], day=[rule(most=0.5)])
     assert solve(problem(plan, 8)) == {Cell("night", "a", "m"): 2, Cell("day", "a", "m"): 0}
     solution = solve(problem(plan, 8, {"night": 100.0, "day": 100.0}))
@@ -159,15 +159,15 @@
         assert bounds(problem(plan, 8, minute=minute)).get(cell, (0, 0))[0] == count
 
 
-def test_urgent_work_and_heavier_partitions_come_first() -> None:
+def test_pressing_work_and_partitions_of_higher_weight_have_precedence() -> None:
     plan = plan_of(x=[rule()], y=[rule()])
-    asked = problem(plan, 4)._replace(
+    current = problem(plan, 4)._replace(
         demand={
             "x": PartitionDemand(Resources(24.0, 0.0, 0.0), NO_RESOURCES),
             "y": PartitionDemand(NO_RESOURCES, Resources(800.0, 0.0, 0.0)),
         }
     )
-    solution = solve(asked)
+    solution = solve(current)
     assert solution is not None
     assert solution[Cell("x", "a", "m")] == 3
     heavy = convert(
@@ -183,19 +183,19 @@
     assert solution[Cell("x", "a", "m")] == 4
 
 
-def test_without_a_solution_in_time_the_targets_stay() -> None:
+def test_targets_remain_without_a_solution_within_the_time_limit() -> None:
     plan = plan_of(night=[rule(least=0.5)])
     targets = TargetsInForce()
     assert not targets.adopt(problem(plan, 8), None)
     assert not targets.known
-    asked = problem(plan, 8)
-    assert targets.adopt(asked, solve(asked))
+    current = problem(plan, 8)
+    assert targets.adopt(current, solve(current))
     assert targets[Cell("night", "a", "m")] == 4
-    assert not targets.adopt(asked, None)
+    assert not targets.adopt(current, None)
     assert targets[Cell("night", "a", "m")] == 4
-    many = plan_of(**{f"s{i}": [rule(most=0.5)] for i in range(12)})
-    wide = problem(many, 1000, {f"s{i}": 300.0 + 7.0 * i for i in range(12)})
-    assert solve(wide, within_s=0.0) is None
+    large_plan = plan_of(**{f"s{i}": [rule(most=0.5)] for i in range(12)})
+    large_problem = problem(large_plan, 1000, {f"s{i}": 300.0 + 7.0 * i for i in range(12)})
+    assert solve(large_problem, within_s=0.0) is None
 
 
 def test_a_plan_changes_only_by_more_than_its_margin() -> None:
@@ -206,25 +206,25 @@
     targets.adopt(first, solve(first))
     assert targets[cell] == 20
     for cpus, expected in ((176.0, 20), (144.0, 20), (200.0, 25), (176.0, 25)):
-        asked = problem(plan, 40, {"night": cpus}, {"night": targets[cell]})
-        targets.adopt(asked, solve(asked))
+        current = problem(plan, 40, {"night": cpus}, {"night": targets[cell]})
+        targets.adopt(current, solve(current))
         assert targets[cell] == expected, cpus
-    # What the rules say at another time of day counts at once, however little it is.
+    # A change of the rules' bounds with the time of day applies at once, even within the margin.
     fixed = plan_of(night=[rule(least=0.6, most=0.6)])
-    asked = problem(fixed, 40, {"night": 176.0}, {"night": 25})
-    targets.adopt(asked, solve(asked))
+    current = problem(fixed, 40, {"night": 176.0}, {"night": 25})
+    targets.adopt(current, solve(current))
     assert targets[cell] == 24
-    # And fewer machines than were planned with.
-    asked = problem(plan, 10, {"night": 176.0}, {"night": 8})
-    targets.adopt(asked, solve(asked))
+    # So does a decrease of the number of machines.
+    current = problem(plan, 10, {"night": 176.0}, {"night": 8})
+    targets.adopt(current, solve(current))
     assert targets[cell] <= 9
 
 
-def test_a_new_leader_goes_on_from_what_the_partitions_have() -> None:
+def test_a_new_leader_adopts_the_existing_machine_counts_as_targets() -> None:
     plan = plan_of(night=[rule(most=0.9)])
     targets = TargetsInForce()
-    asked = problem(plan, 40, {"night": 160.0}, {"night": 22})
-    targets.adopt(asked, solve(asked))
+    current = problem(plan, 40, {"night": 160.0}, {"night": 22})
+    targets.adopt(current, solve(current))
     assert targets.known
     assert targets[Cell("night", "a", "m")] == 22
 
@@ -277,16 +277,16 @@
     return JobRecord(spec, 1000.0)
 
 
-def test_demand_is_what_is_unfinished_within_the_teams_limits() -> None:
+def test_demand_is_the_unfinished_work_within_the_teams_limits() -> None:
     plan = convert({"shares": {"s": {"teams": ["red", "blue"], "rules": [rule()]}}})
     teams = [Team("red", cpus_max=20.0), Team("blue", cpus=8.0)]
     jobs = [job("red", 30, 2.0), job("blue", 2, 4.0), job("blue", 3, 4.0, deadline_s=15.0)]
     jobs[0].done = {0, 1}
-    late = job("blue", 1, 4.0)
-    late.stage = "done"
-    said = measure(plan, teams, [*jobs, late, job("green", 5, 1.0)], Estimates(), 1000.0)
-    assert said["s"].total.cpus == 20.0 + 8.0 + 12.0
-    assert said["s"].pressing.cpus == 8.0 + 12.0  # within the guarantee, and due soon
+    finished = job("blue", 1, 4.0)
+    finished.stage = "done"
+    demands = measure(plan, teams, [*jobs, finished, job("green", 5, 1.0)], Estimates(), 1000.0)
+    assert demands["s"].total.cpus == 20.0 + 8.0 + 12.0
+    assert demands["s"].pressing.cpus == 8.0 + 12.0  # within the team's guarantee; due soon
 
 
 def test_times_are_kept_in_histograms() -> None:
@@ -295,16 +295,19 @@
     for seconds in (1.0, 2.0, 30.0):
         times.machine(seconds)
     times.transfer(30.0)
-    said = times.view()
-    assert said["machines"].count == 3
-    assert 29.0 <= said["machines"].max_s <= 31.0
-    assert said["transfers"].count == 1
+    histograms = times.view()
+    assert histograms["machines"].count == 3
+    assert 29.0 <= histograms["machines"].max_s <= 31.0
+    assert histograms["transfers"].count == 1
 
 
 def test_the_deploy_file_starts_a_controller_with_the_example_plan(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The example's team is not one of these settings: that is found, so all before it works."""
+    """The start gets as far as the check of team names, which fails here as expected.
+
+    The settings of the test do not contain the team of the example plan.
+    """
     deploy = tomllib.loads((ROOT / "deploy" / "shares.toml").read_text())
     command = shlex.split(deploy["run"])
     monkeypatch.chdir(ROOT)
--- a/tests/unit/test_peer_silence.py
+++ b/tests/unit/test_peer_silence.py
@@ -1,4 +1,4 @@
-"""Which present controllers are silent, and where their shards go."""
+"""Which present controllers are unreachable, and which owners their shards are assigned to."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from dapplewick.types import ControllerName, ShardName
 
 LEADER, PEER, OTHER = ControllerName("n0"), ControllerName("n1"), ControllerName("n2")
-NOBODY: frozenset[ControllerName] = frozenset()
-NO_SHARD: frozenset[ShardName] = frozenset()
+NO_CONTROLLERS: frozenset[ControllerName] = frozenset()
+NO_SHARDS: frozenset[ShardName] = frozenset()
 
 
 def present(
@@ -30,43 +30,46 @@
     return {name: ControllerRecord(incarnation, "a") for name in names}
 
 
-def listen(silence: PeerReachability, begin: int, end: int, *names: ControllerName) -> None:
-    """Listen once a second while these are present."""
+def record_presence_each_second(
+    reachability: PeerReachability, begin: int, end: int, *names: ControllerName
+) -> None:
+    """Record once a second, from `begin` to before `end`, that these controllers are present."""
     for at in range(begin, end):
-        silence.record_presence(float(at), present(*names))
+        reachability.record_presence(float(at), present(*names))
 
 
-def test_a_peer_that_is_present_and_not_heard_is_silent_and_this_controller_never_is() -> None:
-    silence = PeerReachability(LEADER)
+def test_a_present_peer_without_contact_is_unreachable_and_this_controller_never_is() -> None:
+    reachability = PeerReachability(LEADER)
     for at in range(20):
-        silence.record_presence(float(at), present(LEADER, PEER, OTHER))
-        silence.record_contact(float(at), OTHER)
-        wanted = {PEER} if at > PEER_TIMEOUT_S else set()
-        assert silence.unreachable(float(at), present(LEADER, PEER, OTHER)) == wanted
-
-
-def test_a_new_incarnation_has_time_to_be_heard() -> None:
-    silence = PeerReachability(LEADER)
-    listen(silence, 0, 20, PEER)
-    assert silence.unreachable(20.0, present(PEER)) == {PEER}
-    back = present(PEER, incarnation="y")
-    assert silence.unreachable(20.0, back) == NOBODY  # not even listened for yet
-    silence.record_presence(20.0, back)
-    assert silence.unreachable(20.0 + PEER_TIMEOUT_S, back) == NOBODY
-    assert silence.unreachable(20.1 + PEER_TIMEOUT_S, back) == {PEER}
-
-
-def test_a_controller_that_stood_still_does_not_blame_its_peers() -> None:
-    silence = PeerReachability(LEADER)
-    listen(silence, 0, 5, PEER)
-    silence.record_contact(4.0, PEER)
+        reachability.record_presence(float(at), present(LEADER, PEER, OTHER))
+        reachability.record_contact(float(at), OTHER)
+        expected = {PEER} if at > PEER_TIMEOUT_S else set()
+        assert reachability.unreachable(float(at), present(LEADER, PEER, OTHER)) == expected
+
+
+def test_a_new_incarnation_is_unreachable_only_after_the_full_timeout() -> None:
+    reachability = PeerReachability(LEADER)
+    record_presence_each_second(reachability, 0, 20, PEER)
+    assert reachability.unreachable(20.0, present(PEER)) == {PEER}
+    restarted = present(PEER, incarnation="y")
+    # The presence of the new incarnation is not recorded yet.
+    assert reachability.unreachable(20.0, restarted) == NO_CONTROLLERS
+    reachability.record_presence(20.0, restarted)
+    assert reachability.unreachable(20.0 + PEER_TIMEOUT_S, restarted) == NO_CONTROLLERS
+    assert reachability.unreachable(20.1 + PEER_TIMEOUT_S, restarted) == {PEER}
+
+
+def test_a_stalled_controller_does_not_consider_its_peers_unreachable() -> None:
+    reachability = PeerReachability(LEADER)
+    record_presence_each_second(reachability, 0, 5, PEER)
+    reachability.record_contact(4.0, PEER)
     at = 4.0 + PEER_TIMEOUT_S + MAX_OWN_STALL_S
-    silence.record_presence(at, present(PEER))
-    assert silence.unreachable(at, present(PEER)) == NOBODY
+    reachability.record_presence(at, present(PEER))
+    assert reachability.unreachable(at, present(PEER)) == NO_CONTROLLERS
 
 
 def assigner(owner: ControllerName | None) -> ShardAssigner:
-    """Three controllers, and one shard with this owner."""
+    """An assigner for three present controllers and one shard, which has this owner."""
     cache = WatchCache()
     for name in (LEADER, PEER, OTHER):
         cache.put(f"dw/n/{name}", {"boot": "x", "zone": "a"}, 1)
@@ -78,35 +81,36 @@
 @pytest.mark.parametrize(
     ("owner", "silent", "unheard", "expected"),
     [
-        (PEER, NOBODY, NO_SHARD, []),
-        (PEER, {PEER}, NO_SHARD, []),  # not for long enough: nothing moves for that alone
+        (PEER, NO_CONTROLLERS, NO_SHARDS, []),
+        # The contact time-out of the shard has not passed, so its owner stays.
+        (PEER, {PEER}, NO_SHARDS, []),
         (PEER, {PEER}, {"a"}, [(OTHER, AssignmentReason.OWNER_UNREACHABLE)]),
         (PEER, {PEER, OTHER}, {"a"}, [(LEADER, AssignmentReason.OWNER_UNREACHABLE)]),
-        (None, {PEER}, NO_SHARD, [(OTHER, AssignmentReason.NO_OWNER)]),
-        (None, {PEER, OTHER}, NO_SHARD, [(LEADER, AssignmentReason.NO_OWNER)]),
+        (None, {PEER}, NO_SHARDS, [(OTHER, AssignmentReason.NO_OWNER)]),
+        (None, {PEER, OTHER}, NO_SHARDS, [(LEADER, AssignmentReason.NO_OWNER)]),
     ],
 )
-def test_an_unheard_shard_goes_to_a_controller_that_the_leader_hears(
+def test_a_shard_without_owner_contact_is_assigned_to_a_reachable_controller(
     owner: ControllerName | None,
     silent: set[ControllerName],
     unheard: set[ShardName],
     expected: list[tuple[ControllerName, AssignmentReason]],
 ) -> None:
-    view = OwnerReachability(
-        shards_without_machine_contact=NO_SHARD,
+    reachability = OwnerReachability(
+        shards_without_machine_contact=NO_SHARDS,
         shards_without_owner_contact=unheard,
         unreachable_controllers=silent,
     )
-    assert assigner(owner).changes(100.0, view) == [
+    assert assigner(owner).changes(100.0, reachability) == [
         ShardAssignment(ShardName("a"), ShardRecord(name, "x"), reason) for name, reason in expected
     ]
 
 
-def test_a_shard_stays_with_the_leader_while_all_others_are_silent() -> None:
-    alone = OwnerReachability(
-        shards_without_machine_contact=NO_SHARD,
-        shards_without_owner_contact=NO_SHARD,
+def test_a_shard_stays_with_the_leader_while_all_other_controllers_are_unreachable() -> None:
+    reachability = OwnerReachability(
+        shards_without_machine_contact=NO_SHARDS,
+        shards_without_owner_contact=NO_SHARDS,
         unreachable_controllers={PEER, OTHER},
     )
-    chosen = assigner(LEADER)
-    assert [chosen.changes(float(at), alone) for at in range(100)] == [[]] * 100
+    shard_assigner = assigner(LEADER)
+    assert [shard_assigner.changes(float(at), reachability) for at in range(100)] == [[]] * 100
--- a/tests/unit/test_status_details.py
+++ b/tests/unit/test_status_details.py
@@ -1,4 +1,4 @@
-"""What a controller's status tells of violated invariants and of work that waits."""
+"""Violated invariants and waiting work in a controller's status."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def status(controller: Controller) -> dict[str, Any]:
-    """A status as it comes out of a frame."""
-    told: dict[str, Any] = cbor2.loads(cbor2.dumps(controller.status.describe()))
-    return told
+    """Return a controller's status after encoding and decoding, as a client receives it."""
+    decoded: dict[str, Any] = cbor2.loads(cbor2.dumps(controller.status.describe()))
+    return decoded
 
 
-def test_a_status_names_violations_and_groups_that_wait_only_where_there_are_any() -> None:
+def test_a_status_contains_violations_and_waiting_groups_only_if_there_are_any() -> None:
     async def main() -> None:
         controller = Controller(standins.settings("n0"), clock=lambda: 5.0, seed=1)
         assert not {"violations", "waiting"} & status(controller).keys()
@@ -37,9 +37,9 @@
             WaitingGroup("largest route", 75.5, 3, {"over_limit": 2, "no_slot": 1})
         ]
         controller.leadership.planner = planner
-        told = status(controller)
-        assert told["violations"] == {"shards_are_heard": 2}
-        assert told["waiting"] == [
+        described = status(controller)
+        assert described["violations"] == {"shards_are_heard": 2}
+        assert described["waiting"] == [
             {
                 "name": "largest route",
                 "oldest_s": 75.5,
@@ -47,7 +47,7 @@
                 "reasons": {"over_limit": 2, "no_slot": 1},
             }
         ]
-        assert status_lines(told)[len(before) :] == [
+        assert status_lines(described)[len(before) :] == [
             "violated shards_are_heard  count 2",
             "waiting largest route  jobs 3  oldest 76 s  over_limit 2  no_slot 1",
         ]
