--- a/tests/unit/test_scheduler_models.py
+++ b/tests/unit/test_scheduler_models.py
@@ -1,4 +1,18 @@
-"""The design's four points: a slow plain model beside the real cores, over generated inputs."""
+"""Scheduling rules of leader and shards, checked against simple models on generated inputs.
+
+The points that the tests refer to are rules of S. D. Dimitriadou and H. D. Karatza, "Job Scheduling
+in a Distributed System Using Backfilling with Inaccurate Runtime Computations", approach 2:
+
+1. An array task joins an idle slot with an empty queue, else one where it passes the backfill test,
+   else the shortest queue.
+2. A gang is placed in the idle slots of one shard, else in its empty queues, else in idle slots of
+   several shards, else it waits.
+3. When queues become empty, the largest fitting gang is placed first, and the oldest among equals.
+4. Backfilling: an array task may precede a reserved gang if its estimate is at most the remaining
+   wait plus a threshold T.
+
+Work stealing is an addition to these rules.
+"""
 
 from __future__ import annotations
 
@@ -70,7 +84,7 @@
     bench.heartbeat(machine, 0.0)
     for n, estimate in enumerate(running):
         bench.assign(f"run-s{n}", spec(1, 1.0, estimate), 0.0)
-    # The rest of the machine is taken by an array task that ends now and so frees reserved room.
+    # The remaining CPUs are used by an array task that ends at `at`, which frees reserved CPUs.
     rest = 4 - len(running)
     if rest:
         bench.assign("run-rest", spec(1, float(rest), 1000.0, job_class="rest"), 0.0)
@@ -205,35 +219,45 @@
     assert unpack(pack(numbers)) == numbers
 
 
-def test_a_need_that_fits_machines_that_are_up_rents_nothing() -> None:
-    """A gang that something else keeps from starting once rented machines without end."""
+def test_demand_that_fits_running_machines_causes_no_machine_request() -> None:
+    """Guards against machine requests without limit.
+
+    They were made in each pass for a gang that fitted the running machines and could not start for
+    another reason.
+    """
     cache = WatchCache()
     cache.put(TYPES, encode_machine_types([KIND]), 1)
     provisioner = Provisioner(cache, ["a"], 1)
     gang = spec(2, 4.0, 10.0, True)
     capacity_requests = [CapacityRequest(gang, 2, True)]
 
-    def rooms(*names: str) -> list[ShardCapacity]:
+    def capacities(*names: str) -> list[ShardCapacity]:
         return [ShardCapacity(ZONE, [view(name, 4.0) for name in names])]
 
-    assert provisioner.scale_out(0.0, 0.0, capacity_requests, rooms("x", "y")) == ([], [])
-    provisioning_requests, unmet = provisioner.scale_out(0.0, 0.0, capacity_requests, rooms("x"))
+    assert provisioner.scale_out(0.0, 0.0, capacity_requests, capacities("x", "y")) == ([], [])
+    provisioning_requests, unmet = provisioner.scale_out(
+        0.0, 0.0, capacity_requests, capacities("x")
+    )
     assert [(b.type, b.count) for b in provisioning_requests] == [("k", 1)]
     assert unmet == []
 
 
-def test_a_pass_asks_for_as_many_machines_as_the_cloud_takes_calls_for() -> None:
-    """While a deployment starts, hundreds are missing: a fixed number a pass cost half a minute."""
+def test_the_machines_requested_in_a_pass_follow_the_limit_of_cloud_calls() -> None:
+    """The number of machines that a pass requests grows with the limit of cloud calls.
+
+    A starting deployment lacks hundreds of machines. With a fixed number per pass, requesting them
+    took half a minute.
+    """
     cache = WatchCache()
     kinds = [
         MachineType(name=f"k{n}", cpus=4.0, ram_gb=64.0, hourly_price=1.0 + n, zones=["a", "b"])
         for n in range(4)
     ]
-    need = CapacityRequest(spec(3000, 4.0, 30.0), 3000, False)
-    for calls, machines in ((0.3, 50), (1.0, 50), (4.0, 200), (100.0, 400)):
-        provisioner = Provisioner(cache, ["a", "b"], 1, requests_per_pass=calls)
+    capacity_request = CapacityRequest(spec(3000, 4.0, 30.0), 3000, False)
+    for calls_per_pass, machines in ((0.3, 50), (1.0, 50), (4.0, 200), (100.0, 400)):
+        provisioner = Provisioner(cache, ["a", "b"], 1, requests_per_pass=calls_per_pass)
         provisioner.set_catalog(kinds)
-        provisioning_requests, _ = provisioner.scale_out(0.0, 0.0, [need], [])
+        provisioning_requests, _ = provisioner.scale_out(0.0, 0.0, [capacity_request], [])
         assert (
             sum(provisioning_request.count for provisioning_request in provisioning_requests)
             == machines
@@ -245,16 +269,16 @@
 
 def test_estimates_follow_where_all_expected_run_times_are_too_low() -> None:
     estimates = Estimates()
-    asked = spec(1, 1.0, 10.0)
-    assert math.isclose(estimates.run_time(asked), 10.0)
+    job_spec = spec(1, 1.0, 10.0)
+    assert math.isclose(estimates.run_time(job_spec), 10.0)
     for _ in range(40):
         estimates.learn("x", 10.0, 20.0)
-    assert 18.0 < estimates.run_time(asked) < 20.5
+    assert 18.0 < estimates.run_time(job_spec) < 20.5
     estimates.learn("x", 10.0, 2000.0)
-    assert estimates.run_time(asked) < 25.0
+    assert estimates.run_time(job_spec) < 25.0
 
 
-# Failures that were found, each with what guards against it
+# Regression tests
 
 
 def test_a_lost_forget_does_not_take_the_slot_of_a_task_assigned_anew() -> None:
@@ -265,7 +289,7 @@
     task = TaskRef(JobId("run-1"), TaskIndex(0))
     assert starts(bench.heartbeat(machine, 0.5)) == [task]
 
-    def failed(at: Seconds) -> list[Command]:
+    def report_failure(at: Seconds) -> list[Command]:
         bench.sequence += 1
         item = TaskStatus(task, bench.on[machine][task], "exited", "full", False)
         heartbeat = Heartbeat(
@@ -273,14 +297,14 @@
         )
         return bench.scheduler.handle_heartbeat(at, heartbeat, False)
 
-    assert [o.kind for o in failed(1.0)] == ["forget"]
-    # The forget was lost: the same exit is reported once more, after the task was assigned.
-    assert [o.kind for o in failed(1.5)] == ["forget"]
+    assert [o.kind for o in report_failure(1.0)] == ["forget"]
+    # The forget command was lost: the worker reports the exit again, after the task was reassigned.
+    assert [o.kind for o in report_failure(1.5)] == ["forget"]
     del bench.on[machine][task]
     assert starts(bench.heartbeat(machine, 2.0)) == [task]
 
 
-def test_what_was_given_back_and_assigned_again_runs() -> None:
+def test_a_task_assigned_again_is_no_longer_reported_as_released() -> None:
     bench = Bench(0)
     bench.assign("run-1", spec(1, 1.0, 10.0), 0.0)
     bench.scheduler.tick(100.0)
@@ -289,7 +313,7 @@
     assert bench.job_status(101.0, "run-1").released == []
 
 
-def test_a_new_owner_does_not_start_again_what_may_be_on_an_unheard_machine() -> None:
+def test_a_new_owner_does_not_restart_tasks_that_may_run_on_an_unreconciled_machine() -> None:
     old = Bench(2)
     for name in old.names:
         old.heartbeat(name, 0.0)
@@ -297,37 +321,37 @@
     assert len(starts(old.heartbeat(old.names[0], 1.0))) == 1
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
 
-    def heartbeat(
+    def send_heartbeat(
         name: MachineId, sequence: int, token: int, on: dict[TaskRef, Attempt]
     ) -> list[Command]:
         tasks = [TaskStatus(t, a, "running", None, False) for t, a in on.items()]
-        said = Heartbeat(
+        heartbeat = Heartbeat(
             name, TypeName("k"), IN_ZONE, False, 1, sequence, FencingToken(token), None, "", tasks
         )
-        return scheduler.handle_heartbeat(3.0, said, True)
+        return scheduler.handle_heartbeat(3.0, heartbeat, True)
 
-    # The second machine reports under the old token, then under the new one: still nothing
-    # may start, for the first has not been heard.
-    assert starts(heartbeat(old.names[1], 100, TOKEN, {})) == []
-    assert starts(heartbeat(old.names[1], 101, 60, {})) == []
-    assert starts(heartbeat(old.names[0], 102, 60, old.on[old.names[0]])) == []
+    # The second machine reports under the old token, then under the new one. Nothing may start on
+    # it yet, because the first machine has not reported to the new owner.
+    assert starts(send_heartbeat(old.names[1], 100, TOKEN, {})) == []
+    assert starts(send_heartbeat(old.names[1], 101, 60, {})) == []
+    assert starts(send_heartbeat(old.names[0], 102, 60, old.on[old.names[0]])) == []
     running = set(old.on[old.names[0]])
-    begun = starts(heartbeat(old.names[1], 103, 60, {}))
+    begun = starts(send_heartbeat(old.names[1], 103, 60, {}))
     assert len(begun) == 1
     assert not running & set(begun)
 
 
-def test_a_deleted_machine_counts_as_heard() -> None:
+def test_a_deleted_machine_counts_as_reconciled() -> None:
     old = Bench(2)
     old.assign("run-1", spec(1, 4.0, 10.0), 0.0)
     scheduler = ShardScheduler(ZONE, FencingToken(60), old.cache, Estimates(), 2.0)
-    name, silent = old.names
-    said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
-    assert starts(scheduler.handle_heartbeat(3.0, said, True)) == []
-    old.cache.remove(MACHINES + silent, 10_000)
-    scheduler.machine_changed(4.0, silent)
-    said = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
-    assert len(starts(scheduler.handle_heartbeat(5.0, said, True))) == 1
+    name, deleted = old.names
+    heartbeat = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(60), None, "", [])
+    assert starts(scheduler.handle_heartbeat(3.0, heartbeat, True)) == []
+    old.cache.remove(MACHINES + deleted, 10_000)
+    scheduler.machine_changed(4.0, deleted)
+    heartbeat = Heartbeat(name, TypeName("k"), IN_ZONE, False, 1, 2, FencingToken(60), None, "", [])
+    assert len(starts(scheduler.handle_heartbeat(5.0, heartbeat, True))) == 1
 
 
 def test_a_gang_cancelled_before_its_result_was_stored_is_cleared() -> None:
@@ -360,10 +384,10 @@
         for name in order + order:
             bench.heartbeat(name, at)
         for name in order:
-            late = 20.0 if name == slow else 10.0
+            run_time_s = 20.0 if name == slow else 10.0
             done = set(bench.on[name])
-            bench.heartbeat(name, at + late, done)
-            bench.store(done, at + late)
+            bench.heartbeat(name, at + run_time_s, done)
+            bench.store(done, at + run_time_s)
         at += 30.0
         bench.scheduler.tick(at)
     assert bench.scheduler.machines[slow].slow
@@ -372,7 +396,10 @@
 
 
 def test_a_gang_taken_over_after_its_machine_was_deleted_is_placed_anew() -> None:
-    """It counted as started on a machine whose deletion the new owner was never told of."""
+    """Guards against a gang that counts as started on a deleted machine.
+
+    The machine was deleted before the new owner began, so the owner received no event of it.
+    """
     old = Bench(2)
     record = JobRecord(spec(2, 2.0, 10.0, is_gang=True), 0.0)
     record.gang = GangPlacement(7, [("a", old.names[0]), ("a", old.names[1])])
@@ -382,8 +409,12 @@
     assert scheduler.status(3.0).gangs[JobId("run-1")] == GangStatus(7, "bad", 0.0)
 
 
-def test_no_array_task_passes_a_gang_for_which_array_tasks_are_preempted() -> None:
-    """It passed by its estimate and was stopped with the next heartbeat, thousands of times."""
+def test_no_array_task_is_backfilled_before_a_gang_for_which_array_tasks_are_preempted() -> None:
+    """Guards against a loop of backfill and preemption.
+
+    A short array task was backfilled because of its estimate and preempted with the next
+    heartbeat, thousands of times.
+    """
     bench = Bench(2)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
@@ -402,19 +433,19 @@
     halted = {t: bench.on[short].pop(t) for t in stops}
     bench.sequence += 1
     tasks = [TaskStatus(t, a, "exited", "halted", False) for t, a in halted.items()]
-    said = Heartbeat(
+    heartbeat = Heartbeat(
         short, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", tasks
     )
-    assert starts(bench.scheduler.handle_heartbeat(3.0, said, True)) == []
+    assert starts(bench.scheduler.handle_heartbeat(3.0, heartbeat, True)) == []
 
 
-def test_among_equally_short_queues_an_array_task_joins_where_its_image_is() -> None:
+def test_among_equally_short_queues_an_array_task_joins_one_whose_machine_has_its_image() -> None:
     bench = Bench(6)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
     for n, name in enumerate(bench.names):
-        asked = replace(spec(1, 4.0, 30.0), image=f"img-{n}")
-        bench.assign(f"run-{n}", asked, 0.0)
+        job_spec = replace(spec(1, 4.0, 30.0), image=f"img-{n}")
+        bench.assign(f"run-{n}", job_spec, 0.0)
         bench.heartbeat(name, 1.0)
         bench.heartbeat(name, 1.5)
     bench.assign("run-w", replace(spec(1, 4.0, 30.0), image="img-4"), 2.0)
@@ -423,9 +454,12 @@
     assert "img-4" in queued.images
 
 
-def test_the_tasks_of_a_job_join_where_its_image_will_be_and_fetches_are_spread() -> None:
-    """Tasks that joined together each had their image fetched by another machine, and several
-    images that one machine fetches at once share its rate."""
+def test_the_tasks_of_a_job_share_machines_that_fetch_its_image_and_fetches_are_spread() -> None:
+    """Guards against unnecessary and slow image fetches.
+
+    Tasks of a job that were queued together went to different machines, each of which fetched the
+    image. Images that a machine fetches at the same time share its bandwidth.
+    """
     bench = Bench(30)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
@@ -437,7 +471,7 @@
     used = [m for m in bench.scheduler.machines.values() if m.task_attempts]
     assert [len(m.images) for m in used] == [1] * len(used)
     assert len(used) < 10
-    # What is known of a machine's images is bounded, and gone with its incarnation.
+    # The number of images known per machine is bounded, and a new incarnation has none of them.
     first = used[0]
     for n in range(MAX_IMAGES + 5):
         bench.scheduler.images.add(first, f"more-{n}")
@@ -450,7 +484,7 @@
 
 
 def test_a_gang_reserved_on_a_machine_that_gets_no_more_work_is_placed_anew() -> None:
-    """It waited for ever, and the machine was kept for it."""
+    """Guards against a gang that waits forever while its machines remain reserved."""
     for fault in ("unreachable", "slow"):
         bench = Bench(2)
         for name in bench.names:
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -1,4 +1,4 @@
-"""Array tasks and small gangs beside gangs that wait for room."""
+"""Reservations for waiting gangs, and their effect on array tasks and smaller gangs."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def records(gang_rank: int = 1) -> WatchCache:
-    """A gang that waits at the leader, and an array."""
+    """Return a cache with a gang that waits at the leader and an array assigned to the shard."""
     cache = WatchCache()
     kinds = [
         MachineType(name="large", cpus=16.0, ram_gb=64.0, zones=["a"]),
@@ -53,51 +53,57 @@
 
 
 def demand(cache: WatchCache) -> GangDemand:
-    made = GangDemand(cache)
-    made.update(0.0)
-    return made
+    gang_demand = GangDemand(cache)
+    gang_demand.update(0.0)
+    return gang_demand
 
 
-def view(name: str, size: Resources) -> MachineCapacity:
-    none_wanted = AcceleratorDemand(WatchCache())
+def machine_capacity(name: str, size: Resources) -> MachineCapacity:
+    no_accelerator_demand = AcceleratorDemand(WatchCache())
     return MachineCapacity(
-        MachineId(name), TypeName(name), ZONE, False, size, size, [], 0, none_wanted
+        MachineId(name), TypeName(name), ZONE, False, size, size, [], 0, no_accelerator_demand
     )
 
 
 @pytest.mark.parametrize(
     ("machines", "taken"),
     [
-        # The gang's task leaves one CPU of the large machine.
+        # The slot reserved for a task of the gang leaves one CPU of the large machine.
         ({"large": LARGE, "small": SMALL}, 1 + 8),
-        # Without a smaller machine the array tasks would have nowhere to go, and might starve.
+        # Without a smaller machine no slot is reserved, because array tasks might starve.
         ({"large": LARGE}, 16),
     ],
 )
-def test_the_leader_keeps_slots_for_waiting_gangs_where_array_tasks_have_smaller_machines(
+def test_the_leader_reserves_slots_for_waiting_gangs_if_array_tasks_have_smaller_machines(
     machines: dict[str, Resources], taken: int
 ) -> None:
     cache = records()
-    rooms = ShardCapacity(ZONE, [view(name, size) for name, size in machines.items()])
-    rooms.reserve_idle_slots_for_gangs(demand(cache), 1.0)
-    assert rooms.reserve_up_to(ARRAY_TASKS, ARRAY_TASKS.task_count) == taken
+    capacity = ShardCapacity(
+        ZONE, [machine_capacity(name, size) for name, size in machines.items()]
+    )
+    capacity.reserve_idle_slots_for_gangs(demand(cache), 1.0)
+    assert capacity.reserve_up_to(ARRAY_TASKS, ARRAY_TASKS.task_count) == taken
+
 
+def test_no_slots_are_reserved_for_gangs_that_may_preempt_array_tasks() -> None:
+    gang_demand = demand(records(gang_rank=2))
+    assert gang_demand.reserved_slots(True) == 0.0
+    assert not gang_demand.is_restricted(ARRAY_TASKS)
 
-def test_gangs_that_may_preempt_array_tasks_need_no_slots_kept() -> None:
-    kept = demand(records(gang_rank=2))
-    assert kept.reserved_slots(True) == 0.0
-    assert not kept.is_restricted(ARRAY_TASKS)
 
+def started_tasks(machines: dict[str, str]) -> dict[str, int]:
+    """Return how many array tasks a shard starts on each of its machines.
 
-def launched(machines: dict[str, str]) -> dict[str, int]:
-    """How many array tasks a shard starts on each of its machines, which are of these types."""
+    Args:
+        machines: the machine type of each machine, by machine name.
+    """
     cache = records()
     for n, (name, kind) in enumerate(machines.items()):
         value = {"type": kind, "zone": "a", "spot": False, "machines": {name: "u"}}
         cache.put(MACHINES + name, value, 10 + n)
     scheduler = ShardScheduler(ZONE, FencingToken(50), cache, Estimates(), 0.0, seed=1)
     counts = dict.fromkeys(machines, 0)
-    for turn in (1, 2):
+    for heartbeat_number in (1, 2):
         for name, kind in machines.items():
             heartbeat = Heartbeat(
                 MachineId(name),
@@ -105,85 +111,103 @@
                 IN_ZONE,
                 False,
                 1,
-                turn,
+                heartbeat_number,
                 FencingToken(50),
                 None,
                 "",
                 [],
             )
-            commands = scheduler.handle_heartbeat(float(turn), heartbeat, may_launch=turn == 2)
-            counts[name] += sum(order.kind == "start" for order in commands)
-        scheduler.job_changed(float(turn), JobId("run-array"))
-        scheduler.tick(float(turn))
+            commands = scheduler.handle_heartbeat(
+                float(heartbeat_number), heartbeat, may_launch=heartbeat_number == 2
+            )
+            counts[name] += sum(command.kind == "start" for command in commands)
+        scheduler.job_changed(float(heartbeat_number), JobId("run-array"))
+        scheduler.tick(float(heartbeat_number))
     return counts
 
 
-def test_a_shard_keeps_slots_for_waiting_gangs_where_array_tasks_have_smaller_machines() -> None:
-    assert launched({"vm-large": "large", "vm-small": "small"}) == {"vm-large": 1, "vm-small": 8}
-    assert launched({"vm-large": "large"}) == {"vm-large": 16}
+def test_a_shard_reserves_slots_for_waiting_gangs_if_array_tasks_have_smaller_machines() -> None:
+    assert started_tasks({"vm-large": "large", "vm-small": "small"}) == {
+        "vm-large": 1,
+        "vm-small": 8,
+    }
+    assert started_tasks({"vm-large": "large"}) == {"vm-large": 16}
 
 
 def test_a_gang_reserves_behind_the_smallest_group_that_is_large_enough() -> None:
-    """Small gangs took slots behind the largest, which then stood in pieces that no large gang
-    could hold: under half of the largest began within four minutes."""
-    sixteen = EndGroup(10.0, [view(f"a{n}", LARGE) for n in range(16)])
-    eight = EndGroup(30.0, [view(f"b{n}", LARGE) for n in range(8)])
-    two = EndGroup(5.0, [view(f"c{n}", LARGE) for n in range(2)])
+    """Guards against the fragmentation of the slots that large gangs free.
+
+    When small gangs reserved slots behind the largest running gangs, no large gang found enough
+    slots together: under half of the largest gangs started within four minutes.
+    """
+    sixteen = EndGroup(10.0, [machine_capacity(f"a{n}", LARGE) for n in range(16)])
+    eight = EndGroup(30.0, [machine_capacity(f"b{n}", LARGE) for n in range(8)])
+    two = EndGroup(5.0, [machine_capacity(f"c{n}", LARGE) for n in range(2)])
     groups = [sixteen, eight, two]
     for count, expected in ((16, sixteen), (7, eight), (2, two)):
         assert fit_behind([], groups, count, 20.0) == expected.capacities[:count]
-    # One that ends too late is no place to wait, however well it fits.
+    # A group that ends too late is not chosen, even if its size fits best.
     late = EndGroup(20.0 * ONE_GROUP_LIMIT_FACTOR + 1.0, eight.capacities)
     assert fit_behind([], [sixteen, late], 8, 20.0) == sixteen.capacities[:8]
 
 
 def two_shards(machines: int) -> list[ShardCapacity]:
     return [
-        ShardCapacity(ShardName(zone), [view(f"{zone}{n}", LARGE) for n in range(machines)])
+        ShardCapacity(
+            ShardName(zone), [machine_capacity(f"{zone}{n}", LARGE) for n in range(machines)]
+        )
         for zone in ("a", "b")
     ]
 
 
 def test_one_shard_is_reserved_for_an_overdue_gang_for_a_bounded_time() -> None:
-    rooms, reservation = two_shards(8), ShardReservation()
-    big = spec(6, 15.0, 60.0, is_gang=True)
+    shard_capacities, reservation = two_shards(8), ShardReservation()
+    gang = spec(6, 15.0, 60.0, is_gang=True)
 
-    def open_after(wall_time: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
-        """How many shards are open to the gangs after one that found no room, in a new pass."""
+    def open_after_two_requests(
+        wall_time: float, waited: float, candidates: list[ShardCapacity] = shard_capacities
+    ) -> int:
+        """Request twice in a new pass; return how many shards remain open to the next gangs."""
         reservation.begin()
-        assert reservation.open_shards(rooms) == rooms  # to the gangs before it, all
-        reservation.request(wall_time, big, waited, of, 20.0)
-        reservation.request(wall_time, big, OVERDUE_S, of[::-1], 20.0)  # one shard at a time
-        return len(reservation.open_shards(rooms))
-
-    def alone(wall_time: float, waited: float, of: list[ShardCapacity] = rooms) -> int:
+        # Before the first request of the pass, all shards are open.
+        assert reservation.open_shards(shard_capacities) == shard_capacities
+        reservation.request(wall_time, gang, waited, candidates, 20.0)
+        # The second request has no effect, because at most one shard is reserved.
+        reservation.request(wall_time, gang, OVERDUE_S, candidates[::-1], 20.0)
+        return len(reservation.open_shards(shard_capacities))
+
+    def open_after_request(
+        wall_time: float, waited: float, candidates: list[ShardCapacity] = shard_capacities
+    ) -> int:
         reservation.begin()
-        reservation.request(wall_time, big, waited, of, 20.0)
-        return len(reservation.open_shards(rooms))
-
-    assert alone(0.0, OVERDUE_S - 1.0) == 2
-    assert alone(0.0, MAX_OVERDUE_S) == 2  # so late that others go first
-    assert alone(0.0, OVERDUE_S, two_shards(5)) == 2  # no shard will ever hold all of it
-    assert open_after(0.0, OVERDUE_S) == 1
-    # One that helps goes on; one that does not ends, and for a while there is none: idle slots
-    # are not kept for ever.
-    assert open_after(MAX_RESERVATION_S - 1.0, OVERDUE_S) == 1
+        reservation.request(wall_time, gang, waited, candidates, 20.0)
+        return len(reservation.open_shards(shard_capacities))
+
+    assert open_after_request(0.0, OVERDUE_S - 1.0) == 2
+    # A gang that has waited for this long no longer holds up other gangs.
+    assert open_after_request(0.0, MAX_OVERDUE_S) == 2
+    # No shard could hold the whole gang.
+    assert open_after_request(0.0, OVERDUE_S, two_shards(5)) == 2
+    assert open_after_two_requests(0.0, OVERDUE_S) == 1
+    # The placement of a gang in the shard extends the reservation. Without one it ends, and during
+    # a cool-down there is no reservation, so that other gangs can use the idle slots.
+    assert open_after_two_requests(MAX_RESERVATION_S - 1.0, OVERDUE_S) == 1
     reservation.begin()
     reservation.record_placement(MAX_RESERVATION_S, {ShardName("a")})
-    reservation.request(MAX_RESERVATION_S, big, OVERDUE_S, rooms, 20.0)
-    assert open_after(2 * MAX_RESERVATION_S - 1.0, OVERDUE_S) == 1
-    assert open_after(2 * MAX_RESERVATION_S, OVERDUE_S) == 2
-    assert open_after(2 * MAX_RESERVATION_S + COOLDOWN_S - 0.1, OVERDUE_S) == 2
-    assert open_after(2 * MAX_RESERVATION_S + COOLDOWN_S, OVERDUE_S) == 1
+    reservation.request(MAX_RESERVATION_S, gang, OVERDUE_S, shard_capacities, 20.0)
+    assert open_after_two_requests(2 * MAX_RESERVATION_S - 1.0, OVERDUE_S) == 1
+    assert open_after_two_requests(2 * MAX_RESERVATION_S, OVERDUE_S) == 2
+    assert open_after_two_requests(2 * MAX_RESERVATION_S + COOLDOWN_S - 0.1, OVERDUE_S) == 2
+    assert open_after_two_requests(2 * MAX_RESERVATION_S + COOLDOWN_S, OVERDUE_S) == 1
 
 
 @pytest.mark.parametrize(
     ("waited", "placed"), [(5.0, [{"run-small0"}, {"run-small1"}]), (95.0, [set(), set()])]
 )
-def test_slots_that_become_idle_two_at_a_time_come_together_for_an_overdue_gang(
+def test_slots_that_become_idle_two_at_a_time_are_reserved_until_an_overdue_gang_fits(
     waited: float, placed: list[set[str]]
 ) -> None:
-    """Against the leader's real passes: the large gang needs six slots, small ones two."""
+    """Planning passes of the leader, with a large gang of six slots and small gangs of two."""
     cache = WatchCache()
     cache.put(TYPES, encode_machine_types([KIND]), 1)
     cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, 2)
@@ -195,8 +219,8 @@
         record = JobRecord(spec(tasks, 4.0, 10.0, is_gang=True), at)
         cache.put(JOBS + job, record.dump(), 100 + n)
 
-    def a_pass(number: int, idle: int) -> set[str]:
-        """The gangs that get a place when so many machines are idle; it is written."""
+    def run_pass(number: int, idle: int) -> set[str]:
+        """Run a pass with `idle` idle machines, store its placements, return the placed gangs."""
         now = waited + number
         busy = [(now + 1000.0, 4.0, 0.0, 1.0, 1, "")]
         machines = {
@@ -207,35 +231,38 @@
         }
         status = shard_status(machines, number, now)
         scheduler.receive_shard_status(now, status)
-        found = set()
+        placed_jobs = set()
         for change in scheduler.plan(now, now):
             if change.key.startswith(JOBS) and change.value.get("gang"):
-                found.add(change.key.removeprefix(JOBS))
+                placed_jobs.add(change.key.removeprefix(JOBS))
                 cache.put(change.key, change.value, 200 + number)
-        return found
+        return placed_jobs
 
-    # What was placed in a pass keeps its two machines busy in the next.
-    steps = [a_pass(1, 2), a_pass(2, 2 if placed[0] else 4)]
+    # A gang that is placed in the first pass keeps its two machines busy in the second.
+    steps = [run_pass(1, 2), run_pass(2, 2 if placed[0] else 4)]
     assert steps == placed
     if not placed[0]:
-        assert a_pass(3, 6) == {"run-big"}
+        assert run_pass(3, 6) == {"run-big"}
+
 
+def test_finished_gangs_are_dropped_and_live_gangs_are_counted_once() -> None:
+    """Guards against repeated counts of the oldest gangs.
 
-def test_gangs_that_are_over_are_forgotten_and_those_that_live_are_counted_once() -> None:
-    """However many live at once: a fixed number of them counted the oldest again and again."""
-    cache, made = WatchCache(), GangDemand(WatchCache())
-    made.cache = cache
-    made.update(0.0)
+    They occurred when only a fixed number of gangs was remembered and more were live.
+    """
+    cache, gang_demand = WatchCache(), GangDemand(WatchCache())
+    gang_demand.cache = cache
+    gang_demand.update(0.0)
     for n in range(6000):
         cache.put(f"{JOBS}run-{n}", JobRecord(GANG, 0.0).dump(), n + 1)
-    made.update(1.0)
-    counted = made._decayed_arrivals
-    made.update(1.0)
-    assert made._decayed_arrivals == counted
-    assert len(made._seen) == 6000
+    gang_demand.update(1.0)
+    counted = gang_demand._decayed_arrivals
+    gang_demand.update(1.0)
+    assert gang_demand._decayed_arrivals == counted
+    assert len(gang_demand._seen) == 6000
     for n in range(6000):
-        over = JobRecord(GANG, 0.0)
-        over.stage = DONE
-        cache.put(f"{JOBS}run-{n}", over.dump(), 6001 + n)
-    made.update(2.0)
-    assert not made._seen
+        finished = JobRecord(GANG, 0.0)
+        finished.stage = DONE
+        cache.put(f"{JOBS}run-{n}", finished.dump(), 6001 + n)
+    gang_demand.update(2.0)
+    assert not gang_demand._seen
--- a/tests/unit/test_watch_cache.py
+++ b/tests/unit/test_watch_cache.py
@@ -1,6 +1,6 @@
-"""The watch cache against a slow plain model, whatever the order in which it learns of changes.
+"""The watch cache, compared with a simple model while updates arrive in any order.
 
-The model keeps every fact that was ever delivered and looks for the newest one of a key each time.
+The model stores every delivered version of each key and searches for the newest one when asked.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 SPEC = JobSpec("x", "red", False, 1, 2, 1.0, 0.0, 1.0, "img", 1.0, 5.0)
 PRIORITIES = {"none": 0, OPEN: 1, DONE: 2, CANCELLED: 2}
 
-ConditionalWrite = tuple[int, str, Any]  # the revision, the key, and its value or None
+RecordedChange = tuple[int, str, Any]  # revision, key, value (None if the key was removed)
 
 
 def job_value(stage: str) -> Any:
@@ -33,10 +33,10 @@
 
 
 class History:
-    """What happened in the state service: every change, in order."""
+    """All changes in the state service, in order."""
 
     def __init__(self) -> None:
-        self.changes: list[ConditionalWrite] = []
+        self.changes: list[RecordedChange] = []
 
     @property
     def revision(self) -> int:
@@ -47,7 +47,7 @@
         return self.revision
 
     def at(self, revision: int) -> dict[str, tuple[Any, int]]:
-        """All keys as they were after a change."""
+        """The value and version of each key at a revision."""
         found: dict[str, tuple[Any, int]] = {}
         for number, key, value in self.changes[:revision]:
             if value is None:
@@ -62,7 +62,7 @@
 
 
 class Listing:
-    """A full listing under way: two pages, the second read later than the first."""
+    """A full listing in progress, with two pages of which the second is read later."""
 
     def __init__(self, history: History) -> None:
         self.first = history.revision
@@ -82,11 +82,11 @@
         self.cache = WatchCache()
         self.answers: list[tuple[list[Event], int]] = []
         self.listings: list[Listing] = []
-        self.facts: dict[str, list[tuple[int, Any]]] = {}  # all that was delivered, by key
+        self.facts: dict[str, list[tuple[int, Any]]] = {}  # all delivered versions, by key
         self.told: dict[JobId, int] = {}
         self.seen: dict[JobId, str] = {}
 
-    # What happens in the state service
+    # Changes in the state service
 
     @rule(job_id=st.sampled_from(JOB_IDS), stage=st.sampled_from([OPEN, OPEN, DONE, CANCELLED]))
     def job_changes(self, job_id: JobId, stage: str) -> None:
@@ -94,16 +94,16 @@
         if before == "none":
             stage = OPEN
         elif before != OPEN:
-            stage = before  # what may still be there is cleared; the stage stays
+            stage = before  # later changes of a finished job keep its stage
         self.history.change(JOBS + job_id, job_value(stage))
 
     @rule(key=st.sampled_from(PROVISIONING_REQUEST_KEYS))
-    def booking_comes_or_goes(self, key: str) -> None:  # rules' names decide what is drawn
+    def booking_comes_or_goes(self, key: str) -> None:  # the names of rules affect the random draws
         there = key in self.history.at(self.history.revision)
         value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
         self.history.change(key, None if there else value)
 
-    # What the watch cache learns, and when
+    # Updates of the watch cache
 
     @rule()
     def watch_is_answered(self) -> None:
@@ -176,7 +176,7 @@
     def learn(self, key: str, version: int, value: Any) -> None:
         self.facts.setdefault(key, []).append((version, value))
 
-    # What must hold at any time
+    # Invariants
 
     def newest(self, key: str) -> Any:
         """The model: the newest fact delivered of a key."""
@@ -228,7 +228,11 @@
 
 
 def test_an_older_removal_does_not_bring_a_removed_key_back() -> None:
-    """A controller's own removal is known done before the watch tells of an earlier one."""
+    """Guards against a removed key that reappears.
+
+    A controller applies its own removal to the cache at once. The watch then delivers earlier
+    changes of the key, an older removal among them.
+    """
     cache, key = WatchCache(), PROVISIONING_REQUEST_KEYS[0]
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
     cache.remove(key, 4)
--- a/tests/unit/test_work_scaling.py
+++ b/tests/unit/test_work_scaling.py
@@ -1,6 +1,6 @@
-"""Work is counted, not timed: what a heartbeat, a status and a pass cost as a deployment grows.
+"""How the cost of a heartbeat, a status and a planning pass grows with the deployment.
 
-A count is the number of function calls that Python makes, which repeats exactly.
+The cost is measured as the number of Python function calls, which is reproducible unlike time.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def heartbeat_cost(bench: Bench) -> int:
-    # A slot with a queue, at both sizes: stealing looks at the jobs that wait.
+    # The slot has a queue at both sizes, because work stealing inspects the waiting jobs.
     name, task = next(
         (m.id, slot.current)
         for m in reversed(bench.scheduler.machines.values())
@@ -38,12 +38,12 @@
     return calls(lambda: bench.heartbeat(name, 3.0, {task}))
 
 
-def test_a_heartbeat_costs_what_its_machine_runs_not_what_the_shard_does() -> None:
+def test_the_cost_of_a_heartbeat_does_not_grow_with_the_shard() -> None:
     small, large = (heartbeat_cost(busy_shard(n)) for n in (40, 400))
     assert large < 1.5 * small + 50
 
 
-def test_a_status_tells_only_what_changed_since_the_confirmed_one() -> None:
+def test_a_status_contains_only_changes_since_the_confirmed_one() -> None:
     def size(machines: int) -> tuple[int, int]:
         bench = busy_shard(machines)
         first = bench.scheduler.status(3.0)
@@ -58,39 +58,41 @@
     assert large < small + 500
 
 
-def test_a_lost_status_is_made_up_for_by_the_next() -> None:
-    """Only a confirmed status is a base, so what a lost one told is told again."""
+def test_the_changes_in_a_lost_status_are_sent_again_with_the_next() -> None:
+    """A status is incremental to the last confirmed one, so it repeats the changes of lost ones."""
     bench = busy_shard(20)
     leader = leader_of(bench, 1.0)
     confirmed = leader.receive_shard_status(3.0, bench.scheduler.status(3.0))
     one, two = bench.names[-1], bench.names[-2]
     bench.heartbeat(one, 3.5, {next(iter(bench.on[one]))})
-    bench.scheduler.status(3.6, confirmed)  # never arrives
+    bench.scheduler.status(3.6, confirmed)  # lost
     bench.heartbeat(two, 3.7, {next(iter(bench.on[two]))})
     leader.receive_shard_status(3.8, bench.scheduler.status(3.8, confirmed))
     shard = next(iter(leader.shards.values()))
 
-    def rooms(machines: dict[Any, Any]) -> dict[Any, Any]:
+    def free_and_ends(machines: dict[Any, Any]) -> dict[Any, Any]:
         return {m: (body.free, len(body.ends)) for m, body in machines.items()}
 
-    assert rooms(shard.machines) == rooms(bench.scheduler.status(3.8).machines)
-    # A leader that has nothing can't use an incremental status, and says so.
+    assert free_and_ends(shard.machines) == free_and_ends(bench.scheduler.status(3.8).machines)
+    # A leader without the base status rejects an incremental status by confirming number 0.
     fresh = leader_of(bench, 4.0)
     assert fresh.receive_shard_status(4.0, bench.scheduler.status(4.0, confirmed)) == 0
     assert fresh.receive_shard_status(4.1, bench.scheduler.status(4.1)) > 0
-    assert rooms(next(iter(fresh.shards.values())).machines) == rooms(shard.machines)
+    assert free_and_ends(next(iter(fresh.shards.values())).machines) == free_and_ends(
+        shard.machines
+    )
 
 
 def test_a_pass_costs_little_more_for_each_gang_that_waits() -> None:
-    """Gangs that are alike are looked at once: machines times gangs was the cost before."""
+    """Guards against a cost of machines times gangs: equal gangs are evaluated once per pass."""
 
     def cost(machines: int, gangs: int) -> int:
         bench = busy_shard(machines)
         leader = leader_of(bench, 3.0)
         leader.receive_shard_status(3.0, bench.scheduler.status(3.0))
         for n in range(gangs):
-            asked = JobRecord(spec(machines * 4, 4.0, 30.0, is_gang=True), 3.0)
-            bench.put(f"dw/j/run-w{n}", asked.dump())
+            gang = JobRecord(spec(machines * 4, 4.0, 30.0, is_gang=True), 3.0)
+            bench.put(f"dw/j/run-w{n}", gang.dump())
         leader.plan(3.0, 3.0)
         return calls(lambda: leader.plan(3.2, 3.2))
 
@@ -99,7 +101,11 @@
 
 
 def test_a_group_of_machines_is_one_record_that_changes_machine_by_machine() -> None:
-    """A write for each machine that came up used the whole budget for a minute at the start."""
+    """Machines are stored in groups because of the write budget.
+
+    With one write for each machine that finished booting, a starting deployment used the whole
+    budget for a minute.
+    """
     cache = WatchCache()
     cache.put(TYPES, encode_machine_types([KIND]), 1)
     group = {"type": "k", "zone": "a", "spot": False}
@@ -121,28 +127,33 @@
     assert not cache.group_of
 
 
-def test_transactions_stay_within_what_the_state_service_takes() -> None:
-    """Sixteen records of large arrays were more than a transaction holds, and were refused
-    again with every pass."""
+def test_transactions_stay_within_the_limits_of_the_state_service() -> None:
+    """Guards against writes that are rejected with every pass.
+
+    Sixteen records of large arrays exceeded the maximum size of a transaction.
+    """
     limits = standins.settings("n0").deployment.state
     kb = 1024
     sizes = [5 * kb] * 40 + [int(limits.value_kb * kb) + 1] + [100] * 40
-    cut = list(split_into_transactions(sizes, lambda size: size, limits))
-    assert sum(len(batch) for batch in cut) == 80
-    assert all(len(batch) <= limits.txn_ops and sum(batch) <= 48 * kb for batch in cut)
+    batches = list(split_into_transactions(sizes, lambda size: size, limits))
+    assert sum(len(batch) for batch in batches) == 80
+    assert all(len(batch) <= limits.txn_ops and sum(batch) <= 48 * kb for batch in batches)
 
 
 def test_the_largest_arrays_record_fits_with_scattered_done_tasks() -> None:
-    asked = replace(spec(2000, 1.0, 30.0), job_class="b" * 60, image="i" * 60)
-    record = JobRecord(asked, 1.0)
+    job_spec = replace(spec(2000, 1.0, 30.0), job_class="b" * 60, image="i" * 60)
+    record = JobRecord(job_spec, 1.0)
     record.done = set(range(0, 2000, 2))
     record.assignments = {"zone-a": set(range(1, 2000, 4)), "zone-b": set(range(3, 2000, 4))}
     assert len(msgspec.json.encode(record.dump())) < 16 * 1024
 
 
 def test_a_reserved_gang_that_waits_on_preempts_array_tasks_of_lower_priority() -> None:
-    """Its slots were chosen to be idle soon, by estimates that were too low: it waited for
-    minutes while it could have had them at once."""
+    """Guards against a gang that waits for minutes although it could preempt.
+
+    Its slots were chosen because they were expected to become idle soon, but the run time estimates
+    of their tasks were too low.
+    """
     bench = Bench(2)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
@@ -168,16 +179,16 @@
     first = placed(2.0)
     assert first is not None
     assert not first.preempt
-    waits = [placed(now) for now in (3.0, 4.0, 6.0, 8.0)]
-    assert [w is not None and w.preempt for w in waits] == [False, False, False, True]
-    assert waits[-1] is not None
-    assert waits[-1].attempt == first.attempt
+    later_placements = [placed(now) for now in (3.0, 4.0, 6.0, 8.0)]
+    assert [w is not None and w.preempt for w in later_placements] == [False, False, False, True]
+    assert later_placements[-1] is not None
+    assert later_placements[-1].attempt == first.attempt
     stops = [o for name in bench.names for o in bench.heartbeat(name, 9.0) if o.kind == "stop"]
     assert len(stops) == 8
 
 
 def test_rented_machines_are_written_before_their_provisioning_request_ends() -> None:
-    """A pass that the write budget cut off in between lost sight of them."""
+    """Guards against lost machines if the write budget cuts off a pass between the two writes."""
     bench = Bench(0)
     provisioning_request = {"type": "k", "zone": "a", "spot": False, "count": 2, "at": 0.0}
     bench.put("dw/b/r-9-1", provisioning_request)
@@ -190,17 +201,20 @@
 
 
 def test_work_without_aims_lets_gangs_with_some_go_first_but_not_for_ever() -> None:
-    """Long array tasks of which users expect nothing took each room before it was large enough
-    for a gang: gangs waited 233 s at the median, those array tasks 78 s."""
+    """Gangs with a wait objective have precedence over work without one, for a bounded time.
+
+    Long array tasks without an objective used free slots before there were enough for a gang: the
+    median wait was 233 s for gangs and 78 s for those array tasks.
+    """
     bench = Bench(2)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
-    told = standins.settings("n0")
-    told.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
+    settings = standins.settings("n0")
+    settings.deployment.objectives = [Objective(kind="wait", class_="gangs", within_s=10.0)]
     bench.cache.put("dw/p/a", {"owner": "n0", "boot": "x"}, int(bench.scheduler.token))
-    leader = LeaderPlanner(bench.cache, told, Estimates(), FencingToken(9), 0.0)
-    waits = replace(spec(9, 4.0, 30.0, is_gang=True), job_class="gangs")
-    bench.put("dw/j/run-g", JobRecord(waits, 0.0).dump())
+    leader = LeaderPlanner(bench.cache, settings, Estimates(), FencingToken(9), 0.0)
+    gang = replace(spec(9, 4.0, 30.0, is_gang=True), job_class="gangs")
+    bench.put("dw/j/run-g", JobRecord(gang, 0.0).dump())
     bench.put("dw/j/run-s", JobRecord(spec(2, 1.0, 100.0), 0.0).dump())
 
     def assigned(now: float) -> bool:
@@ -212,20 +226,23 @@
 
 
 def test_gangs_wait_for_plain_machines_that_are_coming() -> None:
-    """While a deployment starts, gangs of high priority took the machines with accelerators, which
-    were up a few seconds sooner, and kept most accelerators idle for minutes."""
+    """Guards against gangs without accelerators on machines with accelerators.
+
+    In a starting deployment, the machines with accelerators finished booting a few seconds earlier.
+    Gangs of high priority used them and kept most accelerators idle for minutes.
+    """
     kinds = [KIND, MachineType(name="g", cpus=4.0, gpus=2.0, ram_gb=64.0, zones=["a"])]
     bench = Bench(0)
     bench.put(TYPES, encode_machine_types(kinds))
     bench.put("dw/m/r-1", {"type": "g", "zone": "a", "spot": False, "machines": {"vm-1": "u"}})
     bench.put("dw/m/r-2", {"type": "k", "zone": "a", "spot": False, "machines": {"vm-2": "b9"}})
     bench.scheduler = ShardScheduler(ZONE, bench.scheduler.token, bench.cache, Estimates(), 0.0)
-    said = Heartbeat(
+    heartbeat = Heartbeat(
         MachineId("vm-1"), TypeName("g"), IN_ZONE, False, 1, 1, bench.scheduler.token, None, "", []
     )
-    bench.scheduler.handle_heartbeat(9.0, said, True)
-    scans = replace(spec(9, 2.0, 30.0), gpus=1.0, types=["g"])
-    bench.put("dw/j/run-s", JobRecord(scans, 9.0).dump())
+    bench.scheduler.handle_heartbeat(9.0, heartbeat, True)
+    accelerator_job = replace(spec(9, 2.0, 30.0), gpus=1.0, types=["g"])
+    bench.put("dw/j/run-s", JobRecord(accelerator_job, 9.0).dump())
     gang = replace(spec(1, 3.0, 30.0, is_gang=True), priority=2)
     bench.put("dw/j/run-g", JobRecord(gang, 9.0).dump())
     leader = leader_of(bench, 9.0)
@@ -240,8 +257,8 @@
     assert placed(11.0)
 
 
-def test_coming_back_costs_the_same_for_each_record_and_machine_at_any_size() -> None:
-    """Reading all records back, rebuilding a shard, and the first heartbeat of each machine."""
+def test_the_recovery_cost_per_record_and_machine_is_the_same_at_any_size() -> None:
+    """Recovery reads all records, rebuilds a shard, and handles a first heartbeat per machine."""
 
     def cost(size: int) -> list[float]:
         items: dict[str, tuple[Any, int]] = {TYPES: (encode_machine_types([KIND]), 1)}
@@ -254,25 +271,25 @@
             record.assignments = {"a": {0, 1, 2, 3}}
             items[f"dw/j/run-{n}"] = (record.dump(), 3)
         cache = WatchCache()
-        read = calls(lambda: cache.reload(items, 4))
+        reload_calls = calls(lambda: cache.reload(items, 4))
         shard_schedulers: list[ShardScheduler] = []
 
         def rebuild() -> None:
             shard_schedulers.append(ShardScheduler(ZONE, FencingToken(5), cache, Estimates(), 0.0))
 
-        rebuilt = calls(rebuild)
+        rebuild_calls = calls(rebuild)
 
-        def hear() -> None:
+        def send_heartbeats() -> None:
             for name in names:
-                said = Heartbeat(
+                heartbeat = Heartbeat(
                     name, TypeName("k"), IN_ZONE, False, 1, 1, FencingToken(5), None, "", []
                 )
-                shard_schedulers[0].handle_heartbeat(1.0, said, True)
+                shard_schedulers[0].handle_heartbeat(1.0, heartbeat, True)
 
-        heard = calls(hear)
+        heartbeat_calls = calls(send_heartbeats)
         assert not shard_schedulers[0].unreconciled
         assert len(shard_schedulers[0].queues.unqueued) > 0
-        return [count / size for count in (read, rebuilt, heard)]
+        return [count / size for count in (reload_calls, rebuild_calls, heartbeat_calls)]
 
     for small, large in zip(cost(100), cost(800), strict=True):
         assert large < 1.2 * small + 5
