--- a/tests/tools/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -42,7 +42,7 @@
     present: str | None
 
 
-class Trace(NamedTuple):
+class TraceSummary(NamedTuple):
     """The length of a trace and its SHA-256."""
 
     events: int
@@ -64,13 +64,13 @@
     return None
 
 
-def measure(path: Path) -> Trace:
+def summarize_trace(path: Path) -> TraceSummary:
     """Count a trace's events and give its digest."""
     data = path.read_bytes()
-    return Trace(data.count(b"\n"), hashlib.sha256(data).hexdigest())
+    return TraceSummary(data.count(b"\n"), hashlib.sha256(data).hexdigest())
 
 
-def report(day: str, found: Difference) -> str:
+def format_difference(day: str, found: Difference) -> str:
     """A difference as text: both events, from where they differ on if they are long."""
     one, other = found.base, found.present
     pairs = enumerate(zip(one or "", other or "", strict=False))
@@ -214,9 +214,9 @@
                 for day, (base, present) in plays.items():
                     found = first_difference(base.result(), present.result())
                     if found is not None:
-                        print(report(day, found))
+                        print(format_difference(day, found))
                         return 1
-                    measured = measure(base.result())
+                    measured = summarize_trace(base.result())
                     if not measured.events:
                         raise ComparisonError(f"{day}: nothing was recorded")
                     events += measured.events
--- a/tests/unit/test_compare_behaviour.py
+++ b/tests/unit/test_compare_behaviour.py
@@ -13,9 +13,9 @@
     ROOT,
     Difference,
     first_difference,
-    measure,
-    report,
+    format_difference,
     run_tool,
+    summarize_trace,
 )
 
 EVENTS = [
@@ -32,8 +32,8 @@
 def test_equal_traces_are_equal(tmp_path: Path) -> None:
     base, present = written(tmp_path / "base", EVENTS), written(tmp_path / "present", EVENTS)
     assert first_difference(base, present) is None
-    assert measure(base) == measure(present)
-    assert measure(base).events == len(EVENTS)
+    assert summarize_trace(base) == summarize_trace(present)
+    assert summarize_trace(base).events == len(EVENTS)
 
 
 @pytest.mark.parametrize(
@@ -57,14 +57,14 @@
     assert found.before == EVENTS[max(0, line - 5) : line - 1]
     assert found.base == (EVENTS[line - 1] if line <= len(EVENTS) else None)
     assert found.present == (changed[line - 1] if line <= len(changed) else None)
-    text = report("quiet", found)
+    text = format_difference("quiet", found)
     assert f"quiet: the traces differ at line {line}" in text
     assert ("(the trace has ended)" in text) is (None in (found.base, found.present))
 
 
 def test_a_difference_far_into_a_long_event_is_shown() -> None:
     one, other = "x" * 9000 + "one\n", "x" * 9000 + "other\n"
-    lines = report("quiet", Difference(1, [], one, other)).splitlines()
+    lines = format_difference("quiet", Difference(1, [], one, other)).splitlines()
     assert lines[-2].endswith("xone")
     assert lines[-1].endswith("xother")
 
@@ -85,7 +85,7 @@
     for side in HASH_SEEDS:
         out = tmp_path / f"{side}.jsonl"
         run_tool(ROOT, side, tmp_path / "cache", "--play", "odd-requests", "--out", str(out))
-        traces.append(measure(out))
+        traces.append(summarize_trace(out))
     assert traces[0] == traces[1]
     assert traces[0].events > 100
     assert len(set(HASH_SEEDS.values())) == 2
