--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -1,4 +1,7 @@
-"""The scenarios that `tests/tools/compare_behaviour.py` plays, under fixed names."""
+"""The scenarios that `tests/tools/compare_behaviour.py` runs.
+
+Their names are compared between versions, so they must not change.
+"""
 
 from __future__ import annotations
 
@@ -26,65 +29,79 @@
 from support.answer_scenarios import play_answers
 from support.shard_bench import TOKEN, busy_shard, leader_of
 
-Play = Callable[[], Any]
+ScenarioRun = Callable[[], Any]
+
 
+def job_polling(seed: int, jobs: int) -> ScenarioRun:
+    """Many users poll short jobs during compound failures.
 
-def answers(seed: int, jobs: int) -> Play:
-    """Many users ask about short jobs during compound failures; limits are lowered on odd seeds."""
+    With an odd seed the state service also lowers its limits during the run.
+    """
     return lambda: play_answers(seed, jobs)
 
 
-def single_fault(kind: scenarios.Fault, seed: int) -> Play:
-    """Gangs and arrays of users, and one kind of failure."""
+def single_fault(kind: scenarios.Fault, seed: int) -> ScenarioRun:
+    """Users submit gangs and arrays while one kind of failure occurs."""
     return lambda: scenarios.play(kind, seed)
 
 
-def layout(count: int, zones: list[str], kind: scenarios.Fault, seed: int) -> Play:
-    """Another number of controllers and of zones."""
+def cluster_layout(count: int, zones: list[str], kind: scenarios.Fault, seed: int) -> ScenarioRun:
+    """A single kind of failure with the given number of controllers and the given zones."""
     return lambda: scenarios.play(kind, seed, world=World(seed, count, zones))
 
 
-def compound(script: scenarios.Script, seed: int, length: float) -> Play:
-    """Compound failures."""
+def compound_failure(script: scenarios.Script, seed: int, length: float) -> ScenarioRun:
+    """Overlapping failures, as the script of a compound scenario injects them."""
     return lambda: scenarios.play_scenario(script, seed, length)
 
 
-def service(fault: services.Script) -> Play:
-    """Services with batch work beside them, and one kind of failure."""
+def service_fault(fault: services.Script) -> ScenarioRun:
+    """Services run beside batch jobs while one kind of failure occurs."""
     return lambda: services.test_services_recover_from_every_fault(fault)
 
 
-def roll(fault: rolls.Fault, seed: int) -> Play:
-    """Controllers of production are replaced by this version; then the limits fall."""
+def rolling_upgrade(fault: rolls.Fault, seed: int) -> ScenarioRun:
+    """Controllers are upgraded from the production version to this version.
+
+    The state service lowers its limits after the upgrade.
+    """
     return lambda: rolls.play_roll(production.load(), fault, seed)
 
 
-def roll_with_services(fault: rolls.Fault, seed: int, lowered_after: float) -> Play:
-    """The same from a version that has services: the limits fall in the middle of the roll."""
+def rolling_upgrade_with_services(
+    fault: rolls.Fault, seed: int, lowered_after: float
+) -> ScenarioRun:
+    """Controllers are upgraded from the previous main version, which already runs services.
+
+    The state service lowers its limits `lowered_after` seconds after the start, in mid-upgrade.
+    """
     return lambda: rolls.play_roll(
         production.load_commit(production.PREVIOUS_MAIN), fault, seed, lowered_after=lowered_after
     )
 
 
-def move(seed: int, kind: str, roles: list[str], after: float) -> Play:
-    """Machines move between partitions while controllers fail."""
+def transfer_fault(seed: int, kind: str, roles: list[str], after: float) -> ScenarioRun:
+    """Machines move between partitions while the controllers in the given roles fail."""
     return lambda: partition_faults.play_fault(seed, kind, roles, after)
 
 
-def moves_and(fault: partition_moves.Script, moved_on: bool) -> Play:
+def fault_during_transfers(fault: partition_moves.Script, second_transfer: bool) -> ScenarioRun:
     """Machines move between partitions while services, machines or controllers fail."""
     return lambda: partition_faults.test_faults_of_services_and_machines_while_machines_move(
-        fault, moved_on
+        fault, second_transfer
     )
 
 
-def drawn_moves(seed: int) -> Play:
-    """Any moves between partitions with any faults."""
+def random_transfers(seed: int) -> ScenarioRun:
+    """Machines move between random partitions while random faults occur."""
     return lambda: partition_faults.test_random_moves_and_faults(seed)
 
 
-def large_shard() -> None:
-    """A shard with full machines: its status, and the results of a heartbeat, a tick and a plan."""
+def run_large_shard() -> None:
+    """Record the messages of a shard whose machines are fully occupied.
+
+    Each step sends a shard status to the leader, plans, handles heartbeats and runs a tick.
+    """
     bench = busy_shard(60)
     leader = leader_of(bench, 2.6)
     for step in range(12):
@@ -99,14 +116,14 @@
         bench.scheduler.tick(at + 0.5)
 
 
-SCENARIOS: dict[str, Play] = {
+SCENARIOS: dict[str, ScenarioRun] = {
     # Random failures of controllers, their network and the state service
-    "answers-1": answers(1, 14),
-    "answers-2": answers(2, 14),
-    "answers-3": answers(3, 20),
-    "answers-4": answers(4, 20),
-    "answers-5": answers(5, 30),
-    "answers-6": answers(6, 30),
+    "answers-1": job_polling(1, 14),
+    "answers-2": job_polling(2, 14),
+    "answers-3": job_polling(3, 20),
+    "answers-4": job_polling(4, 20),
+    "answers-5": job_polling(5, 30),
+    "answers-6": job_polling(6, 30),
     # One kind of failure each, of controllers, services, machines and zones
     "quiet": single_fault(faults.quiet, 1),
     "all-killed": single_fault(faults.all_crash, 1),
@@ -129,49 +146,49 @@
     "everything": single_fault(faults.everything, 2),
     "drawn-11": single_fault(faults.drawn, 11),
     "drawn-14": single_fault(faults.drawn, 14),
-    "five-controllers": layout(5, ["a", "b", "c"], faults.quick_restarts, 31),
-    "one-controller": layout(1, ["a", "b"], faults.bad_machines, 32),
+    "five-controllers": cluster_layout(5, ["a", "b", "c"], faults.quick_restarts, 31),
+    "one-controller": cluster_layout(1, ["a", "b"], faults.bad_machines, 32),
     # Compound failures
-    "gap-told": compound(cancellations.gap("owner", False), 1, 200.0),
-    "gap-lost": compound(cancellations.gap("both", True, True), 2, 200.0),
-    "late-writes": compound(leadership.many_late_writes, 1, 200.0),
-    "all-away": compound(failure_pairs.all_away, 1, 250.0),
-    "limit-and-cancellation": compound(failure_pairs.limit_and_cancellation, 1, 250.0),
+    "gap-told": compound_failure(cancellations.gap("owner", False), 1, 200.0),
+    "gap-lost": compound_failure(cancellations.gap("both", True, True), 2, 200.0),
+    "late-writes": compound_failure(leadership.many_late_writes, 1, 200.0),
+    "all-away": compound_failure(failure_pairs.all_away, 1, 250.0),
+    "limit-and-cancellation": compound_failure(failure_pairs.limit_and_cancellation, 1, 250.0),
     "close-looks": lambda: compound_failures.played_close_looks(1, 0.25),
-    "kept-reports": compound(compound_failures.kept_for_the_next_leader, 1, 200.0),
-    "up-at-once": compound(compound_failures.up_at_once, 1, 200.0),
-    "handover-cancelled": compound(compound_failures.cancelled_in_a_handover, 1, 200.0),
+    "kept-reports": compound_failure(compound_failures.kept_for_the_next_leader, 1, 200.0),
+    "up-at-once": compound_failure(compound_failures.up_at_once, 1, 200.0),
+    "handover-cancelled": compound_failure(compound_failures.cancelled_in_a_handover, 1, 200.0),
     "odd-requests": requests.test_invalid_requests_get_the_protocols_answer_also_in_an_outage,
     # Services
-    "services-all-killed": service(faults.all_crash),
-    "services-bad-machines": service(faults.bad_machines),
+    "services-all-killed": service_fault(faults.all_crash),
+    "services-bad-machines": service_fault(faults.bad_machines),
     "services-answered": services.test_services_are_answered_like_any_job_and_never_done,
-    # A roll from production, and limits that are lowered
-    "roll": roll(rolls.nothing, 1),
-    "roll-all-killed": roll(rolls.all_killed, 2),
-    "roll-limits-fall": roll_with_services(rolls.leaders_in_turn, 1, 40.0),
+    # Rolling upgrades, and lowered limits of the state service
+    "roll": rolling_upgrade(rolls.nothing, 1),
+    "roll-all-killed": rolling_upgrade(rolls.all_killed, 2),
+    "roll-limits-fall": rolling_upgrade_with_services(rolls.leaders_in_turn, 1, 40.0),
     "chunks": lambda: upgrade.test_arrays_in_chunks_keep_the_rules_under_every_fault(
         faults.quick_restarts, 1
     ),
     "limits-fall": lambda: upgrade.test_the_limits_may_fall_while_records_are_cut(1),
-    # Partitions switched on
+    # Partitions enabled
     "shares-idle": moves.test_idle_machines_move_at_once_and_work_starts_under_the_new_owner,
     "shares-plan": moves.test_the_plan_moves_half_of_the_machines_and_keeps_to_it,
     "shares-orders": partition_commands.test_bad_commands_and_plans_are_refused,
     "shares-gang": moves.test_a_reserved_gang_is_released_when_its_machine_is_drained,
     "shares-services": moves.test_services_move_first_and_are_served_meanwhile,
-    "shares-crash": move(124, "crash", ["leader", "giver"], 1.5),
-    "shares-hang": move(112, "hang", ["receiver"], 0.3),
-    "shares-all-killed": moves_and(partition_faults.all_killed, True),
-    "shares-late-writes": moves_and(partition_faults.writes_late, False),
-    "shares-drawn-0": drawn_moves(0),
-    "shares-drawn-3": drawn_moves(3),
+    "shares-crash": transfer_fault(124, "crash", ["leader", "giver"], 1.5),
+    "shares-hang": transfer_fault(112, "hang", ["receiver"], 0.3),
+    "shares-all-killed": fault_during_transfers(partition_faults.all_killed, True),
+    "shares-late-writes": fault_during_transfers(partition_faults.writes_late, False),
+    "shares-drawn-0": random_transfers(0),
+    "shares-drawn-3": random_transfers(3),
     "shares-roll": lambda: (
         partition_versions.test_partitions_begin_once_all_controllers_understand_them("production")
     ),
     "shares-off": lambda: (
         partition_versions.test_switched_off_in_mid_move_all_machines_return_to_the_zones_shard(6.0)
     ),
-    # Without the network
-    "large-part": large_shard,
+    # Without a simulated network
+    "large-part": run_large_shard,
 }
--- a/tests/tools/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -1,11 +1,11 @@
 """Compares the behaviour of two versions of the sources, event by event, in simulated scenarios.
 
-`python tests/tools/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` plays the scenarios
-(called days on the command line) of `tests/tools/behaviour_scenarios.py` on the revision BASE and
-on the present working tree, and compares all that controllers send to services, workers, users,
-operators and one another. Each version is played with its own tests and stand-ins, each scenario in
-a process of its own, and the two sides with different hash seeds. It exits with 0 where all are
-equal and with 1 at the first difference.
+`python tests/tools/compare_behaviour.py BASE [--days NAME ...] [--jobs N]` runs the scenarios of
+`tests/tools/behaviour_scenarios.py` (`--days` selects some by name) on the revision BASE and on the
+working tree. It compares every message that controllers send to services, workers, users, operators
+and other controllers. Each version runs with its own tests and stand-ins, each scenario runs in a
+separate process, and the two versions run with different hash seeds, so that a dependence on set
+order shows up. The exit status is 0 if all traces are equal and 1 at the first difference or error.
 """
 
 from __future__ import annotations
@@ -26,15 +26,22 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).resolve().parents[2]
-# Where this tool is in a checkout: now, and in revisions that had it beside the tests.
-PLACES = ("tests/tools/compare_behaviour.py", "tests/compare_behaviour.py")
+# Paths of this tool in a checkout: the current one, and the one in older revisions.
+TOOL_PATHS = ("tests/tools/compare_behaviour.py", "tests/compare_behaviour.py")
 HASH_SEEDS = {"base": "1", "present": "2"}
-BEFORE = 4  # events that are shown before a difference
-SHOWN = 2000  # characters of an event that are shown
+CONTEXT_EVENTS = 4  # equal events printed before a difference
+MAX_EVENT_CHARS = 2000  # longer events are truncated in the output
 
 
 class Difference(NamedTuple):
-    """The first line at which two traces differ; None stands for a trace that has ended."""
+    """The first line at which two traces differ.
+
+    Attributes:
+        line: Number of the line, from 1.
+        before: The equal events directly before it.
+        base: The event in the base version's trace, or None if that trace has ended.
+        present: The event in the working tree's trace, or None if that trace has ended.
+    """
 
     line: int
     before: list[str]
@@ -43,19 +50,19 @@
 
 
 class TraceSummary(NamedTuple):
-    """The length of a trace and its SHA-256."""
+    """The number of events in a trace and the SHA-256 of the trace."""
 
     events: int
     digest: str
 
 
 class ComparisonError(Exception):
-    """A scenario or a version that cannot be played."""
+    """A version or a scenario cannot be run or compared."""
 
 
 def first_difference(base: Path, present: Path) -> Difference | None:
-    """Compare two traces line by line."""
-    before: deque[str] = deque(maxlen=BEFORE)
+    """Compare two traces line by line, and return None if they are equal."""
+    before: deque[str] = deque(maxlen=CONTEXT_EVENTS)
     with base.open() as left, present.open() as right:
         for number, (one, other) in enumerate(zip_longest(left, right), start=1):
             if one != other:
@@ -65,20 +72,20 @@
 
 
 def summarize_trace(path: Path) -> TraceSummary:
-    """Count a trace's events and give its digest."""
+    """Count the events of a trace and compute its digest."""
     data = path.read_bytes()
     return TraceSummary(data.count(b"\n"), hashlib.sha256(data).hexdigest())
 
 
-def format_difference(day: str, found: Difference) -> str:
-    """A difference as text: both events, from where they differ on if they are long."""
-    one, other = found.base, found.present
+def format_difference(scenario: str, difference: Difference) -> str:
+    """Format a difference: both events, and the text around the first differing character."""
+    one, other = difference.base, difference.present
     pairs = enumerate(zip(one or "", other or "", strict=False))
     shared = next((n for n, (a, b) in pairs if a != b), 0)
-    lines = [f"{day}: the traces differ at line {found.line}"]
-    lines += [f"  before   {_cut(line)}" for line in found.before]
+    lines = [f"{scenario}: the traces differ at line {difference.line}"]
+    lines += [f"  before   {_truncate(line)}" for line in difference.before]
     for name, event in (("base", one), ("present", other)):
-        lines.append(f"  {name:8} {'(the trace has ended)' if event is None else _cut(event)}")
+        lines.append(f"  {name:8} {'(the trace has ended)' if event is None else _truncate(event)}")
     if one is not None and other is not None:
         begin = max(0, shared - 60)
         lines += [
@@ -89,42 +96,51 @@
     return "\n".join(lines)
 
 
-def _cut(event: str) -> str:
+def _truncate(event: str) -> str:
     text = event.rstrip()
-    return text if len(text) <= SHOWN else f"{text[:SHOWN]}... ({len(text)} characters)"
+    return (
+        text
+        if len(text) <= MAX_EVENT_CHARS
+        else f"{text[:MAX_EVENT_CHARS]}... ({len(text)} characters)"
+    )
 
 
-# One scenario, in a process of its own
+# Running one scenario in the current process
 
 
-def play(day: str, out: Path) -> None:
-    """Play a scenario and write its trace."""
+def run_scenario(scenario: str, out: Path) -> None:
+    """Run a scenario and write its trace."""
     import dapplewick
     from standins import recorder
     from tools.behaviour_scenarios import SCENARIOS
 
     if Path(dapplewick.__file__).resolve().parent != ROOT / "src" / "dapplewick":
-        raise SystemExit(f"{dapplewick.__file__} is not of the version that is to be played")
+        raise SystemExit(f"{dapplewick.__file__} belongs to another checkout; check PYTHONPATH")
     logging.disable(logging.CRITICAL)
-    # Incarnations of controllers are named by the time and a random number.
+    # Names of controller incarnations consist of the time and a random number. A constant time
+    # makes them equal in both versions.
     time.time_ns = lambda: 10**18
     with out.open("w") as file:
         recorder.start(file)
         try:
-            SCENARIOS[day]()
+            SCENARIOS[scenario]()
         except* AssertionError:
-            # A check of the scenario itself: an event like others, the tests tell what it means.
+            # A failed check of the scenario is compared like any other event. The test that owns
+            # the scenario reports the failure.
             recorder.record("check_failed")
         finally:
             recorder.stop()
 
 
-# Both versions
+# Running and comparing both versions
 
 
 def environment(root: Path, side: str, cache: Path) -> dict[str, str]:
-    """The variables under which a version is played. Compiled modules are kept apart: an edit
-    within a second that keeps a file's length would go unnoticed beside an earlier one."""
+    """Return the environment variables for running a version.
+
+    Each version has a bytecode cache of its own. Python detects a changed source by its size and
+    its modification time in seconds, so a shared cache could serve stale bytecode.
+    """
     return os.environ | {
         "PYTHONPATH": f"{root / 'src'}{os.pathsep}{root / 'tests'}",
         "PYTHONHASHSEED": HASH_SEEDS[side],
@@ -132,136 +148,145 @@
     }
 
 
-def tool_of(root: Path) -> Path | None:
-    """A checkout's own copy of this tool; None where it has none."""
-    return next((root / place for place in PLACES if (root / place).exists()), None)
+def find_tool(root: Path) -> Path | None:
+    """Return the path of a checkout's copy of this tool, or None if the checkout has none."""
+    return next((root / place for place in TOOL_PATHS if (root / place).exists()), None)
 
 
 def run_tool(root: Path, side: str, cache: Path, *arguments: str) -> str:
-    """Run a version's own copy of this tool."""
-    tool = tool_of(root)
+    """Run a version's copy of this tool and return its standard output."""
+    tool = find_tool(root)
     if tool is None:
-        raise ComparisonError(f"{side}: there is no {' and no '.join(PLACES)}")
-    done = subprocess.run(
+        raise ComparisonError(f"{side}: found neither {' nor '.join(TOOL_PATHS)}")
+    process = subprocess.run(
         [sys.executable, str(tool), *arguments],
         cwd=root,
         env=environment(root, side, cache),
         capture_output=True,
         text=True,
     )
-    if done.returncode:
+    if process.returncode:
         raise ComparisonError(
-            f"{side}: {' '.join(arguments)} ended with {done.returncode}\n{done.stderr}"
+            f"{side}: {' '.join(arguments)} exited with {process.returncode}\n{process.stderr}"
         )
-    return done.stdout
+    return process.stdout
+
 
+def clone_revision(revision: str, target: Path) -> None:
+    """Check out a revision in a new clone at `target`.
 
-def check_out(revision: str, target: Path) -> None:
-    """Check a revision out in a folder of its own. It is a clone, which shares the history:
-    scenarios with the version in production read that from there."""
+    A clone has the whole history, from which upgrade scenarios load the production version.
+    """
     steps = [
         ["clone", "-q", "--shared", "--no-checkout", str(ROOT), str(target)],
         ["-C", str(target), "checkout", "-q", "--detach", revision],
     ]
     for step in steps:
-        done = subprocess.run(["git", *step], capture_output=True, text=True)
-        if done.returncode:
-            raise ComparisonError(f"git {' '.join(step)}: {done.stderr.strip()}")
-    if tool_of(target) is None:
-        raise ComparisonError(f"{revision} has no compare_behaviour.py and cannot be played")
+        process = subprocess.run(["git", *step], capture_output=True, text=True)
+        if process.returncode:
+            raise ComparisonError(f"git {' '.join(step)}: {process.stderr.strip()}")
+    if find_tool(target) is None:
+        raise ComparisonError(
+            f"{revision} contains no compare_behaviour.py, so it cannot be compared"
+        )
 
 
 def resolve(revision: str) -> str:
-    """The full name of a commit."""
-    done = subprocess.run(
+    """Return the full hash of the commit that a revision names."""
+    process = subprocess.run(
         ["git", "-C", str(ROOT), "rev-parse", "--verify", "-q", f"{revision}^{{commit}}"],
         capture_output=True,
         text=True,
     )
-    if done.returncode:
-        raise ComparisonError(f"{revision} is no commit")
-    return done.stdout.strip()
+    if process.returncode:
+        raise ComparisonError(f"{revision} does not name a commit")
+    return process.stdout.strip()
 
 
-def compare(revision: str, chosen: Sequence[str], jobs: int) -> int:
-    """Play scenarios on a revision and on the working tree; gives the exit status."""
-    begun = time.monotonic()
+def compare(revision: str, selected: Sequence[str], jobs: int) -> int:
+    """Run scenarios on a revision and on the working tree, and return the exit status."""
+    started_at = time.monotonic()
     commit = resolve(revision)
     with tempfile.TemporaryDirectory(prefix="behaviour-") as name:
         folder = Path(name)
-        check_out(commit, folder / "base")
+        clone_revision(commit, folder / "base")
         roots = {"base": folder / "base", "present": ROOT}
-        listed = {
+        available = {
             side: run_tool(root, side, folder / "cache", "--list").split()
             for side, root in roots.items()
         }
-        days = list(chosen) or listed["present"]
-        for side, names in listed.items():
-            if lacking := set(days) - set(names):
-                raise ComparisonError(f"{side} has no day {', '.join(sorted(lacking))}")
-        if not chosen and (gone := set(listed["base"]) - set(days)):
-            raise ComparisonError(f"present has no day {', '.join(sorted(gone))}")
-
-        def trace(side: str, day: str) -> Path:
-            out = folder / f"{side}-{day}.jsonl"
-            run_tool(roots[side], side, folder / "cache", "--play", day, "--out", str(out))
+        days = list(selected) or available["present"]
+        for side, names in available.items():
+            if missing := set(days) - set(names):
+                raise ComparisonError(f"{side} has no scenario {', '.join(sorted(missing))}")
+        if not selected and (removed := set(available["base"]) - set(days)):
+            raise ComparisonError(f"present has no scenario {', '.join(sorted(removed))}")
+
+        def trace(side: str, scenario: str) -> Path:
+            out = folder / f"{side}-{scenario}.jsonl"
+            run_tool(roots[side], side, folder / "cache", "--play", scenario, "--out", str(out))
             return out
 
         events = 0
         with ThreadPoolExecutor(jobs) as pool:
-            plays = {day: [pool.submit(trace, side, day) for side in roots] for day in days}
+            traces = {
+                scenario: [pool.submit(trace, side, scenario) for side in roots]
+                for scenario in days
+            }
             try:
-                for day, (base, present) in plays.items():
-                    found = first_difference(base.result(), present.result())
-                    if found is not None:
-                        print(format_difference(day, found))
+                for scenario, (base, present) in traces.items():
+                    difference = first_difference(base.result(), present.result())
+                    if difference is not None:
+                        print(format_difference(scenario, difference))
                         return 1
                     measured = summarize_trace(base.result())
                     if not measured.events:
-                        raise ComparisonError(f"{day}: nothing was recorded")
+                        raise ComparisonError(f"{scenario}: the trace contains no events")
                     events += measured.events
                     failed = '"event":"check_failed"' in base.result().read_text()
                     print(
-                        f"{day:24} {measured.events:8} events  {measured.digest}",
-                        *(["a check of the day failed on both sides"] if failed else []),
+                        f"{scenario:24} {measured.events:8} events  {measured.digest}",
+                        *(["a check of the scenario failed in both versions"] if failed else []),
                         flush=True,
                     )
-                    for done in (base, present):
-                        done.result().unlink()
+                    for trace_future in (base, present):
+                        trace_future.result().unlink()
             finally:
                 pool.shutdown(cancel_futures=True)
-    took = time.monotonic() - begun
-    print(f"equal to {commit[:12]}: {len(days)} days, {events} events, {took:.0f} s")
+    elapsed_s = time.monotonic() - started_at
+    print(f"equal to {commit[:12]}: {len(days)} days, {events} events, {elapsed_s:.0f} s")
     return 0
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command; gives its exit status."""
+    """Run the command and return its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("base", nargs="?", help="revision to compare with")
-    parser.add_argument("--days", nargs="+", default=[], help="only these days")
-    parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes at once")
-    parser.add_argument("--list", action="store_true", help="list the days")
-    parser.add_argument("--play", help="play one day of this version")
-    parser.add_argument("--out", type=Path, help="file for the trace of that day")
-    given = parser.parse_args(arguments)
-    if given.list or given.play:
+    parser.add_argument("--days", nargs="+", default=[], help="run only these scenarios")
+    parser.add_argument(
+        "--jobs", type=int, default=os.cpu_count() or 1, help="number of parallel processes"
+    )
+    parser.add_argument("--list", action="store_true", help="list the scenarios and exit")
+    parser.add_argument("--play", help="run one scenario of this version")
+    parser.add_argument("--out", type=Path, help="output file for the trace of --play")
+    options = parser.parse_args(arguments)
+    if options.list or options.play:
         for folder in ("tests", "src"):
             sys.path.insert(0, str(ROOT / folder))
-    if given.list:
+    if options.list:
         from tools.behaviour_scenarios import SCENARIOS
 
         print("\n".join(SCENARIOS))
         return 0
-    if given.play:
-        if given.out is None:
+    if options.play:
+        if options.out is None:
             parser.error("--play needs --out")
-        play(given.play, given.out)
+        run_scenario(options.play, options.out)
         return 0
-    if given.base is None:
-        parser.error("name a revision to compare with")
+    if options.base is None:
+        parser.error("BASE is missing: a revision to compare with")
     try:
-        return compare(given.base, given.days, max(1, given.jobs))
+        return compare(options.base, options.days, max(1, options.jobs))
     except ComparisonError as err:
         print(err, file=sys.stderr)
         return 1
--- a/tests/tools/controller_without_guard.py
+++ b/tests/tools/controller_without_guard.py
@@ -1,4 +1,6 @@
-"""Starts a controller with one guard of the sources taken out, as a soak run has to notice.
+"""Starts a controller with one safety check of the sources disabled.
+
+The soak run that uses this controller must report a violation.
 
 python tests/tools/controller_without_guard.py GUARD --config FILE
 """
--- a/tests/tools/list_unserved.py
+++ b/tests/tools/list_unserved.py
@@ -1,9 +1,10 @@
-"""Lists the days of the journal on which a class, a team or a size of jobs was hardly served.
+"""Lists simulated scenarios in which a job class, a team or a job size was hardly served.
 
     PYTHONPATH=src:tests python tests/tools/list_unserved.py --revision 34280c3 --below 0.5
 
-Each row names a group of jobs, the part of it that was served, and the day: two revisions can be
-compared by listing both. All figures of the journal are simulated.
+The rows come from the entries in `journal`, whose figures are all simulated. Each row names a group
+of jobs, the fraction of the group that was served, and the scenario. To compare two revisions, list
+both.
 """
 
 from __future__ import annotations
@@ -17,16 +18,28 @@
 from support.paths import ROOT
 
 JOURNAL = ROOT / "journal"
-UNSERVED_BELOW = 0.5  # a day fails for its users if less than this part of a group is served
+UNSERVED_BELOW = 0.5  # a scenario fails for a group if a smaller fraction of it is served
 
 
 class UnservedGroup(NamedTuple):
-    """A group of jobs of which too few were served on one day."""
+    """A group of jobs of which too small a fraction was served in one scenario.
+
+    Attributes:
+        revision: Abbreviated commit of the simulated sources, with `+` for uncommitted changes.
+        command: The command that wrote the journal entry.
+        site: The simulated site.
+        scenario: The name of the scenario.
+        machines: The number of machines in the scenario.
+        score: The score of the scenario.
+        group: The job class, team or job size.
+        served: The fraction of the group that was served, from 0 to 1.
+        entry: The file name of the journal entry, without its suffix.
+    """
 
     revision: str
     command: str
     site: str
-    day: str
+    scenario: str
     machines: int
     score: float
     group: str
@@ -34,16 +47,16 @@
     entry: str
 
     def line(self) -> str:
-        """The row as text."""
+        """Format the row as text."""
         return (
-            f"{self.revision}  {self.command:8}  {self.site}  {self.day}  "
+            f"{self.revision}  {self.command:8}  {self.site}  {self.scenario}  "
             f"{self.machines} machines  score {self.score:.2f}  "
             f"{self.group} {self.served:.3f}  ({self.entry})"
         )
 
 
-def entries(folder: Path) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Every entry of a journal with its file's name, oldest first."""
+def read_entries(folder: Path) -> Iterator[tuple[str, dict[str, Any]]]:
+    """Yield the file name and the content of each journal entry, oldest first."""
     for path in sorted(folder.glob("*.json")):
         yield path.stem, json.loads(path.read_text())
 
@@ -55,20 +68,27 @@
     site: str = "",
     below: float = UNSERVED_BELOW,
 ) -> Iterator[UnservedGroup]:
-    """The groups of which less than a part was served, as far as the entries tell."""
+    """Yield the groups of which a smaller fraction than `below` was served.
+
+    Args:
+        journal: The file name and the content of each journal entry.
+        revision: Yield only entries whose commit begins with this text.
+        site: Yield only entries of this site; empty for all sites.
+        below: The fraction from which on a group counts as served.
+    """
     for name, entry in journal:
         if not entry["head"].startswith(revision) or (site and entry["site"] != site):
             continue
-        for day in entry["days"] or []:
-            for group, _, served in day["served"] or []:
+        for scenario in entry["days"] or []:
+            for group, _, served in scenario["served"] or []:
                 if served is not None and served < below:
                     yield UnservedGroup(
                         revision=entry["head"][:7] + ("+" if entry["dirty"] else ""),
                         command=entry["cmd"],
                         site=entry["site"],
-                        day=day["name"],
-                        machines=day["servers"],
-                        score=day["score"] or 0.0,
+                        scenario=scenario["name"],
+                        machines=scenario["servers"],
+                        score=scenario["score"] or 0.0,
                         group=group,
                         served=served,
                         entry=name,
@@ -76,14 +96,21 @@
 
 
 def main() -> None:
-    """Print the rows."""
-    parser = argparse.ArgumentParser(description="Days on which a group of jobs was hardly served.")
-    parser.add_argument("--revision", default="", help="only of revisions that begin with this")
-    parser.add_argument("--site", default="", help="only of this site")
-    parser.add_argument("--below", type=float, default=UNSERVED_BELOW, help="part that was served")
+    """Run the command."""
+    parser = argparse.ArgumentParser(
+        description="List scenarios in which a group of jobs was hardly served."
+    )
+    parser.add_argument("--revision", default="", help="only commits that begin with this text")
+    parser.add_argument("--site", default="", help="only this site")
+    parser.add_argument(
+        "--below",
+        type=float,
+        default=UNSERVED_BELOW,
+        help="fraction of a group below which it counts as unserved",
+    )
     options = parser.parse_args()
     rows = unserved_groups(
-        entries(JOURNAL), revision=options.revision, site=options.site, below=options.below
+        read_entries(JOURNAL), revision=options.revision, site=options.site, below=options.below
     )
     for row in rows:
         print(row.line())
--- a/tests/tools/make_production_data.py
+++ b/tests/tools/make_production_data.py
@@ -1,4 +1,4 @@
-"""Makes tests/data/production.json: what controllers of the production commit write and send."""
+"""Writes tests/data/production.json: records and messages of the version in production."""
 
 import json
 import sys
@@ -22,11 +22,11 @@
     messages: dict[str, object] = {}
     post = standins.Link.post
 
-    def spy(self: standins.Link, kind: str, message: dict[str, object]) -> None:
+    def record_message(self: standins.Link, kind: str, message: dict[str, object]) -> None:
         messages[kind] = json.loads(json.dumps(cbor2.loads(cbor2.dumps(message))))
         post(self, kind, message)
 
-    standins.Link.post = spy  # type: ignore[method-assign]
+    standins.Link.post = record_message  # type: ignore[method-assign]
 
     async def script() -> None:
         await anyio.sleep(3)
--- a/tests/tools/measure_partitions.py
+++ b/tests/tools/measure_partitions.py
@@ -1,7 +1,7 @@
-"""How long moves of machines between partitions take, and what the work there waits (simulated).
+"""Measures how long machines take to move between partitions, and how long tasks wait meanwhile.
 
-Not a test: `PYTHONPATH=src:tests target/ci/bin/python tests/tools/measure_partitions.py` plays each
-move with the stand-ins in virtual time and prints a table for `docs/partitions.md`.
+`PYTHONPATH=src:tests target/ci/bin/python tests/tools/measure_partitions.py` simulates each move
+with the stand-ins in virtual time and prints the table in `docs/partitions.md`.
 """
 
 from __future__ import annotations
@@ -22,19 +22,23 @@
 SIZES = (4, 16, 48)
 LOADS = {"idle": 0.0, "tasks of 10 s": 10.0, "tasks of 60 s": 60.0}
 SEEDS = (1, 2, 3)
-WITHIN_S = 300.0  # as by default; the tests' plan has less
+MOVE_WITHIN_S = 300.0  # the default of `move_within_s`; the plan of the tests sets less
 
 
-class Measured(NamedTuple):
-    """One play: how long the move took, and the median wait of tasks before and after it."""
+class MoveTiming(NamedTuple):
+    """The duration of a move, and the median start delay of tasks before and after the move."""
 
     move_s: float
     wait_before_s: float
     wait_after_s: float
 
 
-async def fleet_up(world: World, machines: int) -> None:
-    """Machines that an earlier leader rented are up in zone a, three times as many as move."""
+async def start_fleet(world: World, machines: int) -> None:
+    """Start three times as many machines in zone a as will move.
+
+    The machine group is written to the state service directly, as if an earlier leader had
+    provisioned it.
+    """
     names = [f"vm-{n:06d}" for n in range(3 * machines)]
     value = {"type": "c8", "zone": "a", "spot": False, "machines": dict.fromkeys(names, "u")}
     world.state.ledger += 1
@@ -48,27 +52,27 @@
         lambda: world.state.keys.get(FORMAT, ({"version": 0},))[0]["version"] == PARTITIONS_FORMAT
     )
     await anyio.sleep(6.0)
-    # No more are rented, so that what moves is busy where there is work.
+    # The cloud refuses further machines, so that the moving ones stay busy in the runs with load.
     world.modes = {(name, "cloud"): "refused" for name in world.names}
 
 
 def median_wait(world: World, job: str) -> float:
-    """How long the tasks of a job waited for their start."""
+    """Return the median time in seconds from a job's acceptance to the first start of its tasks."""
     at = world.accepted_at[job]
     return statistics.median(
         started - at for name, started in world.first_start.items() if name.startswith(job + "/")
     )
 
 
-def play(machines: int, task_s: float, seed: int) -> Measured:
-    world = new_world(seed, msgspec.structs.replace(PLAN, move_within_s=WITHIN_S))
-    measured: list[Measured] = []
+def run_move(machines: int, task_s: float, seed: int) -> MoveTiming:
+    world = new_world(seed, msgspec.structs.replace(PLAN, move_within_s=MOVE_WITHIN_S))
+    results: list[MoveTiming] = []
 
     async def script() -> None:
-        await fleet_up(world, machines)
+        await start_fleet(world, machines)
         job = 0
         if task_s:
-            # Jobs one after the other keep all machines busy.
+            # A new job each `task_s` seconds keeps all machines busy.
             async def load() -> None:
                 nonlocal job
                 while True:
@@ -78,16 +82,16 @@
 
             world.group.start_soon(load)
             await anyio.sleep(max(12.0, 1.5 * task_s))
-        began = now()
+        started_at = now()
         await move(world, "o-00000001", "", "night", machines)
         with anyio.move_on_after(600.0):
             await until(lambda: len(machines_of(world, NIGHT)) >= machines, 590.0)
-        took = now() - began
+        move_s = now() - started_at
         await anyio.sleep(max(15.0, 1.5 * task_s))
         waits = [0.0, 0.0]
         if task_s:
             waits = [median_wait(world, "run-000001"), median_wait(world, f"run-{job - 1:06d}")]
-        measured.append(Measured(took, *waits))
+        results.append(MoveTiming(move_s, *waits))
         world.group.cancel_scope.cancel()
 
     async def main() -> None:
@@ -95,7 +99,7 @@
 
     run_in_virtual_time(main)
     assert world.violations == []
-    return measured[0]
+    return results[0]
 
 
 def main() -> None:
@@ -106,10 +110,10 @@
     print("| --- | --- | --- | --- | --- |")
     for machines in SIZES:
         for load, task_s in LOADS.items():
-            plays = [play(machines, task_s, seed) for seed in SEEDS]
-            moves = ", ".join(f"{p.move_s:.1f}" for p in plays)
-            before = ", ".join(f"{p.wait_before_s:.1f}" for p in plays)
-            after = ", ".join(f"{p.wait_after_s:.1f}" for p in plays)
+            timings = [run_move(machines, task_s, seed) for seed in SEEDS]
+            moves = ", ".join(f"{p.move_s:.1f}" for p in timings)
+            before = ", ".join(f"{p.wait_before_s:.1f}" for p in timings)
+            after = ", ".join(f"{p.wait_after_s:.1f}" for p in timings)
             print(f"| {machines} | {load} | {moves} | {before} | {after} |")
             sys.stdout.flush()
 
--- a/tests/tools/play_answers.py
+++ b/tests/tools/play_answers.py
@@ -1,7 +1,7 @@
-"""Plays random scenarios in which users ask about short jobs during compound failures.
+"""Runs random scenarios in which users poll short jobs during compound failures.
 
-`PYTHONPATH=src:tests target/ci/bin/python tests/tools/play_answers.py FIRST LAST [SIZE]` plays a
-range of seeds and prints what broke.
+`PYTHONPATH=src:tests target/ci/bin/python tests/tools/play_answers.py FIRST LAST [JOBS]` runs the
+seeds FIRST to LAST with JOBS jobs each (default 40), and prints the violated rules of each seed.
 """
 
 from __future__ import annotations
