--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Stored and sent formats, and versions beside one another."""
+"""Tests of stored and sent formats, and of clusters that run several versions."""
--- a/tests/compatibility/test_golden_data.py
+++ b/tests/compatibility/test_golden_data.py
@@ -1,8 +1,8 @@
-"""What is stored and sent stays the same to the byte, whatever the sources call it.
+"""Stored records and sent messages stay the same, byte for byte.
 
-The golden data was written by `tests/tools/make_golden_data.py`. Each of its values is read with
-the present sources, written again and compared. What is sent in the scenarios is compared as a
-whole, too.
+The golden data was written by `tests/tools/make_golden_data.py`. Each input value is read and
+written with the current sources, and the output is compared with the golden output. Everything that
+the golden scenarios send is compared, too. So a rename in the sources cannot change a format.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as the golden files have it."""
+    """Convert a value to the JSON types of the golden files."""
     return json.loads(json.dumps(value))
 
 
@@ -62,19 +62,19 @@
 
 
 @pytest.fixture(scope="module")
-def scenarios_now() -> Any:
+def sent_now() -> Any:
     return make_golden_data.scenarios()
 
 
 @pytest.mark.parametrize(("label", "kind"), SENT)
-def test_all_that_a_scenario_sends_is_as_before(scenarios_now: Any, label: str, kind: str) -> None:
-    """A change of what is planned changes it, and then the data is made anew."""
-    now, before = scenarios_now[label].get(kind), SCENARIOS[label][kind]
+def test_all_that_a_scenario_sends_is_as_before(sent_now: Any, label: str, kind: str) -> None:
+    """An intended change of planning fails here too; regenerate the golden data for it."""
+    now, before = sent_now[label].get(kind), SCENARIOS[label][kind]
     assert now is not None
     assert now["samples"] == before["samples"]
     assert now == before
 
 
 @pytest.mark.parametrize("label", SCENARIOS)
-def test_a_scenario_sends_nothing_else(scenarios_now: Any, label: str) -> None:
-    assert scenarios_now[label].keys() == SCENARIOS[label].keys()
+def test_a_scenario_sends_nothing_else(sent_now: Any, label: str) -> None:
+    assert sent_now[label].keys() == SCENARIOS[label].keys()
--- a/tests/tools/make_golden_data.py
+++ b/tests/tools/make_golden_data.py
@@ -1,9 +1,14 @@
-"""Makes tests/data/golden: what the present sources make of given values, and send in scenarios.
+"""Writes tests/data/golden, the reference data for the formats of stored records and messages.
 
-`python tests/tools/make_golden_data.py` writes the files anew: after a change of what is stored,
-sent or planned, which its commit then says. A renaming must not need it.
-`python tests/tools/make_golden_data.py days` prints what is sent in the scenarios; sets are read in
-an order that depends on PYTHONHASHSEED, so it is run with 0.
+For each input value the data contains the output that the sources encode from it. For each scenario
+it contains a digest and samples of everything that controllers send.
+
+`python tests/tools/make_golden_data.py` overwrites the files. Run it only after an intended change
+of what is stored, sent or planned, and state that change in the commit. A rename in the sources
+must leave the data unchanged.
+
+`python tests/tools/make_golden_data.py days` prints the output of the scenarios. The iteration
+order of sets depends on PYTHONHASHSEED, so this command needs PYTHONHASHSEED=0.
 """
 
 from __future__ import annotations
@@ -38,7 +43,7 @@
     "image_gb": 1.0,
     "estimate": 8.0,
 }
-ALL: dict[str, Any] = SPEC | {
+FULL_SPEC: dict[str, Any] = SPEC | {
     "types": ["c8", "g8"],
     "zone": "a",
     "one_zone": True,
@@ -48,12 +53,12 @@
     "save": 1.5,
     "deadline": 90.0,
 }
-GANG: dict[str, Any] = SPEC | {"gang": True, "tasks": 2}
-LONG: dict[str, Any] = SPEC | {"gang": True, "tasks": 12}
-SERVICE: dict[str, Any] = SPEC | {"rank": 3, "tasks": 2, "estimate": 0.0, "daemon": True}
+GANG_SPEC: dict[str, Any] = SPEC | {"gang": True, "tasks": 2}
+LONG_GANG_SPEC: dict[str, Any] = SPEC | {"gang": True, "tasks": 12}
+SERVICE_SPEC: dict[str, Any] = SPEC | {"rank": 3, "tasks": 2, "estimate": 0.0, "daemon": True}
 GANG_PLACEMENTS = [["a", "vm-1"], ["b", "vm-2"]]
-LONG_PLACES = [["a" if n < 8 else "a/~night", f"vm-{n:06d}"] for n in range(12)]
-OFFERED = {
+LONG_GANG_PLACEMENTS = [["a" if n < 8 else "a/~night", f"vm-{n:06d}"] for n in range(12)]
+MACHINE_TYPE = {
     "sku": "c8",
     "cpus": 8.0,
     "accelerators": 0.0,
@@ -64,22 +69,22 @@
     "ready_s": 5.0,
     "yards": ["a", "b"],
 }
-FORMAT = ["dw/format", {"version": 3}, 2]
+FORMAT_RECORD = ["dw/format", {"version": 3}, 2]
 
 
 def job(spec: dict[str, Any], stage: str = "open", **more: Any) -> dict[str, Any]:
-    """A job's record, its fields in the order in which they are stored."""
+    """Build a job record with its fields in the stored order."""
     order = ("done", "grants", "gang", "chunk")
     return {"spec": spec, "stage": stage, "at": 1000.5} | {k: more[k] for k in order if k in more}
 
 
 def group(machines: dict[str, str], **more: Any) -> dict[str, Any]:
-    """A group's record."""
+    """Build a machine group record."""
     return {"type": "c8", "zone": "a", "spot": False, "machines": machines, **more}
 
 
 def transfer(state: str, **more: Any) -> dict[str, Any]:
-    """A transfer's record."""
+    """Build a transfer record."""
     return {
         "generation": 3,
         "source": "a",
@@ -93,54 +98,61 @@
     }
 
 
-def long_gang(**more: Any) -> dict[str, Any]:
-    """A gang whose placement is in keys of its own."""
-    return job(LONG, is_gang={"attempt": 4194305, "places": [], **more, "shares": 2})
+def long_gang_record(**more: Any) -> dict[str, Any]:
+    """Build the record of a long gang whose placement is stored in separate keys."""
+    return job(LONG_GANG_SPEC, is_gang={"attempt": 4194305, "places": [], **more, "shares": 2})
 
 
-def placements(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
-    """A chunk of that placement."""
-    return {"attempt": attempt, "places": LONG_PLACES[first:last]}
+def placement_chunk(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
+    """Build the record of one of these keys, which holds a range of the placement."""
+    return {"attempt": attempt, "places": LONG_GANG_PLACEMENTS[first:last]}
 
 
 def records() -> dict[str, Any]:
-    """Every kind of stored record: the keys of each are read together."""
+    """Return the stored keys of each kind of record, by label.
+
+    The keys of one label are read together. Each entry is a key, a value and a version.
+    """
     done, assignments = "0-3,7", {"a": "4-6", "a/~night": "8"}
     chunks = [
         ["dw/j/run-1", job(SPEC | {"tasks": 400}, chunk=200), 5],
         ["dw/d/run-1/0", {"done": "0-9", "grants": {"a": "10-19", "b": "20"}}, 6],
         ["dw/d/run-1/1", {"grants": {"b": "200-399"}}, 7],
     ]
-    alone: dict[str, tuple[str, Any]] = {
+    single_records: dict[str, tuple[str, Any]] = {
         "array as it came": ("dw/j/run-1", job(SPEC)),
-        "array with all that can be asked": ("dw/j/run-1", job(ALL)),
+        "array with all that can be asked": ("dw/j/run-1", job(FULL_SPEC)),
         "array with done and granted tasks": (
             "dw/j/run-1",
             job(SPEC, done=done, assignments=assignments),
         ),
         "array that is done": ("dw/j/run-1", job(SPEC, "done", assignments={"b": "8"})),
         "array that is cancelled": ("dw/j/run-1", job(SPEC, "cancelled", assignments=assignments)),
-        "gang as it came": ("dw/j/run-1", job(GANG)),
+        "gang as it came": ("dw/j/run-1", job(GANG_SPEC)),
         "gang with a place": (
             "dw/j/run-1",
-            job(GANG, is_gang={"attempt": 7, "places": GANG_PLACEMENTS}),
+            job(GANG_SPEC, is_gang={"attempt": 7, "places": GANG_PLACEMENTS}),
         ),
         "gang that preempts": (
             "dw/j/run-1",
-            job(GANG, is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "preempt": True}),
+            job(GANG_SPEC, is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "preempt": True}),
         ),
         "gang that is cancelled": (
             "dw/j/run-1",
-            job(GANG, "cancelled", is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "over": True}),
+            job(
+                GANG_SPEC,
+                "cancelled",
+                is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "over": True},
+            ),
         ),
         "gang that is done": (
             "dw/j/run-1",
-            job(GANG, "done", is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "over": True}),
+            job(GANG_SPEC, "done", is_gang={"attempt": 7, "places": GANG_PLACEMENTS, "over": True}),
         ),
-        "service": ("dw/j/run-1", job(SERVICE, assignments={"a": "0", "b": "1"})),
+        "service": ("dw/j/run-1", job(SERVICE_SPEC, assignments={"a": "0", "b": "1"})),
         "service that is cancelled": (
             "dw/j/run-1",
-            job(SERVICE, "cancelled", assignments={"a": "0"}),
+            job(SERVICE_SPEC, "cancelled", assignments={"a": "0"}),
         ),
         "array of many tasks that is cancelled": (
             "dw/j/run-1",
@@ -170,8 +182,8 @@
         "format 2": ("dw/format", {"version": 2}),
         "format 3": ("dw/format", {"version": 3}),
         "format 4": ("dw/format", {"version": 4}),
-        "types": ("dw/types", [OFFERED, OFFERED | {"sku": "g8", "accelerators": 2.0}]),
-        "type": ("dw/t/c8", OFFERED),
+        "types": ("dw/types", [MACHINE_TYPE, MACHINE_TYPE | {"sku": "g8", "accelerators": 2.0}]),
+        "type": ("dw/t/c8", MACHINE_TYPE),
         "plan of shares": (
             "dw/shares",
             {
@@ -198,20 +210,22 @@
     }
     for state in ("requested", "draining", "complete", "cancelled", "overdue"):
         more = {"moved": 1, "draining": ["vm-1", "vm-2"], "origin": "operator"}
-        alone[f"transfer {state}"] = "dw/s/o-000000f1", transfer(state, **more)
-    alone["transfer of the plan"] = "dw/s/p-3", transfer("requested")
-    out: dict[str, Any] = {label: [[key, value, 5]] for label, (key, value) in alone.items()}
+        single_records[f"transfer {state}"] = "dw/s/o-000000f1", transfer(state, **more)
+    single_records["transfer of the plan"] = "dw/s/p-3", transfer("requested")
+    out: dict[str, Any] = {
+        label: [[key, value, 5]] for label, (key, value) in single_records.items()
+    }
     out["array in chunks"] = chunks
     out["gang with a long place"] = [
-        ["dw/j/run-1", long_gang(), 5],
-        ["dw/g/run-1/0", placements(0, 7), 6],
-        ["dw/g/run-1/1", placements(7, 12), 7],
+        ["dw/j/run-1", long_gang_record(), 5],
+        ["dw/g/run-1/0", placement_chunk(0, 7), 6],
+        ["dw/g/run-1/1", placement_chunk(7, 12), 7],
     ]
     return out
 
 
-def old_records() -> dict[str, Any]:
-    """Records of which the reader fills something in, or leaves something out."""
+def irregular_records() -> dict[str, Any]:
+    """Return records that the reader completes with defaults, or of which it ignores a part."""
     return {
         "controller that says nothing of its format": [["dw/n/n0", {"boot": "b", "zone": "a"}, 5]],
         "type with nothing but its name": [["dw/t/c8", {"sku": "c8"}, 5]],
@@ -219,32 +233,43 @@
             ["dw/p/a", {"owner": "n0", "boot": "n0-1", "later": 1}, 5]
         ],
         "place of another attempt": [
-            ["dw/j/run-1", long_gang(over=True), 5],
-            ["dw/g/run-1/0", placements(0, 7), 6],
-            ["dw/g/run-1/1", placements(7, 12, 9), 7],
+            ["dw/j/run-1", long_gang_record(over=True), 5],
+            ["dw/g/run-1/0", placement_chunk(0, 7), 6],
+            ["dw/g/run-1/1", placement_chunk(7, 12, 9), 7],
         ],
     }
 
 
 def job_writes() -> dict[str, dict[str, Any]]:
-    """Drafts that take more keys than one, by kind."""
-    array, long = SPEC | {"tasks": 400}, job(LONG, is_gang={"attempt": 7, "places": LONG_PLACES})
-    odd = {"a": ",".join(str(n) for n in range(0, 400, 2))}
+    """Return job and machine changes that write several keys, by kind and label."""
+    array, long = (
+        SPEC | {"tasks": 400},
+        job(LONG_GANG_SPEC, is_gang={"attempt": 7, "places": LONG_GANG_PLACEMENTS}),
+    )
+    fragmented = {"a": ",".join(str(n) for n in range(0, 400, 2))}
     return {
         "places": {
-            "long": {"records": [FORMAT, ["dw/j/run-1", long, 5]], "job": "run-1", "most": 300},
-            "short": {"records": [FORMAT, ["dw/j/run-1", long, 5]], "job": "run-1", "most": 5000},
+            "long": {
+                "records": [FORMAT_RECORD, ["dw/j/run-1", long, 5]],
+                "job": "run-1",
+                "most": 300,
+            },
+            "short": {
+                "records": [FORMAT_RECORD, ["dw/j/run-1", long, 5]],
+                "job": "run-1",
+                "most": 5000,
+            },
         },
         "grants": {
             "one key": {
-                "records": [FORMAT, ["dw/j/run-1", job(SPEC), 5]],
+                "records": [FORMAT_RECORD, ["dw/j/run-1", job(SPEC), 5]],
                 "job": "run-1",
                 "most": 900,
                 "part": "a",
                 "tasks": [1, 2, 5],
             },
             "chunks": {
-                "records": [FORMAT, *records()["array in chunks"]],
+                "records": [FORMAT_RECORD, *records()["array in chunks"]],
                 "job": "run-1",
                 "most": 900,
                 "part": "a",
@@ -254,14 +279,14 @@
         "cut": {
             "array": {
                 "records": [
-                    FORMAT,
+                    FORMAT_RECORD,
                     ["dw/j/run-1", job(array, done="0-5", assignments={"a": "9"}), 5],
                 ],
                 "job": "run-1",
                 "most": 900,
             },
             "array of which all chunks are there": {
-                "records": [FORMAT, ["dw/j/run-1", job(array), 5]],
+                "records": [FORMAT_RECORD, ["dw/j/run-1", job(array), 5]],
                 "job": "run-1",
                 "most": 900,
             },
@@ -269,11 +294,11 @@
         "leftovers": {
             "all": {
                 "records": [
-                    FORMAT,
+                    FORMAT_RECORD,
                     ["dw/j/run-1", job(array, "done", chunk=200), 5],
                     ["dw/d/run-1/1", {"done": "200-399"}, 6],
-                    ["dw/j/run-2", job(LONG), 7],
-                    ["dw/g/run-2/0", placements(0, 7), 8],
+                    ["dw/j/run-2", job(LONG_GANG_SPEC), 7],
+                    ["dw/g/run-2/0", placement_chunk(0, 7), 8],
                 ],
                 "job": "run-1",
                 "most": 900,
@@ -281,24 +306,27 @@
         },
         "widened": {
             "array": {
-                "records": [FORMAT, ["dw/j/run-1", job(array, "cancelled", assignments=odd), 5]],
+                "records": [
+                    FORMAT_RECORD,
+                    ["dw/j/run-1", job(array, "cancelled", assignments=fragmented), 5],
+                ],
                 "job": "run-1",
                 "most": 500,
             },
         },
         "machines": {
             "doomed": {
-                "records": [FORMAT, ["dw/m/r-1", group({"vm-1": "u", "vm-2": "b1700"}), 5]],
+                "records": [FORMAT_RECORD, ["dw/m/r-1", group({"vm-1": "u", "vm-2": "b1700"}), 5]],
                 "doom": "vm-1",
             },
             "to a new group of a share": {
-                "records": [FORMAT, ["dw/m/r-1", group({"vm-1": "u", "vm-2": "b1700"}), 5]],
+                "records": [FORMAT_RECORD, ["dw/m/r-1", group({"vm-1": "u", "vm-2": "b1700"}), 5]],
                 "floors": [["vm-1", 12]],
                 "share": "night",
             },
             "back from a share": {
                 "records": [
-                    FORMAT,
+                    FORMAT_RECORD,
                     ["dw/m/r-1", group({"vm-1": "u"}), 5],
                     ["dw/m/r-2", group({"vm-2": "u"}, share="night", floors={"vm-2": 9}), 6],
                 ],
@@ -309,10 +337,10 @@
     }
 
 
-OWNED: list[list[Any]] = [
+SHARD_OWNER_RECORDS: list[list[Any]] = [
     ["dw/format", {"version": 4}, 2],
     ["dw/leader", {"node": "n1", "boot": "n1-1"}, 3],
-    ["dw/types", [OFFERED], 4],
+    ["dw/types", [MACHINE_TYPE], 4],
     ["dw/n/n0", {"boot": "n0-1", "zone": "a", "version": 4}, 5],
     ["dw/n/n1", {"boot": "n1-1", "zone": "b", "version": 4}, 6],
     ["dw/p/a", {"owner": "n0", "boot": "n0-1"}, 7],
@@ -320,8 +348,12 @@
     ["dw/m/r-1", group({f"vm-{n}": "u" for n in range(1, 5)}), 9],
     ["dw/m/r-2", group({"vm-9": "u", "vm-10": "b990", "vm-11": "u"}, zone="b"), 10],
     ["dw/j/run-1", job(SPEC, assignments={"a": "0-2", "b": "3-5"}), 11],
-    ["dw/j/run-2", job(GANG, is_gang={"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}), 12],
-    ["dw/j/run-3", job(SERVICE, assignments={"a": "0-1"}), 13],
+    [
+        "dw/j/run-2",
+        job(GANG_SPEC, is_gang={"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}),
+        12,
+    ],
+    ["dw/j/run-3", job(SERVICE_SPEC, assignments={"a": "0-1"}), 13],
     ["dw/j/run-4", job(SPEC, "cancelled", assignments={"a": "0", "b": "1"}), 14],
     ["dw/j/run-5", job(SPEC, "done"), 15],
     ["dw/s/o-000000f1", transfer("draining", count=1, draining=["vm-4"]), 16],
@@ -329,10 +361,10 @@
 ]
 
 
-def checkin(
+def heartbeat(
     machine: str, sequence: int, pieces: list[dict[str, Any]], **more: Any
 ) -> dict[str, Any]:
-    """A worker's heartbeat."""
+    """Build a worker's heartbeat."""
     return {
         "loom": machine,
         "endpoint": "10.0.0.1:9",
@@ -348,7 +380,7 @@
     }
 
 
-BUSY: dict[str, Any] = {
+BUSY_MACHINE: dict[str, Any] = {
     "free": [2.0, 0.0, 4.0],
     "ends": [[1003.5, 2.0, 0.0, 4.0, 1, ""]],
     "images": ["img"],
@@ -358,11 +390,11 @@
     "leaving": False,
     "faulty": False,
 }
-IDLE = BUSY | {"free": [8.0, 0.0, 32.0], "ends": [], "queued": 0}
+IDLE_MACHINE = BUSY_MACHINE | {"free": [8.0, 0.0, 32.0], "ends": [], "queued": 0}
 
 
 def shard_status(**more: Any) -> dict[str, Any]:
-    """A shard's status, as a controller of the present version sends it."""
+    """Build a shard status as a controller of the current version sends it."""
     one = {"placed": 2, "running": 1, "done": [0, 3], "returned": [4], "version": 11}
     return {
         "kind": "part",
@@ -372,7 +404,12 @@
         "base": 0,
         "at": 990.5,
         "seen": 17,
-        "machines": {"vm-9": BUSY, "vm-8": None, "vm-10": BUSY, "vm-11": BUSY},
+        "machines": {
+            "vm-9": BUSY_MACHINE,
+            "vm-8": None,
+            "vm-10": BUSY_MACHINE,
+            "vm-11": BUSY_MACHINE,
+        },
         "jobs": {"run-1": one, "run-6": None},
         "gangs": {"run-2": [7, "held", 3.0], "run-6": None},
         "silent": {"vm-9": [6.5, True]},
@@ -389,7 +426,7 @@
 
 
 def gossip(**more: Any) -> dict[str, Any]:
-    """What a controller tells its peers of itself."""
+    """Build the message in which a controller reports its own state to its peers."""
     return {
         "kind": "node",
         "node": "n1",
@@ -409,7 +446,7 @@
 
 
 def messages() -> dict[str, Any]:
-    """Messages between controllers."""
+    """Return sequences of messages between controllers, by label."""
     old = {k: v for k, v in gossip().items() if k not in ("heard", "complete", "cancelled")}
     next_ = shard_status(number=4, base=3, machines={"vm-9": None}, jobs={}, gangs={})
     have = {
@@ -421,7 +458,7 @@
         "version": 3,
     }
     part_a: dict[str, Any] = {"zone": "a", "token": 7, "machines": {}, "silent": {}, "idle": {}}
-    in_a = {"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}
+    gang_in_a = {"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}
     many: dict[str, Any] = {
         "of itself": {"messages": [gossip()]},
         "of itself, without what it knows of cancellations": {"messages": [old]},
@@ -437,9 +474,9 @@
                 shard_status(
                     silent={"vm-11": [99.5, False]},
                     machines={
-                        "vm-9": BUSY | {"faulty": True},
-                        "vm-10": BUSY | {"heard": False, "usable": False},
-                        "vm-11": BUSY,
+                        "vm-9": BUSY_MACHINE | {"faulty": True},
+                        "vm-10": BUSY_MACHINE | {"heard": False, "usable": False},
+                        "vm-11": BUSY_MACHINE,
                     },
                 )
             ],
@@ -451,8 +488,8 @@
                     idle={"vm-9": 900.0, "vm-11": 1.5},
                     silent={},
                     machines={
-                        "vm-9": IDLE,
-                        "vm-11": IDLE | {"leaving": True},
+                        "vm-9": IDLE_MACHINE,
+                        "vm-11": IDLE_MACHINE | {"leaving": True},
                     },
                 )
             ],
@@ -468,7 +505,10 @@
         },
         "what the leader has": {"messages": [have]},
         "status of a gang that is clear": {
-            "records": [*OWNED, ["dw/j/run-2", job(GANG, is_gang={**in_a, "over": True}), 12]],
+            "records": [
+                *SHARD_OWNER_RECORDS,
+                ["dw/j/run-2", job(GANG_SPEC, is_gang={**gang_in_a, "over": True}), 12],
+            ],
             "messages": [shard_status(**part_a, gangs={"run-2": [7, "clear", 0.0]})],
             "leads": True,
         },
@@ -480,55 +520,60 @@
             "messages": [shard_status(**part_a, gangs={"run-2": [7, state, 3.0]})],
             "leads": True,
         }
-    return {label: {"records": OWNED, **given} for label, given in many.items()}
+    return {label: {"records": SHARD_OWNER_RECORDS, **given} for label, given in many.items()}
 
 
-def owners() -> dict[str, Any]:
-    """An owner of a shard that hears workers, users, peers and operators."""
+def shard_owner_steps() -> dict[str, Any]:
+    """Return sequences of messages and requests that a shard owner receives, by label."""
     running = {"piece": "run-1/0", "try": 7340033, "stage": "running"}
     exited = {"piece": "run-1/1", "try": 5, "stage": "exited", "cause": "done", "saved": True}
-    gone = {"piece": "run-4/0", "try": 6, "stage": "running"}
-    first = [
-        ["report", checkin(f"vm-{n}", 1, pieces)]
-        for n, pieces in ((1, [running, exited, gone]), (2, []), (3, []), (4, []))
+    cancelled_task = {"piece": "run-4/0", "try": 6, "stage": "running"}
+    first_heartbeats = [
+        ["report", heartbeat(f"vm-{n}", 1, pieces)]
+        for n, pieces in ((1, [running, exited, cancelled_task]), (2, []), (3, []), (4, []))
     ]
-    again = [
-        ["report", checkin(f"vm-{n}", 2, [], recall_s=30.0 if n == 3 else None)] for n in (2, 3)
+    second_heartbeats = [
+        ["report", heartbeat(f"vm-{n}", 2, [], recall_s=30.0 if n == 3 else None)] for n in (2, 3)
     ]
-    ask = {"kind": "ask", "method": "GET", "target": "/v2/runs/run-5", "body": b"".hex()}
+    forwarded_request = {
+        "kind": "ask",
+        "method": "GET",
+        "target": "/v2/runs/run-5",
+        "body": b"".hex(),
+    }
     steps: dict[str, list[Any]] = {
         "status before anything was heard": [["tick", None]],
-        "reports": [*first, ["tick", None]],
+        "reports": [*first_heartbeats, ["tick", None]],
         "reports and more": [
-            *first,
+            *first_heartbeats,
             ["tick", None],
             ["wait", 1.0],
-            *again,
+            *second_heartbeats,
             ["tick", None],
             ["wait", 6.0],
             ["tick", None],
         ],
         "reports to others": [
-            ["report", checkin("vm-9", 1, [], yard="b")],
-            ["report", checkin("vm-8", 1, [])],
+            ["report", heartbeat("vm-9", 1, [], yard="b")],
+            ["report", heartbeat("vm-8", 1, [])],
             ["report", {"loom": "vm-1"}],
-            ["report", checkin("vm-7", 1, [], yard="c")],
+            ["report", heartbeat("vm-7", 1, [], yard="c")],
         ],
         "reports that are refused": [
             ["too large", None],
             ["records are old", None],
-            ["report", checkin("vm-1", 1, [])],
+            ["report", heartbeat("vm-1", 1, [])],
         ],
         "users of a controller that falls behind": [
             ["falls behind", None],
             ["request", ["GET", "/v2/runs/run-5", ""]],
             ["request", ["GET", "/healthz", ""]],
         ],
-        "status for operators": [*first, ["asked", {"kind": "status"}]],
+        "status for operators": [*first_heartbeats, ["asked", {"kind": "status"}]],
         "shares that are switched off": [["asked", {"kind": "shares", "verb": "show"}]],
         "a question of a peer": [
-            ["asked", ask | {"body": ""}],
-            ["asked", ask | {"target": "/v2/none", "body": ""}],
+            ["asked", forwarded_request | {"body": ""}],
+            ["asked", forwarded_request | {"target": "/v2/none", "body": ""}],
         ],
         "users": [
             ["request", ["GET", "/v2/runs/run-4", ""]],
@@ -543,11 +588,14 @@
     }
     for _, message in steps["a question of a peer"]:
         message["body"] = []
-    return {label: {"records": OWNED, "steps": some} for label, some in steps.items()}
+    return {
+        label: {"records": SHARD_OWNER_RECORDS, "steps": step_list}
+        for label, step_list in steps.items()
+    }
 
 
 def state_calls() -> dict[str, Any]:
-    """Calls of the state service, with every kind of answer."""
+    """Return calls of the state service with each kind of response, by label."""
     item = '{"key": "dw/j/run-1", "data": {"x": [1]}, "stamp": 5}'
     more = '{"items": [%s], "more": true, "ledger": 9}'
     last = '{"items": [{"key": "dw/z", "stamp": 8}], "more": false, "ledger": 11}'
@@ -589,28 +637,27 @@
     }
 
 
-def tied_changes() -> dict[str, Any]:
-    """Writes of which some go into one transaction: key, value and tie of each."""
+def grouped_writes() -> dict[str, Any]:
+    """Return lists of writes with their transaction groups: key, value and group of each."""
 
-    def some(ties: str) -> dict[str, Any]:
+    def one_per_group_name(group_names: str) -> dict[str, Any]:
         return {
             "changes": [
-                [f"dw/{n}", "x", transaction_group_name.strip(".")]
-                for n, transaction_group_name in enumerate(ties)
+                [f"dw/{n}", "x", group_name.strip(".")] for n, group_name in enumerate(group_names)
             ]
         }
 
     large = [["dw/0", "x" * 5000, ""], ["dw/1", "x", "a"], ["dw/2", "x" * 5000, "a"]]
     return {
-        "loose": some("......"),
-        "tied": some("..aaa.bb"),
-        "too many": some("aaaaaaaaaaaaaaaaaaa."),
+        "loose": one_per_group_name("......"),
+        "tied": one_per_group_name("..aaa.bb"),
+        "too many": one_per_group_name("aaaaaaaaaaaaaaaaaaa."),
         "too large": {"changes": [*large, ["dw/3", "x", ""]]},
     }
 
 
-def scripts() -> dict[str, Any]:
-    """Operators' scripts."""
+def operator_scripts() -> dict[str, Any]:
+    """Return operators' configuration scripts, by label."""
     names = (
         "threshold_s",
         "patience_s",
@@ -624,8 +671,8 @@
     return {"empty": "", "all": "\n".join([*lines, "class_weights = {'x': 4}", ""])}
 
 
-def platform() -> dict[str, Any]:
-    """The platform's file."""
+def platform_settings() -> dict[str, Any]:
+    """Return the settings file of the platform, by label."""
     deployment = standins.deployment(2) | {
         "objectives": [{"class": "x", "kind": "finished", "within_s": 60.0, "share": 0.9}],
     }
@@ -643,7 +690,7 @@
 
 
 def cloud_calls() -> dict[str, Any]:
-    """Calls of the cloud, with every kind of answer."""
+    """Return calls of the cloud service with each kind of response, by label."""
     listed = {
         "name_id": "vm-1",
         "build": "c8",
@@ -667,7 +714,9 @@
         "deletion, trouble": {"call": "delete", "machines": ["vm-1"], "answers": [[503, "{}"]]},
         "catalogue": {
             "call": "catalogue",
-            "answers": [[200, json.dumps({"builds": [OFFERED | {"later": 1}, {"sku": "g8"}]})]],
+            "answers": [
+                [200, json.dumps({"builds": [MACHINE_TYPE | {"later": 1}, {"sku": "g8"}]})]
+            ],
         },
         "catalogue, malformed": {"call": "catalogue", "answers": [[200, "[]"]]},
         "list": {
@@ -699,12 +748,12 @@
         },
         "list, malformed": {"call": "list", "answers": [[200, '{"looms": [{}]}']]},
     }
-    return {label: {"records": OWNED, **given} for label, given in many.items()}
+    return {label: {"records": SHARD_OWNER_RECORDS, **given} for label, given in many.items()}
 
 
-def bodies() -> dict[str, dict[str, Any]]:
-    """What users and workers send, and what they are answered."""
-    asked: dict[str, Any] = {
+def request_bodies() -> dict[str, dict[str, Any]]:
+    """Return requests of users and workers and the responses to them, by kind and label."""
+    submission: dict[str, Any] = {
         "name_id": "run-1",
         "bundle": "x",
         "crew": "red",
@@ -726,25 +775,25 @@
         "press_s": 1.0,
         "due_s": 60.0,
     }
-    changed: dict[str, dict[str, Any]] = {
+    variations: dict[str, dict[str, Any]] = {
         "array": {},
         "gang": {"shape": "group", "scatter": True, "same_place": False},
         "service": {"shape": "daemon", "urgency": "critical"},
         "urgent": {"urgency": "urgent"},
         "least": {"urgency": "best_effort", "builds": None, "yard": None, "due_s": None},
     }
-    for field in asked:
-        changed[f"without {field}"] = {field: None}
-        changed[f"{field} out of range"] = {field: -1}
-    submissions = {label: json.dumps(asked | change) for label, change in changed.items()}
+    for field in submission:
+        variations[f"without {field}"] = {field: None}
+        variations[f"{field} out of range"] = {field: -1}
+    submissions = {label: json.dumps(submission | change) for label, change in variations.items()}
     submissions |= {"no JSON": "{", "no object": "[]"}
     pieces = [
         {"piece": "run-1/0", "try": 5, "stage": "running"},
         {"piece": "run-1/1", "try": 6, "stage": "exited", "cause": "done", "saved": True},
     ]
     reports = {
-        "of a machine": json.dumps(checkin("vm-1", 3, pieces)),
-        "of a machine that is recalled": json.dumps(checkin("vm-1", 3, [], recall_s=30.0)),
+        "of a machine": json.dumps(heartbeat("vm-1", 3, pieces)),
+        "of a machine that is recalled": json.dumps(heartbeat("vm-1", 3, [], recall_s=30.0)),
     }
     commands = {
         "start": ["start", "run-1", 0, 7340033, 0.0],
@@ -780,8 +829,8 @@
     }
 
 
-def printed() -> dict[str, dict[str, Any]]:
-    """What operators are shown."""
+def command_outputs() -> dict[str, dict[str, Any]]:
+    """Return operators' commands with the controllers' responses, by kind and label."""
     status = {
         "node": "n0",
         "version": "0.1.0",
@@ -890,25 +939,29 @@
     }
 
 
-def given_values() -> dict[str, dict[str, Any]]:
-    """All given values, by kind and label."""
+def golden_inputs() -> dict[str, dict[str, Any]]:
+    """Return all input values, by kind and label."""
     return {
-        "records": records() | old_records(),
+        "records": records() | irregular_records(),
         **job_writes(),
         "messages": messages(),
-        "part": owners(),
+        "part": shard_owner_steps(),
         "state": state_calls(),
-        "transactions": tied_changes(),
-        "script": scripts(),
-        "settings": platform(),
+        "transactions": grouped_writes(),
+        "script": operator_scripts(),
+        "settings": platform_settings(),
         "cloud": cloud_calls(),
-        **bodies(),
-        **printed(),
+        **request_bodies(),
+        **command_outputs(),
     }
 
 
 def scenarios() -> dict[str, Any]:
-    """What is sent in the scenarios, played by a process of its own."""
+    """Run the scenarios in a child process with a fixed hash seed, and return what they send.
+
+    Raises:
+        RuntimeError: The child process failed; the message is its standard error.
+    """
     done = subprocess.run(
         [sys.executable, __file__, "days"],
         env=os.environ | {"PYTHONHASHSEED": "0"},
@@ -918,27 +971,27 @@
     )
     if done.returncode:
         raise RuntimeError(done.stderr.decode())
-    said: dict[str, Any] = json.loads(done.stdout)
-    return said
+    output: dict[str, Any] = json.loads(done.stdout)
+    return output
 
 
-def _write(name: str, value: Any) -> None:
+def write_file(name: str, value: Any) -> None:
     (FOLDER / name).write_text(json.dumps(value, indent=1) + "\n")
 
 
 def main(arguments: list[str]) -> None:
     logging.disable(logging.CRITICAL)
     if arguments == ["days"]:
-        print(json.dumps({label: play() for label, play in golden.SCENARIOS.items()}))
+        print(json.dumps({label: run() for label, run in golden.SCENARIOS.items()}))
         return
-    for kind, values in given_values().items():
+    for kind, values in golden_inputs().items():
         plain = json.loads(json.dumps(values))
         items = {
             label: {"given": given, "written": golden.WRITERS[kind](given)}
             for label, given in plain.items()
         }
-        _write(f"{kind.replace(' ', '_')}.json", items)
-    _write("days.json", scenarios())
+        write_file(f"{kind.replace(' ', '_')}.json", items)
+    write_file("days.json", scenarios())
 
 
 if __name__ == "__main__":
