--- a/tests/compatibility/test_partition_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -1,4 +1,4 @@
-"""Partitions beside versions and controllers without them, and partitions switched off."""
+"""Partitions in clusters of mixed versions, and partitions that are disabled."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 from support.paths import ROOT
 
 
-def traces(world: World) -> list[str]:
-    """What partitions have ever written to the state service."""
-    found = []
+def partition_writes(world: World) -> list[str]:
+    """Return the keys of all writes so far that only partitions cause."""
+    written_keys = []
     for _, key, value, _ in world.state.log:
         if key.startswith(TRANSFERS) or (key.startswith(SHARDS) and partition_of(key)):
-            found.append(key)
+            written_keys.append(key)
         if isinstance(value, dict) and ("floors" in value or "share" in value):
-            found.append(key)
+            written_keys.append(key)
         if key == FORMAT and value["version"] > CURRENT_FORMAT:
-            found.append(key)
-    return found
+            written_keys.append(key)
+    return written_keys
 
 
 @pytest.mark.parametrize("earlier", ["production", "the main before"])
@@ -50,14 +50,14 @@
     revision = production.commit() if earlier == "production" else production.PREVIOUS_MAIN
     world.old = production.load_commit(revision)
     world.old_names = set(world.names)
-    early: list[list[str]] = []
+    writes_before_upgrade: list[list[str]] = []
 
     async def script(world: World) -> None:
         await anyio.sleep(3.0)
         pinned(world, "run-000001", 16, 25.0)
         for name in list(world.names):
             await anyio.sleep(9.0)
-            early.append(traces(world))
+            writes_before_upgrade.append(partition_writes(world))
             world.old_names.discard(name)
             world.crash(name)
             await anyio.sleep(1.0)
@@ -69,21 +69,21 @@
         await until(lambda: {"done"} == set(world.told.values()), 90.0)
 
     play_moves(world, script, 240.0)
-    assert early == [[], [], []]
-    assert traces(world)
+    assert writes_before_upgrade == [[], [], []]
+    assert partition_writes(world)
     assert len(world.told) == 2
 
 
-def test_one_controller_without_partitions_keeps_all_from_them() -> None:
+def test_partitions_stay_off_while_one_controller_has_them_disabled() -> None:
     world = new_world(22, FIXED_PLAN)
     world.without_partitions = {"n1"}
-    seen: list[list[str]] = []
+    writes_while_disabled: list[list[str]] = []
 
     async def script(world: World) -> None:
         await anyio.sleep(3.0)
         pinned(world, "run-000001", 16, 10.0)
         await anyio.sleep(45.0)
-        seen.append(traces(world))
+        writes_while_disabled.append(partition_writes(world))
         world.without_partitions = set()
         world.crash("n1")
         world.start_controller("n1")
@@ -91,7 +91,7 @@
         await until(lambda: bool(machines_of(world, NIGHT)), 60.0)
 
     play_moves(world, script)
-    assert seen == [[]]
+    assert writes_while_disabled == [[]]
 
 
 @pytest.mark.parametrize("after", [0.5, 6.0, 25.0])
@@ -125,20 +125,20 @@
 
 def test_switched_off_nothing_of_partitions_is_written_sent_or_answered() -> None:
     world = World(24)
-    said: list[dict[str, Any]] = []
+    responses: list[dict[str, Any]] = []
 
     async def script(world: World) -> None:
         await anyio.sleep(3.0)
         pinned(world, "run-000001", 8, 5.0)
         await anyio.sleep(20.0)
-        said.append(await command(world, "show"))
+        responses.append(await command(world, "show"))
         for controller in world.controllers.values():
             for scheduler in controller.shard_schedulers.values():
                 assert scheduler.status(now()).drained is UNSET
 
     play_moves(world, script, 60.0)
-    assert traces(world) == []
-    assert said[0]["status"] == 404
+    assert partition_writes(world) == []
+    assert responses[0]["status"] == 404
     assert world.state.keys[FORMAT][0] == {"version": CURRENT_FORMAT}
     assert CURRENT_FORMAT < PARTITIONS_FORMAT
 
@@ -152,11 +152,11 @@
         "bad = [m for m in sys.modules if m.startswith(names)]\n"
         "sys.exit(', '.join(bad) or 0)"
     )
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", text],
         env={"PYTHONPATH": str(ROOT / "src")},
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
+    assert process.returncode == 0, process.stderr
--- a/tests/compatibility/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -1,4 +1,4 @@
-"""This version beside the main before it, which already writes records of format 3."""
+"""This version together with the previous main version, which already writes format 3."""
 
 from __future__ import annotations
 
@@ -21,11 +21,14 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_rolling_upgrades_from_the_previous_main(fault: Fault) -> None:
-    """The limits fall at a random moment of the roll; services run from before it."""
+    """The state service lowers its limits at a random time during the upgrade.
+
+    Services are submitted before the upgrade and must still run after it.
+    """
     seed = FAULTS.index(fault) + 1
     lowered_after = random.Random(seed).uniform(4.0, 60.0)
-    earlier = production.load_commit(production.PREVIOUS_MAIN)
-    world = play_roll(earlier, fault, seed, lowered_after=lowered_after).world
+    previous_main = production.load_commit(production.PREVIOUS_MAIN)
+    world = play_roll(previous_main, fault, seed, lowered_after=lowered_after).world
     assert world.violations == []
     assert finished(world) == {"run-service0": "running", "run-service1": "running"}
     assert world.told["run-service2"] == "withdrawn"
@@ -33,7 +36,7 @@
     assert largest <= float(NEXT["value_kb"]) * 1024
 
 
-def states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
+def machine_states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
     return {
         str(name): (
             record.up,
@@ -48,45 +51,49 @@
 def test_a_group_of_any_size_is_split_in_small_writes_and_no_machine_is_lost(
     count: int, seed: int
 ) -> None:
-    """The leader may change after any write, the machines' states change meanwhile, and whoever
-    reads the records anew, of this version or of the main before, finds the same machines."""
-    pick = random.Random(seed)
-    store, earlier = Store(count), production.load_commit(production.PREVIOUS_MAIN)
-    followed = store.read_anew(earlier.WatchCache())
+    """A machine group that is too large for one value is split by several transactions.
+
+    Between the writes the leader may change and machines are marked for termination. After each
+    write, a watch cache of this version or of the previous main version must hold the same
+    machines, both when it reloads all records and when it follows the changes.
+    """
+    rng = random.Random(seed)
+    store, previous_main = Store(count), production.load_commit(production.PREVIOUS_MAIN)
+    follower_cache = store.read_anew(previous_main.WatchCache())
     machines, machine_lifecycle = dict(store.machines), store.machine_lifecycle()
     for _ in range(400):
-        if pick.random() < 0.2:
-            machine_lifecycle = store.machine_lifecycle()  # another leader
+        if rng.random() < 0.2:
+            machine_lifecycle = store.machine_lifecycle()  # the leadership changes
         machine_lifecycle.begin()
-        # One machine is to be deleted, if its record can be written by now.
-        name = pick.choice(sorted(machines))
+        # The termination takes effect only once the machine's group is small enough to be written.
+        name = rng.choice(sorted(machines))
         machine_lifecycle.terminate(name, "test")
         changes = machine_lifecycle.changes()
         if not changes:
             break
         transaction_group = [c for c in changes if c.transaction_group]
         assert len(transaction_group) <= TXN_OPS
-        for change in transaction_group or changes[: pick.randint(1, len(changes))]:
+        for change in transaction_group or changes[: rng.randint(1, len(changes))]:
             assert change.value is None or encoded_size(change.value) <= VALUE_BYTES
             store.write(change.key, change.value)
             if change.value is None:
-                followed.remove(change.key, store.revision)
+                follower_cache.remove(change.key, store.revision)
             else:
-                followed.put(change.key, change.value, store.revision)
+                follower_cache.put(change.key, change.value, store.revision)
             if change.value is not None and change.value["machines"].get(name) == "d":
                 machines[name] = msgspec.convert(change.value, type=MachineGroupRecord).record(name)
         for cache in (
             store.cache,
-            followed,
+            follower_cache,
             store.read_anew(WatchCache()),
-            store.read_anew(earlier.WatchCache()),
+            store.read_anew(previous_main.WatchCache()),
         ):
-            assert states(cache.machines) == states(machines)
+            assert machine_states(cache.machines) == machine_states(machines)
         if all(encoded_size(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
             break
     assert all(encoded_size(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT)
-    listed = [m for g in store.cache.groups.values() for m in g.machines]
-    assert len(listed) == len(set(listed)) == count
+    listed_machines = [m for g in store.cache.groups.values() for m in g.machines]
+    assert len(listed_machines) == len(set(listed_machines)) == count
 
 
 def test_the_newer_of_two_groups_that_list_a_machine_counts_in_any_order() -> None:
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Old and new beside each other, and the limits that the state service lowers afterwards."""
+"""Upgrades from the production version, and limits that the state service lowers afterwards."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
 PRODUCTION = DATA / "production.json"
 
 
-def stored(world: World) -> dict[str, tuple[Any, int]]:
+def stored_values(world: World) -> dict[str, tuple[Any, int]]:
     return {key: (value, version) for key, (value, version, _) in world.state.keys.items()}
 
 
-# Records and messages of the version in production
+# Records and messages of the production version
 
 
 def test_what_production_wrote_is_read(caplog: pytest.LogCaptureFixture) -> None:
-    """`tests/data/production.json` holds what controllers of that commit wrote and sent."""
+    """`tests/data/production.json` holds records and messages of the production version."""
     data = json.loads(PRODUCTION.read_text())
     assert data["commit"] == production.commit()
     cache = WatchCache()
@@ -81,10 +81,14 @@
 def test_production_reads_what_is_written_before_the_format_is_raised(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Where one controller is not heard of, nothing new is written, whatever the load."""
+    """While one configured controller has not reported its format, only the old format is written.
+
+    So the production version can read all records. A service, which needs the new format, is
+    rejected.
+    """
     world = World(2)
     world.old_names, world.old = {"n9"}, None
-    world.names = ["n0", "n1"]  # the third of the settings never comes
+    world.names = ["n0", "n1"]  # the third configured controller never starts
 
     async def script() -> None:
         await anyio.sleep(3)
@@ -100,19 +104,19 @@
     run_script(world, 70.0, script)
     assert world.violations == []
     assert FORMAT not in world.state.keys
-    old = production.load()
-    theirs, ours = old.WatchCache(), WatchCache()
-    for cache in (theirs, ours):
-        cache.reload(stored(world), world.state.ledger)
+    production_version = production.load()
+    old_cache, current_cache = production_version.WatchCache(), WatchCache()
+    for cache in (old_cache, current_cache):
+        cache.reload(stored_values(world), world.state.ledger)
     for event in world.state.log:
         assert event[1].startswith(
             ("dw/leader", "dw/types", "dw/n/", "dw/p/", "dw/m/", "dw/b/", JOBS)
         )
     assert "record_malformed" not in caplog.text
-    assert theirs.jobs.keys() == ours.jobs.keys()
-    assert theirs.machines.keys() == ours.machines.keys()
-    for job_id, job in ours.jobs.items():
-        assert theirs.jobs[job_id].dump() == job.dump()
+    assert old_cache.jobs.keys() == current_cache.jobs.keys()
+    assert old_cache.machines.keys() == current_cache.machines.keys()
+    for job_id, job in current_cache.jobs.items():
+        assert old_cache.jobs[job_id].dump() == job.dump()
         assert "daemon" not in json.dumps(job.dump())
         assert not job.chunk_size
 
@@ -123,22 +127,24 @@
     return Request("POST", "/v2/runs", json.dumps(body).encode(), False)
 
 
-# The format
+# The record format
 
 
-def test_a_controller_that_was_not_heard_of_counts_as_old() -> None:
+def test_a_controller_of_unknown_format_counts_as_old() -> None:
     cache = WatchCache()
     assert cache.format == FIRST_FORMAT
-    for version, (name, says) in enumerate(
+    for version, (name, reported_format) in enumerate(
         [("a", CURRENT_FORMAT), ("b", None), ("b", CURRENT_FORMAT), ("a", None)], start=1
     ):
-        value = {"boot": str(version), "zone": "z"} | ({"version": says} if says else {})
+        value = {"boot": str(version), "zone": "z"} | (
+            {"version": reported_format} if reported_format else {}
+        )
         cache.put(CONTROLLERS + name, value, version)
-    assert cache.upgraded_controllers == {"b"}  # one that came back old is old
+    assert cache.upgraded_controllers == {"b"}  # "a" restarted without a format
     cache.put(FORMAT, {"version": CURRENT_FORMAT}, 9)
     cache.put(FORMAT, {"version": FIRST_FORMAT}, 10)
     cache.remove(FORMAT, 11)
-    assert cache.format == CURRENT_FORMAT  # it never goes back
+    assert cache.format == CURRENT_FORMAT  # the format is never lowered
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -147,20 +153,22 @@
     fault: Fault, seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    played = play_roll(production.load(), fault, seed)
-    world = played.world
-    assert played.raised_early == []
+    upgrade_run = play_roll(production.load(), fault, seed)
+    world = upgrade_run.world
+    assert upgrade_run.raised_early == []
     assert world.violations == []
-    services_left = {f"run-service{n}" for n in range(2)}
-    assert finished(world).keys() == services_left
+    expected_services = {f"run-service{n}" for n in range(2)}
+    assert finished(world).keys() == expected_services
     assert set(finished(world).values()) == {"running"}
     assert world.told["run-service2"] == "withdrawn"
-    largest = max(encoded_size(value) for value, _ in stored(world).values())
+    largest = max(encoded_size(value) for value, _ in stored_values(world).values())
     assert largest <= float(NEXT["value_kb"]) * 1024
-    # Records stored before were cut, and chunks were used for those that came later.
+    # Existing records were split into chunks, and new records are stored in chunks.
     assert "event=job_record_chunked" in caplog.text
     assert any(
-        value.get("chunk") for key, (value, _) in stored(world).items() if key.startswith(JOBS)
+        value.get("chunk")
+        for key, (value, _) in stored_values(world).items()
+        if key.startswith(JOBS)
     )
 
 
@@ -171,22 +179,24 @@
     ids=lambda f: f.__name__,
 )
 def test_arrays_in_chunks_keep_the_rules_under_every_fault(fault: Fault, seed: int) -> None:
-    """Assignments move between shards, tasks end in no order, some jobs are cancelled, and the
-    limits are the lower ones from the start."""
+    """The state service has the lower limits from the start, so that arrays are stored in chunks.
+
+    Assignments move between shards, tasks end in random order, and one job is cancelled.
+    """
     world = World(seed)
     lower_limits(world)
 
     async def script() -> None:
         await anyio.sleep(3)
         for n in range(5):
-            each = [world.random.choice([0.5, 3.0, 12.0]) for _ in range(240)]
+            durations = [world.random.choice([0.5, 3.0, 12.0]) for _ in range(240)]
             body = world.job(
                 name_id=f"run-{n:06d}",
                 pieces=240,
                 cpus=0.25,
                 ram_gb=1.0,
                 true_s=4.0,
-                true_each=each,
+                true_each=durations,
                 scatter=n == 1,
                 crew="blue" if n == 2 else "red",
                 expected_s=4.0,
@@ -199,16 +209,20 @@
     assert world.violations == []
     assert finished(world) == {}
     assert len(world.told) == 5
-    # In chunks from the start, whatever is left of them.
+    # The records of finished jobs still show that the jobs were stored in chunks.
     assert all(world.state.keys[f"{JOBS}run-{n:06d}"][0]["chunk"] for n in range(5))
     assert any(key.startswith(CHUNKS) for _, key, _, gone in world.state.log if not gone)
-    assert not any(key.startswith(CHUNKS) for key in world.state.keys)  # nothing is left behind
+    # The chunks of finished jobs are removed.
+    assert not any(key.startswith(CHUNKS) for key in world.state.keys)
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_the_limits_may_fall_while_records_are_cut(seed: int) -> None:
-    """At a random moment from when the format is raised: before, between and after the writes for
-    each record, with a crash of the leader in the middle for half of the seeds."""
+    """The limits are lowered while the leader splits existing records into chunks.
+
+    They are lowered at a random time after the format was raised: before, between or after the
+    writes for a record. With odd seeds the leader also crashes shortly afterwards.
+    """
     world = World(seed)
     world.old, world.old_names = production.load(), set(world.names)
 
@@ -232,7 +246,7 @@
             world.crash(name)
             await anyio.sleep(0.5)
             world.start_controller(name)
-        for _ in range(20):  # repeated like a user's request, which a new leader may refuse
+        for _ in range(20):  # retried, as a new leader may reject requests at first
             await cancel(world, world.names[0], ["run-large1"])
             if "run-large1" in world.cancelled_at:
                 break
@@ -247,29 +261,29 @@
     assert not any(key.startswith(CHUNKS) for key in world.state.keys)
 
 
-# Records over several keys
+# Records that span several keys
 
 
-def drawn_job(tasks: int, seed: int) -> JobRecord:
-    pick = random.Random(seed)
+def random_job(tasks: int, seed: int) -> JobRecord:
+    rng = random.Random(seed)
     job = JobRecord(spec(tasks, 1.0, 10.0), 0.0)
     for index in range(tasks):
-        where = pick.choice(["done", "a", "b", ""])
-        if where == "done":
+        assignment = rng.choice(["done", "a", "b", ""])
+        if assignment == "done":
             job.done.add(index)
-        elif where:
-            job.assignments.setdefault(where, set()).add(index)
+        elif assignment:
+            job.assignments.setdefault(assignment, set()).add(index)
     return job
 
 
 @pytest.mark.parametrize("kb", [0.5, 1.0, 2.0])
 def test_chunks_fit_in_the_worst_order_and_are_joined_in_any(kb: float) -> None:
-    room = int(kb * 1024 * 0.92)
+    max_bytes = int(kb * 1024 * 0.92)
     for tasks, seed in ((300, 1), (2000, 2), (99_999, 3)):
-        job = drawn_job(tasks, seed)
-        job.chunk_size = chunk_tasks(tasks, ["a", "b"], room)
+        job = random_job(tasks, seed)
+        job.chunk_size = chunk_tasks(tasks, ["a", "b"], max_bytes)
         values = job.chunk_values()
-        assert max(encoded_size(v) for v in values.values()) <= room
+        assert max(encoded_size(v) for v in values.values()) <= max_bytes
         cache, keys = WatchCache(), [(JOBS + "run-1", job.dump())]
         keys += [(f"{CHUNKS}run-1/{n}", v) for n, v in values.items()]
         if tasks < 5000:
@@ -278,14 +292,18 @@
                 cache.put(key, value, version)
         else:
             cache.reload({k: (v, n) for n, (k, v) in enumerate(keys, start=1)}, 10**6)
-        read = cache.jobs["run-1"]  # type: ignore[index]
-        assert (read.done, read.assignments) == (job.done, job.assignments)
-        assert read.version == len(keys)
+        read_back = cache.jobs["run-1"]  # type: ignore[index]
+        assert (read_back.done, read_back.assignments) == (job.done, job.assignments)
+        assert read_back.version == len(keys)
 
 
 def test_what_was_given_back_stays_so_until_its_own_chunk_changes() -> None:
-    """Two chunks of a job are written one after the other: with the first, what is taken back in
-    the second was started again, while the leader gave it to another shard."""
+    """A released task is not started again until its own chunk changes.
+
+    The leader writes the chunks of a job one after the other. When the first write arrived, the
+    shard started a released task of the second chunk again, although the leader was assigning that
+    task to another shard.
+    """
     bench = Bench(0)
     job = JobRecord(spec(4, 1.0, 10.0), 0.0)
     job.chunk_size = 2
@@ -303,14 +321,14 @@
     bench.put(f"{CHUNKS}run-1/0", {"grants": {"b": "0"}})
     bench.scheduler.job_changed(101.0, job_id)
     assert released(101.0) == [2]
-    # Assigned anew, or changed without being taken back: it may run here.
+    # The chunk of task 2 has changed and still assigns the task here, so it may start here again.
     bench.put(f"{CHUNKS}run-1/1", {"grants": {"a": "2", "b": "3"}})
     bench.scheduler.job_changed(102.0, job_id)
     assert released(102.0) == []
 
 
-def test_a_cancelled_record_that_outgrew_its_value_says_at_least_what_may_be_there() -> None:
-    job = drawn_job(2000, 4)
+def test_an_oversized_cancelled_record_lists_at_least_all_assigned_tasks() -> None:
+    job = random_job(2000, 4)
     job.stage = "cancelled"
     assert encoded_size(job.dump()) > 1800
     value = job.dump(1800)
@@ -320,30 +338,33 @@
 
 
 def test_the_placement_of_a_long_gang_from_before_the_upgrade_is_split() -> None:
-    """Its record is larger than the lower limit allows: once that has fallen, a cancellation,
-    which keeps the places, was refused until the gang had ended."""
+    """A placement that exceeds the lower limit of a value is split into several keys.
+
+    Otherwise the state service would reject the cancellation of the gang, which rewrites the whole
+    record, until the gang has ended.
+    """
     cache = WatchCache()
     cache.put(FORMAT, {"version": CURRENT_FORMAT}, 1)
     job = JobRecord(spec(60, 1.0, 10.0, is_gang=True), 0.0)
     placements = [("a", f"vm-{n:06d}") for n in range(60)]
     job.gang = GangPlacement(77, placements)
     cache.put(JOBS + "run-1", job.dump(), 2)
-    room = int(float(NEXT["value_kb"]) * 1024)
-    assert encoded_size(job.dump()) > room
+    max_bytes = int(float(NEXT["value_kb"]) * 1024)
+    assert encoded_size(job.dump()) > max_bytes
     leader = LeaderPlanner(cache, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
     assert changes[-1].key == JOBS + "run-1"
     assert len(changes) > 2
     for version, change in enumerate(changes, start=3):
-        assert encoded_size(change.value) <= room
+        assert encoded_size(change.value) <= max_bytes
         cache.put(change.key, change.value, version)
-    read = cache.jobs[JobId("run-1")]
-    assert read.gang is not None
-    assert read.gang.placements == placements
-    assert read.gang.attempt == 77
-    cancelled = read.copy()
+    read_back = cache.jobs[JobId("run-1")]
+    assert read_back.gang is not None
+    assert read_back.gang.placements == placements
+    assert read_back.gang.attempt == 77
+    cancelled = read_back.copy()
     cancelled.stage = "cancelled"
-    assert encoded_size(cancelled.dump(room)) <= room
+    assert encoded_size(cancelled.dump(max_bytes)) <= max_bytes
     assert leader.plan(2.0, 2.0) == []
 
 
@@ -359,7 +380,7 @@
     gang = cache.jobs["run-1"].gang  # type: ignore[index]
     assert gang is not None
     assert gang.placements == placements
-    # What a leader that ended on the way left of another attempt is not read.
+    # A placement key of another attempt, left by a leader that crashed, is ignored.
     cache.put("dw/g/run-1/0", {"attempt": 76, "places": placements[:1]}, 4)
     gang = cache.jobs["run-1"].gang  # type: ignore[index]
     assert gang is not None
@@ -386,14 +407,14 @@
     assert machine_lifecycle.changes() == []
 
 
-# What is read of strangers
+# Malformed and unknown input
 
 
 @pytest.mark.parametrize(
     "key",
     ["dw/d/run-1", "dw/d/run-1/x", "dw/g/run-1/-1", "dw/format", "dw/t/c8", "dw/z/unknown", "dw/"],
 )
-def test_malformed_and_unknown_records_end_nothing(key: str) -> None:
+def test_malformed_and_unknown_records_are_ignored(key: str) -> None:
     cache = WatchCache()
     job = JobRecord(spec(5, 1.0, 10.0), 0.0)
     cache.put(JOBS + "run-1", job.dump() | {"unknown": 1}, 1)
@@ -406,7 +427,7 @@
 
 
 @pytest.mark.parametrize(
-    ("later", "complaint"),
+    ("later", "expected_error"),
     [
         ({"value_kb": 0}, "deployment.state.next.value_kb"),
         ({"txn_ops": "4"}, "deployment.state.next.txn_ops"),
@@ -414,10 +435,10 @@
         ([], "deployment.state.next"),
     ],
 )
-def test_malformed_later_limits_name_their_field(later: Any, complaint: str) -> None:
+def test_malformed_later_limits_name_their_field(later: Any, expected_error: str) -> None:
     value = json.loads(msgspec.json.encode(settings("n0")))
     value["deployment"]["state"]["next"] = later
-    with pytest.raises(config.SettingsError, match=complaint):
+    with pytest.raises(config.SettingsError, match=expected_error):
         config.parse(json.dumps(value).encode())
 
 
@@ -430,17 +451,17 @@
     assert (lowest.value_kb, lowest.write_rps) == (16.0, 80.0)
 
 
-# Mutations: guards removed
+# Mutations: safety checks removed
 
 
 def the_format_is_raised_by_guess(patch: pytest.MonkeyPatch) -> None:
-    raised = LeaderPlanner._raise_format
+    original = LeaderPlanner._raise_format
 
-    def hasty(self: LeaderPlanner) -> Any:
+    def raise_without_check(self: LeaderPlanner) -> Any:
         self._controller_names = set()
-        return raised(self)
+        return original(self)
 
-    patch.setattr(LeaderPlanner, "_raise_format", hasty)
+    patch.setattr(LeaderPlanner, "_raise_format", raise_without_check)
 
 
 def no_chunks(patch: pytest.MonkeyPatch) -> None:
@@ -455,5 +476,6 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     patch(monkeypatch)
-    with pytest.raises((AssertionError, BaseExceptionGroup)):  # the script's own come in a group
+    # An assertion that fails inside the scenario is raised in a group.
+    with pytest.raises((AssertionError, BaseExceptionGroup)):
         test_rolling_upgrades_from_production(nothing, 1, caplog)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,15 +1,11 @@
-"""Checks that hold for every test.
-
-Seen: `test_wait_reasons.py` failed now and then in the whole suite, since a log line that the
-leader does write was not captured.
-
-How it came about: the import linter configures logging when it is called, and that disables every
-logger that exists by then, for the rest of the process. Tests that came later on the same worker of
-the suite saw no line of the service: one that expects a line failed, and those that expect that
-there is none could not fail. Which tests share a worker changes from run to run.
-
-Proof: `pytest tests/unit/test_layers.py tests/unit/test_wait_reasons.py` in one process failed each
-time, and either file alone passed.
+"""Checks that run with every test.
+
+No test may change the logging configuration for later tests in the same process. The import linter
+did so when a test called it: it configured logging, which disabled all existing loggers. Later
+tests on the same pytest worker captured no log lines of the service, so tests that expect a line
+failed, and tests that expect no line could not fail. Which tests share a worker varies from run to
+run. `pytest tests/unit/test_layers.py tests/unit/test_wait_reasons.py` in one process failed each
+time, and each file alone passed.
 """
 
 from __future__ import annotations
@@ -22,7 +18,7 @@
 
 
 class LoggerState(NamedTuple):
-    """What decides whether a logger's lines reach a handler."""
+    """The settings of a logger that decide whether its lines reach a handler."""
 
     disabled: bool
     propagates: bool
@@ -30,15 +26,15 @@
 
 
 class LoggingState(NamedTuple):
-    """The state of all loggers, and the level below which logging as a whole is off."""
+    """The global disable level, the level of the root logger, and the loggers of the service."""
 
-    off_below: int
+    disable_level: int
     root_level: int
     loggers: dict[str, LoggerState]
 
 
 def logging_state() -> LoggingState:
-    """What a test can leave behind for those after it in the same process."""
+    """Return the logging settings that later tests in the same process inherit."""
     loggers = {
         name: LoggerState(logger.disabled, logger.propagate, logger.level)
         for name, logger in logging.root.manager.loggerDict.items()
@@ -48,12 +44,12 @@
 
 
 @pytest.fixture(autouse=True)
-def _logging_is_left_as_it_was() -> Iterator[None]:
-    """A test that changes which lines are logged after it fails itself, not one after it."""
+def _logging_configuration_is_unchanged() -> Iterator[None]:
+    """Fail a test that changes the logging configuration, rather than a later test."""
     before = logging_state()
     yield
     after = logging_state()
-    assert (after.off_below, after.root_level) == (before.off_below, before.root_level)
+    assert (after.disable_level, after.root_level) == (before.disable_level, before.root_level)
     changed = {
         name: after.loggers[name]
         for name, state in before.loggers.items()
--- a/tests/loopback/__init__.py
+++ b/tests/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Real controller processes and sockets on loopback."""
+"""Tests with real controller processes and sockets on loopback."""
--- a/tests/loopback/conftest.py
+++ b/tests/loopback/conftest.py
@@ -1,4 +1,4 @@
-"""The deployment of real processes that the tests on loopback share."""
+"""The cluster of real controller processes that the loopback tests share."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 @pytest.fixture
 def world() -> Iterator[RealWorld]:
-    """Two controllers, which are killed at the end of a test."""
+    """Provide a cluster of two controllers, and kill them after the test."""
     with tempfile.TemporaryDirectory() as folder:
-        made = RealWorld(Path(folder))
-        yield made
-        made.kill_all()
+        real_world = RealWorld(Path(folder))
+        yield real_world
+        real_world.kill_all()
--- a/tests/loopback/test_controllers.py
+++ b/tests/loopback/test_controllers.py
@@ -1,4 +1,4 @@
-"""Real controller processes on loopback, with the stand-ins behind real sockets."""
+"""Real controller processes on loopback, whose cloud, state service and workers are stand-ins."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from support.real_world import RealWorld, raw, until_healthy
 
 
-def test_jobs_run_through_a_crash_and_bad_input_ends_nothing(world: RealWorld) -> None:
+def test_jobs_survive_a_crash_and_bad_input_is_rejected(world: RealWorld) -> None:
     async def script() -> None:
         await until_healthy(world)
         port = world.client_ports["n0"]
@@ -50,9 +50,9 @@
             assert (await world.call("n0", method, path, body))[0] == status, path
         array = world.job(name_id="run-000001", true_s=1.0, pieces=3)
         gang = world.job(name_id="run-000002", true_s=1.0, pieces=2, shape="group")
-        ended = world.job(name_id="run-000003", true_s=60.0, pieces=2)
+        cancelled_job = world.job(name_id="run-000003", true_s=60.0, pieces=2)
         async with anyio.create_task_group() as users:
-            for job, cancel in ((array, None), (gang, None), (ended, 3.0)):
+            for job, cancel in ((array, None), (gang, None), (cancelled_job, 3.0)):
                 users.start_soon(world.user, job["name_id"], job, cancel)
             await anyio.sleep(1.5)
             world.crash("n1")
@@ -94,109 +94,118 @@
     path = world.files["n0"]
     value = json.loads(path.read_text())
     path.write_text("{" if change is None else json.dumps(value | change))
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, str(ROOT / "run.py"), "--config", str(path)],
         capture_output=True,
         timeout=30,
     )
-    assert done.returncode == 2
-    lines = done.stderr.decode().strip().splitlines()
+    assert process.returncode == 2
+    lines = process.stderr.decode().strip().splitlines()
     assert len(lines) == 1
     assert field in lines[0]
 
 
 def test_what_the_build_makes_starts_compiled_and_without_site_packages(tmp_path: Path) -> None:
-    """Nothing of the program is compiled at a start: where no cache may be written that took
-    more than half of a start's processor time."""
+    """The build compiles the program, so that a start compiles nothing.
+
+    Where the process may not write a bytecode cache, compilation took more than half of the
+    processor time of a start.
+    """
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
-    install, _, make = deploy["build"].partition("} && ")
+    install, _, compile_command = deploy["build"].partition("} && ")
     assert "pip install" in install
     shutil.copy(ROOT / "run.py", tmp_path / "run.py")
     shutil.copytree(ROOT / "src", tmp_path / "src")
     (tmp_path / "target").mkdir()
     os.symlink(sysconfig.get_path("purelib"), tmp_path / "target" / "deps")
-    subprocess.run(["sh", "-c", make.replace("python3", sys.executable)], cwd=tmp_path, check=True)
-    copy = tmp_path / "target" / "app" / "src" / "dapplewick"
-    for source in copy.rglob("*.py"):
+    subprocess.run(
+        ["sh", "-c", compile_command.replace("python3", sys.executable)], cwd=tmp_path, check=True
+    )
+    app_sources = tmp_path / "target" / "app" / "src" / "dapplewick"
+    for source in app_sources.rglob("*.py"):
         assert Path(importlib.util.cache_from_source(str(source))).exists(), source
         source.write_text("raise SystemExit('this was compiled at the start')")
     command = deploy["run"].split()
     assert command[:2] == ["python3", "-S"]
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, *command[1:], "nowhere.json"], cwd=tmp_path, capture_output=True
     )
-    assert (done.returncode, done.stderr.decode()) == (
+    assert (process.returncode, process.stderr.decode()) == (
         2,
         "dapplewick: settings: nowhere.json: No such file or directory\n",
     )
 
 
-def unsteady_accept() -> Callable[[anyio.abc.SocketListener], Awaitable[Any]]:
-    """An accept that fails twice before it works."""
+def accept_failing_twice() -> Callable[[anyio.abc.SocketListener], Awaitable[Any]]:
+    """Return an `accept` that fails twice before it succeeds."""
     failures = [OSError(24, "no sockets"), OSError(104, "reset")]
 
-    async def unsteady(inner: anyio.abc.SocketListener) -> Any:
+    async def flaky_accept(inner: anyio.abc.SocketListener) -> Any:
         if failures:
             raise failures.pop()
         return await accept(inner)
 
-    return unsteady
+    return flaky_accept
 
 
 async def expect_success(streams: Iterable[anyio.abc.SocketStream]) -> None:
-    """Each of these connections receives an answer with status 200."""
+    """Check that each connection receives a response with status 200."""
     for stream in streams:
         assert b" 200 " in await stream.receive()
 
 
-def test_past_its_limit_a_listener_gives_up_idle_connections_and_never_ends(
+def test_a_full_listener_closes_idle_connections_and_survives_failed_accepts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An accept that failed for want of sockets ended the listener, and with it the process."""
-    ask = b"GET %b HTTP/1.1\r\nHost: x\r\n\r\n"
+    """A listener at its connection limit closes idle connections to make room for new ones.
+
+    An `accept` that failed because the process had no free sockets ended the listener, and with it
+    the process.
+    """
+    request_format = b"GET %b HTTP/1.1\r\nHost: x\r\n\r\n"
 
     async def main() -> None:
-        held = anyio.Event()
+        release = anyio.Event()
 
         async def handle(request: Request) -> Response:
             if request.target == "/held":
-                await held.wait()
+                await release.wait()
             return Response(200)
 
-        async def serve(stream: anyio.abc.ByteStream, mark: IdleCallback) -> None:
-            await serve_connection(stream, handle, mark)
+        async def serve(stream: anyio.abc.ByteStream, on_idle: IdleCallback) -> None:
+            await serve_connection(stream, handle, on_idle)
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        monkeypatch.setattr(listen, "accept", unsteady_accept())
+        monkeypatch.setattr(listen, "accept", accept_failing_twice())
 
         async def connect(path: bytes) -> anyio.abc.SocketStream:
             stream = await anyio.connect_tcp("127.0.0.1", port)
-            await stream.send(ask % path)
+            await stream.send(request_format % path)
             return stream
 
         async with anyio.create_task_group() as group:
             group.start_soon(ConnectionAcceptor(4, serve).run, listener)
             with anyio.fail_after(20):
                 busy = [await connect(b"/held") for _ in range(2)]
-                quiet = []
+                idle = []
                 for _ in range(6):
-                    quiet.append(await connect(b"/"))
-                    assert b" 200 " in await quiet[-1].receive()
-                for stream in quiet[:4]:
+                    idle.append(await connect(b"/"))
+                    assert b" 200 " in await idle[-1].receive()
+                for stream in idle[:4]:
                     with pytest.raises(anyio.EndOfStream):
                         await stream.receive()
-                held.set()
+                release.set()
                 await expect_success(busy)
-                await quiet[-1].send(ask % b"/")
-                assert b" 200 " in await quiet[-1].receive()
-                held = anyio.Event()
-                full = [await connect(b"/held") for _ in range(4)]
+                await idle[-1].send(request_format % b"/")
+                assert b" 200 " in await idle[-1].receive()
+                release = anyio.Event()
+                active = [await connect(b"/held") for _ in range(4)]
                 await anyio.sleep(0.1)
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                     await (await connect(b"/")).receive()
-                held.set()
-                await expect_success(full)
+                release.set()
+                await expect_success(active)
             group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -217,14 +226,14 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(client.send, b"x" * size)
                 await anyio.sleep(0.3)
-                kept = len(stream._buffer)
-                assert MAX_READ_BUFFER_BYTES < kept < 2 * MAX_READ_BUFFER_BYTES
-                got = 0
-                while got < size:
+                buffered = len(stream._buffer)
+                assert MAX_READ_BUFFER_BYTES < buffered < 2 * MAX_READ_BUFFER_BYTES
+                received_bytes = 0
+                while received_bytes < size:
                     data = await stream.receive(1000)
                     assert 0 < len(data) <= 1000
                     assert set(data) == {ord("x")}
-                    got += len(data)
+                    received_bytes += len(data)
             with anyio.move_on_after(0.1) as scope:
                 await stream.receive()
             assert scope.cancelled_caught
@@ -233,9 +242,9 @@
                 await stream.receive()
             await stream.send(b"y" * 5000)
             await stream.aclose()
-            got = 0
-            while got < 5000:
-                got += len(await client.receive())
+            received_bytes = 0
+            while received_bytes < 5000:
+                received_bytes += len(await client.receive())
             with pytest.raises(anyio.ClosedResourceError):
                 await stream.send(b"z")
             await client.aclose()
@@ -245,9 +254,9 @@
 
 
 def test_random_bytes_are_no_heartbeat() -> None:
-    pick = random.Random(5)
+    rng = random.Random(5)
     for _ in range(300):
-        junk = bytes(pick.randrange(256) for _ in range(pick.randrange(60)))
+        random_bytes = bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
         for parse in (parse_heartbeat, parse_submission):
             with pytest.raises(MalformedMessageError):
-                parse(junk)
+                parse(random_bytes)
--- a/tests/loopback/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -1,4 +1,4 @@
-"""Scripts, the command line, and what a controller tells of itself."""
+"""Operators' scripts, the command line, and the status that a controller reports."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "expected_error"),
     [
         ("threshold_s = ", "a.star:1"),
         ("\nthreshold_s = nowhere\n", "a.star:2"),
@@ -51,16 +51,16 @@
         ("def f():\n  f()\nf()\n", "a.star"),
     ],
 )
-def test_a_bad_script_is_refused_with_its_place(text: str, complaint: str) -> None:
+def test_a_bad_script_is_rejected_with_its_location(text: str, expected_error: str) -> None:
     with pytest.raises(script.ScriptError) as caught:
         script.parse("a.star", text)
-    assert complaint in str(caught.value)
+    assert expected_error in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
 def settings_file(folder: Path) -> Path:
-    made = RealWorld(folder, 2)
-    return made.files["n0"]
+    real_world = RealWorld(folder, 2)
+    return real_world.files["n0"]
 
 
 def test_check_says_what_is_wrong_and_what_is_set(tmp_path: Path) -> None:
@@ -75,9 +75,9 @@
     bad = run(main, ["check", "--config", config, "--script", str(tmp_path / "bad.star")])
     assert bad.exit_code == 2
     assert "spend_cap" in bad.output
-    gone = run(main, ["check", "--config", str(tmp_path / "none.json")])
-    assert gone.exit_code == 2
-    assert len(gone.output.strip().splitlines()) == 1
+    missing = run(main, ["check", "--config", str(tmp_path / "none.json")])
+    assert missing.exit_code == 2
+    assert len(missing.output.strip().splitlines()) == 1
     assert run(main, ["--version"]).output.startswith("dapplewick, version")
 
 
@@ -90,31 +90,31 @@
     ],
 )
 def test_an_unreachable_controller_is_one_line(arguments: list[str]) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "dapplewick", *arguments],
         capture_output=True,
         timeout=30,
         env=os.environ | {"PYTHONPATH": str(ROOT / "src")},
     )
-    assert done.returncode == 1
-    assert len(done.stderr.decode().strip().splitlines()) == 1
+    assert process.returncode == 1
+    assert len(process.stderr.decode().strip().splitlines()) == 1
 
 
 def test_a_bad_script_ends_the_start(tmp_path: Path) -> None:
     config = settings_file(tmp_path)
     (tmp_path / "bad.star").write_text("spend_kap = 40\n")
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, str(ROOT / "run.py"), "--config", str(config)],
         capture_output=True,
         timeout=30,
         env=os.environ | {"DAPPLEWICK_SCRIPT": str(tmp_path / "bad.star")},
     )
-    assert done.returncode == 2
-    assert b"spend_cap" in done.stderr
+    assert process.returncode == 2
+    assert b"spend_cap" in process.stderr
 
 
 def test_the_command_line_against_a_running_controller(world: RealWorld) -> None:
-    said: dict[str, Any] = {}
+    results: dict[str, Any] = {}
 
     async def script_() -> None:
         await until_healthy(world)
@@ -122,20 +122,20 @@
         peer = json.loads(world.files["n0"].read_text())["peer_listen"]
         body = world.job(name_id="run-000009", true_s=1.0, pieces=2)
         world.jobs["run-000009"] = body
-        raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
-        while "stage" not in said:
+        request_body = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
+        while "stage" not in results:
             try:
-                said.update(await client.submit(at, raw))
+                results.update(await client.submit(at, request_body))
             except client.ClientError:
-                await anyio.sleep(0.5)  # the machine types are not known yet
+                await anyio.sleep(0.5)  # the controller has not read the machine types yet
         with pytest.raises(client.ClientError, match="status 404"):
             await client.poll(at, "run-000010")
         assert (await client.poll(at, "run-000009"))["name_id"] == "run-000009"
         assert (await client.cancel(at, "run-000009"))["stage"] in ("withdrawn", "done")
-        said["status"] = await client.status(peer)
+        results["status"] = await client.status(peer)
 
     anyio.run(world.run, script_)
-    status = said["status"]
+    status = results["status"]
     assert status["node"] == "n0"
     assert status["leader"] in ("n0", "n1")
     assert set(status["parts"]) == {"a", "b"}
@@ -143,33 +143,34 @@
     assert any(line.startswith("leader n") for line in status_lines(status))
 
 
-def test_status_reads_only_and_is_plain() -> None:
-    day = World(4)
-    seen: list[dict[str, Any]] = []
+def test_status_is_read_only_and_serializable() -> None:
+    world = World(4)
+    statuses: list[dict[str, Any]] = []
 
     async def script_() -> None:
         await anyio.sleep(3)
-        body = day.job(name_id="run-000001", pieces=6)
+        body = world.job(name_id="run-000001", pieces=6)
         async with anyio.create_task_group() as group:
-            group.start_soon(day.user, "run-000001", body, None)
-            service = day.job(name_id="run-service", shape="daemon", pieces=2, expected_s=0.0)
-            group.start_soon(day.user, "run-service", service, None)
+            group.start_soon(world.user, "run-000001", body, None)
+            service = world.job(name_id="run-service", shape="daemon", pieces=2, expected_s=0.0)
+            group.start_soon(world.user, "run-service", service, None)
             await anyio.sleep(25)
-            for controller in day.controllers.values():
+            for controller in world.controllers.values():
                 before = controller.cache.revision
-                seen.append(controller.status.describe())
+                statuses.append(controller.status.describe())
                 assert controller.cache.revision == before
 
     async def main_() -> None:
-        await day.play(60.0, script_)
+        await world.play(60.0, script_)
 
     run_in_virtual_time(main_)
-    assert len(seen) == 3
-    assert any(status["owned"] for status in seen)
-    json.dumps(seen)
-    for status in seen:
+    assert len(statuses) == 3
+    assert any(status["owned"] for status in statuses)
+    json.dumps(statuses)
+    for status in statuses:
         lines = status_lines(status)
         assert "format 3  versions n0 3  n1 3  n2 3" in lines
         assert "service run-service  replicas 2  granted 2  running 2" in lines
-        del status["versions"], status["format"], status["services"]  # as the version before
+        # The previous version does not report these fields.
+        del status["versions"], status["format"], status["services"]
         assert len(status_lines(status)) == len(lines) - 2
--- a/tests/loopback/test_partitions.py
+++ b/tests/loopback/test_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions with real processes on loopback and stand-in workers: a move there and back."""
+"""Partitions with real controllers on loopback: machines move to a partition and back."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 @pytest.fixture
 def world() -> Iterator[RealWorld]:
     with tempfile.TemporaryDirectory() as folder:
-        made = RealWorld(Path(folder), 3)
+        real_world = RealWorld(Path(folder), 3)
         plan = Path(folder) / "plan.star"
         plan.write_text(PLAN_TEXT)
-        made.options = ["--shares", str(plan)]
-        made.boot_s = (0.5, 1.0)
-        yield made
-        made.kill_all()
+        real_world.options = ["--shares", str(plan)]
+        real_world.boot_s = (0.5, 1.0)
+        yield real_world
+        real_world.kill_all()
 
 
 async def command(world: RealWorld, name: str, *arguments: str) -> str:
-    """An operator's command, as typed; a leader may still be on its way."""
+    """Run an operator's command, and retry while the cluster has no leader."""
     at = f"127.0.0.1:{world.peer_ports[name]}"
     for _ in range(20):
-        said = await anyio.to_thread.run_sync(
+        result = await anyio.to_thread.run_sync(
             lambda: CliRunner().invoke(main, ["shares", arguments[0], "--at", at, *arguments[1:]])
         )
-        if said.exit_code != 1:
-            assert said.exit_code == 0, said.output
-            return said.output
+        if result.exit_code != 1:
+            assert result.exit_code == 0, result.output
+            return result.output
         await anyio.sleep(0.5)
-    raise AssertionError(said.output)
+    raise AssertionError(result.output)
 
 
 def move(source: str, target: str, count: int, command_id: str) -> list[str]:
@@ -69,43 +69,43 @@
 
 
 def test_a_move_each_way_with_a_controller_ended_on_the_way(world: RealWorld) -> None:
-    shown: list[str] = []
-    took: dict[str, float] = {}
+    outputs: list[str] = []
+    durations_s: dict[str, float] = {}
 
     async def script() -> None:
         with anyio.fail_after(110.0):
             await partitions_begun(world)
             pinned(world, "run-000001", 12, 9.0, expected_s=100.0)
             await until(lambda: len(world.first_start) == 12, 40.0)
-            have = len(machines_of(world, "a"))
-            began = now()
-            await command(world, "n0", *move("-", "night", have, "o-00000001"))
-            shown.append(await command(world, "n1", "show"))
-            giver = owner(world, "a")
-            world.crash(giver)  # its own process, by its id
+            machine_count = len(machines_of(world, "a"))
+            started_at = now()
+            await command(world, "n0", *move("-", "night", machine_count, "o-00000001"))
+            outputs.append(await command(world, "n1", "show"))
+            source_owner = owner(world, "a")
+            world.crash(source_owner)  # kills only this controller's process
             await anyio.sleep(2.0)
-            world.start_controller(giver)
-            await until(lambda: len(machines_of(world, NIGHT)) == have, 60.0)
-            took["there"] = now() - began
+            world.start_controller(source_owner)
+            await until(lambda: len(machines_of(world, NIGHT)) == machine_count, 60.0)
+            durations_s["there"] = now() - started_at
             pinned(world, "run-000002", 8, 3.0)
             await until(lambda: world.told.get("run-000002") == "done", 40.0)
-            began = now()
-            await command(world, "n2", *move("night", "-", have, "o-00000002"))
+            started_at = now()
+            await command(world, "n2", *move("night", "-", machine_count, "o-00000002"))
             await until(lambda: not machines_of(world, NIGHT), 40.0)
-            took["back"] = now() - began
+            durations_s["back"] = now() - started_at
             await until(lambda: world.told.get("run-000001") == "done", 20.0)
-            shown.append(await command(world, "n0", "show", "--json"))
+            outputs.append(await command(world, "n0", "show", "--json"))
 
-    async def play() -> None:
+    async def run() -> None:
         await world.run(script)
 
-    anyio.run(play)
+    anyio.run(run)
     history = PartitionHistory()
     assert history.check(world.state.log) == []
     assert world.violations == []
     assert world.reruns == []
     assert max(world.starts_of.values()) == 1  # no running task was lost
-    assert "share night  for red" in shown[0]
-    assert "(no share) to night  c8  " in shown[0]
-    assert [t["state"] for t in json.loads(shown[1])["transfers"]] == ["complete", "complete"]
-    assert took["back"] < took["there"] + 20.0
+    assert "share night  for red" in outputs[0]
+    assert "(no share) to night  c8  " in outputs[0]
+    assert [t["state"] for t in json.loads(outputs[1])["transfers"]] == ["complete", "complete"]
+    assert durations_s["back"] < durations_s["there"] + 20.0
--- a/tests/loopback/test_soak.py
+++ b/tests/loopback/test_soak.py
@@ -1,4 +1,4 @@
-"""Soak runs of a few fixed seeds; `tests/tools/soak.py` plays more of them."""
+"""Soak runs with a few fixed seeds; `tests/tools/soak.py` runs any number of seeds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from support.soak import SoakOptions, play_seed
 from support.soak_schedule import FaultKind, draw_schedule, end_of
 
-SEEDS = [3, 6, 7]  # the first and the last with peers that refuse one another until the end
+SEEDS = [3, 6, 7]  # in 3 and 7, peers refuse connections from one another until the end of the run
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/tools/make_golden_data.py
+++ b/tests/tools/make_golden_data.py
@@ -640,7 +640,7 @@
 def grouped_writes() -> dict[str, Any]:
     """Return lists of writes with their transaction groups: key, value and group of each."""
 
-    def one_per_group_name(group_names: str) -> dict[str, Any]:
+    def writes_of_groups(group_names: str) -> dict[str, Any]:
         return {
             "changes": [
                 [f"dw/{n}", "x", group_name.strip(".")] for n, group_name in enumerate(group_names)
@@ -649,9 +649,9 @@
 
     large = [["dw/0", "x" * 5000, ""], ["dw/1", "x", "a"], ["dw/2", "x" * 5000, "a"]]
     return {
-        "loose": one_per_group_name("......"),
-        "tied": one_per_group_name("..aaa.bb"),
-        "too many": one_per_group_name("aaaaaaaaaaaaaaaaaaa."),
+        "loose": writes_of_groups("......"),
+        "tied": writes_of_groups("..aaa.bb"),
+        "too many": writes_of_groups("aaaaaaaaaaaaaaaaaaa."),
         "too large": {"changes": [*large, ["dw/3", "x", ""]]},
     }
 
