--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that are not tests."""
+"""Tools that developers run by hand: comparisons, soak runs, test data and measurements."""
--- a/tests/tools/compare_behaviour.py
+++ b/tests/tools/compare_behaviour.py
@@ -63,11 +63,13 @@
 def first_difference(base: Path, present: Path) -> Difference | None:
     """Compare two traces line by line, and return None if they are equal."""
     before: deque[str] = deque(maxlen=CONTEXT_EVENTS)
-    with base.open() as left, present.open() as right:
-        for number, (one, other) in enumerate(zip_longest(left, right), start=1):
-            if one != other:
-                return Difference(number, list(before), one, other)
-            before.append(one)
+    with base.open() as base_file, present.open() as present_file:
+        for number, (base_event, present_event) in enumerate(
+            zip_longest(base_file, present_file), start=1
+        ):
+            if base_event != present_event:
+                return Difference(number, list(before), base_event, present_event)
+            before.append(base_event)
     return None
 
 
@@ -79,19 +81,19 @@
 
 def format_difference(scenario: str, difference: Difference) -> str:
     """Format a difference: both events, and the text around the first differing character."""
-    one, other = difference.base, difference.present
-    pairs = enumerate(zip(one or "", other or "", strict=False))
-    shared = next((n for n, (a, b) in pairs if a != b), 0)
+    base_event, present_event = difference.base, difference.present
+    pairs = enumerate(zip(base_event or "", present_event or "", strict=False))
+    difference_at = next((n for n, (a, b) in pairs if a != b), 0)
     lines = [f"{scenario}: the traces differ at line {difference.line}"]
     lines += [f"  before   {_truncate(line)}" for line in difference.before]
-    for name, event in (("base", one), ("present", other)):
+    for name, event in (("base", base_event), ("present", present_event)):
         lines.append(f"  {name:8} {'(the trace has ended)' if event is None else _truncate(event)}")
-    if one is not None and other is not None:
-        begin = max(0, shared - 60)
+    if base_event is not None and present_event is not None:
+        excerpt_start = max(0, difference_at - 60)
         lines += [
-            f"  from character {begin} on:",
-            f"  base     {one[begin : begin + 240].rstrip()}",
-            f"  present  {other[begin : begin + 240].rstrip()}",
+            f"  from character {excerpt_start} on:",
+            f"  base     {base_event[excerpt_start : excerpt_start + 240].rstrip()}",
+            f"  present  {present_event[excerpt_start : excerpt_start + 240].rstrip()}",
         ]
     return "\n".join(lines)
 
@@ -215,11 +217,11 @@
             side: run_tool(root, side, folder / "cache", "--list").split()
             for side, root in roots.items()
         }
-        days = list(selected) or available["present"]
+        scenario_names = list(selected) or available["present"]
         for side, names in available.items():
-            if missing := set(days) - set(names):
+            if missing := set(scenario_names) - set(names):
                 raise ComparisonError(f"{side} has no scenario {', '.join(sorted(missing))}")
-        if not selected and (removed := set(available["base"]) - set(days)):
+        if not selected and (removed := set(available["base"]) - set(scenario_names)):
             raise ComparisonError(f"present has no scenario {', '.join(sorted(removed))}")
 
         def trace(side: str, scenario: str) -> Path:
@@ -231,7 +233,7 @@
         with ThreadPoolExecutor(jobs) as pool:
             traces = {
                 scenario: [pool.submit(trace, side, scenario) for side in roots]
-                for scenario in days
+                for scenario in scenario_names
             }
             try:
                 for scenario, (base, present) in traces.items():
@@ -254,7 +256,7 @@
             finally:
                 pool.shutdown(cancel_futures=True)
     elapsed_s = time.monotonic() - started_at
-    print(f"equal to {commit[:12]}: {len(days)} days, {events} events, {elapsed_s:.0f} s")
+    print(f"equal to {commit[:12]}: {len(scenario_names)} days, {events} events, {elapsed_s:.0f} s")
     return 0
 
 
--- a/tests/tools/make_golden_data.py
+++ b/tests/tools/make_golden_data.py
@@ -72,18 +72,20 @@
 FORMAT_RECORD = ["dw/format", {"version": 3}, 2]
 
 
-def job(spec: dict[str, Any], stage: str = "open", **more: Any) -> dict[str, Any]:
+def job(spec: dict[str, Any], stage: str = "open", **fields: Any) -> dict[str, Any]:
     """Build a job record with its fields in the stored order."""
     order = ("done", "grants", "gang", "chunk")
-    return {"spec": spec, "stage": stage, "at": 1000.5} | {k: more[k] for k in order if k in more}
+    return {"spec": spec, "stage": stage, "at": 1000.5} | {
+        k: fields[k] for k in order if k in fields
+    }
 
 
-def group(machines: dict[str, str], **more: Any) -> dict[str, Any]:
+def group(machines: dict[str, str], **fields: Any) -> dict[str, Any]:
     """Build a machine group record."""
-    return {"type": "c8", "zone": "a", "spot": False, "machines": machines, **more}
+    return {"type": "c8", "zone": "a", "spot": False, "machines": machines, **fields}
 
 
-def transfer(state: str, **more: Any) -> dict[str, Any]:
+def transfer(state: str, **fields: Any) -> dict[str, Any]:
     """Build a transfer record."""
     return {
         "generation": 3,
@@ -94,17 +96,17 @@
         "state": state,
         "at": 1000.0,
         "until": 1300.5,
-        **more,
+        **fields,
     }
 
 
-def long_gang_record(**more: Any) -> dict[str, Any]:
+def long_gang_record(**fields: Any) -> dict[str, Any]:
     """Build the record of a long gang whose placement is stored in separate keys."""
-    return job(LONG_GANG_SPEC, is_gang={"attempt": 4194305, "places": [], **more, "shares": 2})
+    return job(LONG_GANG_SPEC, is_gang={"attempt": 4194305, "places": [], **fields, "shares": 2})
 
 
 def placement_chunk(first: int, last: int, attempt: int = 4194305) -> dict[str, Any]:
-    """Build the record of one of these keys, which holds a range of the placement."""
+    """Build one of the separate records, each of which holds a range of a long placement."""
     return {"attempt": attempt, "places": LONG_GANG_PLACEMENTS[first:last]}
 
 
@@ -209,8 +211,8 @@
         ),
     }
     for state in ("requested", "draining", "complete", "cancelled", "overdue"):
-        more = {"moved": 1, "draining": ["vm-1", "vm-2"], "origin": "operator"}
-        single_records[f"transfer {state}"] = "dw/s/o-000000f1", transfer(state, **more)
+        fields = {"moved": 1, "draining": ["vm-1", "vm-2"], "origin": "operator"}
+        single_records[f"transfer {state}"] = "dw/s/o-000000f1", transfer(state, **fields)
     single_records["transfer of the plan"] = "dw/s/p-3", transfer("requested")
     out: dict[str, Any] = {
         label: [[key, value, 5]] for label, (key, value) in single_records.items()
@@ -362,7 +364,7 @@
 
 
 def heartbeat(
-    machine: str, sequence: int, pieces: list[dict[str, Any]], **more: Any
+    machine: str, sequence: int, pieces: list[dict[str, Any]], **fields: Any
 ) -> dict[str, Any]:
     """Build a worker's heartbeat."""
     return {
@@ -376,7 +378,7 @@
         "baton": 7,
         "recall_s": None,
         "pieces": pieces,
-        **more,
+        **fields,
     }
 
 
@@ -393,7 +395,7 @@
 IDLE_MACHINE = BUSY_MACHINE | {"free": [8.0, 0.0, 32.0], "ends": [], "queued": 0}
 
 
-def shard_status(**more: Any) -> dict[str, Any]:
+def shard_status(**fields: Any) -> dict[str, Any]:
     """Build a shard status as a controller of the current version sends it."""
     one = {"placed": 2, "running": 1, "done": [0, 3], "returned": [4], "version": 11}
     return {
@@ -421,11 +423,11 @@
         "drained": ["vm-9"],
         "node": "n1",
         "version": 3,
-        **more,
+        **fields,
     }
 
 
-def gossip(**more: Any) -> dict[str, Any]:
+def gossip(**fields: Any) -> dict[str, Any]:
     """Build the message in which a controller reports its own state to its peers."""
     return {
         "kind": "node",
@@ -441,7 +443,7 @@
         "complete": True,
         "since": 16,
         "cancelled": [[18, "run-1"]],
-        **more,
+        **fields,
     }
 
 
@@ -459,7 +461,7 @@
     }
     part_a: dict[str, Any] = {"zone": "a", "token": 7, "machines": {}, "silent": {}, "idle": {}}
     gang_in_a = {"attempt": 7, "places": [["a", "vm-2"], ["a", "vm-3"]]}
-    many: dict[str, Any] = {
+    cases: dict[str, Any] = {
         "of itself": {"messages": [gossip()]},
         "of itself, without what it knows of cancellations": {"messages": [old]},
         "of itself, twice": {"messages": [gossip(), gossip(at=996.5, state=False, running={})]},
@@ -516,11 +518,11 @@
         "of a kind that nobody knows": {"messages": [{"kind": "later"}]},
     }
     for state in ("bad", "done", "held", "on", "busy"):
-        many[f"status of a gang that is {state}"] = {
+        cases[f"status of a gang that is {state}"] = {
             "messages": [shard_status(**part_a, gangs={"run-2": [7, state, 3.0]})],
             "leads": True,
         }
-    return {label: {"records": SHARD_OWNER_RECORDS, **given} for label, given in many.items()}
+    return {label: {"records": SHARD_OWNER_RECORDS, **given} for label, given in cases.items()}
 
 
 def shard_owner_steps() -> dict[str, Any]:
@@ -597,20 +599,20 @@
 def state_calls() -> dict[str, Any]:
     """Return calls of the state service with each kind of response, by label."""
     item = '{"key": "dw/j/run-1", "data": {"x": [1]}, "stamp": 5}'
-    more = '{"items": [%s], "more": true, "ledger": 9}'
-    last = '{"items": [{"key": "dw/z", "stamp": 8}], "more": false, "ledger": 11}'
+    page = '{"items": [%s], "more": true, "ledger": 9}'
+    last_page = '{"items": [{"key": "dw/z", "stamp": 8}], "more": false, "ledger": 11}'
     events = (
         '{"ledger": 9, "events": [{"write": "dw/a", "data": 1, "stamp": 8},'
         ' {"remove": "dw/b", "stamp": 9}]}'
     )
     write = [{"dw/a": 3, "dw/b": 0}, {"dw/a": {"x": 1}, "dw/c": []}, ["dw/b"], {"dw/a": 7}]
-    many: dict[str, list[Any]] = {
+    cases: dict[str, list[Any]] = {
         "one": [["one", ["dw/j/run-1"]], [200, item]],
         "one that is not there": [["one", ["dw/none"]], [404, '{"ledger": 9}']],
         "one, refused": [["one", ["dw/none"]], [503, "{}"]],
         "one, malformed": [["one", ["dw/none"]], [200, "{"]],
-        "all": [["all", ["dw/"]], [200, more % item], [200, last]],
-        "all, an empty page": [["all", ["dw/"]], [200, more % ""]],
+        "all": [["all", ["dw/"]], [200, page % item], [200, last_page]],
+        "all, an empty page": [["all", ["dw/"]], [200, page % ""]],
         "changes": [["changes", ["dw/", 7, 4000]], [200, events]],
         "changes, too old": [["changes", ["dw/", 7, 0]], [410, "{}"]],
         "changes, older": [["changes", ["dw/", 10, 0]], [200, events]],
@@ -633,7 +635,7 @@
     }
     return {
         label: {"call": call, "arguments": arguments, "answers": answers}
-        for label, ((call, arguments), *answers) in many.items()
+        for label, ((call, arguments), *answers) in cases.items()
     }
 
 
@@ -701,7 +703,7 @@
         "endpoint": "10.0.0.1:9",
     }
     bare = {k: v for k, v in listed.items() if k != "endpoint"} | {"name_id": "vm-2"}
-    many: dict[str, dict[str, Any]] = {
+    cases: dict[str, dict[str, Any]] = {
         "rental": {"call": "rent", "name": "r-4-1", "answers": [[200, '{"looms": ["vm-5"]}']]},
         "rental, no capacity": {
             "call": "rent",
@@ -748,7 +750,7 @@
         },
         "list, malformed": {"call": "list", "answers": [[200, '{"looms": [{}]}']]},
     }
-    return {label: {"records": SHARD_OWNER_RECORDS, **given} for label, given in many.items()}
+    return {label: {"records": SHARD_OWNER_RECORDS, **given} for label, given in cases.items()}
 
 
 def request_bodies() -> dict[str, dict[str, Any]]:
@@ -962,16 +964,16 @@
     Raises:
         RuntimeError: The child process failed; the message is its standard error.
     """
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, __file__, "days"],
         env=os.environ | {"PYTHONHASHSEED": "0"},
         capture_output=True,
         check=False,
         timeout=300,
     )
-    if done.returncode:
-        raise RuntimeError(done.stderr.decode())
-    output: dict[str, Any] = json.loads(done.stdout)
+    if process.returncode:
+        raise RuntimeError(process.stderr.decode())
+    output: dict[str, Any] = json.loads(process.stdout)
     return output
 
 
--- a/tests/tools/measure_partitions.py
+++ b/tests/tools/measure_partitions.py
@@ -1,4 +1,4 @@
-"""Measures how long machines take to move between partitions, and how long tasks wait meanwhile.
+"""Measures simulated moves of machines between partitions, and the waits of tasks around them.
 
 `PYTHONPATH=src:tests target/ci/bin/python tests/tools/measure_partitions.py` simulates each move
 with the stand-ins in virtual time and prints the table in `docs/partitions.md`.
@@ -26,7 +26,7 @@
 
 
 class MoveTiming(NamedTuple):
-    """The duration of a move, and the median start delay of tasks before and after the move."""
+    """The duration of a move, and the median wait of tasks for their start before and after it."""
 
     move_s: float
     wait_before_s: float
