--- a/tests/simulation/test_cancellations.py
+++ b/tests/simulation/test_cancellations.py
@@ -24,7 +24,7 @@
 # The gap, and the cancellations in the moment of a refusal
 
 
-def gap(who: str, lost: bool, hang: bool = False) -> Script:
+def refusal_then_outage(who: str, lost: bool, hang: bool = False) -> Script:
     """The state service refuses the leader or an owner alone; another controller confirms
     cancellations; then it is out for all for longer than `cancel_s`."""
 
@@ -72,7 +72,7 @@
 def test_a_confirmed_cancellation_binds_in_the_gap(
     who: str, lost: bool, hang: bool, seed: int
 ) -> None:
-    world = play_scenario(gap(who, lost, hang), seed, 450.0)
+    world = play_scenario(refusal_then_outage(who, lost, hang), seed, 450.0)
     assert world.violations == []
     assert len(world.cancelled_at) == 7
     assert finished(world) == {}
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -97,7 +97,7 @@
             world.start_controller(name)
 
 
-def played_close_looks(seed: int, lost_answers: float) -> AnswerProbe:
+def run_answer_probes(seed: int, lost_answers: float) -> AnswerProbe:
     seen: list[AnswerProbe] = []
     world = World(seed)
 
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("lost_answers", [0.0, 0.25])
 def test_no_controller_answers_something_older_than_another(seed: int, lost_answers: float) -> None:
-    assert played_close_looks(seed, lost_answers).violations == []
+    assert run_answer_probes(seed, lost_answers).violations == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -123,7 +123,7 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     no_check_that_the_watch_cache_is_current(monkeypatch)
-    assert any("older_answer" in b for b in played_close_looks(seed, 0.0).violations)
+    assert any("older_answer" in b for b in run_answer_probes(seed, 0.0).violations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -157,7 +157,7 @@
 # Heartbeats that are kept for the next leader
 
 
-async def kept_for_the_next_leader(world: World) -> None:
+async def heartbeats_replayed_to_new_leader(world: World) -> None:
     """Copies of heartbeats reach every controller just as a new leader and new owners begin."""
     await anyio.sleep(3)
     submit_jobs(world, 16, pieces=8, cpus=2.0, true_s=11.0)
@@ -190,7 +190,7 @@
 def test_heartbeats_kept_for_the_next_leader_settle_nothing(
     seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = play_scenario(kept_for_the_next_leader, seed, 330.0)
+    world = play_scenario(heartbeats_replayed_to_new_leader, seed, 330.0)
     assert world.copied > 200
     assert "event=task_unexpected" not in caplog.text  # no owner finds what it thought elsewhere
     assert world.violations == []
@@ -223,7 +223,7 @@
 ) -> None:
     """Tasks that run were waiting to be started by then."""
     stale_heartbeats_settle(monkeypatch)
-    play_scenario(kept_for_the_next_leader, 1, 330.0)
+    play_scenario(heartbeats_replayed_to_new_leader, 1, 330.0)
     assert "event=task_unexpected" in caplog.text
 
 
@@ -257,7 +257,7 @@
             wire.request = request  # type: ignore[method-assign]
 
     monkeypatch.setattr(World, "start_controller", spy)
-    play_scenario(kept_for_the_next_leader, 1, 120.0)
+    play_scenario(heartbeats_replayed_to_new_leader, 1, 120.0)
     assert asked == {
         ("state", "keys"),
         ("state", "changes"),
@@ -284,7 +284,7 @@
 # Machines that are up at once, while writes lag and the leader ends
 
 
-async def up_at_once(world: World) -> None:
+async def fast_booting_machines(world: World) -> None:
     world.boot_s = (0.1, 2.0)
     world.slow = 60.0
     world.late_writes = 0.1
@@ -303,7 +303,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_machines_that_are_up_at_once_get_work_while_writes_lag(seed: int) -> None:
-    world = play_scenario(up_at_once, seed, 330.0)
+    world = play_scenario(fast_booting_machines, seed, 330.0)
     assert world.violations == []
     assert final_check_failures(world) == []
     assert finished(world) == {}
@@ -313,7 +313,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_wait_for_unheard_machines(monkeypatch)
-    worlds = (play_scenario(up_at_once, seed, 330.0) for seed in range(1, 6))
+    worlds = (play_scenario(fast_booting_machines, seed, 330.0) for seed in range(1, 6))
     assert any(b.startswith("ran_twice") for world in worlds for b in world.violations)
 
 
@@ -377,7 +377,7 @@
 # Cancellations while a shard changes its owner, teams at their limit
 
 
-async def cancelled_in_a_handover(world: World) -> None:
+async def cancellations_during_owner_change(world: World) -> None:
     await anyio.sleep(3)
     submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0, crew="blue")  # at its limit of 24 CPUs
     submit_jobs(world, 8, first=10, pieces=3, cpus=2.0, true_s=90.0)
@@ -406,7 +406,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_cancellations_while_a_shard_changes_its_owner(seed: int) -> None:
-    world = play_scenario(cancelled_in_a_handover, seed, 420.0)
+    world = play_scenario(cancellations_during_owner_change, seed, 420.0)
     assert len(world.cancelled_at) > 6
     assert world.violations == []
     assert final_check_failures(world) == []
@@ -417,7 +417,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_stop_of_cancelled_tasks(monkeypatch)
-    world = play_scenario(cancelled_in_a_handover, 1, 420.0)
+    world = play_scenario(cancellations_during_owner_change, 1, 420.0)
     assert any(b.startswith("ran_cancelled") for b in world.violations)
 
 
--- a/tests/simulation/test_partition_faults.py
+++ b/tests/simulation/test_partition_faults.py
@@ -52,7 +52,7 @@
 KINDS = ["crash", "blink", "hang", "no state", "held state", "no peers", "no workers"]
 
 
-def play_fault(seed: int, kind: str, roles: list[str], after: float) -> None:
+def run_fault_scenario(seed: int, kind: str, roles: list[str], after: float) -> None:
     """A move of machines of which some are busy, with a fault at one of its steps; in the end
     the plan's wish is met, all work is done, and nothing has run twice."""
     world = new_world(seed)
@@ -79,7 +79,7 @@
 def test_any_controller_may_fail_while_machines_move(kind: str, roles: list[str]) -> None:
     number = KINDS.index(kind) * len(ROLES) + ROLES.index(roles)
     after = list(STEPS.values())[number % len(STEPS)]
-    play_fault(100 + number, kind, roles, after)
+    run_fault_scenario(100 + number, kind, roles, after)
 
 
 # Faults of the services and of machines on the way
--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -68,7 +68,7 @@
 
 def move(seed: int, kind: str, roles: list[str], after: float) -> Play:
     """Machines move between partitions while controllers fail."""
-    return lambda: partition_faults.play_fault(seed, kind, roles, after)
+    return lambda: partition_faults.run_fault_scenario(seed, kind, roles, after)
 
 
 def moves_and(fault: partition_moves.Script, moved_on: bool) -> Play:
@@ -132,15 +132,15 @@
     "five-controllers": layout(5, ["a", "b", "c"], faults.quick_restarts, 31),
     "one-controller": layout(1, ["a", "b"], faults.bad_machines, 32),
     # Compound failures
-    "gap-told": compound(cancellations.gap("owner", False), 1, 200.0),
-    "gap-lost": compound(cancellations.gap("both", True, True), 2, 200.0),
+    "gap-told": compound(cancellations.refusal_then_outage("owner", False), 1, 200.0),
+    "gap-lost": compound(cancellations.refusal_then_outage("both", True, True), 2, 200.0),
     "late-writes": compound(leadership.many_late_writes, 1, 200.0),
     "all-away": compound(failure_pairs.all_away, 1, 250.0),
     "limit-and-cancellation": compound(failure_pairs.limit_and_cancellation, 1, 250.0),
-    "close-looks": lambda: compound_failures.played_close_looks(1, 0.25),
-    "kept-reports": compound(compound_failures.kept_for_the_next_leader, 1, 200.0),
-    "up-at-once": compound(compound_failures.up_at_once, 1, 200.0),
-    "handover-cancelled": compound(compound_failures.cancelled_in_a_handover, 1, 200.0),
+    "close-looks": lambda: compound_failures.run_answer_probes(1, 0.25),
+    "kept-reports": compound(compound_failures.heartbeats_replayed_to_new_leader, 1, 200.0),
+    "up-at-once": compound(compound_failures.fast_booting_machines, 1, 200.0),
+    "handover-cancelled": compound(compound_failures.cancellations_during_owner_change, 1, 200.0),
     "odd-requests": requests.test_invalid_requests_get_the_protocols_answer_also_in_an_outage,
     # Services
     "services-all-killed": service(faults.all_crash),
