--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Whole scenarios in virtual time against the stand-ins."""
+"""Simulations of a whole deployment in virtual time, with stand-ins for its services."""
--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -1,6 +1,6 @@
-"""No answer to a user is older than one that any controller gave before.
+"""No answer to a user shows an older state than an answer that any controller gave before.
 
-Each test brings about one way in which an older state could become an answer.
+Each test causes one of the failures in which a controller could answer from an older state.
 """
 
 from __future__ import annotations
@@ -48,12 +48,14 @@
 CANCELLATION = Request("POST", f"/v2/runs/{JOB}/abort", b"", False)
 
 
-async def over_elsewhere(world: World, request: Request, stage: str) -> None:
-    """A job is accepted and over while n2 is refused by the state service; n2 is then served
-    again, and has not read any of it yet."""
+async def end_job_unseen_by_n2(world: World, request: Request, stage: str) -> None:
+    """Submit a job and wait for its final stage while the state service refuses n2.
+
+    The state service then serves n2 again, and n2 has not read the job's record yet.
+    """
     await anyio.sleep(4)
     world.modes[("n2", "state")] = "refused"
-    await anyio.sleep(5)  # an open watch has ended too
+    await anyio.sleep(5)  # long enough for an open watch of n2 to end as well
     assert (await world.ask_controller("n0", request))[0] == 201
     if stage == "withdrawn":
         assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == stage
@@ -63,22 +65,25 @@
     assert JOB not in world.controllers["n2"].cache.jobs
 
 
-# A submission whose transaction gets no answer
+# Submissions whose transaction gets no answer
 
 
 @pytest.mark.parametrize("stage", ["done", "withdrawn"])
 @pytest.mark.parametrize("late", [False, True])
-def test_a_repeated_submission_without_an_answer_tells_how_the_job_stands(
+def test_a_repeated_submission_without_an_answer_returns_the_stored_stage(
     stage: str, late: bool
 ) -> None:
-    """The transaction of a repeated submission is refused, since the job is known, and that
-    answer is lost. What the record says by then is the answer, not what was asked for."""
+    """The controller answers a repeated submission with the stage in the job's record.
+
+    The state service rejects the transaction because the job's record exists, and its answer is
+    lost. The controller must not assume that its own transaction created the record.
+    """
     world = World(1)
     answers: list[tuple[int, Any]] = []
 
     async def script() -> None:
         request = submission(world)
-        await over_elsewhere(world, request, stage)
+        await end_job_unseen_by_n2(world, request, stage)
         if late:
             world.lose = lambda controller, _: controller == "n2"
         else:
@@ -87,13 +92,13 @@
 
     run_script(world, 80.0, script)
     assert world.violations == []
-    ((status, said),) = answers
+    ((status, answer_body),) = answers
     assert status == 200
-    assert said["stage"] == stage
+    assert answer_body["stage"] == stage
 
 
 def test_a_submission_that_was_carried_out_without_an_answer_is_accepted() -> None:
-    """Its own transaction made the record: there is nothing else to be told."""
+    """The transaction created the record and its answer was lost, so the job is new."""
     world = World(1)
     answers: list[tuple[int, Any]] = []
 
@@ -104,20 +109,20 @@
         world.lost_answers = 0.0
 
     run_script(world, 12.0, script)
-    ((status, said),) = answers
+    ((status, answer_body),) = answers
     assert status in (200, 201)
-    assert said["stage"] in ("queued", "running")
+    assert answer_body["stage"] in ("queued", "running")
 
 
-def test_a_submission_that_may_still_be_carried_out_is_not_answered_for_good() -> None:
-    """Neither accepted nor unknown: the user is told when to come back, and then it is known."""
+def test_a_submission_with_an_unknown_outcome_gets_no_final_answer() -> None:
+    """The outcome of the transaction is unknown, so the user gets a 503 answer and retries."""
     world = World(1)
     statuses: list[int] = []
 
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        world.lose = lambda _, said: KEY in json.dumps(said)
+        world.lose = lambda _, transaction: KEY in json.dumps(transaction)
         statuses.append((await world.ask_controller("n2", request))[0])
         world.lose = None
         statuses.append((await world.ask_controller("n1", request))[0])
@@ -128,25 +133,25 @@
     assert statuses[1] in (200, 201)
 
 
-# A write that is known done late
+# Writes whose answer arrives late
 
 
-def answer_of_state(
+def intercept_state_answers(
     world: World, name: str, change: Callable[[str, Reply], Awaitable[Reply]]
 ) -> None:
-    """What a controller is answered by the state service goes through `change`."""
+    """Pass each answer of the state service to a controller through `change`."""
     client = world.controllers[name].state._http
-    put = client.request
+    send = client.request
 
     async def request(method: str, target: str, body: bytes | None, timeout_s: float) -> Reply:
-        return await change(target, await put(method, target, body, timeout_s))
+        return await change(target, await send(method, target, body, timeout_s))
 
     client.request = request  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("verb", ["submit", "abort"])
-def test_a_write_that_is_known_done_late_is_answered_as_things_stand_then(verb: str) -> None:
-    """The record that was written is not the newest any more when its answer comes."""
+def test_a_write_confirmed_late_is_answered_with_the_current_stage(verb: str) -> None:
+    """Another controller cancels the job before the answer to the first write arrives."""
     world = World(1)
     answers: list[tuple[int, Any]] = []
 
@@ -156,42 +161,42 @@
         if verb == "abort":
             assert (await world.ask_controller("n0", request))[0] == 201
 
-        async def late(target: str, reply: Reply) -> Reply:
+        async def delay_transactions(target: str, reply: Reply) -> Reply:
             await anyio.sleep(1.2 if target == "/multi" else 0.0)
             return reply
 
-        answer_of_state(world, "n2", late)
+        intercept_state_answers(world, "n2", delay_transactions)
 
-        async def first() -> None:
+        async def ask_n2() -> None:
             answers.append(
                 await world.ask_controller("n2", request if verb == "submit" else CANCELLATION)
             )
 
         async with anyio.create_task_group() as group:
-            group.start_soon(first)
+            group.start_soon(ask_n2)
             await anyio.sleep(0.4)
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
     assert world.violations == []
-    ((status, said),) = answers
+    ((status, answer_body),) = answers
     assert status in (200, 201)
-    assert said["stage"] == "withdrawn"
+    assert answer_body["stage"] == "withdrawn"
 
 
-async def watch_is_late(target: str, reply: Reply) -> Reply:
-    """What the open watch tells comes seconds after the read that a user waits for."""
+async def delay_open_watch(target: str, reply: Reply) -> Reply:
+    """Deliver the answers of the open watch 5 s later than those of immediate reads."""
     if target.startswith("/changes") and "wait_ms=0" not in target:
         await anyio.sleep(5.0)
     return reply
 
 
-# What an answer rests on may be a few seconds old when the process goes on
+# A process that was suspended resumes with records that it read before
 
 
 @pytest.mark.parametrize("request_", ["poll", "submit", "abort"])
-def test_a_controller_that_stood_still_tells_nothing_that_it_read_before(request_: str) -> None:
-    """It read the records, stood still, and the job was cancelled elsewhere meanwhile."""
+def test_a_suspended_controller_answers_nothing_that_it_read_before(request_: str) -> None:
+    """The controller reads the records and is suspended, and a peer cancels the job meanwhile."""
     world = World(1)
     answers: list[tuple[int, Any]] = []
 
@@ -200,36 +205,38 @@
         request = submission(world)
         assert (await world.ask_controller("n0", request))[0] == 201
         await anyio.sleep(1)
-        asked = {"poll": POLL, "submit": request, "abort": CANCELLATION}[request_]
+        user_request = {"poll": POLL, "submit": request, "abort": CANCELLATION}[request_]
         world.cut_peers.add("n2")
-        answer_of_state(world, "n2", watch_is_late)
+        intercept_state_answers(world, "n2", delay_open_watch)
 
-        async def ask_the_one_that_stands_still() -> None:
-            answers.append(await world.ask_controller("n2", asked))
+        async def ask_suspended_controller() -> None:
+            answers.append(await world.ask_controller("n2", user_request))
 
         async with anyio.create_task_group() as group:
             world.slow = 200.0
-            group.start_soon(ask_the_one_that_stands_still)
+            group.start_soon(ask_suspended_controller)
             await anyio.sleep(0.1)
             group.start_soon(world.stand_still, "n2", 3.0)
-            await anyio.sleep(1.3)  # it was answered by now, and does not know it yet
+            await anyio.sleep(
+                1.3
+            )  # the state service's answer has arrived, but n2 has not processed it
             world.slow = 1.0
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
     assert world.violations == []
-    ((status, said),) = answers
-    assert status in (0, 503) or said["stage"] == "withdrawn"
+    ((status, answer_body),) = answers
+    assert status in (0, 503) or answer_body["stage"] == "withdrawn"
 
 
-# Answers of the state service that can't be used
+# Unusable answers of the state service
 
 
-def spoilt(spoil: bytes) -> Callable[[str, Reply], Awaitable[Reply]]:
-    """All that is said of changes is replaced."""
+def replace_changes(replacement: bytes) -> Callable[[str, Reply], Awaitable[Reply]]:
+    """Returns a function that replaces the body of every answer to a watch or a read of changes."""
 
     async def change(target: str, reply: Reply) -> Reply:
-        return (200, spoil) if target.startswith("/changes") else reply
+        return (200, replacement) if target.startswith("/changes") else reply
 
     return change
 
@@ -239,24 +246,24 @@
     [b'{"ledger":', b"[]", b'{"ledger":"x","events":[]}', b'{"ledger":0,"events":[]}'],
     ids=["cut off", "no object", "no revision", "an older revision"],
 )
-def test_answers_of_the_state_service_that_are_no_use_are_no_knowledge(spoil: bytes) -> None:
-    """Nobody waits for ever on a read that broke, and none takes it for one that succeeded."""
+def test_unusable_answers_of_the_state_service_are_not_used(spoil: bytes) -> None:
+    """A failed read ends within 1 s with a 503 answer, and does not count as a successful read."""
     world = World(1)
     answers: list[tuple[int, Any]] = []
-    waited: list[float] = []
+    answer_times_s: list[float] = []
 
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
         assert (await world.ask_controller("n0", request))[0] == 201
-        world.cut_peers.add("n2")  # it answers by itself, and hears of no cancellation
-        answer_of_state(world, "n2", spoilt(spoil))
+        world.cut_peers.add("n2")  # n2 receives no cancellations from its peers
+        intercept_state_answers(world, "n2", replace_changes(spoil))
         await anyio.sleep(5)
         assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
-        for asked in (POLL, request, CANCELLATION, POLL):
-            begun = now()
-            answers.append(await world.ask_controller("n2", asked))
-            waited.append(now() - begun)
+        for user_request in (POLL, request, CANCELLATION, POLL):
+            asked_at = now()
+            answers.append(await world.ask_controller("n2", user_request))
+            answer_times_s.append(now() - asked_at)
         del world.controllers["n2"].state._http.request
         await anyio.sleep(3)
         answers.append(await world.ask_controller("n2", POLL))
@@ -265,7 +272,7 @@
     assert world.violations == []
     assert [status for status, _ in answers] == [503, 503, 503, 503, 200]
     assert answers[-1][1]["stage"] == "withdrawn"
-    assert max(waited) < 1.0
+    assert max(answer_times_s) < 1.0
 
 
 def test_a_job_whose_newest_record_cannot_be_read_is_not_answered_from_the_one_before() -> None:
@@ -284,8 +291,8 @@
         value = json.loads(json.dumps(world.state.keys[KEY][0]))
         await write({"stage": "of a later format", "spec": 7})
         for name in world.names:
-            for asked in (POLL, request, CANCELLATION):
-                answers.append((await world.ask_controller(name, asked))[0])
+            for user_request in (POLL, request, CANCELLATION):
+                answers.append((await world.ask_controller(name, user_request))[0])
         await write(value | {"stage": "cancelled"})
         for name in world.names:
             assert (await world.ask_controller(name, POLL))[1]["stage"] == "withdrawn"
@@ -295,8 +302,11 @@
     assert answers == [503] * 9
 
 
-def test_a_submission_of_a_job_that_cannot_be_read_is_not_refused_for_good() -> None:
-    """It is known, though nothing can be said of it: neither the catalogue decides nor the team."""
+def test_a_submission_of_a_job_that_cannot_be_read_is_not_refused_permanently() -> None:
+    """The job exists although its record can't be parsed, so every submission is answered 503.
+
+    This also holds for a body that the catalogue or the team's limit would otherwise reject.
+    """
     world = World(1)
 
     async def script() -> None:
@@ -313,7 +323,7 @@
 
 
 class PagesWithoutEnd:
-    """A state service of which a page says that more comes, and has no items."""
+    """A state service whose second page of a listing announces more pages but has no items."""
 
     async def request(self, _method: str, target: str, *_: Any) -> tuple[int, bytes]:
         if "since" in target:
@@ -322,7 +332,10 @@
 
 
 def test_a_listing_that_breaks_off_is_not_taken_for_whole() -> None:
-    """Jobs that come after would count as removed, and users be told that there are none."""
+    """An incomplete listing must not replace the cache.
+
+    The jobs on the missing pages would count as removed, and users would get 404 answers.
+    """
 
     async def script() -> None:
         client = StateClient(PagesWithoutEnd(), 100.0, 100.0)  # type: ignore[arg-type]
@@ -332,17 +345,17 @@
     run_in_virtual_time(script)
 
 
-# Refusals
+# Rejected submissions
 
 
 def test_a_known_job_is_not_refused_where_the_catalogue_has_changed() -> None:
-    """The controller has not read the job yet, and now knows only machines too small for it."""
+    """The controller has not read the job yet, and its catalogue has only too small machines."""
     world = World(1)
     answers: list[tuple[int, Any]] = []
 
     async def script() -> None:
         request = submission(world)
-        await over_elsewhere(world, request, "withdrawn")
+        await end_job_unseen_by_n2(world, request, "withdrawn")
         small = {
             name: replace(kind, cpus=0.1)
             for name, kind in world.controllers["n2"].cache.types.items()
@@ -352,21 +365,24 @@
 
     run_script(world, 40.0, script)
     assert world.violations == []
-    ((status, said),) = answers
+    ((status, answer_body),) = answers
     assert status == 200
-    assert said["stage"] == "withdrawn"
+    assert answer_body["stage"] == "withdrawn"
 
 
 @pytest.mark.parametrize("stage", ["running", "done", "withdrawn"])
 def test_other_bodies_under_the_name_of_a_known_job_get_the_protocols_answer(stage: str) -> None:
-    """A retry of an accepted job is answered with its state, whatever else its body asks for;
-    one that is malformed is refused. Also by a controller that has not read the job yet."""
+    """A submission under the name of an accepted job is answered with that job's stage.
+
+    The other fields of its body don't matter, but a malformed body is rejected. Both also hold for
+    a controller that has not read the job yet.
+    """
     world = World(1)
-    seen: dict[str, list[tuple[int, Any]]] = {}
+    answers: dict[str, list[tuple[int, Any]]] = {}
 
     async def script() -> None:
         request = submission(world, true_s=60.0 if stage == "running" else 1.0)
-        await over_elsewhere(world, request, stage)
+        await end_job_unseen_by_n2(world, request, stage)
         body = json.loads(request.body)
         bodies = {
             "another": body | {"pieces": 7, "bundle": "y"},
@@ -375,29 +391,30 @@
             "malformed": body | {"pieces": "x"},
             "incomplete": {"name_id": JOB},
         }
-        for what, value in bodies.items():
+        for variant, value in bodies.items():
             raw = Request("POST", "/v2/runs", json.dumps(value).encode(), False)
-            seen[what] = [
-                answer_and_stage(await controller.handle(raw)) for controller in behind_first(world)
+            answers[variant] = [
+                status_and_stage(await controller.handle(raw))
+                for controller in controllers_beginning_with_n2(world)
             ]
 
     run_script(world, 60.0, script)
     assert world.violations == []
-    assert set(seen["malformed"] + seen["incomplete"]) == {(400, None)}
-    for what in ("another", "too large", "unknown team"):
-        assert set(seen[what]) == {(200, stage)}
+    assert set(answers["malformed"] + answers["incomplete"]) == {(400, None)}
+    for variant in ("another", "too large", "unknown team"):
+        assert set(answers[variant]) == {(200, stage)}
 
 
-def behind_first(world: World) -> list[Controller]:
-    """The controllers, first the one that `over_elsewhere` left behind."""
+def controllers_beginning_with_n2(world: World) -> list[Controller]:
+    """All controllers; n2, which has not read the job, comes first."""
     return [world.controllers[name] for name in ("n2", "n0", "n1")]
 
 
-def answer_and_stage(answer: Response) -> tuple[int, Any]:
+def status_and_stage(answer: Response) -> tuple[int, Any]:
     return answer.status, json.loads(answer.body).get("stage")
 
 
-# What peers tell of cancellations
+# Lists of cancellations from peers
 
 
 @pytest.mark.parametrize(
@@ -422,24 +439,24 @@
 def test_a_malformed_list_of_cancellations_cancels_nothing(change: dict[str, Any]) -> None:
     peer, cache = ControllerName("b"), WatchCache()
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
-    watch = CancellationExchange("boot-a", [peer], 2)
+    exchange = CancellationExchange("boot-a", [peer], 2)
     message = CancellationExchange("boot-b", [ControllerName("a")], 2).message(
         5.0, WatchCache(), True
     )
 
-    def hear_malformed() -> None:
+    def receive_malformed() -> None:
         malformed = peers.decode(peers.encode(message) | change, CancellationMessage)
-        watch.receive(6.0, ControllerName("a"), peer, malformed, cache)
+        exchange.receive(6.0, ControllerName("a"), peer, malformed, cache)
 
     with pytest.raises(msgspec.ValidationError):
-        hear_malformed()
+        receive_malformed()
     assert cache.jobs[JobId(JOB)].open
     assert cache.cancellations(0) == []
-    assert watch.complete_as_of(7.0) < 0
+    assert exchange.complete_as_of(7.0) < 0
 
 
 def test_a_list_of_cancellations_is_taken_over() -> None:
-    """The same message, well-formed: what the test before changes is what matters."""
+    """The unchanged message of the test above is valid, so only its changes are rejected there."""
     peer, cache = ControllerName("b"), WatchCache()
     cache.put(KEY, JobRecord(SPEC, 1.0).dump(), 3)
     message = CancellationExchange("boot-b", [ControllerName("a")], 2).message(
@@ -451,31 +468,36 @@
     assert cache.cancellations(0) == [(7, JOB)]
 
 
-# Changes that are told late
+# Changes that are received late
+
 
+def test_an_outdated_watch_response_restores_no_removed_key() -> None:
+    """A watch response that is older than the cache must not restore keys that were removed.
 
-def test_an_overtaken_watch_response_brings_nothing_back() -> None:
-    """More keys were removed since than are remembered; a watch that was asked before tells of
-    what was there before that."""
+    More keys were removed since that response than the cache remembers removals.
+    """
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
     cache, keys = (
         WatchCache(),
         [f"{PROVISIONING_REQUESTS}{n}" for n in range(MIN_REMEMBERED_REMOVALS + 10)],
     )
-    late = [Event(n + 1, put=key, value=value) for n, key in enumerate(keys)]
+    delayed = [Event(n + 1, put=key, value=value) for n, key in enumerate(keys)]
     removals = [Event(len(keys) + n + 1, delete=key) for n, key in enumerate(keys)]
-    cache.apply_events([*late, *removals], 20 * len(keys))
+    cache.apply_events([*delayed, *removals], 20 * len(keys))
     cache.apply_events([], 40 * len(keys))
     cache.remove(f"{PROVISIONING_REQUESTS}last", 40 * len(keys) + 1)
-    cache.apply_events(late, len(keys))
+    cache.apply_events(delayed, len(keys))
     assert cache.provisioning_requests == {}
     assert cache.versions == {}
     assert cache.revision == 40 * len(keys)
 
 
-def test_an_own_write_known_after_a_listing_brings_no_removed_key_back() -> None:
-    """The key was written and removed before the listing, which therefore lacks it; the answer to
-    the write comes after it, and no watch will tell of the removal any more."""
+def test_an_own_write_confirmed_after_a_listing_restores_no_removed_key() -> None:
+    """A confirmed write must not restore a key that was removed before the last listing.
+
+    The listing lacks the key, the answer to the write arrives after the listing, and the watch
+    begins after the removal and so does not report it.
+    """
     value = {"type": "g8", "zone": "a", "spot": False, "count": 1, "at": 1.0}
     cache = WatchCache()
     cache.reload({}, 2)
@@ -483,7 +505,7 @@
     assert cache.provisioning_requests == {}
 
 
-def test_removed_keys_are_not_remembered_for_ever() -> None:
+def test_the_number_of_remembered_removals_is_bounded() -> None:
     cache = WatchCache()
     for n in range(1, 60_000):
         cache.remove(f"{PROVISIONING_REQUESTS}{n}", n)
@@ -502,11 +524,11 @@
     assert len(world.accepted) > 30
 
 
-# The checker of the answers can fail
+# The checker of answers detects violations
 
 
-def told(*answers: tuple[str, int, str]) -> list[str]:
-    """Answers, each to a question that was put when the one before had been given."""
+def violations_of(*answers: tuple[str, int, str]) -> list[str]:
+    """Check answers to consecutive requests, each sent after the answer before it arrived."""
     history = AnswerHistory()
     for verb, status, stage in answers:
         history.answered(history.ask(JOB, verb), status, {"stage": stage})
@@ -532,13 +554,13 @@
 def test_each_kind_of_answer_that_goes_back_is_detected(
     answers: list[tuple[str, int, str]], rule: str
 ) -> None:
-    (violations,) = told(*answers)
+    (violations,) = violations_of(*answers)
     assert violations.startswith(rule)
 
 
 def test_answers_that_do_not_go_back_pass() -> None:
     history = AnswerHistory()
-    early = history.ask(JOB, "poll")  # put before the job was known, answered at the end
+    early = history.ask(JOB, "poll")  # sent before the job was accepted, answered last
     before = history.ask(JOB, "poll")
     for verb, status, stage in [
         ("submit", 503, ""),
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -86,7 +86,7 @@
 GUARDS: list[tuple[Patch, Callable[[], None]]] = [
     (
         a_lie_about_what_is_known,
-        lambda: cancellations.test_a_confirmed_cancellation_binds_in_the_gap(
+        lambda: cancellations.test_a_confirmed_cancellation_is_enforced_through_refusal_and_outage(
             "both", True, False, 1
         ),
     ),
