--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -1,6 +1,6 @@
-"""Compound failures: each is brought about, and the removal of its guard is detected.
+"""Compound failures, and checks that the removal of a guard against one of them is detected.
 
-`docs/compound-failures.md` has a row for each, with what guards against it.
+`docs/compound-failures.md` lists the failures with the guard against each.
 """
 
 from __future__ import annotations
@@ -44,12 +44,14 @@
     return json.dumps({k: v for k, v in world.jobs[name].items() if k != "true_s"}).encode()
 
 
-# Only the answers of transactions are lost, and users ask everywhere at once
+# Answers of committed transactions are lost, and users poll all controllers
 
 
-async def close_looks(world: World, lost_answers: float) -> AnswerProbe:
-    """Jobs are accepted, ended and cancelled; right after each answer all controllers are asked,
-    and submissions and cancellations are repeated at others."""
+async def probe_answers(world: World, lost_answers: float) -> AnswerProbe:
+    """Submit and cancel jobs, and poll all controllers right after each answer.
+
+    Submissions are repeated at other controllers.
+    """
     probe = AnswerProbe(world)
     await anyio.sleep(4)
     world.lost_answers = lost_answers
@@ -70,10 +72,10 @@
             await probe.look(job_id)
             name = world.random.choice(world.names)
             if n == 2 and number % 3 == 0:
-                status, said = await probe.request(name, ask(None, job_id, "abort"), job_id)
+                status, answer = await probe.request(name, ask(None, job_id, "abort"), job_id)
                 if status == 200:
                     world.cancelled_at[job_id] = now()
-                    world.told[job_id] = said["stage"]
+                    world.told[job_id] = answer["stage"]
                 await probe.look(job_id)
             if n % 9 == 4:
                 status, _ = await probe.request(name, ask(body, job_id), job_id)
@@ -83,12 +85,12 @@
         for number in range(18):
             group.start_soon(user, number)
             await anyio.sleep(1.5)
-        group.start_soon(restarts, world)
+        group.start_soon(restart_leader_and_owner, world)
     return probe
 
 
-async def restarts(world: World) -> None:
-    """The leader, then an owner end and are back within a second: they have just started."""
+async def restart_leader_and_owner(world: World) -> None:
+    """Crash the leader and then an owner, three times, and restart each after 0.3 s."""
     for _ in range(3):
         await anyio.sleep(9)
         for name in dict.fromkeys([leader(world), *owners(world)[:1]]):
@@ -98,15 +100,15 @@
 
 
 def run_answer_probes(seed: int, lost_answers: float) -> AnswerProbe:
-    seen: list[AnswerProbe] = []
+    probes: list[AnswerProbe] = []
     world = World(seed)
 
     async def script() -> None:
-        seen.append(await close_looks(world, lost_answers))
+        probes.append(await probe_answers(world, lost_answers))
 
     run_script(world, 130.0, script)
     assert world.violations == []
-    (probe,) = seen
+    (probe,) = probes
     assert probe.answers > 1000
     assert set(probe.known.values()) == {2}
     return probe
@@ -128,8 +130,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_lost_answers_of_transactions_start_nothing_twice(seed: int) -> None:
-    """Attempts and tokens that were written without knowing stay unique (the stand-in of a worker
-    fails on one that is repeated), leaders and owners change meanwhile."""
+    """Attempts and tokens stay unique although the outcome of many writes is unknown.
+
+    Controllers crash meanwhile, so that leaders and owners change. The stand-in of a worker fails
+    if an attempt or a token is repeated.
+    """
 
     async def script(world: World) -> None:
         await anyio.sleep(3)
@@ -154,11 +159,14 @@
     assert len(world.accepted) == 12
 
 
-# Heartbeats that are kept for the next leader
+# Heartbeats that are replayed to the next leader
 
 
 async def heartbeats_replayed_to_new_leader(world: World) -> None:
-    """Copies of heartbeats reach every controller just as a new leader and new owners begin."""
+    """Deliver copies of earlier heartbeats to all controllers right after a change of leader.
+
+    Every third machine is unreachable meanwhile, so only the copies show its tasks.
+    """
     await anyio.sleep(3)
     submit_jobs(world, 16, pieces=8, cpus=2.0, true_s=11.0)
     for _ in range(4):
@@ -187,78 +195,81 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_heartbeats_kept_for_the_next_leader_settle_nothing(
+def test_heartbeats_replayed_to_a_new_leader_reconcile_nothing(
     seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     world = play_scenario(heartbeats_replayed_to_new_leader, seed, 330.0)
     assert world.copied > 200
-    assert "event=task_unexpected" not in caplog.text  # no owner finds what it thought elsewhere
+    assert "event=task_unexpected" not in caplog.text  # no task is found on another machine
     assert world.violations == []
     assert final_check_failures(world) == []
     assert finished(world) == {}
 
 
-def stale_heartbeats_settle(patch: pytest.MonkeyPatch) -> None:
-    """Whatever a heartbeat shows counts, whichever token it carries."""
-    take = HeartbeatReconciler.reconcile_tasks
+def reconcile_stale_heartbeats(patch: pytest.MonkeyPatch) -> None:
+    """Reconcile a machine with every heartbeat, whichever token the heartbeat carries."""
+    reconcile = HeartbeatReconciler.reconcile_tasks
 
-    def trusting(
+    def reconcile_always(
         self: HeartbeatReconciler,
         at: float,
         machine: Any,
         heartbeat: Any,
-        _settles: bool,
+        _is_current: bool,
         new: bool,
     ) -> Any:
         self.unreconciled.discard(machine.id)
-        commands = take(self, at, machine, heartbeat, True, new)
+        commands = reconcile(self, at, machine, heartbeat, True, new)
         self.requeue_if_all_reconciled(at)
         return commands
 
-    patch.setattr(HeartbeatReconciler, "reconcile_tasks", trusting)
+    patch.setattr(HeartbeatReconciler, "reconcile_tasks", reconcile_always)
 
 
-def test_stale_heartbeats_that_settle_are_detected(
+def test_stale_heartbeats_that_reconcile_are_detected(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Tasks that run were waiting to be started by then."""
-    stale_heartbeats_settle(monkeypatch)
+    """Owners requeue tasks that still run, and later receive heartbeats that show them."""
+    reconcile_stale_heartbeats(monkeypatch)
     play_scenario(heartbeats_replayed_to_new_leader, 1, 330.0)
     assert "event=task_unexpected" in caplog.text
 
 
-# Direct commands
+# Connections to workers
 
 
 def test_no_command_is_sent_to_a_worker_directly(monkeypatch: pytest.MonkeyPatch) -> None:
-    """So none can be held up, come after a newer leader's, or act for one that was deposed: a
-    controller connects to the state service, the cloud and its peers, to nobody else."""
-    asked: set[tuple[str, str]] = set()
+    """A controller connects only to the state service, the cloud and its peers.
+
+    A command that is sent directly could be delayed, arrive after a newer leader's command, or act
+    for a deposed leader.
+    """
+    requested: set[tuple[str, str]] = set()
     start = World.start_controller
 
     def spy(world: World, name: str) -> None:
         start(world, name)
         controller = world.controllers[name]
         for wire, service in ((controller.state._http, "state"), (controller.cloud, "cloud")):
-            put = wire.request
+            send = wire.request
 
             async def request(
                 method: str,
                 target: str,
                 body: bytes | None,
                 timeout_s: float,
-                put: Any = put,
+                send: Any = send,
                 service: str = service,
             ) -> tuple[int, bytes]:
-                asked.add((service, target.partition("?")[0].split("/")[1]))
-                result: tuple[int, bytes] = await put(method, target, body, timeout_s)
+                requested.add((service, target.partition("?")[0].split("/")[1]))
+                result: tuple[int, bytes] = await send(method, target, body, timeout_s)
                 return result
 
             wire.request = request  # type: ignore[method-assign]
 
     monkeypatch.setattr(World, "start_controller", spy)
     play_scenario(heartbeats_replayed_to_new_leader, 1, 120.0)
-    assert asked == {
+    assert requested == {
         ("state", "keys"),
         ("state", "changes"),
         ("state", "multi"),
@@ -267,13 +278,13 @@
         ("cloud", "hosts"),
     }
     package = Path(dapplewick.__file__).parent
-    made = {
+    files_with_client = {
         str(path.relative_to(package))
         for path in package.rglob("*.py")
         if HttpClient.__name__ in path.read_text()
     }
-    # No other code makes connections; `client.py` is the library for users and operators.
-    assert made == {
+    # No other module opens connections. `client.py` is the library for users and operators.
+    assert files_with_client == {
         "client.py",
         "storage/state_client.py",
         "transport/http_client.py",
@@ -281,10 +292,11 @@
     }
 
 
-# Machines that are up at once, while writes lag and the leader ends
+# Machines that boot quickly while writes are delayed and the leader crashes
 
 
 async def fast_booting_machines(world: World) -> None:
+    """Machines boot within 2 s while writes are delayed and leaders and owners crash."""
     world.boot_s = (0.1, 2.0)
     world.slow = 60.0
     world.late_writes = 0.1
@@ -302,14 +314,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_machines_that_are_up_at_once_get_work_while_writes_lag(seed: int) -> None:
+def test_fast_booting_machines_get_work_while_writes_lag(seed: int) -> None:
     world = play_scenario(fast_booting_machines, seed, 330.0)
     assert world.violations == []
     assert final_check_failures(world) == []
     assert finished(world) == {}
 
 
-def test_work_on_machines_that_nobody_waits_for_is_detected(
+def test_requeuing_before_machines_are_reconciled_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_wait_for_unheard_machines(monkeypatch)
@@ -323,37 +335,37 @@
 def test_small_jobs_four_a_second_keep_pace_within_the_write_rate(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """One task each, a quarter cancelled, at the lower limits, for two minutes."""
+    """Submit single-task jobs for two minutes at the lower limits, and cancel a quarter of them."""
     caplog.set_level(logging.ERROR)
     world = World(5)
-    waits: list[float] = []
-    ended: list[float] = []
+    accept_durations_s: list[float] = []
+    job_durations_s: list[float] = []
 
     async def user(number: int) -> None:
         job_id = f"run-{number:06d}"
         body = submission(world, job_id, pieces=1, cpus=0.5, ram_gb=0.5, true_s=2.0)
-        begun, status = now(), 0
+        submitted_at, status = now(), 0
         while status not in (200, 201):
             status, _ = await world.ask("POST", "/v2/runs", body)
             if status not in (200, 201):
                 await anyio.sleep(1.0)
-        waits.append(now() - begun)
+        accept_durations_s.append(now() - submitted_at)
         world.accepted.add(job_id)
         world.accepted_at[job_id] = now()
         if number % 4 == 0:
             await anyio.sleep(0.6)
             status = 0
             while status != 200:
-                status, said = await world.ask("POST", f"/v2/runs/{job_id}/abort")
+                status, answer = await world.ask("POST", f"/v2/runs/{job_id}/abort")
                 await anyio.sleep(0.2 if status == 200 else 1.0)
-            world._told(job_id, said["stage"], True)
+            world._told(job_id, answer["stage"], True)
         while world.told.get(job_id) not in ("done", "withdrawn"):
             await anyio.sleep(3.0)
-            status, said = await world.ask("GET", f"/v2/runs/{job_id}")
+            status, answer = await world.ask("GET", f"/v2/runs/{job_id}")
             assert status != 404
             if status == 200:
-                world._told(job_id, said["stage"], job_id in world.cancelled_at)
-        ended.append(now() - begun)
+                world._told(job_id, answer["stage"], job_id in world.cancelled_at)
+        job_durations_s.append(now() - submitted_at)
 
     async def script() -> None:
         lower_limits(world)
@@ -366,29 +378,30 @@
     run_script(world, 190.0, script)
     assert world.violations == []
     assert final_check_failures(world) == []
-    assert len(ended) == 480
+    assert len(job_durations_s) == 480
     assert caplog.records == []
-    assert sorted(waits)[int(0.99 * len(waits))] < 1.0
-    assert sorted(ended)[int(0.95 * len(ended))] < 45.0
+    assert sorted(accept_durations_s)[int(0.99 * len(accept_durations_s))] < 1.0
+    assert sorted(job_durations_s)[int(0.95 * len(job_durations_s))] < 45.0
     assert world.state.refused[400] == 0
     assert world.state.refused[429] <= 5
 
 
-# Cancellations while a shard changes its owner, teams at their limit
+# Cancellations while the owner of a shard changes and a team is at its limit
 
 
 async def cancellations_during_owner_change(world: World) -> None:
+    """Cancel jobs while an owner is down and some machines with their tasks don't respond."""
     await anyio.sleep(3)
     submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0, crew="blue")  # at its limit of 24 CPUs
     submit_jobs(world, 8, first=10, pieces=3, cpus=2.0, true_s=90.0)
     for step in range(5):
         await anyio.sleep(16)
         owner = owners(world)[0]
-        there = [(w, n.split("/")[0]) for w, n in world.on_machines()]
-        running = sorted({j for _, j in there} - world.cancelled_at.keys())
+        running_tasks = [(w, n.split("/")[0]) for w, n in world.on_machines()]
+        running = sorted({j for _, j in running_tasks} - world.cancelled_at.keys())
         cancelled_jobs = [running[0], running[-1]]
-        lost = [w for w, j in there if j in cancelled_jobs][:2]
-        for worker in lost:
+        failing_workers = [w for w, j in running_tasks if j in cancelled_jobs][:2]
+        for worker in failing_workers:
             worker.cut, worker.hanging = step % 2 == 0, step % 2 == 1
         world.crash(owner)
         for job_id in cancelled_jobs:
@@ -399,7 +412,7 @@
             await anyio.sleep(0.3)
         world.start_controller(owner)
         await anyio.sleep(10)
-        for worker in lost:
+        for worker in failing_workers:
             worker.cut = worker.hanging = False
     world.calm_at = now()
 
@@ -421,11 +434,16 @@
     assert any(b.startswith("ran_cancelled") for b in world.violations)
 
 
-# The scenario's checks can fail
+# The checks of a scenario detect violations
 
 
 def world_of_jobs(started: dict[str, float], pieces: int = 1) -> World:
-    """A scenario of three jobs at 0 s; `started` says which task began when."""
+    """A world with three jobs that were accepted at 0 s.
+
+    Args:
+        started: the time at which each task started.
+        pieces: the number of tasks of each job.
+    """
     world = World(1)
     for n in range(3):
         name = f"run-{n}"
@@ -457,7 +475,7 @@
 
 def test_starts_after_a_confirmed_cancellation_are_counted() -> None:
     world = world_of_jobs(ALL_STARTED)
-    world.started_after_cancel["run-0/0"] = 2.0  # was on its way
+    world.started_after_cancel["run-0/0"] = 2.0  # within the limit for starts that were in flight
     world.started_after_cancel["run-1/0"] = 12.5
     assert final_check_failures(world) == ["started_after_cancel run-1/0 12.5"]
 
--- a/tests/simulation/test_failure_pairs.py
+++ b/tests/simulation/test_failure_pairs.py
@@ -1,6 +1,7 @@
-"""Pairs of faults: each is brought about, and the removal of its guard is detected.
+"""Scenarios with two or more faults at the same time, chosen or drawn at random.
 
-`docs/compound-failures.md` has a row for each, with what guards against it.
+`docs/compound-failures.md` lists the failures with the guard against each. The tests in
+`test_removed_guards.py` check with some of these scenarios that a removed guard is detected.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 async def all_away(world: World) -> None:
-    """All controllers are gone for longer than a lease; one comes back first."""
+    """All controllers are down for 8 s longer than a worker's lease, and one restarts first."""
     await anyio.sleep(3)
     submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0)
     await anyio.sleep(20)
@@ -51,7 +52,7 @@
 
 
 async def overload(world: World) -> None:
-    """More work than room, urgent and not, while the state service answers slowly."""
+    """More work of all priorities than capacity, while the state service answers slowly."""
     world.cloud.lacking = {("g8", True), ("c8", True)}
     world.slow = 60.0
     await anyio.sleep(3)
@@ -73,8 +74,10 @@
 
 
 async def unreachable_with_long_tasks(world: World) -> None:
-    """The leader and an owner end while machines with long tasks can't be reached, or don't
-    hear the new owner's answers."""
+    """The leader and all owners restart while machines with long tasks are unreachable.
+
+    Some machines send no heartbeats, others receive no answers to theirs.
+    """
     await anyio.sleep(3)
     submit_jobs(world, 8, pieces=3, cpus=4.0, true_s=90.0)
     await anyio.sleep(22)
@@ -93,13 +96,15 @@
 
 
 async def limit_and_cancellation(world: World) -> None:
-    """A team is at its limit when the leader changes, some of its machines can't be asked, and
-    a cancellation falls into that spell."""
+    """The leader changes and a job is cancelled while a team is at its limit.
+
+    Every second machine with the team's tasks sends no heartbeats meanwhile.
+    """
     await anyio.sleep(3)
     submit_jobs(world, 8, pieces=4, cpus=4.0, true_s=40.0, crew="blue")
     await anyio.sleep(22)
     used = [n for _, n in world.on_machines()]
-    assert len(used) == 6  # 24 of 24 CPUs
+    assert len(used) == 6  # tasks of 4 CPUs, which use the team's limit of 24 CPUs
     for worker in [w for w, _ in world.on_machines()][::2]:
         worker.cut = True
     first = used[0].split("/")[0]
@@ -115,8 +120,11 @@
 
 
 async def cut_leader_and_new_one(world: World) -> None:
-    """The leader loses the state service and its peers, not workers and users; jobs are
-    cancelled through the new one."""
+    """The leader loses its connections to the state service, the cloud and its peers.
+
+    Its connections to workers and users remain. An owner loses the same connections. Jobs are
+    cancelled through the new leader meanwhile.
+    """
     await anyio.sleep(3)
     submit_jobs(world, 10, pieces=3, cpus=4.0, true_s=110.0)
     await anyio.sleep(27)
@@ -137,7 +145,7 @@
 
 
 async def mute_machines(world: World) -> None:
-    """Half of the machines reach no controller for longer than a lease, twice."""
+    """Half of the machines reach no controller for 24 s, which is longer than a lease, twice."""
     await anyio.sleep(3)
     submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=30.0)
     for _ in range(2):
@@ -152,7 +160,7 @@
 
 
 async def bound_jobs_lose_machines(world: World) -> None:
-    """Jobs bound to one zone, arrays too, lose all machines of it."""
+    """All machines of a zone are removed, three times, while arrays and gangs are bound to it."""
     await anyio.sleep(3)
     for n in range(9):
         placements: list[dict[str, Any]] = [
@@ -178,11 +186,11 @@
 
 
 async def long_outage(world: World) -> None:
-    """Out for longer than all leases, while no controller can ask its peers."""
+    """The state service is down for longer than all leases, and no controller reaches its peers."""
     await anyio.sleep(3)
     submit_jobs(world, 8, pieces=4, cpus=4.0, true_s=70.0)
     await anyio.sleep(25)
-    world.before = set(world.workers)  # type: ignore[attr-defined]
+    world.machines_before_outage = set(world.workers)  # type: ignore[attr-defined]
     world.cut_peers.update(world.names)
     world.state.set_down(True)
     await anyio.sleep(60)
@@ -190,7 +198,7 @@
     world.cut_peers.clear()
     world.calm_at = now()
     await anyio.sleep(10)
-    world.after = set(world.workers)  # type: ignore[attr-defined]
+    world.machines_after_outage = set(world.workers)  # type: ignore[attr-defined]
 
 
 async def zone_cut_and_calm(world: World) -> None:
@@ -222,9 +230,13 @@
 
 
 def test_a_long_outage_costs_no_machine() -> None:
-    """By their age alone all were silent or idle when the state service was back."""
+    """No machine is terminated after a long outage.
+
+    When the state service is available again, the last reports of all machines are so old that the
+    machines would count as unreachable or idle.
+    """
     world = play_scenario(long_outage, 3, 110.0)
-    before, after = world.before, world.after  # type: ignore[attr-defined]
+    before, after = world.machines_before_outage, world.machines_after_outage  # type: ignore[attr-defined]
     assert len(before) > 3
     assert before <= after
 
@@ -253,7 +265,7 @@
 
 
 async def cancel_running(world: World) -> None:
-    """Users cancel what runs, within a moment, and some of its machines hang for a while."""
+    """Cancel four running jobs at once, while the machines with their tasks hang for 12 s."""
     await anyio.sleep(30)
     running = sorted({n.split("/")[0] for _, n in world.on_machines()} - world.cancelled_at.keys())
     hung = [w for w, n in world.on_machines() if n.split("/")[0] in running[:4]]
@@ -265,7 +277,7 @@
         worker.hanging = False
 
 
-DRAWN: list[Script] = [
+RANDOM_FAULTS: list[Script] = [
     late_writes,
     slow_state,
     mute,
@@ -287,11 +299,11 @@
 def test_a_random_pair_of_faults_breaks_no_rule(seed: int) -> None:
     async def pair(world: World) -> None:
         async with anyio.create_task_group() as group:
-            for fault in world.random.sample(DRAWN, 2):
+            for fault in world.random.sample(RANDOM_FAULTS, 2):
                 group.start_soon(fault, world)
         world.calm_at = now()
 
-    # Long enough for the most work with accelerators that may be drawn, at its team's limit.
+    # The length suffices for the largest possible amount of accelerator work at its team's limit.
     world = play(pair, seed, length=360.0, slow=2.5)
     assert world.violations == []
     assert finished(world) == {}
--- a/tests/simulation/test_isolated_leader.py
+++ b/tests/simulation/test_isolated_leader.py
@@ -1,20 +1,10 @@
-"""A leader that hears neither its peers nor any worker gives way to a controller that does.
+"""A leader that has lost contact with all peers and all workers steps down (`LeaderIsolation`).
 
-Seen: in going through what the leader acts on, and then in these scenarios: work that comes while a
-leader is cut off from its peers and from the workers, though not from the state service, begins in
-the first half minute or, from 1 of 13 jobs to all of them, only when the cut is over.
-
-How it came about: such a leader keeps its key, since that needs the state service alone. It moves
-no shard to a controller that it does not hear, and so keeps its own, whose workers do not reach it.
-After 30 s it takes over all other shards as unheard, and can serve none of them either.
-
-Cause: leadership rested on reaching the state service, though a leader that hears nobody can
-neither plan nor serve.
-
-Proof: in the log `shard_assigned` names the cut leader with `reason=unheard` for the other shards,
-`machine_terminating reason=silent` follows for each of their machines, and then machines that never
-come up. The tests fail without the step down of an isolated leader (`LeaderIsolation`), and pass
-with it.
+Without the step-down, such a leader keeps its key, because only the state service is needed for
+that. It assigns no shard to a controller that it has no contact with, and after 30 s it assigns
+the other shards to itself. No worker reaches it, so it terminates their machines as unreachable and
+provisions machines that never report. Of 13 jobs submitted meanwhile, between 1 and all then begin
+only after the connections are restored.
 """
 
 from __future__ import annotations
@@ -27,11 +17,11 @@
 
 CUT_AT_S = 25.0
 CUT_S = 300.0
-BEGIN_WITHIN_S = 240.0  # of a class's largest jobs, and so of every job here
+BEGIN_WITHIN_S = 240.0  # the limit for the largest jobs of a class, applied to all jobs here
 
 
 def submit_all_kinds(world: World, first: int) -> None:
-    """Jobs of every kind: arrays with and without accelerators, bound to a zone, and gangs."""
+    """Submit 13 jobs: arrays with and without accelerators, arrays bound to a zone, and gangs."""
     submit_jobs(world, 4, first=first, pieces=3, cpus=4.0, true_s=8.0)
     submit_jobs(world, 3, first=first + 4, pieces=2, cpus=4.0, true_s=8.0, shape="group")
     submit_jobs(world, 2, first=first + 7, pieces=2, accelerators=1.0, builds=["g8"], true_s=8.0)
@@ -40,7 +30,7 @@
 
 
 def late_jobs(world: World) -> dict[str, float]:
-    """The jobs that did not begin in time, and how long they waited."""
+    """The jobs that began later than `BEGIN_WITHIN_S`, with their waiting times in seconds."""
     waits = {
         job: world.first_start.get(f"{job}/0", float("inf")) - world.accepted_at[job]
         for job in sorted(world.accepted)
@@ -48,13 +38,13 @@
     return {job: round(wait, 1) for job, wait in waits.items() if wait > BEGIN_WITHIN_S}
 
 
-async def leader_hears_nobody(world: World) -> None:
-    """The leader is cut off from its peers and from all workers, and keeps the state service."""
+async def isolate_leader(world: World) -> None:
+    """Cut the leader off from its peers and all workers, but not from the state service."""
     submit_all_kinds(world, 0)
     await anyio.sleep(CUT_AT_S)
-    cut = leader(world)
-    world.cut_peers.add(cut)
-    world.cut_workers.add(cut)
+    isolated_leader = leader(world)
+    world.cut_peers.add(isolated_leader)
+    world.cut_workers.add(isolated_leader)
     await anyio.sleep(5)
     submit_all_kinds(world, 20)
     await anyio.sleep(CUT_S - 5)
@@ -65,8 +55,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("count", [2, 3, 4], ids=lambda count: f"{count} controllers")
-def test_work_begins_while_the_leader_hears_nobody(count: int, seed: int) -> None:
-    world = play_scenario(leader_hears_nobody, seed, CUT_AT_S + CUT_S + 200.0, count)
+def test_work_begins_while_the_leader_is_isolated(count: int, seed: int) -> None:
+    world = play_scenario(isolate_leader, seed, CUT_AT_S + CUT_S + 200.0, count)
     assert len(world.accepted) == 26
     assert late_jobs(world) == {}
     assert finished(world) == {}
--- a/tests/simulation/test_leadership.py
+++ b/tests/simulation/test_leadership.py
@@ -1,4 +1,4 @@
-"""Changes of leader and of owner, with writes and heartbeats that arrive late."""
+"""Changes of the leader and of shard owners, with delayed writes and heartbeats."""
 
 from __future__ import annotations
 
@@ -19,12 +19,15 @@
 from support.scenarios import finished, leader, play_scenario, run_script, submit_jobs
 from support.shard_bench import TOKEN, ZONE, Bench, spec, starts
 
-# Late and stale
+# Delayed writes and heartbeats
 
 
 def test_nothing_is_planned_while_a_write_may_still_come() -> None:
-    """A write without an answer, and the writing anew of the leader's key lost as well: what
-    was planned next counted without it, and a team passed its limit when it came."""
+    """The leader plans nothing while the outcome of a write is unknown.
+
+    A write and then the rewriting of the leader's key get no answer. A plan that does not count the
+    first write lets a team exceed its limit when that write is applied later.
+    """
     world = World(4)
     lost: list[tuple[float, int]] = []
 
@@ -35,8 +38,8 @@
         if len(lost) < 3 and assignments and not any(e == epoch for _, e in lost):
             lost.append((now(), epoch))
             return True
-        again = LEADER in keys and bool(lost) and now() - lost[-1][0] < 4.0
-        return again and world.random.random() < 0.7
+        rewrites_leader = LEADER in keys and bool(lost) and now() - lost[-1][0] < 4.0
+        return rewrites_leader and world.random.random() < 0.7
 
     world.lose = lose
 
@@ -78,14 +81,14 @@
     assert finished(world) == {}
 
 
-def test_a_late_presence_record_of_an_earlier_incarnation_takes_no_controller_out() -> None:
+def test_a_late_presence_record_of_an_earlier_incarnation_removes_no_controller() -> None:
     world = World(5)
-    kept: list[dict[str, Any]] = []
+    lost_writes: list[dict[str, Any]] = []
 
     def lose(_: str, body: dict[str, Any]) -> bool:
-        mine = any(op.get("write") == "dw/n/n2" for op in body.get("apply", []))
-        if mine and not kept:
-            kept.append(body)
+        writes_presence = any(op.get("write") == "dw/n/n2" for op in body.get("apply", []))
+        if writes_presence and not lost_writes:
+            lost_writes.append(body)
             return True
         return False
 
@@ -106,7 +109,7 @@
             )
 
     run_script(world, 45.0, script)
-    assert kept
+    assert lost_writes
     assert all(seen[3:])
 
 
@@ -125,7 +128,10 @@
 
 
 def test_a_copy_that_a_new_owner_hears_first_does_not_start_a_task_twice() -> None:
-    """The task had moved under the old owner; the copy said where it was before."""
+    """A delayed heartbeat reports a task on a machine that the task has left since.
+
+    The task was moved to another machine under the previous owner's token.
+    """
     bench = Bench(2)
     first, second = bench.names
     bench.assign("run-1", spec(1, 1.0, 100.0), 0.0)
@@ -135,14 +141,15 @@
     def heartbeat(name: str, sequence: int, token: int, attempt: int, at: float) -> list[Any]:
         tasks = [TaskStatus(task, attempt, "running", None, False)] if attempt else []  # type: ignore[arg-type]
         machine, zone = MachineId(name), zone_of(ZONE)
-        said = Heartbeat(
+        message = Heartbeat(
             machine, TypeName("k"), zone, False, 1, sequence, FencingToken(token), None, "", tasks
         )
-        return scheduler.handle_heartbeat(at, said, True)
+        return scheduler.handle_heartbeat(at, message, True)
 
-    copy_says = heartbeat(first, 5, TOKEN, 1, 3.0)
-    assert copy_says == []  # neither stopped nor settled
-    assert heartbeat(first, 9, 60, 0, 4.0) == []  # it is not there, and the other is not heard yet
+    commands_for_copy = heartbeat(first, 5, TOKEN, 1, 3.0)
+    assert commands_for_copy == []  # the copy neither stops the task nor reconciles it
+    # The task is not on the first machine, and the second has not reported under the new token.
+    assert heartbeat(first, 9, 60, 0, 4.0) == []
     assert heartbeat(second, 7, TOKEN, 2, 5.0) == []
     assert heartbeat(second, 8, 60, 2, 6.0) == []
     for sequence in range(10, 14):
@@ -170,7 +177,7 @@
 
 @pytest.mark.parametrize("outage", [False, True], ids=["", "outage"])
 def test_leaders_change_ten_times_in_two_minutes(outage: bool) -> None:
-    """Jobs of two and three tasks end far apart meanwhile, and keep their done tasks."""
+    """No task runs again, although the tasks of each job end far apart."""
 
     async def script(world: World) -> None:
         await anyio.sleep(3)
@@ -198,7 +205,10 @@
 
 
 def test_a_leader_that_finds_its_old_key_after_an_outage_begins_a_new_epoch() -> None:
-    """It numbered provisioning requests and attempts from one again, under its last epoch."""
+    """A leader that finds its old key after an outage must not continue under the old epoch.
+
+    It would number provisioning requests and attempts from one again, and so reuse their names.
+    """
     world = World(8)
     epochs: list[int] = []
 
@@ -230,7 +240,7 @@
 
 
 def test_a_write_is_made_under_the_epoch_that_was_planned_under() -> None:
-    """Between two writes of a pass the watch cache may come to show another leader's key."""
+    """The watch cache may receive another leader's key between two writes of a planning pass."""
     world = World(9)
     seen: list[bool] = []
 
@@ -239,7 +249,7 @@
         name = leader(world)
         controller = world.controllers[name]
         epoch = controller.cache.version(LEADER)
-        # Another leader's key, as the watch would bring it.
+        # The key of another leader, as if the watch had delivered it.
         controller.cache.put(LEADER, {"node": "n9", "boot": "other"}, epoch + 1000)
         await controller.election.write(
             FencingToken(epoch), [ConditionalWrite("dw/x", {}, 0, WritePriority.URGENT)]
--- a/tests/simulation/test_mutations.py
+++ b/tests/simulation/test_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations: guards broken on purpose, each of which the checks of the stand-ins must detect."""
+"""Mutations: the rules that the stand-ins check must detect each guard that is removed."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_partition_commands.py
+++ b/tests/simulation/test_partition_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators to partitions, stored plans, malformed records and limits of teams."""
+"""Operator commands for partitions, stored plans, malformed records and team limits."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 def test_limits_of_teams_hold_over_all_partitions() -> None:
-    """Blue may use 24 CPUs in all, in the zone's shard and in its partition together."""
+    """Team blue uses at most 24 CPUs in total, in the zone's shard and its partition together."""
     world = new_world(33)
-    most: list[float] = []
+    cpus_used: list[float] = []
 
-    async def watch(world: World) -> None:
+    async def sample_cpus(world: World) -> None:
         while True:
-            used = [world.jobs[n.partition("/")[0]]["cpus"] for _, n in world.on_machines()]
-            most.append(sum(used))
+            task_cpus = [world.jobs[n.partition("/")[0]]["cpus"] for _, n in world.on_machines()]
+            cpus_used.append(sum(task_cpus))
             await anyio.sleep(0.25)
 
     async def script(world: World) -> None:
         await partitions_begun(world)
-        world.group.start_soon(watch, world)
+        world.group.start_soon(sample_cpus, world)
         for n in range(6):
             pinned(world, f"run-00000{n}", 8, 9.0, crew="blue")
         await until(lambda: len(machines_of(world, "a")) >= 2, 30.0)
@@ -45,7 +45,7 @@
         await until(lambda: {"done"} == set(world.told.values()) and len(world.told) == 6, 150.0)
 
     play_moves(world, script, 200.0)
-    assert 16.0 <= max(most) <= 24.0
+    assert 16.0 <= max(cpus_used) <= 24.0
 
 
 BAD_COMMANDS: list[tuple[dict[str, Any], str]] = [
@@ -75,23 +75,23 @@
 
     async def script(world: World) -> None:
         await busy_zone(world, 4, 5.0)
-        for fields, complaint in BAD_COMMANDS:
-            said = await command(world, "move", **(good | fields))
-            assert said["status"] == 400, said
-            assert complaint in said["error"], said
-            assert "\n" not in said["error"]
+        for fields, problem in BAD_COMMANDS:
+            answer = await command(world, "move", **(good | fields))
+            assert answer["status"] == 400, answer
+            assert problem in answer["error"], answer
+            assert "\n" not in answer["error"]
         assert (await command(world, "cancel", id="o-nothing"))["status"] == 404
         assert (await command(world, "dance"))["status"] == 400
         before = (await command(world, "show"))["plan"]
-        for plan, complaint in (
+        for plan, problem in (
             (7, "Expected `object`"),
             ({"shares": {"x": {"teams": ["nobody"], "rules": [{"types": ["c8"]}]}}}, "'nobody'"),
             ({"shares": {"x": {"teams": ["red"], "rules": [{"types": ["c9"]}]}}}, "type 'c9'"),
             ({"shares": {"x" * 20_000: {}}}, "larger than a value"),
         ):
-            said = await command(world, "plan", plan=plan)
-            assert said["status"] == 400, said
-            assert complaint in said["error"], said
+            answer = await command(world, "plan", plan=plan)
+            assert answer["status"] == 400, answer
+            assert problem in answer["error"], answer
         assert (await command(world, "show"))["plan"] == before
 
     play_moves(world, script, 80.0)
@@ -159,7 +159,7 @@
         assert (await command(world, "show"))["transfers"] == []
         await move(world, "o-00000014", "", "night", 1)
         await until(lambda: len(machines_of(world, NIGHT)) == 1, 60.0)
-        # They are no transfers: the checker of histories is not shown them.
+        # The malformed records are not transfers, so they are hidden from the history checker.
         world.state.log = [e for e in world.state.log if not e[1].startswith("dw/s/bad")]
 
     play_moves(world, script, 110.0)
--- a/tests/simulation/test_partition_faults.py
+++ b/tests/simulation/test_partition_faults.py
@@ -1,4 +1,4 @@
-"""Machines move between partitions while controllers, services and machines fail."""
+"""Moves of machines between partitions while controllers, services and machines fail."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def inject_fault(world: World, kind: str, names: list[str]) -> None:
-    """What happens to these controllers, and its end."""
+    """Inject a fault of one kind into some controllers, and end it after 17 s."""
     async with anyio.create_task_group() as group:
         for name in dict.fromkeys(names):
             if kind == "crash":
@@ -53,8 +53,16 @@
 
 
 def run_fault_scenario(seed: int, kind: str, roles: list[str], after: float) -> None:
-    """A move of machines of which some are busy, with a fault at one of its steps; in the end
-    the plan's wish is met, all work is done, and nothing has run twice."""
+    """Inject a fault at one step of a move of machines, some of which are busy.
+
+    In the end, no transfer is open, all jobs are done, and no task has run twice.
+
+    Args:
+        seed: the seed of the world.
+        kind: the kind of fault, one of `KINDS`.
+        roles: the roles in the move of the controllers that fail.
+        after: the delay of the fault after the command, in seconds.
+    """
     world = new_world(seed)
 
     async def script(world: World) -> None:
@@ -82,7 +90,7 @@
     run_fault_scenario(100 + number, kind, roles, after)
 
 
-# Faults of the services and of machines on the way
+# Faults of services and machines during a move
 
 
 async def state_down(world: World) -> None:
@@ -92,7 +100,7 @@
 
 
 async def answers_lost(world: World) -> None:
-    """Writes are carried out and only their answers lost."""
+    """Writes are committed, but the answers to some of them are lost."""
     world.lost_answers = 0.3
     await anyio.sleep(25.0)
     world.lost_answers = 0.0
@@ -105,14 +113,14 @@
 
 
 async def late_heartbeats(world: World) -> None:
-    """Copies of heartbeats that name the former holder, up to three leases late."""
+    """Copies of heartbeats that name the previous owner arrive up to three leases late."""
     world.copies = 0.3
     await anyio.sleep(40.0)
     world.copies = 0.0
 
 
 async def machine_hangs(world: World) -> None:
-    """A machine that is being drained hangs, one for less and one for more than its lease."""
+    """Two draining machines hang, the first for less and the second for more than its lease."""
     drained = [
         machine
         for key, (value, _, _) in world.state.keys.items()
@@ -127,7 +135,7 @@
 
 
 async def machine_taken(world: World) -> None:
-    """Machines of the giving partition are gone without notice; new ones come up in mid-move."""
+    """Two machines of the source partition disappear, and others boot during the move."""
     for machine in sorted(machines_of(world, "a"))[:2]:
         world.remove_machine(machine)
     pinned(world, "run-000005", 12, 5.0)
@@ -135,7 +143,7 @@
 
 
 async def unreachable_workers(world: World) -> None:
-    """Machines whose heartbeats arrive but that no answer reaches."""
+    """The heartbeats of two machines arrive, but the answers do not reach the machines."""
     unreachable = [
         world.workers[m] for m in sorted(machines_of(world, "a"))[:2] if m in world.workers
     ]
@@ -161,7 +169,7 @@
 
 
 async def giver_cut_from_workers(world: World) -> None:
-    """The giving shard gets another owner for a reason of its own."""
+    """The source shard gets another owner because workers don't reach the present one."""
     name = owner(world, "a")
     world.cut_workers.add(name)
     await anyio.sleep(30.0)
@@ -185,8 +193,10 @@
 @pytest.mark.parametrize("second", [False, True], ids=["one move", "moved on"])
 @pytest.mark.parametrize("fault", WORLD_FAULTS, ids=lambda f: f.__name__)
 def test_faults_of_services_and_machines_while_machines_move(fault: Script, second: bool) -> None:
-    """In the end every move has ended, all work is done, and nothing was counted twice. With a
-    second move a minute is not over before the machines are sent on to a third holder."""
+    """In the end, no transfer is open, all jobs are done, and no machine was counted twice.
+
+    With a second move, a machine is sent on to a third shard within a minute of the first move.
+    """
     world = new_world(300 + WORLD_FAULTS.index(fault))
 
     async def script(world: World) -> None:
@@ -213,7 +223,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_moves_and_faults(seed: int) -> None:
-    """Any moves, with any of the faults above, one after the other."""
+    """Make random moves, with random faults from above one after the other."""
     world = new_world(400 + seed)
 
     async def moves(world: World) -> None:
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -29,7 +29,7 @@
     partition_of,
     shard_name,
 )
-from simulation.test_fleet_size import GROUP, MACHINES_UP
+from simulation.test_fleet_size import MACHINE_COUNT, MACHINES_PER_RECORD
 from standins import World
 from support.partition_history import PartitionHistory
 from support.partition_moves import machines_of
@@ -178,9 +178,11 @@
     async def script() -> None:
         world.boot_s = (0.1, 0.5)
         state = world.state
-        for first in range(0, MACHINES_UP, GROUP):
-            names = [f"vm-{n:06d}" for n in range(first, min(MACHINES_UP, first + GROUP))]
-            zone = world.zones[first // GROUP % len(world.zones)]
+        for first in range(0, MACHINE_COUNT, MACHINES_PER_RECORD):
+            names = [
+                f"vm-{n:06d}" for n in range(first, min(MACHINE_COUNT, first + MACHINES_PER_RECORD))
+            ]
+            zone = world.zones[first // MACHINES_PER_RECORD % len(world.zones)]
             value = {
                 "type": "c8",
                 "zone": zone,
@@ -192,7 +194,7 @@
             state.log.append((state.ledger, f"{MACHINES}r-0-{first}", value, False))
             for name in names:
                 world.new_machine(name, "c8", zone, False)
-        world.cloud.next_name = MACHINES_UP
+        world.cloud.next_name = MACHINE_COUNT
         with anyio.move_on_after(30.0):
             while not all(19 <= count <= 21 for count in in_partitions()):
                 await anyio.sleep(1.0)
@@ -207,5 +209,5 @@
     assert world.violations == []
     assert all(19 <= count <= 21 for count in in_partitions()), in_partitions()
     assert {machine for _, machine, _, _ in history.handovers} <= {
-        MachineId(f"vm-{n:06d}") for n in range(MACHINES_UP)
+        MachineId(f"vm-{n:06d}") for n in range(MACHINE_COUNT)
     }
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -109,13 +109,13 @@
     ),
     (
         late_work_has_no_first_task,
-        lambda: late_jobs.test_late_jobs_begin_beside_a_stream_of_work_that_can_be_in_time(
+        lambda: late_jobs.test_late_jobs_begin_during_a_stream_of_jobs_that_can_be_on_time(
             late_jobs.CPUS, 1
         ),
     ),
     (
         isolated_leaders_lead_on,
-        lambda: isolated_leader.test_work_begins_while_the_leader_hears_nobody(3, 1),
+        lambda: isolated_leader.test_work_begins_while_the_leader_is_isolated(3, 1),
     ),
     (
         unheard_shards_stay,
