--- a/tests/simulation/test_partition_moves.py
+++ b/tests/simulation/test_partition_moves.py
@@ -1,4 +1,4 @@
-"""Moves of machines between partitions, with what may fail on the way, in virtual time."""
+"""Moves of machines between partitions, with running tasks, further moves and cancellations."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         await busy_zone(world, 16, 10.0)
         await until(lambda: world.told.get("run-000001") == "done", 60.0)
         seen["before"] = machines_of(world, "a")
-        said = await move(world, "o-00000001", "", "night", 2)
-        assert said["status"] == 200
+        answer = await move(world, "o-00000001", "", "night", 2)
+        assert answer["status"] == 200
         await until(lambda: len(machines_of(world, NIGHT)) == 2, 10.0)
         seen["after"] = machines_of(world, NIGHT)
         pinned(world, "run-000002", 2, 5.0, cpus=8.0)
@@ -47,57 +47,58 @@
 
 def test_running_tasks_end_where_they_are_and_each_machine_goes_when_it_is_empty() -> None:
     world = new_world(2)
-    went: list[float] = []
+    durations_s: list[float] = []
 
     async def script(world: World) -> None:
         await busy_zone(world, 16, 25.0)
-        began = now()
-        have = len(machines_of(world, "a"))
-        assert (await move(world, "o-00000002", "", "night", have))["status"] == 200
-        await until(lambda: len(machines_of(world, NIGHT)) == have, 40.0)
-        went.append(now() - began)
+        started_at = now()
+        machine_count = len(machines_of(world, "a"))
+        assert (await move(world, "o-00000002", "", "night", machine_count))["status"] == 200
+        await until(lambda: len(machines_of(world, NIGHT)) == machine_count, 40.0)
+        durations_s.append(now() - started_at)
         assert len(world.results) == 16
-        said = await command(world, "show")
-        assert [t["state"] for t in said["transfers"]] == ["complete"]
+        answer = await command(world, "show")
+        assert [t["state"] for t in answer["transfers"]] == ["complete"]
 
     play_moves(world, script)
-    assert went[0] > 2.0  # nothing was stopped for it
+    assert durations_s[0] > 2.0  # no task was stopped for the move
     assert world.reruns == []
     assert max(world.starts_of.values()) == 1
 
 
 def test_why_a_machine_has_not_moved_is_shown_to_operators() -> None:
     world = new_world(3)
-    told: list[str] = []
+    wait_reasons: list[str] = []
 
     async def script(world: World) -> None:
         await busy_zone(world, 4, 60.0)
         await move(world, "o-00000003", "", "night", 1)
         await anyio.sleep(2.0)
-        said = await command(world, "show")
-        told.extend(said["transfers"][0]["waits_for"].values())
+        answer = await command(world, "show")
+        wait_reasons.extend(answer["transfers"][0]["waits_for"].values())
 
     play_moves(world, script, 60.0)
-    assert len(told) == 1
-    assert "4 tasks on it, expected to end in" in told[0]
+    assert len(wait_reasons) == 1
+    assert "4 tasks on it, expected to end in" in wait_reasons[0]
 
 
-def test_a_long_task_does_not_block_the_rest_and_what_is_late_is_met_from_others() -> None:
+def test_a_long_task_blocks_no_other_machine_and_an_overdue_move_takes_another() -> None:
     world = new_world(4)
 
     async def script(world: World) -> None:
         await partitions_begun(world)
         pinned(world, "run-000001", 2, 400.0, cpus=8.0)
         await until(lambda: len(running(world)) == 2, 40.0)
-        have = len(machines_of(world, "a"))
-        await move(world, "o-00000004", "", "night", have)
-        await until(lambda: len(machines_of(world, NIGHT)) == have - 2, 15.0)
+        machine_count = len(machines_of(world, "a"))
+        await move(world, "o-00000004", "", "night", machine_count)
+        await until(lambda: len(machines_of(world, NIGHT)) == machine_count - 2, 15.0)
         await anyio.sleep(28.0)
-        # Another machine, soon empty: work that may not use the partition has it rented.
+        # A job that may not use the partition causes another machine to be provisioned. This one
+        # is soon idle, and is moved instead of an overdue machine.
         pinned(world, "run-000002", 1, 20.0, cpus=8.0, crew="blue", borrowed=True)
-        await until(lambda: len(machines_of(world, NIGHT)) == have - 1, 110.0)
-        said = await command(world, "show")
-        assert [t["state"] for t in said["transfers"][:1]] == ["overdue"]
+        await until(lambda: len(machines_of(world, NIGHT)) == machine_count - 1, 110.0)
+        answer = await command(world, "show")
+        assert [t["state"] for t in answer["transfers"][:1]] == ["overdue"]
 
     history = play_moves(world, script, 170.0)
     assert any("-again" in key for _, key, _, _ in world.state.log if key.startswith("dw/s/"))
@@ -105,7 +106,7 @@
     assert len(history.handovers) >= 1
 
 
-def test_there_and_back_within_a_minute_the_later_move_wins() -> None:
+def test_of_opposite_moves_within_a_minute_the_later_takes_effect() -> None:
     world = new_world(5)
 
     async def script(world: World) -> None:
@@ -121,7 +122,7 @@
     assert history.open_transfers() == []
 
 
-def test_on_to_a_third_owner_within_a_minute() -> None:
+def test_machines_move_on_to_a_third_owner_within_a_minute() -> None:
     world = new_world(6)
 
     async def script(world: World) -> None:
@@ -133,8 +134,8 @@
         assert not machines_of(world, NIGHT)
 
     history = play_moves(world, script)
-    each = {machine for _, machine, _, shard in history.handovers if shard == DAY}
-    assert len(each) == 3
+    machines_moved_on = {machine for _, machine, _, shard in history.handovers if shard == DAY}
+    assert len(machines_moved_on) == 3
 
 
 def test_a_later_move_from_the_same_partition_takes_machines_over() -> None:
@@ -142,14 +143,14 @@
 
     async def script(world: World) -> None:
         await busy_zone(world, 8, 30.0)
-        have = len(machines_of(world, "a"))
-        assert (await move(world, "o-00000009", "", "night", have))["status"] == 200
+        machine_count = len(machines_of(world, "a"))
+        assert (await move(world, "o-00000009", "", "night", machine_count))["status"] == 200
         await anyio.sleep(3.0)
-        left = len(machines_of(world, "a"))
-        assert left >= 2  # busy for as long as the work runs
-        assert (await move(world, "o-0000000a", "", "day", left))["status"] == 200
-        await until(lambda: len(machines_of(world, DAY)) == left, 100.0)
-        assert len(machines_of(world, NIGHT)) == have - left
+        remaining = len(machines_of(world, "a"))
+        assert remaining >= 2  # machines with tasks stay until the tasks end
+        assert (await move(world, "o-0000000a", "", "day", remaining))["status"] == 200
+        await until(lambda: len(machines_of(world, DAY)) == remaining, 100.0)
+        assert len(machines_of(world, NIGHT)) == machine_count - remaining
 
     play_moves(world, script)
 
@@ -161,8 +162,8 @@
         await busy_zone(world, 8, 20.0)
         await move(world, "o-0000000b", "", "night", 2)
         await anyio.sleep(1.0)
-        said = await command(world, "cancel", id="o-0000000b")
-        assert said["state"] == "cancelled"
+        answer = await command(world, "cancel", id="o-0000000b")
+        assert answer["state"] == "cancelled"
         assert (await command(world, "cancel", id="o-0000000b"))["status"] == 409
         await anyio.sleep(30.0)
         pinned(world, "run-000002", 8, 4.0)
@@ -184,25 +185,25 @@
     assert len(moves) >= 2
 
 
-def test_work_that_no_partition_serves_may_use_idle_room_after_a_while() -> None:
-    """No job waits beside room that fits it, whoever the room is kept for."""
+def test_work_that_no_partition_serves_may_use_idle_machines_after_a_delay() -> None:
+    """No job waits for long while machines that fit it are idle, in whichever partition."""
     world = new_world(10)
-    started: list[float] = []
+    waits_s: list[float] = []
 
     async def script(world: World) -> None:
         await busy_zone(world, 8, 5.0)
         await until(lambda: world.told.get("run-000001") == "done")
-        have = len(machines_of(world, "a"))
-        await move(world, "o-0000000c", "", "night", have)
-        await until(lambda: len(machines_of(world, NIGHT)) == have, 20.0)
-        world.modes = {(n, "cloud"): "refused" for n in world.names}  # nothing new is rented
-        handed_in = now()
+        machine_count = len(machines_of(world, "a"))
+        await move(world, "o-0000000c", "", "night", machine_count)
+        await until(lambda: len(machines_of(world, NIGHT)) == machine_count, 20.0)
+        world.modes = {(n, "cloud"): "refused" for n in world.names}  # prevents provisioning
+        submitted_at = now()
         pinned(world, "run-000002", 2, 5.0, crew="blue")
         await until(lambda: "run-000002/0" in world.first_start, 80.0)
-        started.append(now() - handed_in)
+        waits_s.append(now() - submitted_at)
 
     play_moves(world, script, 150.0)
-    assert 25.0 < started[0] < 75.0
+    assert 25.0 < waits_s[0] < 75.0
 
 
 def test_a_reserved_gang_is_released_when_its_machine_is_drained() -> None:
@@ -212,8 +213,8 @@
         await busy_zone(world, 8, 20.0)
         pinned(world, "run-000002", 2, 5.0, shape="group", cpus=8.0)
         await anyio.sleep(3.0)
-        have = len(machines_of(world, "a"))
-        await move(world, "o-00000010", "", "night", have - 1)
+        machine_count = len(machines_of(world, "a"))
+        await move(world, "o-00000010", "", "night", machine_count - 1)
         await until(lambda: world.told.get("run-000002") == "done", 90.0)
 
     history = play_moves(world, script)
@@ -222,7 +223,7 @@
 
 def test_services_move_first_and_are_served_meanwhile() -> None:
     world = new_world(32)
-    before: list[float] = []
+    replicas_moved: list[float] = []
 
     async def script(world: World) -> None:
         await partitions_begun(world)
@@ -232,12 +233,12 @@
         await until(lambda: len(running(world)) >= 6, 60.0)
         await until(lambda: world.told.get("run-000002") == "done", 60.0)
         with_replicas = {w.name for w, n in world.on_machines() if n.startswith("run-000001")}
-        have = len(machines_of(world, "a"))
-        await move(world, "o-00000011", "", "night", have - 1)
-        await until(lambda: len(machines_of(world, NIGHT)) >= have - 1, 60.0)
-        left = machines_of(world, "a")
-        assert {w.name for w, n in world.on_machines() if n.startswith("run-000001")} == left
-        before.append(len(with_replicas - left))
+        machine_count = len(machines_of(world, "a"))
+        await move(world, "o-00000011", "", "night", machine_count - 1)
+        await until(lambda: len(machines_of(world, NIGHT)) >= machine_count - 1, 60.0)
+        remaining = machines_of(world, "a")
+        assert {w.name for w, n in world.on_machines() if n.startswith("run-000001")} == remaining
+        replicas_moved.append(len(with_replicas - remaining))
         await anyio.sleep(5.0)
 
     play_moves(world, script, 170.0)
--- a/tests/simulation/test_partition_size.py
+++ b/tests/simulation/test_partition_size.py
@@ -1,4 +1,4 @@
-"""Partitions of 4,000 machines: what a move costs follows the machines that move."""
+"""Partitions of 4,000 machines: the cost of a move depends on the number of machines moved."""
 
 from __future__ import annotations
 
@@ -36,47 +36,47 @@
 from support.scenarios import run_script
 from support.shard_bench import calls
 
-SHARES = [f"s{n}" for n in range(20)]
+PARTITIONS = [f"s{n}" for n in range(20)]
 PLAN = plans.convert(
     {
         "shares": {
             name: {"teams": ["red"], "rules": [{"types": ["c8"], "least": 0.01, "most": 0.01}]}
-            for name in SHARES
+            for name in PARTITIONS
         }
     }
 )
-MOVED = 40
+MOVED_MACHINES = 40
 
 
-class Provisioner:
-    """A leader's side of partitions over many machines, all of them idle."""
+class RebalancerBench:
+    """A leader's partition rebalancer over many machines, all of them idle."""
 
     def __init__(self, machines: int) -> None:
         self.cache = WatchCache()
         self.revision = 0
         self.put(FORMAT, {"version": PARTITIONS_FORMAT})
-        self.shards = [shard_name("a", name) for name in ["", *SHARES]]
+        self.shards = [shard_name("a", name) for name in ["", *PARTITIONS]]
         for shard in self.shards:
             self.put(SHARDS + shard, {"owner": "n0", "boot": "x"})
         for first in range(0, machines, 100):
             names = [f"vm-{n:06d}" for n in range(first, first + 100)]
             value: dict[str, Any] = {"type": "c8", "zone": "a", "spot": False}
             value["machines"] = dict.fromkeys(names, "u")
-            share = partition_of(self.shards[first // 100 % len(self.shards)])
-            self.put(f"{MACHINES}r-{first}", value | ({"share": share} if share else {}))
+            partition = partition_of(self.shards[first // 100 % len(self.shards)])
+            self.put(f"{MACHINES}r-{first}", value | ({"share": partition} if partition else {}))
         self.machine_lifecycle = MachineLifecycle(self.cache, None, 14.0, 4.0)  # type: ignore[arg-type]
         index = MachineIndex(self.cache)
-        self.keeper = PartitionRebalancer(self.cache, index, ["a"], MoveTimes())
-        self.keeper.plan = plans.convert(
+        self.rebalancer = PartitionRebalancer(self.cache, index, ["a"], MoveTimes())
+        self.rebalancer.plan = plans.convert(
             {
                 "shares": {
                     name: {"teams": ["red"], "rules": [{"types": ["c8"], "most": 0.0}]}
-                    for name in SHARES
+                    for name in PARTITIONS
                 },
                 "hold_orders_s": 600000.0,
             }
         )
-        self.capacities = [self.view(shard) for shard in self.shards]
+        self.capacities = [self.observed_shard(shard) for shard in self.shards]
         index.refresh()
 
     def put(self, key: str, value: Any) -> None:
@@ -87,8 +87,8 @@
             self.cache.put(key, value, self.revision)
         self.cache.revision = Revision(self.revision)
 
-    def view(self, shard: ShardName) -> ObservedShard:
-        view = ObservedShard(shard, self.cache.version(SHARDS + shard))
+    def observed_shard(self, shard: ShardName) -> ObservedShard:
+        observed_shard = ObservedShard(shard, self.cache.version(SHARDS + shard))
         status = MachineStatus(
             free=NO_RESOURCES,
             ends=[],
@@ -101,7 +101,7 @@
         )
         machines: dict[MachineId, MachineStatus | None]
         machines = {m: status for m, r in self.cache.machines.items() if r.shard == shard}
-        view.apply(
+        observed_shard.apply(
             0.0,
             ShardStatus(
                 shard=shard,
@@ -121,57 +121,60 @@
                 drained=[],
             ),
         )
-        return view
+        return observed_shard
 
     def command_move(self) -> None:
         record = TransferRecord(
-            0, "a", self.shards[1], "c8", MOVED, REQUESTED, 0.0, 300.0, origin=OPERATOR
+            0, "a", self.shards[1], "c8", MOVED_MACHINES, REQUESTED, 0.0, 300.0, origin=OPERATOR
         )
-        self.keeper.commands = [TransferCommand(TransferId("o-00000001"), record)]
+        self.rebalancer.commands = [TransferCommand(TransferId("o-00000001"), record)]
 
-    def passes(self) -> int:
-        """Passes until the move is complete; owners see each write at once. Gives how many
-        function calls the rebalancing made."""
-        made = 0
+    def run_move(self) -> int:
+        """Run planning passes until the move is complete; owners see each write at once.
+
+        Returns:
+            The number of function calls that the rebalancer made.
+        """
+        call_count = 0
         changes: list[ConditionalWrite] = []
 
         def plan() -> None:
-            changes[:] = self.keeper.changes(
+            changes[:] = self.rebalancer.changes(
                 1.0, 1.0, self.capacities, set(), self.machine_lifecycle
             )
 
         for _ in range(8):
-            for view in self.capacities:
-                view.seen_revision = Revision(self.revision)
-                view.latest_status.drained = [
+            for observed_shard in self.capacities:
+                observed_shard.seen_revision = Revision(self.revision)
+                observed_shard.latest_status.drained = [
                     m
                     for m in self.cache.transfers.draining_machines()
-                    if self.cache.machines[m].shard == view.shard
+                    if self.cache.machines[m].shard == observed_shard.shard
                 ]
             self.machine_lifecycle.begin()
-            made += calls(plan)
-            self.keeper.commands = []
+            call_count += calls(plan)
+            self.rebalancer.commands = []
             for change in changes:
                 self.put(change.key, change.value)
-        return made
+        return call_count
 
 
 def test_a_move_costs_the_same_among_five_times_as_many_machines() -> None:
     def cost(machines: int) -> float:
-        provisioner = Provisioner(machines)
-        before = provisioner.cache.machines.copy()
-        provisioner.command_move()
-        spent = provisioner.passes()
-        there = [m for m, r in provisioner.cache.machines.items() if r.shard != before[m].shard]
-        assert len(there) == MOVED
-        return spent
+        bench = RebalancerBench(machines)
+        before = bench.cache.machines.copy()
+        bench.command_move()
+        call_count = bench.run_move()
+        moved_machines = [m for m, r in bench.cache.machines.items() if r.shard != before[m].shard]
+        assert len(moved_machines) == MOVED_MACHINES
+        return call_count
 
     small, large = cost(6300), cost(31500)
     assert large < 1.2 * small + 200
 
 
-def test_four_thousand_machines_and_twenty_partitions_come_to_their_targets() -> None:
-    """The plan gives each of twenty partitions its machines while all of them send heartbeats."""
+def test_twenty_partitions_of_four_thousand_machines_reach_their_targets() -> None:
+    """Each of twenty partitions gets its planned machines while all machines send heartbeats."""
     world = World(seed=6)
     world.partition_plan = PLAN
 
@@ -196,18 +199,18 @@
                 world.new_machine(name, "c8", zone, False)
         world.cloud.next_name = MACHINE_COUNT
         with anyio.move_on_after(30.0):
-            while not all(19 <= count <= 21 for count in in_partitions()):
+            while not all(19 <= count <= 21 for count in machines_in_partitions()):
                 await anyio.sleep(1.0)
         world.group.cancel_scope.cancel()
 
-    def in_partitions() -> list[int]:
-        return [len(machines_of(world, shard_name("a", name))) for name in SHARES]
+    def machines_in_partitions() -> list[int]:
+        return [len(machines_of(world, shard_name("a", name))) for name in PARTITIONS]
 
     run_script(world, 40.0, script)
     history = PartitionHistory()
     assert history.check(world.state.log) == []
     assert world.violations == []
-    assert all(19 <= count <= 21 for count in in_partitions()), in_partitions()
+    assert all(19 <= count <= 21 for count in machines_in_partitions()), machines_in_partitions()
     assert {machine for _, machine, _, _ in history.handovers} <= {
         MachineId(f"vm-{n:06d}") for n in range(MACHINE_COUNT)
     }
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -1,4 +1,4 @@
-"""Mutations: with a guard removed, the test of its failure fails, or its rule is broken."""
+"""Mutations: if a guard is removed, the test of its failure fails or a scenario breaks its rule."""
 
 from __future__ import annotations
 
@@ -34,52 +34,62 @@
 
 
 def a_lie_about_what_is_known(patch: pytest.MonkeyPatch) -> None:
+    """Each controller claims that it knows all cancellations confirmed until now."""
     patch.setattr(CancellationExchange, "complete_as_of", lambda _, at: at)
 
 
 def a_new_term_under_the_old_epoch(patch: pytest.MonkeyPatch) -> None:
-    async def settle(self: Election) -> Any:
+    """A leader whose key still exists continues under its epoch without rewriting the key."""
+
+    async def keep_epoch(self: Election) -> Any:
         return self._records.cache.version(LEADER)
 
-    patch.setattr(Election, "prepare_epoch", settle)
+    patch.setattr(Election, "prepare_epoch", keep_epoch)
 
 
 def stale_heartbeats_place_tasks(patch: pytest.MonkeyPatch) -> None:
-    take = HeartbeatReconciler.reconcile_tasks
+    """Tasks in a heartbeat count as present, whichever token the heartbeat carries."""
+    reconcile = HeartbeatReconciler.reconcile_tasks
 
-    def trusting(
-        self: HeartbeatReconciler, at: float, machine: Any, heartbeat: Any, settles: bool, new: bool
+    def record_all_present(
+        self: HeartbeatReconciler, at: float, machine: Any, heartbeat: Any, current: bool, new: bool
     ) -> Any:
-        commands = take(self, at, machine, heartbeat, settles, new)
+        commands = reconcile(self, at, machine, heartbeat, current, new)
         for item in heartbeat.tasks:
             if item.stage != "exited":
                 self.record_present(machine, item)
         return commands
 
-    patch.setattr(HeartbeatReconciler, "reconcile_tasks", trusting)
+    patch.setattr(HeartbeatReconciler, "reconcile_tasks", record_all_present)
 
 
 def refused_machines_are_silent(patch: pytest.MonkeyPatch) -> None:
+    """Machines whose heartbeats are refused count as unreachable."""
     patch.setattr(ShardScheduler, "record_heartbeats_refused", lambda *_: None)
 
 
 def starved_jobs_wait_on(patch: pytest.MonkeyPatch) -> None:
+    """No machines are requested for a job that has waited without a task for long."""
     patch.setattr("dapplewick.core.leader.capacity_requests.STARVATION_S", 1e9)
 
 
 def late_work_has_no_first_task(patch: pytest.MonkeyPatch) -> None:
+    """Overdue arrays get no precedence for their first task."""
     patch.setattr(ArrayOrder, "overdue", lambda *_: [])
 
 
 def isolated_leaders_lead_on(patch: pytest.MonkeyPatch) -> None:
+    """A leader without contact to peers and workers does not step down."""
     patch.setattr(LeaderIsolation, "should_step_down", lambda *_: False)
 
 
 def limits_are_not_withheld(patch: pytest.MonkeyPatch) -> None:
+    """A team's limit is never reserved for a gang."""
     patch.setattr(TeamQuotas, "withhold", lambda *_: None)
 
 
 def limits_are_withheld_for_a_minute(patch: pytest.MonkeyPatch) -> None:
+    """A team's limit is reserved for a gang for at most 60 s at a time."""
     patch.setattr("dapplewick.core.leader.limit_reservations.MAX_WITHHELD_S", 60.0)
 
 
@@ -119,7 +129,7 @@
     ),
     (
         unheard_shards_stay,
-        lambda: unheard_shards.test_jobs_begin_while_controllers_cannot_hear_one_another(
+        lambda: unheard_shards.test_jobs_begin_while_controllers_cannot_reach_one_another(
             unheard_shards.all_refuse_one_another, unheard_shards.BEGIN_WITHIN_S, 1
         ),
     ),
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests of users: invalid ones, and one behind work that runs on."""
+"""User requests: invalid submissions, and a job that waits behind long-running tasks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from standins import World, now
 from support.scenarios import call, run_script, submit_jobs
 
-# Invalid requests
+# Invalid requests with their expected status codes
 
 
 INVALID: list[tuple[dict[str, Any], int]] = [
@@ -54,34 +54,34 @@
 
 def test_invalid_requests_get_the_protocols_answer_also_in_an_outage() -> None:
     world = World(2)
-    seen: list[str] = []
+    mismatches: list[str] = []
 
     async def submit(body: dict[str, Any]) -> int:
         raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
-        begun = now()
+        asked_at = now()
         answer = await world.controllers["n1"].handle(Request("POST", "/v2/runs", raw, False))
         assert answer.status != 503 or (
-            answer.retry_after and now() - begun < 0.5
-        )  # one shared look
+            answer.retry_after and now() - asked_at < 0.5
+        )  # the limit for one read of the state service, shared by all requests
         return answer.status
 
-    async def odd() -> None:
+    async def submit_invalid() -> None:
         for change, status in INVALID:
-            got = await submit(world.job(name_id="run-odd", **change))
-            if got != status:
-                seen.append(f"{change} got {got}")
+            received = await submit(world.job(name_id="run-odd", **change))
+            if received != status:
+                mismatches.append(f"{change} got {received}")
         for field in FIELDS:
             body = world.job(name_id="run-odd")
             del body[field]
-            if (got := await submit(body)) != 400:
-                seen.append(f"without {field} got {got}")
+            if (received := await submit(body)) != 400:
+                mismatches.append(f"without {field} got {received}")
 
     async def script() -> None:
         await anyio.sleep(5)
         for name, true_s in (("run-done", 2.0), ("run-open", 900.0)):
             world.jobs[name] = world.job(name_id=name, true_s=true_s)
             assert await submit(world.jobs[name]) == 201
-            await odd()
+            await submit_invalid()
             await anyio.sleep(25)
         for outage in (False, True):
             world.state.set_down(outage)
@@ -97,17 +97,21 @@
             assert (await call(world, "n0", "GET", "run-none"))[0] == unknown
             assert (await call(world, "n0", "POST", "run-none", "abort"))[0] == unknown
             assert await submit(world.job(name_id=f"run-new{outage}")) == (503 if outage else 201)
-            await odd()
+            await submit_invalid()
 
     world.jobs["run-newFalse"] = world.job(name_id="run-newFalse")
     run_script(world, 80.0, script)
-    assert seen == []
+    assert mismatches == []
 
 
 def test_a_job_behind_others_that_run_on_and_on_gets_a_machine_of_its_own() -> None:
-    """Slots that are taken counted as if they were free again soon, so none was rented."""
+    """A waiting job must get machines although busy slots are estimated to be free soon.
+
+    The estimated run time of the tasks on these slots is too short. As long as only the estimate
+    counts, no machine is provisioned for the job.
+    """
     world = World(3)
-    begun: list[float] = []
+    durations_s: list[float] = []
 
     async def script() -> None:
         await anyio.sleep(3)
@@ -115,11 +119,11 @@
         await anyio.sleep(22)
         body = world.job(name_id="run-000009", pieces=2, cpus=8.0, true_s=5.0)
         world.group.start_soon(world.user, body["name_id"], body, None)
-        at = now()
+        submitted_at = now()
         while world.told.get("run-000009") != "done":
             await anyio.sleep(0.5)
-        begun.append(now() - at)
+        durations_s.append(now() - submitted_at)
 
     run_script(world, 180.0, script)
-    assert begun
-    assert begun[0] < 110.0
+    assert durations_s
+    assert durations_s[0] < 110.0
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole scenarios against the stand-ins: every rule is checked throughout."""
+"""Scenarios with one kind of fault, random faults or another layout; all rules are checked."""
 
 from __future__ import annotations
 
@@ -83,14 +83,16 @@
     ("count", "zones", "lacking"),
     [
         (3, ["a"], "c8"),
-        (2, ["a", "b", "c", "d", "e"], "c8"),  # zones without a controller
+        (2, ["a", "b", "c", "d", "e"], "c8"),  # some zones have no controller
         (5, ["a", "b", "c"], "g8"),
         (1, ["a", "b"], ""),
     ],
 )
 def test_rules_hold_in_other_layouts(count: int, zones: list[str], lacking: str) -> None:
-    """One zone, many more than controllers, controllers to spare, a single one; and a type of
-    which the cloud has nothing that may be taken away."""
+    """Vary the numbers of controllers and zones.
+
+    In all layouts but that with one controller, the cloud has no spot machines of one type.
+    """
     for seed in (31, 32):
         world = World(seed, count, zones)
         world.cloud.lacking = {(lacking, True)}
@@ -99,7 +101,7 @@
         assert {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")} == {}
 
 
-def test_the_same_scenario_twice_is_the_same() -> None:
+def test_a_scenario_is_deterministic() -> None:
     first, second = play(all_crash, 3), play(all_crash, 3)
     assert (first.starts, first.told) == (second.starts, second.told)
 
@@ -108,9 +110,9 @@
     seen = []
 
     async def main() -> None:
-        begun = now()
+        started_at = now()
         await anyio.sleep(3600)
-        seen.append(now() - begun)
+        seen.append(now() - started_at)
 
     run_in_virtual_time(main)
     assert 3600 <= seen[0] < 3601
@@ -143,8 +145,8 @@
     assert answers[-1][1] == "withdrawn"
 
 
-def test_a_machine_that_hears_nothing_gets_no_more_work_and_is_returned() -> None:
-    """What was started there was sent again with every heartbeat, and never ran."""
+def test_a_machine_that_receives_no_answers_gets_no_more_work_and_is_deleted() -> None:
+    """Without a limit, start commands would be sent again with every heartbeat and never arrive."""
     world = World(8)
     seen: dict[str, object] = {}
 
@@ -152,10 +154,10 @@
         await anyio.sleep(3)
         submit_jobs(world, 2, pieces=16, true_s=15.0, cpus=4.0, crew="red")
         await anyio.sleep(20)
-        seen["deaf"] = sorted(world.workers)[0]
+        seen["unreachable"] = sorted(world.workers)[0]
         world.workers[sorted(world.workers)[0]].unreachable = True
         await anyio.sleep(45)
-        seen["kept"] = seen["deaf"] in world.workers
+        seen["kept"] = seen["unreachable"] in world.workers
 
     run_script(world, 100.0, script)
     assert world.violations == []
@@ -163,8 +165,8 @@
     assert set(world.told.values()) == {"done"}
 
 
-def test_a_shard_whose_owner_hears_no_worker_gets_another_owner() -> None:
-    """Its machines were all deleted as silent, for one controller's broken network."""
+def test_a_shard_whose_owner_receives_no_heartbeats_gets_another_owner() -> None:
+    """All machines of the shard would be deleted because of one controller's broken network."""
     world = World(7)
     seen: dict[str, object] = {}
 
@@ -173,12 +175,12 @@
         submit_jobs(world, 3, pieces=12, true_s=60.0, cpus=4.0, crew="red")
         await anyio.sleep(27)
         controller = world.controllers["n0"]
-        heard = {
+        machine_counts = {
             z: sum(w.zone == z for w in world.workers.values()) for z in controller.cache.shards
         }
-        zone = max(heard, key=lambda z: heard[z])
+        zone = max(machine_counts, key=lambda z: machine_counts[z])
         owner = controller.cache.shards[zone].owner
-        seen["before"] = (heard[zone] >= 2, owner)
+        seen["before"] = (machine_counts[zone] >= 2, owner)
         machines = {w.name for w in world.workers.values() if w.zone == zone}
         world.cut_workers.add(owner)
         await anyio.sleep(25)
@@ -192,10 +194,13 @@
     assert seen["kept"] == 1.0
 
 
-def test_after_all_controllers_returned_at_once_every_job_is_answered_soon() -> None:
-    """A job about which no question is answered for 75 s counts as forgotten."""
+def test_after_a_restart_of_all_controllers_every_job_is_answered_soon() -> None:
+    """Every controller answers polls of all jobs within 30 s after a restart of all controllers.
+
+    A job counts as forgotten if no request about it is answered for 75 s.
+    """
     world = World(9)
-    late: dict[str, float] = {}
+    answer_delays_s: dict[str, float] = {}
 
     async def script() -> None:
         await anyio.sleep(3)
@@ -206,7 +211,7 @@
         await anyio.sleep(0.2)
         for name in world.names:
             world.start_controller(name)
-        back = now()
+        restarted_at = now()
         for job in sorted(world.accepted):
             for controller in world.names:
                 request = Request("GET", f"/v2/runs/{job}", b"", False)
@@ -214,17 +219,17 @@
                     assert answer.status == 503
                     assert answer.retry_after
                     await anyio.sleep(0.5)
-                late[f"{job} {controller}"] = now() - back
+                answer_delays_s[f"{job} {controller}"] = now() - restarted_at
 
     run_script(world, 90.0, script)
     assert world.violations == []
     assert len(world.accepted) == 25
-    assert len(late) == 75
-    assert max(late.values()) < 30.0
+    assert len(answer_delays_s) == 75
+    assert max(answer_delays_s.values()) < 30.0
 
 
-def test_an_overloaded_controller_says_so_and_takes_nothing_from_users() -> None:
-    """It fell further behind with each request, and workers' leases ran out meanwhile."""
+def test_an_overloaded_controller_answers_users_with_503() -> None:
+    """Otherwise it would fall further behind with each request until workers' leases expire."""
     world = World(10)
     seen: list[list[int]] = []
 
@@ -239,7 +244,7 @@
             ]
             seen.append([a.status for a in answers])
             assert all(a.retry_after for a in answers if a.status == 503)
-        # A controller that stands still knows of it before it answers anything.
+        # A controller that was suspended detects this before it answers any request.
         loop = asyncio.get_running_loop()
         loop.at += 8.0  # type: ignore[attr-defined]
         await anyio.sleep(0.0)
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -1,4 +1,4 @@
-"""Services: replicas that run until the job is cancelled, as array tasks that never end."""
+"""Services: jobs whose replicas run as array tasks until the job is cancelled."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
 
 
 def submit_service(world: World, name: str, cancel: float | None = None, **fields: Any) -> None:
-    asked = {"cpus": 1.0, "urgency": "critical", "expected_s": 0.0, "borrowed": False} | fields
-    body = world.job(name_id=name, shape="daemon", **asked)
+    job_fields = {"cpus": 1.0, "urgency": "critical", "expected_s": 0.0, "borrowed": False} | fields
+    body = world.job(name_id=name, shape="daemon", **job_fields)
     world.group.start_soon(world.user, name, body, cancel)
 
 
@@ -76,10 +76,10 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_services_recover_from_every_fault(fault: Script) -> None:
-    """Replicas also end by themselves, each way, now and then; batch work runs beside them."""
+    """Batch jobs run at the same time, and some replicas exit during the fault for any cause."""
     world = World(17)
-    wanted = {"run-s1": 3, "run-s2": 4, "run-s3": 2}
-    there: list[dict[str, int]] = []
+    expected_replicas = {"run-s1": 3, "run-s2": 4, "run-s3": 2}
+    replicas_at_end: list[dict[str, int]] = []
 
     async def script() -> None:
         await anyio.sleep(8)
@@ -93,19 +93,19 @@
         world.calm_at = now()
         world.replica_ends = 0.0
         await anyio.sleep(75)
-        there.append({name: replicas_on(world, name) for name in wanted})
+        replicas_at_end.append({name: replicas_on(world, name) for name in expected_replicas})
 
     run_script(world, 320.0, script)
     assert world.violations == []
-    assert there == [wanted]
-    assert finished(world) == dict.fromkeys(wanted, "running")
+    assert replicas_at_end == [expected_replicas]
+    assert finished(world) == dict.fromkeys(expected_replicas, "running")
     assert world.told["run-s4"] == "withdrawn"
     assert replicas_on(world, "run-s4") == 0
 
 
 def test_a_lost_machines_replicas_run_elsewhere_soon() -> None:
     world = World(3)
-    back: list[float] = []
+    recovery_times_s: list[float] = []
 
     async def script() -> None:
         await anyio.sleep(4)
@@ -115,23 +115,24 @@
         assert replicas_on(world, "run-s1") == 2
         lost = next(w for w, n in world.on_machines() if n.startswith("run-s1/"))
         lost.hanging = lost.cut = True
-        begun = now()
+        lost_at = now()
         await anyio.sleep(0.5)
         while sum(not w.hanging and n.startswith("run-s1/") for w, n in world.on_machines()) < 2:
             await anyio.sleep(0.25)
-        back.append(now() - begun)
+        recovery_times_s.append(now() - lost_at)
 
     run_script(world, 100.0, script)
     assert world.violations == []
-    # Half of a lease until it is deleted, then a heartbeat and the image: not a lease and more.
-    assert back
-    assert back[0] < WORKERS["lease_s"]
+    # The machine is deleted after half of a lease. The replicas then start after a heartbeat and
+    # the fetch of their image, and so sooner than after a whole lease.
+    assert recovery_times_s
+    assert recovery_times_s[0] < WORKERS["lease_s"]
 
 
 def test_services_are_answered_like_any_job_and_never_done() -> None:
     world = World(4)
     seen: list[Any] = []
-    ran: set[str] = set()
+    stages: set[str] = set()
 
     async def post(**fields: Any) -> int:
         body = world.job(shape="daemon", **({"name_id": "run-x", "expected_s": 0.0} | fields))
@@ -143,7 +144,8 @@
 
     async def script() -> None:
         await anyio.sleep(6)
-        seen.append(await post(pieces=7, cpus=4.0, crew="blue"))  # 28 of 24 CPUs
+        # This needs 28 CPUs, but the team's limit is 24.
+        seen.append(await post(pieces=7, cpus=4.0, crew="blue"))
         seen.append(await post(pieces=2, cpus=64.0))
         seen.append(await post(pieces=2, scatter=True, same_place=True))
         seen.append(await post(pieces=0))
@@ -152,9 +154,9 @@
         seen.append(await post(name_id="run-s", pieces=2))
         for _ in range(6):
             await anyio.sleep(10)
-            status, said = await call(world, "n1", "GET", "run-s")
-            seen.append((status, said["stage"] in ("queued", "running"), said["done"]))
-            ran.add(said["stage"])
+            status, answer = await call(world, "n1", "GET", "run-s")
+            seen.append((status, answer["stage"] in ("queued", "running"), answer["done"]))
+            stages.add(answer["stage"])
         seen.append((await call(world, "n2", "POST", "run-s", "abort"))[1]["stage"])
         world.cancelled_at["run-s"] = now()
         seen.append((await call(world, "n0", "GET", "run-s"))[1]["stage"])
@@ -164,13 +166,13 @@
     assert seen[:6] == [422, 422, 422, 400, 201, 200]
     assert seen[6:12] == [(200, True, 0)] * 6
     assert seen[12:] == ["withdrawn", "withdrawn"]
-    assert "running" in ran
+    assert "running" in stages
 
 
-# The design: a replica is an array task of its priority that is not expected to end
+# The scheduler treats a replica as an array task of its priority that never ends
 
 
-def ended(
+def report_exit(
     bench: Bench,
     machine: MachineId,
     task: TaskRef,
@@ -197,34 +199,35 @@
     (task,) = starts(bench.heartbeat(machine, 1.0))
     first = bench.on[machine][task]
     bench.heartbeat(machine, 2.0)
-    assert [o.kind for o in ended(bench, machine, task, cause, 40.0)] == ["forget"]
+    assert [o.kind for o in report_exit(bench, machine, task, cause, 40.0)] == ["forget"]
     bench.scheduler.tick(40.3)
     assert starts(bench.heartbeat(machine, 41.0)) == [task]
     assert bench.on[machine][task] != first
     assert bench.job_status(41.0, "run-1").done == []
 
 
-def test_one_that_fails_everywhere_is_paused_for_longer_and_longer() -> None:
+def test_the_restart_delay_of_a_replica_that_always_fails_grows() -> None:
     bench = Bench(1)
     machine = bench.names[0]
     bench.heartbeat(machine, 0.0)
     bench.assign("run-1", service(1), 0.0)
-    at, begun = 0.0, []
+    at, start_times = 0.0, []
     task = TaskRef(JobId("run-1"), TaskIndex(0))
     while at < 200.0:
         at += 0.5
-        bench.scheduler.machines[machine].failures.clear()  # it is not the machine's fault
+        # The failures are removed so that the machine does not count as faulty.
+        bench.scheduler.machines[machine].failures.clear()
         bench.scheduler.tick(at)
         if starts(bench.heartbeat(machine, at)):
-            begun.append(at)
-            ended(bench, machine, task, "error", at + 0.2)
-    pauses = [b - a for a, b in pairwise(begun)]
-    assert pauses[0] <= 1.0
-    assert pauses == sorted(pauses)
-    assert 30.0 < pauses[-1] <= 62.0
+            start_times.append(at)
+            report_exit(bench, machine, task, "error", at + 0.2)
+    delays_s = [b - a for a, b in pairwise(start_times)]
+    assert delays_s[0] <= 1.0
+    assert delays_s == sorted(delays_s)
+    assert 30.0 < delays_s[-1] <= 62.0
 
 
-def test_a_replica_passes_no_gang_and_nothing_waits_behind_it() -> None:
+def test_a_replica_is_not_backfilled_before_a_gang_and_no_task_is_queued_behind_it() -> None:
     bench = Bench(1)
     machine = bench.names[0]
     bench.heartbeat(machine, 0.0)
@@ -234,13 +237,13 @@
     bench.scheduler.tick(2.0)
     assert len(starts(bench.heartbeat(machine, 2.5))) == 1
     scheduler = bench.scheduler
-    # One CPU is an array task's; the others' tasks wait behind it alone.
+    # One slot runs a task of the array, and the array's other tasks are queued only for that slot.
     assert all(not s.queue for s in scheduler.machines[machine].slots if s.holds_replica)
-    # A gang held here waits for slots that are never free again.
+    # A gang with a reservation on this machine waits for slots that never become free.
     bench.reservation("run-3", spec(1, 2.0, 10.0, is_gang=True), [machine], 3.0)
     reservation = scheduler.reservations[JobId("run-3")]
     assert scheduler.backfill.remaining_wait(4.0, reservation) > 1e6
-    # And a replica never passes it, however short its estimate of 0 looks.
+    # A replica is never backfilled before the gang, although its run time estimate is 0.
     assert not scheduler.backfill.may_backfill(4.0, service(1), scheduler.machines[machine])
     assert scheduler.backfill.may_backfill(4.0, spec(1, 1.0, 10.0), scheduler.machines[machine])
     scheduler.estimates.learn("x", 0.0, 50.0)
@@ -257,11 +260,11 @@
     bench.assign("run-2", service(1, cpus=2.0), 2.0)
     commands = bench.heartbeat(machine, 2.5)
     assert [o.kind for o in commands] == ["stop", "stop"]
-    assert starts(bench.heartbeat(machine, 3.0)) == []  # they are still there
-    for n, order in enumerate(commands):
-        assert starts(ended(bench, machine, order.task, "halted", 3.5 + n / 10)) == []
+    assert starts(bench.heartbeat(machine, 3.0)) == []  # the stopped tasks have not exited yet
+    for n, command in enumerate(commands):
+        assert starts(report_exit(bench, machine, command.task, "halted", 3.5 + n / 10)) == []
     assert starts(bench.heartbeat(machine, 4.0)) == [TaskRef(JobId("run-2"), TaskIndex(0))]
-    # Work of the same priority, and services, are not stopped.
+    # Neither tasks of the same priority nor replicas are stopped.
     bench.assign("run-3", service(1, cpus=3.0), 5.0)
     bench.scheduler.tick(5.0)
     assert all(o.kind != "stop" or o.task.job == "run-1" for o in bench.heartbeat(machine, 5.5))
@@ -279,47 +282,47 @@
     assert [len(starts(bench.heartbeat(name, 1.5))) for name in bench.names] == [1, 1, 1, 1]
 
 
-def test_before_its_machine_goes_a_replica_moves_and_is_never_on_both() -> None:
+def test_a_replica_moves_before_its_machine_is_reclaimed_and_is_never_on_both() -> None:
     bench = Bench(2)
     first, second = bench.names
     for name in bench.names:
         bench.heartbeat(name, 0.0)
     bench.assign("run-1", service(1), 1.0)
     task = TaskRef(JobId("run-1"), TaskIndex(0))
-    on = first if starts(bench.heartbeat(first, 1.5)) else second
-    other = second if on == first else first
-    if on == second or task not in bench.on[on]:
-        assert starts(bench.heartbeat(on, 1.6)) == [task]
+    holder = first if starts(bench.heartbeat(first, 1.5)) else second
+    other = second if holder == first else first
+    if holder == second or task not in bench.on[holder]:
+        assert starts(bench.heartbeat(holder, 1.6)) == [task]
 
-    def notice(at: float, left: float) -> list[Command]:
+    def heartbeat_with_notice(at: float, remaining_s: float) -> list[Command]:
         bench.sequence += 1
-        tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[on].items()]
-        said = Heartbeat(
-            on, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, left, "", tasks
+        tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[holder].items()]
+        message = Heartbeat(
+            holder, TypeName("k"), IN_ZONE, False, 1, bench.sequence, TOKEN, remaining_s, "", tasks
         )
-        return bench.scheduler.handle_heartbeat(at, said, True)
+        return bench.scheduler.handle_heartbeat(at, message, True)
 
-    bench.heartbeat(on, 2.0)
+    bench.heartbeat(holder, 2.0)
     bench.heartbeat(other, 2.0)
-    assert [o.kind for o in notice(3.0, 12.0)] == ["stop"]
+    assert [o.kind for o in heartbeat_with_notice(3.0, 12.0)] == ["stop"]
     bench.scheduler.tick(3.2)
     assert starts(bench.heartbeat(other, 3.5)) == []
-    ended(bench, on, task, "halted", 4.0, 11.0)
+    report_exit(bench, holder, task, "halted", 4.0, 11.0)
     bench.scheduler.tick(4.2)
     assert starts(bench.heartbeat(other, 4.5)) == [task]
 
 
-def test_a_dear_machine_is_not_kept_for_replicas_alone() -> None:
+def test_an_expensive_machine_is_not_kept_for_replicas_alone() -> None:
     bench = Bench(1)
-    dear = MachineType(
+    expensive = MachineType(
         name="dear", cpus=64.0, gpus=8.0, ram_gb=512.0, hourly_price=20.0, zones=["a"]
     )
     cheap = MachineType(name="k", cpus=4.0, gpus=0.0, ram_gb=64.0, hourly_price=0.5, zones=["a"])
-    bench.put(TYPES, encode_machine_types([cheap, dear]))
+    bench.put(TYPES, encode_machine_types([cheap, expensive]))
     large = MachineId("vm-large")
     value = {"type": "dear", "zone": "a", "spot": False, "machines": {large: "u"}}
     bench.put(MACHINES + "large", value)
-    # The small one has the image, but no room at first.
+    # The small machine has the image, but no free slots at first.
     small = bench.names[0]
     bench.heartbeat(small, 0.0)
     bench.assign("run-0", replace(spec(1, 4.0, 10.0), priority=3), 0.0)
@@ -330,10 +333,10 @@
     def heartbeat(at: float) -> list[Command]:
         bench.sequence += 1
         tasks = [TaskStatus(t, a, "running", None, False) for t, a in bench.on[large].items()]
-        said = Heartbeat(
+        message = Heartbeat(
             large, TypeName("dear"), IN_ZONE, False, 1, bench.sequence, TOKEN, None, "", tasks
         )
-        commands = bench.scheduler.handle_heartbeat(at, said, True)
+        commands = bench.scheduler.handle_heartbeat(at, message, True)
         bench.on[large] |= {o.task: o.attempt for o in commands if o.kind == "start"}
         return commands
 
@@ -354,25 +357,28 @@
     assert bench.machine_status(stopped, large).leaving is True
 
 
-# Mutations: the checker can fail, and removed guards are detected
+# Mutations: removed guards are detected
 
 
 def services_count_as_done(patch: pytest.MonkeyPatch) -> None:
+    """Controllers read the records of services as those of batch jobs, which can complete."""
     load = JobRecord.load.__func__  # type: ignore[attr-defined]
 
-    def forgetful(cls: type[JobRecord], value: Any, version: int) -> JobRecord:
+    def load_as_batch_job(cls: type[JobRecord], value: Any, version: int) -> JobRecord:
         job: JobRecord = load(cls, value, version)
         job.spec = replace(job.spec, is_service=False)
         return job
 
-    patch.setattr(JobRecord, "load", classmethod(forgetful))
+    patch.setattr(JobRecord, "load", classmethod(load_as_batch_job))
 
 
 def silent_machines_are_waited_for(patch: pytest.MonkeyPatch) -> None:
+    """Unreachable machines with replicas are not deleted sooner than others."""
     patch.setattr(Machine, "has_replicas", lambda _: False)
 
 
 def lower_work_is_not_stopped(patch: pytest.MonkeyPatch) -> None:
+    """Tasks of lower priority are not preempted for replicas."""
     patch.setattr(Preemption, "_preempt_for_replicas", lambda *_: None)
 
 
@@ -394,11 +400,14 @@
         test()
 
 
-# How soon a silent machine's replicas may run elsewhere
+# How soon the replicas of an unreachable machine may run elsewhere
 
 
-def test_a_process_that_stood_still_takes_no_machine_for_silent() -> None:
-    """Its heartbeats are still unread: all machines with replicas were deleted when it went on."""
+def test_a_resumed_process_reports_no_machine_as_unreachable() -> None:
+    """Heartbeats that arrived during a suspension are still unread when the process resumes.
+
+    If the machines counted as unreachable then, all machines with replicas would be deleted.
+    """
     bench = Bench(2)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
@@ -411,9 +420,9 @@
     while at < 6.0:
         at += 0.25
         bench.scheduler.tick(at)
-    heard_nothing = bench.scheduler.status(at).machine_contact_gaps
-    assert {machine.gap_s for machine in heard_nothing.values()} == {5.5}
-    assert all(machine.urgent for machine in heard_nothing.values())
+    contact_gaps = bench.scheduler.status(at).machine_contact_gaps
+    assert {machine.gap_s for machine in contact_gaps.values()} == {5.5}
+    assert all(machine.urgent for machine in contact_gaps.values())
     bench.scheduler.tick(at + 5.0)
     assert bench.scheduler.status(at + 5.0).machine_contact_gaps == {}
     while at < 13.0:
@@ -425,16 +434,16 @@
 @pytest.mark.parametrize(
     ("silence", "goes"),
     [
-        (ReportGap(6.1, True, True), False),  # one answer was lost, perhaps
+        (ReportGap(6.1, True, True), False),  # the answer to one heartbeat may have been lost
         (ReportGap(6.3, True, True), True),
         (ReportGap(6.3, False, True), False),
-        (ReportGap(6.9, True, False), False),  # its owner may have lost the way to all of them
+        (ReportGap(6.9, True, False), False),  # the owner may have lost contact with all machines
         (ReportGap(7.1, True, False), True),
         (ReportGap(14.9, False, True), False),
         (ReportGap(15.1, False, False), True),
     ],
 )
-def test_a_silent_machine_goes_sooner_where_replicas_wait_for_it(
+def test_an_unreachable_machine_is_deleted_sooner_if_replicas_wait_for_it(
     silence: ReportGap, goes: bool
 ) -> None:
     bench = Bench(1)
--- a/tests/simulation/test_team_limits.py
+++ b/tests/simulation/test_team_limits.py
@@ -1,14 +1,8 @@
-"""A large gang whose team is at its limit starts all the same.
+"""A large gang starts although other work keeps its team at the team's limit.
 
-Seen: the largest jobs of a class went unserved while smaller ones of the same team ran.
-
-How it came about: a team at its limit gets room back a few tasks at a time, as its work ends. A
-gang needs room for all its tasks at once. In each pass of the leader the gang was passed over, and
-smaller gangs and array tasks of its team took what there was; so there never was enough.
-
-Cause: starvation. Slots may be reserved for a gang that waits, but nothing kept its team's limit.
-
-Proof: without `TeamQuotas.withhold` the tests below fail, and with it they pass.
+As tasks end, the limit allows a few new tasks at a time, but a gang needs enough of the limit for
+all its tasks at once. Unless the limit is reserved for the gang (`TeamQuotas.withhold`), smaller
+gangs and array tasks of the team use it up in each planning pass, and the gang starves.
 """
 
 from __future__ import annotations
@@ -19,12 +13,12 @@
 from standins import World, now
 from support.scenarios import Script, finished, play_scenario, submit_jobs
 
-BEGIN_WITHIN_S = 240.0  # of the largest jobs
-STREAM_S = 400.0  # for so long small work of the same team comes, as much as its limit allows
+BEGIN_WITHIN_S = 240.0  # the limit for the largest jobs of a class
+STREAM_S = 400.0  # how long small jobs are submitted that use up the team's limit
 
 
-async def stream(world: World, shape: str) -> None:
-    """Small work of one team, more than its limit of 24 CPUs lets run at once."""
+async def submit_stream(world: World, shape: str) -> None:
+    """Submit small jobs of one team, more than its limit of 24 CPUs allows at the same time."""
     end = now() + STREAM_S
     first = 100
     while now() < end:
@@ -34,7 +28,7 @@
 
 
 def assert_the_gang_begins(stream: Script, seed: int, after_s: float, length_s: float) -> None:
-    """Play a stream of small work and, some time after it began, a gang of the limit's size."""
+    """Run a stream of small jobs and, `after_s` later, submit a gang of the size of the limit."""
 
     async def script(world: World) -> None:
         async with anyio.create_task_group() as group:
@@ -55,19 +49,19 @@
 def test_a_gang_of_the_size_of_its_teams_limit_begins_beside_a_stream_of_small_work(
     shape: str, seed: int
 ) -> None:
-    async def small_work(world: World) -> None:
-        await stream(world, shape)
+    async def submit_small_jobs(world: World) -> None:
+        await submit_stream(world, shape)
 
-    assert_the_gang_begins(small_work, seed, after_s=40, length_s=STREAM_S + 320.0)
+    assert_the_gang_begins(submit_small_jobs, seed, after_s=40, length_s=STREAM_S + 320.0)
 
 
-# Tasks for which the limit has to be withheld for longer than a minute, and that all end within the
-# 90 s for which other work of the team may wait beside room.
+# Tasks of this length require that the limit is reserved for more than a minute. They all end
+# within the 90 s for which other jobs of the team may wait while machines are free.
 LONG_TASK_S = 75.0
 
 
-async def stream_of_long_tasks(world: World) -> None:
-    """Small work of one team, a fifth more than its limit of 24 CPUs lets run at once."""
+async def submit_stream_of_long_tasks(world: World) -> None:
+    """Submit jobs of one team, a fifth more than its limit of 24 CPUs allows at the same time."""
     end = now() + STREAM_S
     first = 100
     while now() < end:
@@ -81,11 +75,12 @@
 def test_a_gang_of_the_size_of_its_teams_limit_begins_beside_tasks_of_more_than_a_minute(
     seed: int,
 ) -> None:
-    """Seen: with tasks of 75 s such a gang began when the stream of small work ended.
+    """The limit is reserved for longer than tasks of 75 s run.
 
-    How it came about: the limit was withheld for 60 s at a time. Tasks that started last before
-    that ran on beyond it, and then what was free of the limit went to the next small tasks.
+    If it is reserved for only 60 s at a time, tasks that started just before are still running when
+    the reservation ends. The unused limit then goes to the next small tasks, and the gang begins
+    only when the stream ends.
     """
     assert_the_gang_begins(
-        stream_of_long_tasks, seed, after_s=40 + LONG_TASK_S, length_s=STREAM_S + 600.0
+        submit_stream_of_long_tasks, seed, after_s=40 + LONG_TASK_S, length_s=STREAM_S + 600.0
     )
--- a/tests/simulation/test_unheard_shards.py
+++ b/tests/simulation/test_unheard_shards.py
@@ -1,20 +1,10 @@
-"""A shard that the leader cannot hear, though its owner is present, is not left unserved.
+"""A shard is reassigned if its owner is present but has no contact with the leader.
 
-Seen: on days at full size a whole class, team or size of jobs went unserved. While controllers
-refuse one another's connections the leader's load report names no free machine at all, and nothing
-is placed, assigned or provisioned until the refusal is over, however long that takes; the classes
-that come in that time are not served.
-
-How it came about: an owner that has to connect anew while its peers refuse can send the leader no
-status. Its presence record stands, since that needs the state service alone, so the shard keeps its
-owner. Without a status the leader gives the shard no work, and provisions and returns no machine
-anywhere.
-
-Cause: the leader acted on the presence of an owner, which says that it reaches the state service,
-as if that said that the owner reaches the leader. Nothing ended the wait for a status.
-
-Proof: the scenarios below fail without the move of unheard shards (`ShardContacts`), and pass with
-it; nothing else changes between the two.
+While controllers refuse one another's connections, an owner can't send its status to the leader.
+Its presence record stays, because only the state service is needed for that, so the shard would
+keep its owner. Without a status, the leader gives the shard no work and neither provisions nor
+deletes machines anywhere, so no job begins until connections work again. `ShardContacts` bounds
+this wait.
 """
 
 from __future__ import annotations
@@ -29,11 +19,11 @@
 
 CUT_AT_S = 25.0
 CUT_S = 240.0
-BEGIN_WITHIN_S = 60.0  # of a job, also while controllers cannot hear one another
+BEGIN_WITHIN_S = 60.0  # the limit for all jobs, also while controllers can't reach one another
 
 
 def late_jobs(world: World, within_s: float) -> list[str]:
-    """The jobs of which no task has started within a time after they were accepted."""
+    """The jobs whose first task did not start within a time after they were accepted."""
     return [
         job
         for job in sorted(world.accepted)
@@ -42,7 +32,7 @@
 
 
 async def cut_off_from_peers(world: World, names: Iterable[str]) -> None:
-    """Cut controllers off from their peers alone, and submit jobs of every kind meanwhile."""
+    """Cut controllers off from their peers only, and submit jobs of every kind meanwhile."""
     await anyio.sleep(CUT_AT_S)
     world.cut_peers.update(names)
     await anyio.sleep(5)
@@ -66,7 +56,10 @@
 
 
 async def leaders_end_meanwhile(world: World) -> None:
-    """The leader ends twice while all refuse one another; the next has heard nobody at all."""
+    """Crash the leader twice while all controllers refuse one another's connections.
+
+    The next leader has had no contact with any owner.
+    """
     async with anyio.create_task_group() as group:
         group.start_soon(cut_off_from_peers, world, world.names)
         for _ in range(2):
@@ -83,11 +76,12 @@
     [
         (all_refuse_one_another, BEGIN_WITHIN_S),
         (one_owner_is_refused, BEGIN_WITHIN_S),
-        # Each new leader has to find out for itself, and the second comes 38 s after the first.
+        # Each new leader waits for the owners' statuses again, and the second crash follows 38 s
+        # after the first.
         (leaders_end_meanwhile, 2 * BEGIN_WITHIN_S),
     ],
 )
-def test_jobs_begin_while_controllers_cannot_hear_one_another(
+def test_jobs_begin_while_controllers_cannot_reach_one_another(
     script: Script, within_s: float, seed: int
 ) -> None:
     world = play_scenario(script, seed, CUT_AT_S + CUT_S + 60.0)
