--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -217,9 +217,8 @@
             group.start_soon(ask_suspended_controller)
             await anyio.sleep(0.1)
             group.start_soon(world.stand_still, "n2", 3.0)
-            await anyio.sleep(
-                1.3
-            )  # the state service's answer has arrived, but n2 has not processed it
+            # The state service's answer has arrived by then, but n2 has not processed it.
+            await anyio.sleep(1.3)
             world.slow = 1.0
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
@@ -233,7 +232,7 @@
 
 
 def replace_changes(replacement: bytes) -> Callable[[str, Reply], Awaitable[Reply]]:
-    """Returns a function that replaces the body of every answer to a watch or a read of changes."""
+    """Return a function that replaces the body of every answer to a watch or a read of changes."""
 
     async def change(target: str, reply: Reply) -> Reply:
         return (200, replacement) if target.startswith("/changes") else reply
@@ -349,7 +348,7 @@
 
 
 def test_a_known_job_is_not_refused_where_the_catalogue_has_changed() -> None:
-    """The controller has not read the job yet, and its catalogue has only too small machines."""
+    """The controller has not read the job yet, and its catalogue lists only smaller machines."""
     world = World(1)
     answers: list[tuple[int, Any]] = []
 
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -392,7 +392,7 @@
 async def cancellations_during_owner_change(world: World) -> None:
     """Cancel jobs while an owner is down and some machines with their tasks don't respond."""
     await anyio.sleep(3)
-    submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0, crew="blue")  # at its limit of 24 CPUs
+    submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=25.0, crew="blue")  # its limit is 24 CPUs
     submit_jobs(world, 8, first=10, pieces=3, cpus=2.0, true_s=90.0)
     for step in range(5):
         await anyio.sleep(16)
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -229,7 +229,7 @@
 
 
 def test_an_overloaded_controller_answers_users_with_503() -> None:
-    """Otherwise it would fall further behind with each request until workers' leases expire."""
+    """Unless users are refused, overload grows with each request until workers' leases expire."""
     world = World(10)
     seen: list[list[int]] = []
 
--- a/tests/simulation/test_team_limits.py
+++ b/tests/simulation/test_team_limits.py
@@ -38,8 +38,8 @@
         world.calm_at = now()
 
     world = play_scenario(script, seed, length_s)
-    begun = world.first_start.get("run-000000/0", float("inf"))
-    assert begun - world.accepted_at["run-000000"] < BEGIN_WITHIN_S
+    started_at = world.first_start.get("run-000000/0", float("inf"))
+    assert started_at - world.accepted_at["run-000000"] < BEGIN_WITHIN_S
     assert finished(world) == {}
     assert world.violations == []
 
