--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -82,7 +82,7 @@
 
 def transfer_fault(seed: int, kind: str, roles: list[str], after: float) -> ScenarioRun:
     """Machines move between partitions while the controllers in the given roles fail."""
-    return lambda: partition_faults.play_fault(seed, kind, roles, after)
+    return lambda: partition_faults.run_fault_scenario(seed, kind, roles, after)
 
 
 def fault_during_transfers(fault: partition_moves.Script, second_transfer: bool) -> ScenarioRun:
@@ -149,15 +149,17 @@
     "five-controllers": cluster_layout(5, ["a", "b", "c"], faults.quick_restarts, 31),
     "one-controller": cluster_layout(1, ["a", "b"], faults.bad_machines, 32),
     # Compound failures
-    "gap-told": compound_failure(cancellations.gap("owner", False), 1, 200.0),
-    "gap-lost": compound_failure(cancellations.gap("both", True, True), 2, 200.0),
+    "gap-told": compound_failure(cancellations.refusal_then_outage("owner", False), 1, 200.0),
+    "gap-lost": compound_failure(cancellations.refusal_then_outage("both", True, True), 2, 200.0),
     "late-writes": compound_failure(leadership.many_late_writes, 1, 200.0),
     "all-away": compound_failure(failure_pairs.all_away, 1, 250.0),
     "limit-and-cancellation": compound_failure(failure_pairs.limit_and_cancellation, 1, 250.0),
-    "close-looks": lambda: compound_failures.played_close_looks(1, 0.25),
-    "kept-reports": compound_failure(compound_failures.kept_for_the_next_leader, 1, 200.0),
-    "up-at-once": compound_failure(compound_failures.up_at_once, 1, 200.0),
-    "handover-cancelled": compound_failure(compound_failures.cancelled_in_a_handover, 1, 200.0),
+    "close-looks": lambda: compound_failures.run_answer_probes(1, 0.25),
+    "kept-reports": compound_failure(compound_failures.heartbeats_replayed_to_new_leader, 1, 200.0),
+    "up-at-once": compound_failure(compound_failures.fast_booting_machines, 1, 200.0),
+    "handover-cancelled": compound_failure(
+        compound_failures.cancellations_during_owner_change, 1, 200.0
+    ),
     "odd-requests": requests.test_invalid_requests_get_the_protocols_answer_also_in_an_outage,
     # Services
     "services-all-killed": service_fault(faults.all_crash),
