--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -38,7 +38,7 @@
 from dapplewick.coordination.peer_exchange import PeerExchange
 from dapplewick.coordination.presence import Presence
 from dapplewick.coordination.shard_assignment import ShardAssigner
-from dapplewick.coordination.status_confirmations import StatusConfirmations
+from dapplewick.coordination.status_confirmations import StatusConfirmationTable
 from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.invariants import InvariantCounts
@@ -179,7 +179,7 @@
         self.cancellations = CancellationExchange(
             self.identity.incarnation, self.links, self.settings.deployment.count
         )
-        self.confirmations = StatusConfirmations(self.cache)
+        self.confirmations = StatusConfirmationTable(self.cache)
         self.peers = PeerExchange(
             self.identity,
             self.links,
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -20,7 +20,7 @@
 from dapplewick.coordination.leadership import Leadership
 from dapplewick.coordination.peer_reachability import PeerReachability
 from dapplewick.coordination.shard_assignment import OwnerReachability, ShardAssigner
-from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmations
+from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmationTable
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.conditional_write import ConditionalWrite
 from dapplewick.storage.errors import (
@@ -60,7 +60,7 @@
     silence: PeerReachability
     isolation: LeaderIsolation
     owned_shards: OwnedShards
-    confirmations: StatusConfirmations
+    confirmations: StatusConfirmationTable
     partitions: PartitionSwitch
     writer: LeaderWriter
     new_planner: Callable[[FencingToken, Seconds], LeaderPlanner]
@@ -180,7 +180,7 @@
         self, snapshot: OwnerReachability, epoch: FencingToken, now: Seconds
     ) -> None:
         """Write the new owners of shards, each in a transaction of its own."""
-        for assignment in self.assigner.changes(now, snapshot):
+        for assignment in self.assigner.choose_assignments(now, snapshot):
             key = SHARDS + assignment.shard
             log.info(
                 "event=shard_assigned shard=%s controller=%s reason=%s",
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -11,7 +11,7 @@
 from dapplewick.controller.user_api import NO_PATH, UserApi
 from dapplewick.coordination.leadership import Leadership
 from dapplewick.coordination.peer_exchange import PeerExchange
-from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmations
+from dapplewick.coordination.status_confirmations import Confirmation, StatusConfirmationTable
 from dapplewick.protocol import peers
 from dapplewick.protocol.peers import (
     ForwardedRequest,
@@ -29,7 +29,7 @@
 
     leadership: Leadership
     exchange: PeerExchange
-    confirmations: StatusConfirmations
+    confirmations: StatusConfirmationTable
     partitions: PartitionSwitch
     status: ControllerStatus
     user_api: UserApi
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -19,7 +19,7 @@
 )
 from dapplewick.storage.job_records import CANCELLED
 from dapplewick.storage.keys import JOBS, ROOT
-from dapplewick.storage.read_checks import ReadChecks
+from dapplewick.storage.read_coalescer import ReadCoalescer
 from dapplewick.storage.state_client import StateClient
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, Seconds
@@ -65,7 +65,9 @@
         self.current_at: Seconds = NEVER_S
         self.contact_at: Seconds = NEVER_S
         self._changed_keys: list[str] = []
-        self._read_checks = ReadChecks(lambda: self._poll_changes(0), now, budgets.check_interval_s)
+        self._read_checks = ReadCoalescer(
+            lambda: self._poll_changes(0), now, budgets.check_interval_s
+        )
         cache.listeners.append(self._on_key_changed)
 
     async def current(self) -> Seconds:
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -10,7 +10,7 @@
 from dapplewick.controller.record_follower import RecordFollower
 from dapplewick.coordination.identity import Identity
 from dapplewick.coordination.leadership import Leadership
-from dapplewick.coordination.status_confirmations import StatusConfirmations
+from dapplewick.coordination.status_confirmations import StatusConfirmationTable
 from dapplewick.core.shard.scheduler import ShardScheduler
 from dapplewick.protocol import peers
 from dapplewick.storage.formats import CURRENT_FORMAT
@@ -42,7 +42,7 @@
         records: RecordFollower,
         schedulers: Mapping[ShardName, ShardScheduler],
         leadership: Leadership,
-        confirmations: StatusConfirmations,
+        confirmations: StatusConfirmationTable,
         links: Mapping[ControllerName, PeerLink],
         *,
         now: Callable[[], Seconds],
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -23,7 +23,7 @@
     TransactionConflictError,
 )
 from dapplewick.storage.formats import CURRENT_FORMAT
-from dapplewick.storage.job_records import CANCELLED, DONE, JobRecord, chunk_tasks
+from dapplewick.storage.job_records import CANCELLED, DONE, JobRecord, chunk_capacity
 from dapplewick.storage.keys import JOBS
 from dapplewick.storage.state_client import StateClient
 from dapplewick.transport.http import Request, Response
@@ -189,7 +189,7 @@
             and not spec.is_gang
             and job.may_exceed(shards, max_value_bytes)
         ):
-            job.chunk_size = chunk_tasks(spec.task_count, shards, max_value_bytes)
+            job.chunk_size = chunk_capacity(spec.task_count, shards, max_value_bytes)
         return job
 
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -41,7 +41,7 @@
 REPORT_MAX_AGE_S = 1.5
 
 
-class PeerContact(NamedTuple):
+class StateServiceReport(NamedTuple):
     """A peer's last report on whether it reaches the state service."""
 
     received_at: Seconds  # by this process's steady clock
@@ -62,10 +62,10 @@
     """Sends gossip to the peers, and keeps the state received from them.
 
     Attributes:
-        contacts: each peer's last report on its contact with the state service.
+        state_service_reports: each peer's last report on its contact with the state service.
         reachability: the last contact with each present controller.
         reported_owners: the newest owner of each shard that any peer has reported.
-        running: the number of running tasks of each job, by the controller that reported it.
+        running_by_controller: the number of running tasks of each job, by reporting controller.
     """
 
     def __init__(
@@ -88,10 +88,10 @@
         self._wake = wake
         self._now = now
         self._random = rng
-        self.contacts: dict[ControllerName, PeerContact] = {}
+        self.state_service_reports: dict[ControllerName, StateServiceReport] = {}
         self.reachability = PeerReachability(identity.name)
         self.reported_owners: dict[ShardName, ReportedOwner] = {}
-        self.running: dict[ControllerName, dict[JobId, int]] = {}
+        self.running_by_controller: dict[ControllerName, dict[JobId, int]] = {}
 
     async def run(self) -> None:
         """Send gossip once per `GOSSIP_INTERVAL_S` and soon after a cancellation; never returns."""
@@ -124,7 +124,7 @@
         for scheduler in self._schedulers.values():
             for job, count in scheduler.running_counts():
                 running[job] = running.get(job, 0) + count
-        self.running[self._identity.name] = running
+        self.running_by_controller[self._identity.name] = running
         return running
 
     def _known_owners(self) -> dict[ShardName, tuple[FencingToken, ControllerName]]:
@@ -143,8 +143,10 @@
         gossip = peers.decode(message, Gossip)
         controller = gossip.controller
         self.reachability.record_contact(self._now(), controller)
-        self.contacts[controller] = PeerContact(self._now(), gossip.reaches_state_service)
-        self.running[controller] = gossip.running
+        self.state_service_reports[controller] = StateServiceReport(
+            self._now(), gossip.reaches_state_service
+        )
+        self.running_by_controller[controller] = gossip.running
         for shard, (token, owner) in gossip.shards.items():
             if token > self.reported_owner(shard).token:
                 self.reported_owners[shard] = ReportedOwner(token, owner)
@@ -161,13 +163,13 @@
 
     def running_tasks(self, job: JobId) -> int:
         """The number of running tasks of a job in all shards, by the newest reports."""
-        return sum(counts.get(job, 0) for counts in self.running.values())
+        return sum(counts.get(job, 0) for counts in self.running_by_controller.values())
 
     def any_peer_reaches_state_service(self, now: Seconds) -> bool:
         """Whether any peer has recently reported that it reaches the state service."""
         return any(
             now - contact.received_at < REPORT_MAX_AGE_S and contact.reaches_state_service
-            for contact in self.contacts.values()
+            for contact in self.state_service_reports.values()
         )
 
     def confirm_status(self, status: ShardStatus, number: int) -> None:
@@ -196,7 +198,7 @@
         now = self._now()
         eligible = [
             controller
-            for controller, contact in self.contacts.items()
+            for controller, contact in self.state_service_reports.items()
             if contact.reaches_state_service
             and now - contact.received_at < FORWARD_REPORT_MAX_AGE_S
             and controller in self._links
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -82,12 +82,14 @@
         partitions = [shard for shard in self._cache.shards if partition_of(shard)]
         return list(dict.fromkeys([*self._zones, *self.partition_shards, *partitions]))
 
-    def changes(self, now: Seconds, view: OwnerReachability) -> list[ShardAssignment]:
+    def choose_assignments(
+        self, now: Seconds, reachability: OwnerReachability
+    ) -> list[ShardAssignment]:
         """Choose the shards that get a new owner now.
 
         Args:
             now: the steady clock of this process, in seconds.
-            view: the reachability of the present owners.
+            reachability: the reachability of the present owners.
         """
         load: dict[ControllerName, int] = dict.fromkeys(self._cache.controllers, 0)
         if self._own_name in load:
@@ -99,7 +101,7 @@
                 unowned.append(name)
             else:
                 load[owner] += 1
-        eligible = load.keys() - view.unreachable_controllers or load.keys()
+        eligible = load.keys() - reachability.unreachable_controllers or load.keys()
         if unowned:
             return self._assign_unowned(unowned, load, eligible)
         return (
@@ -107,14 +109,14 @@
                 now,
                 load,
                 eligible,
-                view.shards_without_machine_contact,
+                reachability.shards_without_machine_contact,
                 AssignmentReason.MACHINES_UNREACHABLE,
             )
             or self._reassign(
                 now,
                 load,
                 eligible,
-                view.shards_without_owner_contact,
+                reachability.shards_without_owner_contact,
                 AssignmentReason.OWNER_UNREACHABLE,
             )
             or self._rebalance(now, load, eligible)
--- a/src/dapplewick/coordination/status_confirmations.py
+++ b/src/dapplewick/coordination/status_confirmations.py
@@ -19,7 +19,7 @@
 NOTHING_CONFIRMED = Confirmation(FencingToken(0), "", 0)
 
 
-class StatusConfirmations:
+class StatusConfirmationTable:
     """The newest confirmation for each shard that this controller owns."""
 
     def __init__(self, cache: WatchCache) -> None:
--- a/src/dapplewick/core/leader/job_writes.py
+++ b/src/dapplewick/core/leader/job_writes.py
@@ -15,7 +15,7 @@
 from dapplewick.storage.conditional_write import ConditionalWrite, Precondition
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.formats import CURRENT_FORMAT
-from dapplewick.storage.job_records import DONE, JobRecord, chunk_tasks
+from dapplewick.storage.job_records import DONE, JobRecord, chunk_capacity
 from dapplewick.storage.keys import CHUNKS, GANG_PLACEMENTS, JOBS
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.storage.write_priority import WritePriority
@@ -184,7 +184,9 @@
     ) -> list[ConditionalWrite]:
         """Return the next writes, at most `limit`, that split one job's record into chunks."""
         target = job.copy()
-        target.chunk_size = chunk_tasks(job.spec.task_count, self._shard_names, self._value_bytes)
+        target.chunk_size = chunk_capacity(
+            job.spec.task_count, self._shard_names, self._value_bytes
+        )
         wanted = target.chunk_values()
         stored = {n: chunk.value for n, chunk in self._cache.chunks.get(job_id, {}).items()}
         differ = [n for n in sorted(wanted | stored) if wanted.get(n) != stored.get(n)]
--- a/src/dapplewick/partitions/draining.py
+++ b/src/dapplewick/partitions/draining.py
@@ -115,7 +115,7 @@
     def drain_more(self, now: Seconds, transfer: TransferId, selection: MachineSelection) -> None:
         """Select further machines for a transfer, up to the number that it still needs."""
         record = self._drafts.record(transfer)
-        if record is None or not record.open or record.missing <= 0:
+        if record is None or not record.open or record.unselected_count <= 0:
             return
         if len(record.draining) >= MAX_DRAINING_MACHINES:
             return
@@ -147,7 +147,7 @@
         for name, other in self._drafts.open_records().items():
             if not self._is_preemptible(name, other, record):
                 continue
-            taken_over = other.draining[: record.missing]
+            taken_over = other.draining[: record.unselected_count]
             remaining = [machine for machine in other.draining if machine not in taken_over]
             count = other.count - len(taken_over)
             state = other.state if count > other.moved else CANCELLED
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -70,7 +70,9 @@
                 that have drained for long, for example with a long task, do not count.
         """
         candidates = self._candidates(transfer, excluded, already_draining)
-        remaining_count = min(transfer.missing, MAX_DRAINING_MACHINES - len(transfer.draining))
+        remaining_count = min(
+            transfer.unselected_count, MAX_DRAINING_MACHINES - len(transfer.draining)
+        )
         remaining_busy = self._remaining_busy_limit(transfer, len(candidates), blocking)
         chosen: list[MachineId] = []
         names_bytes = sum(len(machine) + 3 for machine in transfer.draining)
--- a/src/dapplewick/storage/cancellations.py
+++ b/src/dapplewick/storage/cancellations.py
@@ -9,7 +9,7 @@
 _AFTER_ALL_JOBS = "\U0010ffff"  # sorts after the id of every job
 
 
-class Cancellations:
+class CancellationIndex:
     """Every cancellation that a controller knows, from records or from peers."""
 
     def __init__(self) -> None:
--- a/src/dapplewick/storage/job_assembly.py
+++ b/src/dapplewick/storage/job_assembly.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dapplewick.storage.cancellations import Cancellations
+from dapplewick.storage.cancellations import CancellationIndex
 from dapplewick.storage.job_records import (
     CANCELLED,
     DONE,
@@ -19,7 +19,7 @@
 from dapplewick.types import JobId, Revision
 
 
-class JobAssembly:
+class JobTable:
     """All jobs, each joined from its record and its separately stored chunks and placements.
 
     Attributes:
@@ -36,7 +36,7 @@
         self.live_jobs: dict[JobId, None] = {}
         self.chunks: dict[JobId, dict[int, Chunk]] = {}
         self.placements: dict[JobId, dict[int, GangPlacementPart]] = {}
-        self.cancellations = Cancellations()
+        self.cancellations = CancellationIndex()
         self._main_records: dict[JobId, JobRecord] = {}  # without the other keys
 
     def put_record(self, name: str, value: Any, version: int) -> None:
--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -84,15 +84,15 @@
         self.version = version
 
 
-def number_bytes(tasks: int) -> int:
+def max_number_bytes(tasks: int) -> int:
     """The maximum number of bytes of one task number in a set written as ranges."""
     return len(str(max(1, tasks - 1))) + 1
 
 
-def chunk_tasks(tasks: int, shard_names: list[str], value_bytes: int) -> int:
+def chunk_capacity(tasks: int, shard_names: list[str], value_bytes: int) -> int:
     """How many tasks fit into a chunk, even if they are completed in the worst order."""
     available_bytes = value_bytes - _RECORD_OVERHEAD_BYTES - _names_bytes(shard_names)
-    return max(1, available_bytes // number_bytes(tasks))
+    return max(1, available_bytes // max_number_bytes(tasks))
 
 
 def _names_bytes(shard_names: list[str]) -> int:
@@ -193,7 +193,8 @@
         )
         if not self.spec.is_gang:
             max_bytes += (
-                self.spec.task_count * number_bytes(self.spec.task_count) + _RECORD_OVERHEAD_BYTES
+                self.spec.task_count * max_number_bytes(self.spec.task_count)
+                + _RECORD_OVERHEAD_BYTES
             )
             max_bytes += _names_bytes(shard_names)
         return max_bytes > value_bytes
--- a/src/dapplewick/storage/machine_groups.py
+++ b/src/dapplewick/storage/machine_groups.py
@@ -10,7 +10,7 @@
 from dapplewick.types import MachineId
 
 
-class MachineGroups:
+class MachineGroupTable:
     """All machine groups, and each machine as in the newest group that lists it.
 
     Each machine whose record or group changes is appended to `changed_machines`.
--- a/src/dapplewick/storage/read_checks.py
+++ b/src/dapplewick/storage/read_coalescer.py
@@ -23,7 +23,7 @@
         self.error: RequestRefusedError | None = None
 
 
-class ReadChecks:
+class ReadCoalescer:
     """Reads the changes while callers wait, one read at a time with a delay after each."""
 
     def __init__(
--- a/src/dapplewick/storage/transfers.py
+++ b/src/dapplewick/storage/transfers.py
@@ -72,12 +72,12 @@
         return self.state in (REQUESTED, DRAINING)
 
     @property
-    def missing(self) -> int:
+    def unselected_count(self) -> int:
         """The number of machines that remain to be selected."""
         return max(0, self.count - self.moved - len(self.draining))
 
 
-class Transfers:
+class TransferTable:
     """All transfers, and the transfer for which each machine is drained."""
 
     def __init__(self) -> None:
@@ -130,10 +130,10 @@
         return self._draining.keys()
 
 
-class TransferKeys:
+class TransferKeyHandler:
     """Applies changes of the transfers' keys, and collects the affected machines."""
 
-    def __init__(self, transfers: Transfers, changed_machines: list[MachineId]) -> None:
+    def __init__(self, transfers: TransferTable, changed_machines: list[MachineId]) -> None:
         self._transfers = transfers
         self._changed_machines = changed_machines
 
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -17,7 +17,7 @@
     RecordTable,
 )
 from dapplewick.storage.controller_records import LeaderRecord, ShardRecord
-from dapplewick.storage.job_assembly import JobAssembly
+from dapplewick.storage.job_assembly import JobTable
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.key_versions import KeyVersions
 from dapplewick.storage.keys import (
@@ -36,9 +36,9 @@
     TYPE_KEYS,
     TYPES,
 )
-from dapplewick.storage.machine_groups import MachineGroups
+from dapplewick.storage.machine_groups import MachineGroupTable
 from dapplewick.storage.machine_records import ProvisioningRequest
-from dapplewick.storage.transfers import TransferKeys, Transfers
+from dapplewick.storage.transfers import TransferKeyHandler, TransferTable
 from dapplewick.types import (
     ControllerName,
     FencingToken,
@@ -93,16 +93,16 @@
         self.revision = Revision(0)
         self.listeners: list[Callable[[str], None]] = []
         self.changed_machines: list[MachineId] = []
-        self.transfers = Transfers()
+        self.transfers = TransferTable()
         self._key_versions = KeyVersions()
         self.versions = self._key_versions.versions
         self.unreadable = self._key_versions.unreadable
-        self._jobs = JobAssembly()
+        self._jobs = JobTable()
         self.jobs = self._jobs.jobs
         self.live_jobs = self._jobs.live_jobs
         self.chunks = self._jobs.chunks
         self.placements = self._jobs.placements
-        self._machine_groups = MachineGroups(self.changed_machines)
+        self._machine_groups = MachineGroupTable(self.changed_machines)
         self.machines = self._machine_groups.machines
         self.groups = self._machine_groups.groups
         self.group_of = self._machine_groups.group_of
@@ -121,7 +121,7 @@
         """The handlers, by prefix, or by key for records that exist only once."""
         jobs, types, cluster = self._jobs, self.machine_types, self._cluster
         requests = self._provisioning_requests
-        transfers = TransferKeys(self.transfers, self.changed_machines)
+        transfers = TransferKeyHandler(self.transfers, self.changed_machines)
         return {
             JOBS: _KeyHandlers(jobs.put_record, jobs.remove_record),
             CHUNKS: _KeyHandlers(jobs.put_chunk, jobs.remove_chunk),
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -19,7 +19,7 @@
 from dapplewick.core.leader.planner import LeaderPlanner
 from dapplewick.storage.encoding import encoded_size
 from dapplewick.storage.formats import CURRENT_FORMAT, FIRST_FORMAT
-from dapplewick.storage.job_records import GangPlacement, JobRecord, chunk_tasks
+from dapplewick.storage.job_records import GangPlacement, JobRecord, chunk_capacity
 from dapplewick.storage.keys import CHUNKS, CONTROLLERS, FORMAT, JOBS, MACHINES
 from dapplewick.storage.ranges import unpack
 from dapplewick.storage.watch_cache import WatchCache
@@ -267,7 +267,7 @@
     room = int(kb * 1024 * 0.92)
     for tasks, seed in ((300, 1), (2000, 2), (99_999, 3)):
         job = drawn_job(tasks, seed)
-        job.chunk_size = chunk_tasks(tasks, ["a", "b"], room)
+        job.chunk_size = chunk_capacity(tasks, ["a", "b"], room)
         values = job.chunk_values()
         assert max(encoded_size(v) for v in values.values()) <= room
         cache, keys = WatchCache(), [(JOBS + "run-1", job.dump())]
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -25,7 +25,7 @@
 from dapplewick.cli import partitions as commands
 from dapplewick.cli import status_text
 from dapplewick.controller.controller import Controller
-from dapplewick.coordination.peer_exchange import PeerContact
+from dapplewick.coordination.peer_exchange import StateServiceReport
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.leader.job_writes import JobWriteBuilder
 from dapplewick.core.leader.machine_lifecycle import MachineLifecycle
@@ -350,8 +350,8 @@
         cancelled = controller.cache.cancellations(0)
         read = neutral(
             [
-                controller.peers.contacts,
-                controller.peers.running,
+                controller.peers.state_service_reports,
+                controller.peers.running_by_controller,
                 controller.peers.reported_owners,
                 controller.confirmations.confirmed,
                 cancelled,
@@ -411,7 +411,9 @@
     async def scene() -> Any:
         controller, _, link = _controller([], [], through_frame(given["answer"]))
         for name in ("n1", "n2"):
-            controller.peers.contacts[ControllerName(name)] = PeerContact(now(), True)
+            controller.peers.state_service_reports[ControllerName(name)] = StateServiceReport(
+                now(), True
+            )
         method, target, body = given["request"]
         answer = await controller.peers.forward(Request(method, target, body.encode(), False))
         said = None
--- a/tests/unit/test_peer_silence.py
+++ b/tests/unit/test_peer_silence.py
@@ -97,7 +97,7 @@
         shards_without_owner_contact=unheard,
         unreachable_controllers=silent,
     )
-    assert assigner(owner).changes(100.0, view) == [
+    assert assigner(owner).choose_assignments(100.0, view) == [
         ShardAssignment(ShardName("a"), ShardRecord(name, "x"), reason) for name, reason in expected
     ]
 
@@ -109,4 +109,4 @@
         unreachable_controllers={PEER, OTHER},
     )
     chosen = assigner(LEADER)
-    assert [chosen.changes(float(at), alone) for at in range(100)] == [[]] * 100
+    assert [chosen.choose_assignments(float(at), alone) for at in range(100)] == [[]] * 100
