--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -281,7 +281,7 @@
             now=self.now,
             wall_time=self.wall_time,
         )
-        writer = LeaderWriter(self.election, self.leadership, self.state.writes, self.limits)
+        writer = LeaderWriter(self.election, self.leadership, self.state.write_budget, self.limits)
         self._leader_loop = LeaderLoop(
             identity=self.identity,
             records=self.records,
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -63,8 +63,8 @@
             "machines": self._describe_machines(),
             "bookings": len(cache.provisioning_requests),
             "budgets": {
-                "state_calls": round(self.state.calls.available(), 1),
-                "state_writes": round(self.state.writes.available(), 1),
+                "state_calls": round(self.state.request_budget.available(), 1),
+                "state_writes": round(self.state.write_budget.available(), 1),
                 "cloud_calls": round(self.cloud_budget.available(), 1),
             },
             "owned": {
--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -114,14 +114,14 @@
     def begin_term(self, planner: LeaderPlanner, epoch: FencingToken) -> None:
         """Start leading with this planner, at the write rate of a leader."""
         self._leadership.planner = planner
-        self._state.writes.rate_per_s = self._write_rates.leading
+        self._state.write_budget.rate_per_s = self._write_rates.leading
         log.info("event=leadership_acquired controller=%s epoch=%d", self._identity.name, epoch)
 
     def resign(self) -> None:
         """Stop leading: another process holds the key, or the lease may have expired."""
         log.info("event=leadership_lost controller=%s", self._identity.name)
         self._leadership.planner = None
-        self._state.writes.rate_per_s = self._write_rates.following
+        self._state.write_budget.rate_per_s = self._write_rates.following
 
     async def step_down(self, epoch: FencingToken) -> None:
         """Remove the leader's key, which ends the epoch, so that another controller can lead.
--- a/src/dapplewick/storage/cluster_records.py
+++ b/src/dapplewick/storage/cluster_records.py
@@ -33,7 +33,7 @@
         self.records.pop(self._as_name(name), None)
 
 
-class ControllerRecords:
+class ControllerTable:
     """The presence records of controllers, and the newest format that each supports.
 
     Attributes:
@@ -63,7 +63,7 @@
         }
 
 
-class MachineTypes:
+class MachineTypeTable:
     """The machine types, in one common key or, if they exceed a value's size, one key per type.
 
     Attributes:
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -67,16 +67,16 @@
     answer is missing or malformed.
 
     Attributes:
-        calls: the budget of requests.
-        writes: the budget of keys that are written or removed.
+        request_budget: the budget of requests.
+        write_budget: the budget of keys that are written or removed.
     """
 
     def __init__(
         self, http: HttpClient, rps: float, write_rps: float, write_burst: float = 0.0
     ) -> None:
         self._http = http
-        self.calls = RateLimiter(rps)
-        self.writes = RateLimiter(write_rps, write_burst)
+        self.request_budget = RateLimiter(rps)
+        self.write_budget = RateLimiter(write_rps, write_burst)
 
     async def _call(
         self, method: str, target: str, body: bytes | None, timeout_s: float = CALL_TIMEOUT_S
@@ -90,7 +90,7 @@
         except HttpError as err:
             raise _with_note(OutcomeUnknownError(str(err)), f"{method} {target}: lost") from None
         if status == HTTPStatus.TOO_MANY_REQUESTS:
-            (self.writes if target == TRANSACTION_TARGET else self.calls).exhaust()
+            (self.write_budget if target == TRANSACTION_TARGET else self.request_budget).exhaust()
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             raise _refused(method, target, status)
         return status, answer
@@ -105,7 +105,7 @@
             raise OutcomeUnknownError("malformed answer") from None
 
     def _acquire_call(self) -> None:
-        if not self.calls.try_acquire():
+        if not self.request_budget.try_acquire():
             raise RequestRefusedError("over the request budget")
 
     async def get(self, key: str) -> KeyValue:
@@ -228,11 +228,11 @@
 
     def _acquire_writes(self, count: int, *, urgent: bool) -> None:
         if urgent:
-            self.calls.acquire_unconditionally(1.0)
-            self.writes.acquire_unconditionally(count)
+            self.request_budget.acquire_unconditionally(1.0)
+            self.write_budget.acquire_unconditionally(count)
             return
         self._acquire_call()
-        if count and not self.writes.try_acquire(count):
+        if count and not self.write_budget.try_acquire(count):
             raise RequestRefusedError("over the write budget")
 
     async def new_lease(self, ttl_ms: int) -> int:
@@ -251,7 +251,7 @@
         """
         # Renewals have precedence over all other requests, so they are sent even if the budget is
         # exhausted.
-        self.calls.try_acquire()
+        self.request_budget.try_acquire()
         target = f"{LEASES_TARGET}/{lease}/renew"
         status, _ = await self._call("POST", target, b"{}")
         if status == HTTPStatus.NOT_FOUND:
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -12,8 +12,8 @@
 from dapplewick.protocol.state_service import Event
 from dapplewick.storage.cluster_records import (
     ClusterRecords,
-    ControllerRecords,
-    MachineTypes,
+    ControllerTable,
+    MachineTypeTable,
     RecordTable,
 )
 from dapplewick.storage.controller_records import LeaderRecord, ShardRecord
@@ -106,14 +106,14 @@
         self.machines = self._machine_groups.machines
         self.groups = self._machine_groups.groups
         self.group_of = self._machine_groups.group_of
-        self._controllers = ControllerRecords()
+        self._controllers = ControllerTable()
         self.controllers = self._controllers.present
         self.supported_formats = self._controllers.supported_formats
         self._shards = RecordTable(ShardRecord, ShardName)
         self.shards = self._shards.records
         self._provisioning_requests = RecordTable(ProvisioningRequest, str)
         self.provisioning_requests = self._provisioning_requests.records
-        self.machine_types = MachineTypes()
+        self.machine_types = MachineTypeTable()
         self._cluster = ClusterRecords()
         self._handlers = self._key_handlers()
 
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -454,7 +454,9 @@
             said = neutral(await calls[given["call"]](*arguments))
         except tuple(refusals) as err:
             said = [refusals[type(err)], str(err)]
-        left = [round(budget.available(), 6) for budget in (state.calls, state.writes)]
+        left = [
+            round(budget.available(), 6) for budget in (state.request_budget, state.write_budget)
+        ]
         return {"asked": service.asked, "read": said, "left": left}
 
     return _in_time(scene)
