--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -24,8 +24,8 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import NEVER_S, ControllerName, JobId, Revision, Seconds
 
-# The revision after which a message lists cancellations is the lowest that any peer has reported.
-# Peers without contact for longer than this are ignored.
+# A message lists the cancellations after the lowest revision that a peer has reported. The reports
+# of peers without contact for longer than this are ignored.
 PEER_CONTACT_WINDOW_S = 10.0
 # A message that would list more cancellations lists none and is marked as incomplete.
 MAX_LISTED_CANCELLATIONS = 2000
@@ -89,7 +89,8 @@
 class CancellationExchange:
     """One controller's side of the exchange: a state machine without I/O.
 
-    Times are in seconds, by the steady clock of the controller given with the field or argument.
+    Times are in seconds, by this controller's steady clock; only the time in a `MessageStamp` is by
+    the sender's clock.
     """
 
     def __init__(self, incarnation: str, peers: Iterable[ControllerName], count: int) -> None:
@@ -100,6 +101,8 @@
         self._knows_all_controllers = len(self._peers) + 1 >= count
         self._latest_stamps: dict[ControllerName, MessageStamp] = {}
         self._peer_revisions: dict[ControllerName, PeerRevision] = {}
+        # By peer, when this controller sent the newest message that a complete list of the peer
+        # acknowledges.
         self._acknowledged_at: dict[ControllerName, Seconds] = {}
 
     def message(self, now: Seconds, cache: WatchCache, ready: bool) -> CancellationMessage:
@@ -153,8 +156,8 @@
         self._peer_revisions[peer] = PeerRevision(now, message.revision)
         for version, job in message.cancelled:
             cache.apply_announced_cancellation(job, version)
-        # The message acknowledges the one stamped `acknowledged`. A list that begins after the
-        # revision read here may lack cancellations in between.
+        # The peer had received this controller's message stamped `acknowledged` before it made the
+        # list. A list that begins after the revision read here may lack cancellations in between.
         if (
             message.complete
             and acknowledged.incarnation == self._incarnation
--- a/src/dapplewick/coordination/election.py
+++ b/src/dapplewick/coordination/election.py
@@ -35,14 +35,14 @@
 
 
 class WriteRates(NamedTuple):
-    """Limits on the keys that a controller writes per second, as a follower and as the leader."""
+    """Limits on the keys that a process writes per second, as a follower and as the leader."""
 
     following: float
     leading: float
 
 
 class Election:
-    """Makes this process the leader if the cluster has none, and does the leader's writes."""
+    """Makes this process the leader if the cluster has none, and sends the leader's writes."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self._leadership = leadership
         self._write_rates = write_rates
         self._random = rng
-        # The records were read after this epoch had begun.
+        # The newest epoch for which the records were read after it had begun.
         self._synced_epoch = FencingToken(0)
         self._planned_epoch = FencingToken(0)  # the newest epoch under which this process planned
         # A write under this epoch has an unknown outcome and may still be applied.
--- a/src/dapplewick/coordination/leader_isolation.py
+++ b/src/dapplewick/coordination/leader_isolation.py
@@ -1,8 +1,7 @@
 """Detection of an isolated leader, which should let another controller lead.
 
 Leadership and presence depend only on the state service. A leader without contact to its peers and
-to the workers of its own shards can neither plan nor serve, and yet it would keep its role and its
-shards.
+to the workers of its own shards can neither plan nor serve, and yet it would keep all shards.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
         now: Seconds,
         unreachable_controllers: Set[ControllerName],
         populated_shards: Set[ShardName],
-        unreachable_shards: Set[ShardName],
+        shards_without_machine_contact: Set[ShardName],
     ) -> bool:
         """Whether this process, which leads, should let another controller lead.
 
@@ -44,13 +43,14 @@
             unreachable_controllers: The present controllers that are unreachable from this one.
             populated_shards: The shards of this process that have machines. Only these show
                 whether workers reach this process. Without any, the leader does not step down.
-            unreachable_shards: All shards whose owner has no contact with any of their machines.
+            shards_without_machine_contact: All shards whose owner has no contact with any of their
+                machines.
         """
         return (
             now - self._stepped_down_at >= STEP_DOWN_COOLDOWN_S
             and self.has_no_peer_contact(unreachable_controllers)
             and bool(populated_shards)
-            and populated_shards <= unreachable_shards
+            and populated_shards <= shards_without_machine_contact
         )
 
     def record_step_down(self, now: Seconds) -> None:
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -62,7 +62,7 @@
     """Sends gossip to the peers, and keeps the state received from them.
 
     Attributes:
-        state_service_reports: each peer's last report on its contact with the state service.
+        state_service_reports: each peer's last report on whether it reaches the state service.
         reachability: the last contact with each present controller.
         reported_owners: the newest owner of each shard that any peer has reported.
         running_by_controller: the number of running tasks of each job, by reporting controller.
@@ -150,7 +150,7 @@
         for shard, (token, owner) in gossip.shards.items():
             if token > self.reported_owner(shard).token:
                 self.reported_owners[shard] = ReportedOwner(token, owner)
-        if "heard" in message:  # the first versions send no cancellations
+        if "heard" in message:  # the first versions of dapplewick send no cancellations
             cancellations = peers.decode(message, CancellationMessage)
             self._cancellations.receive(
                 self._now(), self._identity.name, controller, cancellations, self._records.cache
@@ -158,7 +158,7 @@
         self._records.apply_changed()
 
     def reported_owner(self, shard: ShardName) -> ReportedOwner:
-        """The newest owner of a shard that peers reported; may be newer than the watch cache."""
+        """The newest owner that peers reported for a shard; may be newer than the watch cache."""
         return self.reported_owners.get(shard, NO_REPORTED_OWNER)
 
     def running_tasks(self, job: JobId) -> int:
@@ -168,8 +168,8 @@
     def any_peer_reaches_state_service(self, now: Seconds) -> bool:
         """Whether any peer has recently reported that it reaches the state service."""
         return any(
-            now - contact.received_at < REPORT_MAX_AGE_S and contact.reaches_state_service
-            for contact in self.state_service_reports.values()
+            now - report.received_at < REPORT_MAX_AGE_S and report.reaches_state_service
+            for report in self.state_service_reports.values()
         )
 
     def confirm_status(self, status: ShardStatus, number: int) -> None:
@@ -192,15 +192,15 @@
         """Forward a user's request to a random peer that reaches the state service.
 
         Returns:
-            The peer's answer; None if no peer reaches the state service, or the peer does not
-            answer in time or reports that it is unavailable.
+            The peer's answer; None if no peer has recently reported that it reaches the state
+            service, or if the peer does not answer in time or answers with status 503.
         """
         now = self._now()
         eligible = [
             controller
-            for controller, contact in self.state_service_reports.items()
-            if contact.reaches_state_service
-            and now - contact.received_at < FORWARD_REPORT_MAX_AGE_S
+            for controller, report in self.state_service_reports.items()
+            if report.reaches_state_service
+            and now - report.received_at < FORWARD_REPORT_MAX_AGE_S
             and controller in self._links
         ]
         if not eligible:
--- a/src/dapplewick/coordination/peer_reachability.py
+++ b/src/dapplewick/coordination/peer_reachability.py
@@ -24,7 +24,8 @@
     """Tracks the last contact with each present controller.
 
     A refused connection does not prove that a controller is down: its presence record remains as
-    long as it reaches the state service. It does prove that its messages do not arrive here.
+    long as it reaches the state service. A refused connection does prove that the controller's
+    messages do not arrive here.
     """
 
     def __init__(self, own_name: ControllerName) -> None:
@@ -32,14 +33,18 @@
         self._presence_starts: dict[ControllerName, _PresenceStart] = {}
         self._last_contact_at: dict[ControllerName, Seconds] = {}
         self._updated_at: Seconds | None = None
-        self._running_since: Seconds = 0.0
+        self._responsive_since: Seconds = 0.0  # since the start or the last stall
 
     def record_presence(
         self, now: Seconds, present: Mapping[ControllerName, ControllerRecord]
     ) -> None:
-        """Record which controllers are present. Must be called about once a second."""
+        """Record which controllers are present.
+
+        Must be called about once a second: a longer gap than `MAX_OWN_STALL_S` counts as a stall of
+        this process.
+        """
         if self._updated_at is None or now - self._updated_at > MAX_OWN_STALL_S:
-            self._running_since = now
+            self._responsive_since = now
         self._updated_at = now
         for name, record in present.items():
             start = self._presence_starts.get(name)
@@ -68,4 +73,4 @@
         if start is None or start.incarnation != record.incarnation:
             return now  # this incarnation has not been recorded as present yet
         last_contact_at = self._last_contact_at.get(name, start.at)
-        return max(last_contact_at, start.at, self._running_since)
+        return max(last_contact_at, start.at, self._responsive_since)
--- a/src/dapplewick/coordination/presence.py
+++ b/src/dapplewick/coordination/presence.py
@@ -24,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-TTL_S = 5.0
-RENEW_INTERVAL_S = 1.3
+LEASE_TTL_S = 5.0
+LEASE_RENEWAL_INTERVAL_S = 1.3
 
 
 class Presence:
@@ -76,7 +76,7 @@
                 log.debug("event=presence_renewal_failed error=%s", err)
                 await anyio.sleep(0.3 + self._random.random() * 0.2)
                 continue
-            await anyio.sleep(RENEW_INTERVAL_S)
+            await anyio.sleep(LEASE_RENEWAL_INTERVAL_S)
 
     async def _renew_or_register(self) -> None:
         """Renew the lease, or acquire a new one and store the record under it."""
@@ -88,18 +88,18 @@
             await self._register()
         else:
             await self._state.renew(self.lease)
-        # The service renewed the lease after the request was sent, so this time is a lower bound.
-        # The deductions cover clock drift.
-        self.lease_valid_until = sent_at + TTL_S * 0.998 - 0.1
+        # The service renewed the lease after the request was sent, so the time counted from then is
+        # a lower bound. The deductions cover clock drift.
+        self.lease_valid_until = sent_at + LEASE_TTL_S * 0.998 - 0.1
         self._records.mark_contact()
 
     async def _register(self) -> None:
         """Store the presence record under a new lease."""
-        lease = await self._state.new_lease(int(TTL_S * 1000))
+        lease = await self._state.new_lease(int(LEASE_TTL_S * 1000))
         key = CONTROLLERS + self._identity.name
         # The condition on the version read here keeps a delayed write, of an earlier incarnation
-        # or of an unanswered request of this one, from replacing a newer record. Without it, such
-        # a write removed a running controller from the present ones.
+        # or of an unanswered request of this one, from replacing a newer record. Without the
+        # condition, such a write removed a running controller from the present controllers.
         _, before = await self._state.get(key)
         record = ControllerRecord(
             self._identity.incarnation, self._identity.zone, self._format_version
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -13,10 +13,11 @@
 # Minimum time between two reassignments of the same shard because its machines or its owner are
 # unreachable.
 REASSIGNMENT_COOLDOWN_S = 20.0
-# A shard is moved to even out the load only after the load has been uneven for this long, for
+# A shard is moved to balance the load only after the load has been uneven for this long, for
 # example since a controller came back.
 REBALANCE_DELAY_S = 20.0
-EMPTY_SHARD_REBALANCE_DELAY_S = 1.0  # the same for a shard without machines, which loses nothing
+# The same for a shard without machines, which loses nothing by a new owner.
+EMPTY_SHARD_REBALANCE_DELAY_S = 1.0
 LEADER_LOAD_SHARDS = 1  # load of the leader's role, in shards
 
 
@@ -54,7 +55,8 @@
         shards_without_owner_contact: shards whose owner is present, but from which the leader has
             received nothing for too long.
         unreachable_controllers: present controllers from which the leader currently receives
-            nothing. They are assigned no shard, because the leader would not reach its owner.
+            nothing. They are assigned no shard, because the leader would have no contact with its
+            owner.
     """
 
     shards_without_machine_contact: Set[ShardName]
@@ -75,7 +77,7 @@
         self.partition_shards: list[ShardName] = []
         self._own_name = own_name
         self._imbalanced_since: Seconds | None = None
-        self._moved_at: dict[ShardName, Seconds] = {}
+        self._reassigned_at: dict[ShardName, Seconds] = {}
 
     def shards(self) -> list[ShardName]:
         """List every shard that has or needs an owner, of the zones and of their partitions."""
@@ -167,8 +169,8 @@
         """Reassign the first of these shards that has another candidate and is not in cool-down."""
         for name in sorted(shards & self._cache.shards.keys()):
             others = eligible - {ControllerName(self._cache.shards[name].owner)}
-            if others and now - self._moved_at.get(name, NEVER_S) >= REASSIGNMENT_COOLDOWN_S:
-                self._moved_at[name] = now
+            if others and now - self._reassigned_at.get(name, NEVER_S) >= REASSIGNMENT_COOLDOWN_S:
+                self._reassigned_at[name] = now
                 owner = min(others, key=lambda n: self._preference(n, name, load))
                 return [self._assignment(name, owner, reason)]
         return []
--- a/src/dapplewick/coordination/status_confirmations.py
+++ b/src/dapplewick/coordination/status_confirmations.py
@@ -9,18 +9,22 @@
 
 
 class Confirmation(NamedTuple):
-    """A leader's confirmation that it has a shard's statuses up to a number."""
+    """A leader's confirmation that it has received a shard's statuses up to a number."""
 
     token: FencingToken  # of the owner that sent the status
     incarnation: str  # of the leader
-    number: int  # of the newest status that the leader has
+    number: int  # of the newest status that the leader has received
 
 
 NOTHING_CONFIRMED = Confirmation(FencingToken(0), "", 0)
 
 
 class StatusConfirmationTable:
-    """The newest confirmation for each shard that this controller owns."""
+    """The newest confirmation for each shard that this controller owns.
+
+    Attributes:
+        confirmed: the newest confirmation, by shard.
+    """
 
     def __init__(self, cache: WatchCache) -> None:
         self._cache = cache
@@ -37,9 +41,9 @@
         """
         confirmation = self.confirmed.get(shard, NOTHING_CONFIRMED)
         leader = self._cache.leader
-        is_same_pair = (
+        is_current = (
             confirmation.token == token
             and leader is not None
             and leader.incarnation == confirmation.incarnation
         )
-        return confirmation.number if is_same_pair else 0
+        return confirmation.number if is_current else 0
--- a/src/dapplewick/storage/cancellations.py
+++ b/src/dapplewick/storage/cancellations.py
@@ -14,7 +14,8 @@
 
     def __init__(self) -> None:
         self._by_version: list[tuple[int, JobId]] = []
-        # The newest version that peers have announced; the record itself may not be read yet.
+        # By job, the newest cancellation that peers have announced. The watch cache may not have
+        # read the job's record of this version yet.
         self._announced: dict[JobId, int] = {}
 
     def since(self, revision: int) -> list[tuple[int, JobId]]:
--- a/src/dapplewick/storage/job_assembly.py
+++ b/src/dapplewick/storage/job_assembly.py
@@ -115,7 +115,7 @@
         return True
 
     def _join(self, job_id: JobId) -> None:
-        """Join a job from its keys, whichever of them is already present."""
+        """Join a job from the keys that have been read so far; does nothing without its record."""
         main = self._main_records.get(job_id)
         if main is None:
             return
--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -84,15 +84,21 @@
         self.version = version
 
 
-def max_number_bytes(tasks: int) -> int:
-    """The maximum number of bytes of one task number in a set written as ranges."""
-    return len(str(max(1, tasks - 1))) + 1
+def max_number_bytes(task_count: int) -> int:
+    """The maximum bytes per task number, with its separator, in a set written as ranges."""
+    return len(str(max(1, task_count - 1))) + 1
 
 
-def chunk_capacity(tasks: int, shard_names: list[str], value_bytes: int) -> int:
-    """How many tasks fit into a chunk, even if they are completed in the worst order."""
+def chunk_capacity(task_count: int, shard_names: list[str], value_bytes: int) -> int:
+    """How many tasks fit into a chunk, even if their order of completion needs the most bytes.
+
+    Args:
+        task_count: the number of tasks of the job.
+        shard_names: the shards to which tasks may be assigned.
+        value_bytes: the maximum size of a chunk's value.
+    """
     available_bytes = value_bytes - _RECORD_OVERHEAD_BYTES - _names_bytes(shard_names)
-    return max(1, available_bytes // max_number_bytes(tasks))
+    return max(1, available_bytes // max_number_bytes(task_count))
 
 
 def _names_bytes(shard_names: list[str]) -> int:
@@ -218,7 +224,7 @@
         return {n: v for n in range(count) if (v := self.chunk_value(n)) is not None}
 
     def chunks_changed(self, old: JobRecord) -> set[int]:
-        """The numbers of the chunks in which this draft differs from `old`."""
+        """The numbers of the chunks in which this draft differs from the job's `old` state."""
         tasks = self.done ^ old.done
         for shard in self.assignments.keys() | old.assignments.keys():
             tasks |= self.assigned(shard) ^ old.assigned(shard)
--- a/src/dapplewick/storage/key_versions.py
+++ b/src/dapplewick/storage/key_versions.py
@@ -28,8 +28,8 @@
         """The newest version up to which a key is known.
 
         All changes up to `revision` have been read, so a key that is missing here did not exist at
-        that revision. Without this rule, an own write that was confirmed only after a listing
-        without its key had been read restored the removed key permanently.
+        that revision. Without this rule, a removed key came back permanently if this process's own
+        write of the key was confirmed only after a listing without the key had been read.
 
         Args:
             key: the key.
--- a/src/dapplewick/storage/machine_groups.py
+++ b/src/dapplewick/storage/machine_groups.py
@@ -11,7 +11,7 @@
 
 
 class MachineGroupTable:
-    """All machine groups, and each machine as in the newest group that lists it.
+    """All machine groups, and each machine as described by the newest group that lists it.
 
     Each machine whose record or group changes is appended to `changed_machines`.
 
--- a/src/dapplewick/storage/machine_records.py
+++ b/src/dapplewick/storage/machine_records.py
@@ -70,7 +70,7 @@
         return msgspec.structs.replace(
             self,
             machines={m: text for m, text in self.machines.items() if m != machine},
-            min_tokens={m: floor for m, floor in self.min_tokens.items() if m != machine},
+            min_tokens={m: token for m, token in self.min_tokens.items() if m != machine},
         )
 
     def record(self, machine: str) -> MachineRecord:
--- a/src/dapplewick/storage/rate_limiter.py
+++ b/src/dapplewick/storage/rate_limiter.py
@@ -8,6 +8,8 @@
 class RateLimiter:
     """A token bucket whose capacity is one second of its rate, but at least a minimum burst.
 
+    A request is whatever the limit counts: a call, or a key that is written.
+
     Attributes:
         rate_per_s: the number of requests added to the bucket per second.
     """
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -97,7 +97,7 @@
 
     @staticmethod
     def _decoded(decoder: msgspec.json.Decoder[Decoded], answer: bytes) -> Decoded:
-        """Decode the body of a response with status 200. A malformed one counts as lost."""
+        """Decode the body of a response with status 200. A malformed body counts as no answer."""
         try:
             return decoder.decode(answer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as err:
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -73,7 +73,7 @@
             placements, in the order in which they became live.
         chunks: chunks of arrays, by job and number.
         placements: pieces of the placements of long gangs, by job and number.
-        machines: all machines, as in the newest group that lists each.
+        machines: all machines, each as described by the newest group that lists it.
         groups: records of machine groups, by name.
         group_of: the newest group that lists each machine, whose record takes precedence.
         changed_machines: machines that have changed since the planner and the shard schedulers were
