--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -41,7 +41,7 @@
 from dapplewick.coordination.peer_exchange import PeerExchange
 from dapplewick.coordination.presence import Presence
 from dapplewick.coordination.shard_assignment import ShardAssigner
-from dapplewick.coordination.status_confirmations import StatusConfirmations
+from dapplewick.coordination.status_confirmations import StatusConfirmationTable
 from dapplewick.coordination.wake import WakeSignal
 from dapplewick.core.estimates import Estimates
 from dapplewick.core.invariants import InvariantCounts
@@ -182,7 +182,7 @@
         self.cancellations = CancellationExchange(
             self.identity.incarnation, self.links, self.settings.deployment.count
         )
-        self.confirmations = StatusConfirmations(self.cache)
+        self.confirmations = StatusConfirmationTable(self.cache)
         self.peers = PeerExchange(
             self.identity,
             self.links,
@@ -288,7 +288,7 @@
             now=self.now,
             wall_time=self.wall_time,
         )
-        writer = LeaderWriter(self.election, self.leadership, self.state.writes, self.limits)
+        writer = LeaderWriter(self.election, self.leadership, self.state.write_budget, self.limits)
         self._leader_loop = LeaderLoop(
             identity=self.identity,
             records=self.records,
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -41,7 +41,7 @@
 REPORT_MAX_AGE_S = 1.5
 
 
-class PeerContact(NamedTuple):
+class StateServiceReport(NamedTuple):
     """A peer's last report on whether it reaches the state service."""
 
     received_at: Seconds  # by this process's steady clock
@@ -62,10 +62,10 @@
     """Sends gossip to the peers, and keeps the state received from them.
 
     Attributes:
-        contacts: each peer's last report on its contact with the state service.
+        state_service_reports: each peer's last report on whether it reaches the state service.
         reachability: the last contact with each present controller.
         reported_owners: the newest owner of each shard that any peer has reported.
-        running: the number of running tasks of each job, by the controller that reported it.
+        running_by_controller: the number of running tasks of each job, by reporting controller.
     """
 
     def __init__(
@@ -88,10 +88,10 @@
         self._wake = wake
         self._now = now
         self._random = rng
-        self.contacts: dict[ControllerName, PeerContact] = {}
+        self.state_service_reports: dict[ControllerName, StateServiceReport] = {}
         self.reachability = PeerReachability(identity.name)
         self.reported_owners: dict[ShardName, ReportedOwner] = {}
-        self.running: dict[ControllerName, dict[JobId, int]] = {}
+        self.running_by_controller: dict[ControllerName, dict[JobId, int]] = {}
 
     async def run(self) -> None:
         """Send gossip once per `GOSSIP_INTERVAL_S` and soon after a cancellation; never returns."""
@@ -124,7 +124,7 @@
         for scheduler in self._schedulers.values():
             for job, count in scheduler.running_counts():
                 running[job] = running.get(job, 0) + count
-        self.running[self._identity.name] = running
+        self.running_by_controller[self._identity.name] = running
         return running
 
     def _known_owners(self) -> dict[ShardName, tuple[FencingToken, ControllerName]]:
@@ -143,12 +143,14 @@
         gossip = peers.decode(message, Gossip)
         controller = gossip.controller
         self.reachability.record_contact(self._now(), controller)
-        self.contacts[controller] = PeerContact(self._now(), gossip.reaches_state_service)
-        self.running[controller] = gossip.running
+        self.state_service_reports[controller] = StateServiceReport(
+            self._now(), gossip.reaches_state_service
+        )
+        self.running_by_controller[controller] = gossip.running
         for shard, (token, owner) in gossip.shards.items():
             if token > self.reported_owner(shard).token:
                 self.reported_owners[shard] = ReportedOwner(token, owner)
-        if "heard" in message:  # the first versions send no cancellations
+        if "heard" in message:  # the first versions of dapplewick send no cancellations
             cancellations = peers.decode(message, CancellationMessage)
             self._cancellations.receive(
                 self._now(), self._identity.name, controller, cancellations, self._records.cache
@@ -156,18 +158,18 @@
         self._records.apply_changed()
 
     def reported_owner(self, shard: ShardName) -> ReportedOwner:
-        """The newest owner of a shard that peers reported; may be newer than the watch cache."""
+        """The newest owner that peers reported for a shard; may be newer than the watch cache."""
         return self.reported_owners.get(shard, NO_REPORTED_OWNER)
 
     def running_tasks(self, job: JobId) -> int:
         """The number of running tasks of a job in all shards, by the newest reports."""
-        return sum(counts.get(job, 0) for counts in self.running.values())
+        return sum(counts.get(job, 0) for counts in self.running_by_controller.values())
 
     def any_peer_reaches_state_service(self, now: Seconds) -> bool:
         """Whether any peer has recently reported that it reaches the state service."""
         return any(
-            now - contact.received_at < REPORT_MAX_AGE_S and contact.reaches_state_service
-            for contact in self.contacts.values()
+            now - report.received_at < REPORT_MAX_AGE_S and report.reaches_state_service
+            for report in self.state_service_reports.values()
         )
 
     def confirm_status(self, status: ShardStatus, number: int) -> None:
@@ -190,15 +192,15 @@
         """Forward a user's request to a random peer that reaches the state service.
 
         Returns:
-            The peer's answer; None if no peer reaches the state service, or the peer does not
-            answer in time or reports that it is unavailable.
+            The peer's answer; None if no peer has recently reported that it reaches the state
+            service, or if the peer does not answer in time or answers with status 503.
         """
         now = self._now()
         eligible = [
             controller
-            for controller, contact in self.contacts.items()
-            if contact.reaches_state_service
-            and now - contact.received_at < FORWARD_REPORT_MAX_AGE_S
+            for controller, report in self.state_service_reports.items()
+            if report.reaches_state_service
+            and now - report.received_at < FORWARD_REPORT_MAX_AGE_S
             and controller in self._links
         ]
         if not eligible:
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -13,10 +13,11 @@
 # Minimum time between two reassignments of the same shard because its machines or its owner are
 # unreachable.
 REASSIGNMENT_COOLDOWN_S = 20.0
-# A shard is moved to even out the load only after the load has been uneven for this long, for
+# A shard is moved to balance the load only after the load has been uneven for this long, for
 # example since a controller came back.
 REBALANCE_DELAY_S = 20.0
-EMPTY_SHARD_REBALANCE_DELAY_S = 1.0  # the same for a shard without machines, which loses nothing
+# The same for a shard without machines, which loses nothing by a new owner.
+EMPTY_SHARD_REBALANCE_DELAY_S = 1.0
 LEADER_LOAD_SHARDS = 1  # load of the leader's role, in shards
 
 
@@ -54,7 +55,8 @@
         shards_without_owner_contact: shards whose owner is present, but from which the leader has
             received nothing for too long.
         unreachable_controllers: present controllers from which the leader currently receives
-            nothing. They are assigned no shard, because the leader would not reach its owner.
+            nothing. They are assigned no shard, because the leader would have no contact with its
+            owner.
     """
 
     shards_without_machine_contact: Set[ShardName]
@@ -75,19 +77,21 @@
         self.partition_shards: list[ShardName] = []
         self._own_name = own_name
         self._imbalanced_since: Seconds | None = None
-        self._moved_at: dict[ShardName, Seconds] = {}
+        self._reassigned_at: dict[ShardName, Seconds] = {}
 
     def shards(self) -> list[ShardName]:
         """List every shard that has or needs an owner, of the zones and of their partitions."""
         partitions = [shard for shard in self._cache.shards if partition_of(shard)]
         return list(dict.fromkeys([*self._zones, *self.partition_shards, *partitions]))
 
-    def changes(self, now: Seconds, view: OwnerReachability) -> list[ShardAssignment]:
+    def choose_assignments(
+        self, now: Seconds, reachability: OwnerReachability
+    ) -> list[ShardAssignment]:
         """Choose the shards that get a new owner now.
 
         Args:
             now: the steady clock of this process, in seconds.
-            view: the reachability of the present owners.
+            reachability: the reachability of the present owners.
         """
         load: dict[ControllerName, int] = dict.fromkeys(self._cache.controllers, 0)
         if self._own_name in load:
@@ -99,7 +103,7 @@
                 unowned.append(name)
             else:
                 load[owner] += 1
-        eligible = load.keys() - view.unreachable_controllers or load.keys()
+        eligible = load.keys() - reachability.unreachable_controllers or load.keys()
         if unowned:
             return self._assign_unowned(unowned, load, eligible)
         return (
@@ -107,14 +111,14 @@
                 now,
                 load,
                 eligible,
-                view.shards_without_machine_contact,
+                reachability.shards_without_machine_contact,
                 AssignmentReason.MACHINES_UNREACHABLE,
             )
             or self._reassign(
                 now,
                 load,
                 eligible,
-                view.shards_without_owner_contact,
+                reachability.shards_without_owner_contact,
                 AssignmentReason.OWNER_UNREACHABLE,
             )
             or self._rebalance(now, load, eligible)
@@ -165,8 +169,8 @@
         """Reassign the first of these shards that has another candidate and is not in cool-down."""
         for name in sorted(shards & self._cache.shards.keys()):
             others = eligible - {ControllerName(self._cache.shards[name].owner)}
-            if others and now - self._moved_at.get(name, NEVER_S) >= REASSIGNMENT_COOLDOWN_S:
-                self._moved_at[name] = now
+            if others and now - self._reassigned_at.get(name, NEVER_S) >= REASSIGNMENT_COOLDOWN_S:
+                self._reassigned_at[name] = now
                 owner = min(others, key=lambda n: self._preference(n, name, load))
                 return [self._assignment(name, owner, reason)]
         return []
--- a/src/dapplewick/storage/machine_groups.py
+++ b/src/dapplewick/storage/machine_groups.py
@@ -10,8 +10,8 @@
 from dapplewick.types import MachineId
 
 
-class MachineGroups:
-    """All machine groups, and each machine as in the newest group that lists it.
+class MachineGroupTable:
+    """All machine groups, and each machine as described by the newest group that lists it.
 
     Each machine whose record or group changes is appended to `changed_machines`.
 
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -12,12 +12,12 @@
 from dapplewick.protocol.state_service import Event
 from dapplewick.storage.cluster_records import (
     ClusterRecords,
-    ControllerRecords,
-    MachineTypes,
+    ControllerTable,
+    MachineTypeTable,
     RecordTable,
 )
 from dapplewick.storage.controller_records import LeaderRecord, ShardRecord
-from dapplewick.storage.job_assembly import JobAssembly
+from dapplewick.storage.job_assembly import JobTable
 from dapplewick.storage.job_records import JobRecord
 from dapplewick.storage.key_versions import KeyVersions
 from dapplewick.storage.keys import (
@@ -36,9 +36,9 @@
     TYPE_KEYS,
     TYPES,
 )
-from dapplewick.storage.machine_groups import MachineGroups
+from dapplewick.storage.machine_groups import MachineGroupTable
 from dapplewick.storage.machine_records import ProvisioningRequest
-from dapplewick.storage.transfers import TransferKeys, Transfers
+from dapplewick.storage.transfers import TransferKeyHandler, TransferTable
 from dapplewick.types import (
     ControllerName,
     FencingToken,
@@ -73,7 +73,7 @@
             placements, in the order in which they became live.
         chunks: chunks of arrays, by job and number.
         placements: pieces of the placements of long gangs, by job and number.
-        machines: all machines, as in the newest group that lists each.
+        machines: all machines, each as described by the newest group that lists it.
         groups: records of machine groups, by name.
         group_of: the newest group that lists each machine, whose record takes precedence.
         changed_machines: machines that have changed since the planner and the shard schedulers were
@@ -93,27 +93,27 @@
         self.revision = Revision(0)
         self.listeners: list[Callable[[str], None]] = []
         self.changed_machines: list[MachineId] = []
-        self.transfers = Transfers()
+        self.transfers = TransferTable()
         self._key_versions = KeyVersions()
         self.versions = self._key_versions.versions
         self.unreadable = self._key_versions.unreadable
-        self._jobs = JobAssembly()
+        self._jobs = JobTable()
         self.jobs = self._jobs.jobs
         self.live_jobs = self._jobs.live_jobs
         self.chunks = self._jobs.chunks
         self.placements = self._jobs.placements
-        self._machine_groups = MachineGroups(self.changed_machines)
+        self._machine_groups = MachineGroupTable(self.changed_machines)
         self.machines = self._machine_groups.machines
         self.groups = self._machine_groups.groups
         self.group_of = self._machine_groups.group_of
-        self._controllers = ControllerRecords()
+        self._controllers = ControllerTable()
         self.controllers = self._controllers.present
         self.supported_formats = self._controllers.supported_formats
         self._shards = RecordTable(ShardRecord, ShardName)
         self.shards = self._shards.records
         self._provisioning_requests = RecordTable(ProvisioningRequest, str)
         self.provisioning_requests = self._provisioning_requests.records
-        self.machine_types = MachineTypes()
+        self.machine_types = MachineTypeTable()
         self._cluster = ClusterRecords()
         self._handlers = self._key_handlers()
 
@@ -121,7 +121,7 @@
         """The handlers, by prefix, or by key for records that exist only once."""
         jobs, types, cluster = self._jobs, self.machine_types, self._cluster
         requests = self._provisioning_requests
-        transfers = TransferKeys(self.transfers, self.changed_machines)
+        transfers = TransferKeyHandler(self.transfers, self.changed_machines)
         return {
             JOBS: _KeyHandlers(jobs.put_record, jobs.remove_record),
             CHUNKS: _KeyHandlers(jobs.put_chunk, jobs.remove_chunk),
--- a/tests/unit/test_peer_silence.py
+++ b/tests/unit/test_peer_silence.py
@@ -101,7 +101,7 @@
         shards_without_owner_contact=unheard,
         unreachable_controllers=silent,
     )
-    assert assigner(owner).changes(100.0, reachability) == [
+    assert assigner(owner).choose_assignments(100.0, reachability) == [
         ShardAssignment(ShardName("a"), ShardRecord(name, "x"), reason) for name, reason in expected
     ]
 
@@ -113,4 +113,6 @@
         unreachable_controllers={PEER, OTHER},
     )
     shard_assigner = assigner(LEADER)
-    assert [shard_assigner.changes(float(at), reachability) for at in range(100)] == [[]] * 100
+    assert [shard_assigner.choose_assignments(float(at), reachability) for at in range(100)] == [
+        []
+    ] * 100
