--- a/tests/compatibility/test_partition_versions.py
+++ b/tests/compatibility/test_partition_versions.py
@@ -18,15 +18,15 @@
 from support.partition_moves import (
     FIXED_PLAN,
     NIGHT,
-    busy_zone,
     command,
+    fill_zone,
     machines_of,
     move,
     new_world,
-    partitions_begun,
-    pinned,
-    play_moves,
-    until,
+    run_partition_scenario,
+    submit_zone_job,
+    wait_for_partitions,
+    wait_until,
 )
 from support.paths import ROOT
 
@@ -48,30 +48,30 @@
 def test_partitions_begin_once_all_controllers_understand_them(earlier: str) -> None:
     world = new_world(21, FIXED_PLAN)
     revision = production.commit() if earlier == "production" else production.PREVIOUS_MAIN
-    world.old = production.load_commit(revision)
-    world.old_names = set(world.names)
+    world.earlier_version = production.load_commit(revision)
+    world.earlier_version_controllers = set(world.names)
     early: list[list[str]] = []
 
     async def script(world: World) -> None:
         await anyio.sleep(3.0)
-        pinned(world, "run-000001", 16, 25.0)
+        submit_zone_job(world, "run-000001", 16, 25.0)
         for name in list(world.names):
             await anyio.sleep(9.0)
             early.append(traces(world))
-            world.old_names.discard(name)
+            world.earlier_version_controllers.discard(name)
             world.crash(name)
             await anyio.sleep(1.0)
             world.start_controller(name)
-        await partitions_begun(world)
-        pinned(world, "run-000002", 16, 12.0)
-        await until(lambda: bool(machines_of(world, NIGHT)), 60.0)
-        world.calm_at = now()
-        await until(lambda: {"done"} == set(world.told.values()), 90.0)
+        await wait_for_partitions(world)
+        submit_zone_job(world, "run-000002", 16, 12.0)
+        await wait_until(lambda: bool(machines_of(world, NIGHT)), 60.0)
+        world.faults_ended_at = now()
+        await wait_until(lambda: {"done"} == set(world.reported_stages.values()), 90.0)
 
-    play_moves(world, script, 240.0)
+    run_partition_scenario(world, script, 240.0)
     assert early == [[], [], []]
     assert traces(world)
-    assert len(world.told) == 2
+    assert len(world.reported_stages) == 2
 
 
 def test_one_controller_without_partitions_keeps_all_from_them() -> None:
@@ -81,16 +81,16 @@
 
     async def script(world: World) -> None:
         await anyio.sleep(3.0)
-        pinned(world, "run-000001", 16, 10.0)
+        submit_zone_job(world, "run-000001", 16, 10.0)
         await anyio.sleep(45.0)
         seen.append(traces(world))
         world.without_partitions = set()
         world.crash("n1")
         world.start_controller("n1")
-        pinned(world, "run-000002", 16, 10.0)
-        await until(lambda: bool(machines_of(world, NIGHT)), 60.0)
+        submit_zone_job(world, "run-000002", 16, 10.0)
+        await wait_until(lambda: bool(machines_of(world, NIGHT)), 60.0)
 
-    play_moves(world, script)
+    run_partition_scenario(world, script)
     assert seen == [[]]
 
 
@@ -101,8 +101,8 @@
     world = new_world(23)
 
     async def script(world: World) -> None:
-        await busy_zone(world, 16, 15.0)
-        pinned(world, "run-000002", 16, 15.0)
+        await fill_zone(world, 16, 15.0)
+        submit_zone_job(world, "run-000002", 16, 15.0)
         assert (await move(world, "o-000000f1", "", "night", 3))["status"] == 200
         await anyio.sleep(after)
         world.partition_plan = None
@@ -111,16 +111,16 @@
             await anyio.sleep(2.0)
             world.start_controller(name)
             await anyio.sleep(4.0)
-        await until(lambda: not machines_of(world, NIGHT), 60.0)
-        await until(lambda: SHARDS + NIGHT not in world.state.keys, 20.0)
-        pinned(world, "run-000003", 8, 4.0)
-        world.calm_at = now()
-        await until(lambda: {"done"} == set(world.told.values()), 90.0)
+        await wait_until(lambda: not machines_of(world, NIGHT), 60.0)
+        await wait_until(lambda: SHARDS + NIGHT not in world.state.keys, 20.0)
+        submit_zone_job(world, "run-000003", 8, 4.0)
+        world.faults_ended_at = now()
+        await wait_until(lambda: {"done"} == set(world.reported_stages.values()), 90.0)
 
-    history = play_moves(world, script, 260.0)
+    history = run_partition_scenario(world, script, 260.0)
     assert history.open_transfers() == []
     assert not any(partition_of(shard) for shard in history.shards_in_assignments())
-    assert len(world.told) == 3
+    assert len(world.reported_stages) == 3
 
 
 def test_switched_off_nothing_of_partitions_is_written_sent_or_answered() -> None:
@@ -129,14 +129,14 @@
 
     async def script(world: World) -> None:
         await anyio.sleep(3.0)
-        pinned(world, "run-000001", 8, 5.0)
+        submit_zone_job(world, "run-000001", 8, 5.0)
         await anyio.sleep(20.0)
         said.append(await command(world, "show"))
         for controller in world.controllers.values():
             for scheduler in controller.shard_schedulers.values():
                 assert scheduler.status(now()).drained is UNSET
 
-    play_moves(world, script, 60.0)
+    run_partition_scenario(world, script, 60.0)
     assert traces(world) == []
     assert said[0]["status"] == 404
     assert world.state.keys[FORMAT][0] == {"version": CURRENT_FORMAT}
--- a/tests/compatibility/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -12,11 +12,11 @@
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.machine_records import MachineGroupRecord, MachineRecord
 from dapplewick.storage.watch_cache import WatchCache
-from standins import NEXT
+from standins import LOWERED_LIMITS
 from support import production
 from support.machine_store import TXN_OPS, VALUE_BYTES, Store, group
-from support.rolls import FAULTS, Fault, play_roll
-from support.scenarios import finished
+from support.rolls import FAULTS, Fault, run_rolling_upgrade
+from support.scenarios import unfinished_jobs
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
@@ -25,12 +25,12 @@
     seed = FAULTS.index(fault) + 1
     lowered_after = random.Random(seed).uniform(4.0, 60.0)
     earlier = production.load_commit(production.PREVIOUS_MAIN)
-    world = play_roll(earlier, fault, seed, lowered_after=lowered_after).world
+    world = run_rolling_upgrade(earlier, fault, seed, lowered_after=lowered_after).world
     assert world.violations == []
-    assert finished(world) == {"run-service0": "running", "run-service1": "running"}
-    assert world.told["run-service2"] == "withdrawn"
+    assert unfinished_jobs(world) == {"run-service0": "running", "run-service1": "running"}
+    assert world.reported_stages["run-service2"] == "withdrawn"
     largest = max(encoded_size(value) for value, _, _ in world.state.keys.values())
-    assert largest <= float(NEXT["value_kb"]) * 1024
+    assert largest <= float(LOWERED_LIMITS["value_kb"]) * 1024
 
 
 def states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
@@ -52,7 +52,7 @@
     reads the records anew, of this version or of the main before, finds the same machines."""
     pick = random.Random(seed)
     store, earlier = Store(count), production.load_commit(production.PREVIOUS_MAIN)
-    followed = store.read_anew(earlier.WatchCache())
+    followed = store.reload_cache(earlier.WatchCache())
     machines, machine_lifecycle = dict(store.machines), store.machine_lifecycle()
     for _ in range(400):
         if pick.random() < 0.2:
@@ -78,8 +78,8 @@
         for cache in (
             store.cache,
             followed,
-            store.read_anew(WatchCache()),
-            store.read_anew(earlier.WatchCache()),
+            store.reload_cache(WatchCache()),
+            store.reload_cache(earlier.WatchCache()),
         ):
             assert states(cache.machines) == states(machines)
         if all(encoded_size(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
--- a/tests/compatibility/test_upgrade.py
+++ b/tests/compatibility/test_upgrade.py
@@ -25,7 +25,7 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.transport.http import Request
 from dapplewick.types import FencingToken, JobId
-from standins import NEXT, World, now, settings
+from standins import LOWERED_LIMITS, World, now, settings
 from support import production
 from support.faults import (
     cut_from_state,
@@ -36,8 +36,15 @@
     zone_cut,
 )
 from support.paths import DATA
-from support.rolls import FAULTS, Fault, lower_limits, nothing, play_roll, submit_large_arrays
-from support.scenarios import cancel, finished, leader, run_script, submit_jobs
+from support.rolls import (
+    FAULTS,
+    Fault,
+    lower_limits,
+    nothing,
+    run_rolling_upgrade,
+    submit_large_arrays,
+)
+from support.scenarios import cancel, leader, run_script, submit_jobs, unfinished_jobs
 from support.shard_bench import Bench, spec
 
 PRODUCTION = DATA / "production.json"
@@ -83,7 +90,7 @@
 ) -> None:
     """Where one controller is not heard of, nothing new is written, whatever the load."""
     world = World(2)
-    world.old_names, world.old = {"n9"}, None
+    world.earlier_version_controllers, world.earlier_version = {"n9"}, None
     world.names = ["n0", "n1"]  # the third of the settings never comes
 
     async def script() -> None:
@@ -147,16 +154,16 @@
     fault: Fault, seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    played = play_roll(production.load(), fault, seed)
+    played = run_rolling_upgrade(production.load(), fault, seed)
     world = played.world
-    assert played.raised_early == []
+    assert played.controllers_with_early_format == []
     assert world.violations == []
     services_left = {f"run-service{n}" for n in range(2)}
-    assert finished(world).keys() == services_left
-    assert set(finished(world).values()) == {"running"}
-    assert world.told["run-service2"] == "withdrawn"
+    assert unfinished_jobs(world).keys() == services_left
+    assert set(unfinished_jobs(world).values()) == {"running"}
+    assert world.reported_stages["run-service2"] == "withdrawn"
     largest = max(encoded_size(value) for value, _ in stored(world).values())
-    assert largest <= float(NEXT["value_kb"]) * 1024
+    assert largest <= float(LOWERED_LIMITS["value_kb"]) * 1024
     # Records stored before were cut, and chunks were used for those that came later.
     assert "event=job_record_chunked" in caplog.text
     assert any(
@@ -193,12 +200,12 @@
             )
             world.group.start_soon(world.user, body["name_id"], body, 40.0 if n == 3 else None)
         await fault(world)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     run_script(world, 330.0, script)
     assert world.violations == []
-    assert finished(world) == {}
-    assert len(world.told) == 5
+    assert unfinished_jobs(world) == {}
+    assert len(world.reported_stages) == 5
     # In chunks from the start, whatever is left of them.
     assert all(world.state.keys[f"{JOBS}run-{n:06d}"][0]["chunk"] for n in range(5))
     assert any(key.startswith(CHUNKS) for _, key, _, gone in world.state.log if not gone)
@@ -210,7 +217,7 @@
     """At a random moment from when the format is raised: before, between and after the writes for
     each record, with a crash of the leader in the middle for half of the seeds."""
     world = World(seed)
-    world.old, world.old_names = production.load(), set(world.names)
+    world.earlier_version, world.earlier_version_controllers = production.load(), set(world.names)
 
     async def script() -> None:
         await anyio.sleep(2)
@@ -218,7 +225,7 @@
         submit_large_arrays(world, 2)
         await anyio.sleep(24)
         for name in world.names:
-            world.old_names.discard(name)
+            world.earlier_version_controllers.discard(name)
             world.crash(name)
             world.start_controller(name)
             await anyio.sleep(3)
@@ -237,12 +244,12 @@
             if "run-large1" in world.cancelled_at:
                 break
             await anyio.sleep(1.0)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     run_script(world, 260.0, script)
     assert world.violations == []
-    assert finished(world) == {}
-    assert len(world.told) == 4
+    assert unfinished_jobs(world) == {}
+    assert len(world.reported_stages) == 4
     assert "run-large1" in world.cancelled_at
     assert not any(key.startswith(CHUNKS) for key in world.state.keys)
 
@@ -328,7 +335,7 @@
     placements = [("a", f"vm-{n:06d}") for n in range(60)]
     job.gang = GangPlacement(77, placements)
     cache.put(JOBS + "run-1", job.dump(), 2)
-    room = int(float(NEXT["value_kb"]) * 1024)
+    room = int(float(LOWERED_LIMITS["value_kb"]) * 1024)
     assert encoded_size(job.dump()) > room
     leader = LeaderPlanner(cache, settings("n0"), Estimates(), FencingToken(1), 0.0)
     changes = leader.plan(1.0, 1.0)
--- a/tests/loopback/test_controllers.py
+++ b/tests/loopback/test_controllers.py
@@ -60,7 +60,7 @@
             world.start_controller("n1")
             for _ in range(500):
                 await anyio.sleep(0.1)
-                if [world.told.get(f"run-{n:06d}") for n in (1, 2, 3)] == [
+                if [world.reported_stages.get(f"run-{n:06d}") for n in (1, 2, 3)] == [
                     "done",
                     "done",
                     "withdrawn",
@@ -68,7 +68,7 @@
                     break
             users.cancel_scope.cancel()
         assert world.violations == []
-        assert world.told == {
+        assert world.reported_stages == {
             "run-000001": "done",
             "run-000002": "done",
             "run-000003": "withdrawn",
--- a/tests/loopback/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -161,7 +161,7 @@
                 assert controller.cache.revision == before
 
     async def main_() -> None:
-        await day.play(60.0, script_)
+        await day.run_scenario(60.0, script_)
 
     run_in_virtual_time(main_)
     assert len(seen) == 3
--- a/tests/loopback/test_partitions.py
+++ b/tests/loopback/test_partitions.py
@@ -15,7 +15,14 @@
 from dapplewick.cli.main import main
 from standins import now
 from support.partition_history import PartitionHistory
-from support.partition_moves import NIGHT, machines_of, owner, partitions_begun, pinned, until
+from support.partition_moves import (
+    NIGHT,
+    machines_of,
+    owner,
+    submit_zone_job,
+    wait_for_partitions,
+    wait_until,
+)
 from support.real_world import RealWorld
 
 PLAN_TEXT = """
@@ -74,9 +81,9 @@
 
     async def script() -> None:
         with anyio.fail_after(110.0):
-            await partitions_begun(world)
-            pinned(world, "run-000001", 12, 9.0, expected_s=100.0)
-            await until(lambda: len(world.first_start) == 12, 40.0)
+            await wait_for_partitions(world)
+            submit_zone_job(world, "run-000001", 12, 9.0, expected_s=100.0)
+            await wait_until(lambda: len(world.first_start) == 12, 40.0)
             have = len(machines_of(world, "a"))
             began = now()
             await command(world, "n0", *move("-", "night", have, "o-00000001"))
@@ -85,15 +92,15 @@
             world.crash(giver)  # its own process, by its id
             await anyio.sleep(2.0)
             world.start_controller(giver)
-            await until(lambda: len(machines_of(world, NIGHT)) == have, 60.0)
+            await wait_until(lambda: len(machines_of(world, NIGHT)) == have, 60.0)
             took["there"] = now() - began
-            pinned(world, "run-000002", 8, 3.0)
-            await until(lambda: world.told.get("run-000002") == "done", 40.0)
+            submit_zone_job(world, "run-000002", 8, 3.0)
+            await wait_until(lambda: world.reported_stages.get("run-000002") == "done", 40.0)
             began = now()
             await command(world, "n2", *move("night", "-", have, "o-00000002"))
-            await until(lambda: not machines_of(world, NIGHT), 40.0)
+            await wait_until(lambda: not machines_of(world, NIGHT), 40.0)
             took["back"] = now() - began
-            await until(lambda: world.told.get("run-000001") == "done", 20.0)
+            await wait_until(lambda: world.reported_stages.get("run-000001") == "done", 20.0)
             shown.append(await command(world, "n0", "show", "--json"))
 
     async def play() -> None:
@@ -103,8 +110,8 @@
     history = PartitionHistory()
     assert history.check(world.state.log) == []
     assert world.violations == []
-    assert world.reruns == []
-    assert max(world.starts_of.values()) == 1  # no running task was lost
+    assert world.restarted_after_done == []
+    assert max(world.start_counts.values()) == 1  # no running task was lost
     assert "share night  for red" in shown[0]
     assert "(no share) to night  c8  " in shown[0]
     assert [t["state"] for t in json.loads(shown[1])["transfers"]] == ["complete", "complete"]
--- a/tests/loopback/test_soak.py
+++ b/tests/loopback/test_soak.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from support.soak import SoakOptions, play_seed
+from support.soak import SoakOptions, run_seed
 from support.soak_schedule import FaultKind, draw_schedule, end_of
 
 SEEDS = [3, 6, 7]  # the first and the last with peers that refuse one another until the end
@@ -15,11 +15,11 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_under_drawn_faults_rules_hold_and_all_is_served(seed: int, tmp_path: Path) -> None:
-    result = play_seed(tmp_path, seed, SoakOptions(jobs=25))
+    result = run_seed(tmp_path, seed, SoakOptions(jobs=25))
     schedule = "\n".join(fault.line() for fault in draw_schedule(seed))
     assert result.violations == [], f"{schedule}\nlogs: {tmp_path}"
     assert result.jobs == 26
-    assert result.most_machines > 0
+    assert result.max_machines > 0
 
 
 def test_a_seed_always_draws_the_same_faults_and_all_kinds_are_drawn() -> None:
--- a/tests/simulation/test_answer_freshness.py
+++ b/tests/simulation/test_answer_freshness.py
@@ -28,7 +28,7 @@
 from dapplewick.transport.http import Request, Response
 from dapplewick.types import ControllerName, JobId
 from standins import AnswerHistory, World, now, run_in_virtual_time
-from support.answer_scenarios import play_answers
+from support.answer_scenarios import run_answer_scenario
 from support.scenarios import run_script
 
 Reply = tuple[int, bytes]
@@ -80,7 +80,7 @@
         request = submission(world)
         await over_elsewhere(world, request, stage)
         if late:
-            world.lose = lambda controller, _: controller == "n2"
+            world.is_late_write = lambda controller, _: controller == "n2"
         else:
             world.lost_answers = 1.0
         answers.append(await world.ask_controller("n2", request))
@@ -117,9 +117,9 @@
     async def script() -> None:
         await anyio.sleep(4)
         request = submission(world)
-        world.lose = lambda _, said: KEY in json.dumps(said)
+        world.is_late_write = lambda _, said: KEY in json.dumps(said)
         statuses.append((await world.ask_controller("n2", request))[0])
-        world.lose = None
+        world.is_late_write = None
         statuses.append((await world.ask_controller("n1", request))[0])
 
     run_script(world, 30.0, script)
@@ -208,12 +208,12 @@
             answers.append(await world.ask_controller("n2", asked))
 
         async with anyio.create_task_group() as group:
-            world.slow = 200.0
+            world.state_delay_factor = 200.0
             group.start_soon(ask_the_one_that_stands_still)
             await anyio.sleep(0.1)
-            group.start_soon(world.stand_still, "n2", 3.0)
+            group.start_soon(world.pause_controller, "n2", 3.0)
             await anyio.sleep(1.3)  # it was answered by now, and does not know it yet
-            world.slow = 1.0
+            world.state_delay_factor = 1.0
             assert (await world.ask_controller("n0", CANCELLATION))[1]["stage"] == "withdrawn"
 
     run_script(world, 20.0, script)
@@ -496,7 +496,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_no_answer_goes_back_in_random_scenarios(seed: int) -> None:
-    world = play_answers(seed)
+    world = run_answer_scenario(seed)
     assert world.violations == []
     assert world.history.answers > 1000
     assert len(world.accepted) > 30
@@ -509,7 +509,7 @@
     """Answers, each to a question that was put when the one before had been given."""
     history = AnswerHistory()
     for verb, status, stage in answers:
-        history.answered(history.ask(JOB, verb), status, {"stage": stage})
+        history.record_answer(history.record_request(JOB, verb), status, {"stage": stage})
     return history.violations
 
 
@@ -538,8 +538,8 @@
 
 def test_answers_that_do_not_go_back_pass() -> None:
     history = AnswerHistory()
-    early = history.ask(JOB, "poll")  # put before the job was known, answered at the end
-    before = history.ask(JOB, "poll")
+    early = history.record_request(JOB, "poll")  # put before the job was known, answered at the end
+    before = history.record_request(JOB, "poll")
     for verb, status, stage in [
         ("submit", 503, ""),
         ("submit", 201, "queued"),
@@ -551,17 +551,17 @@
         ("submit", 200, "done"),
         ("poll", 200, "done"),
     ]:
-        history.answered(history.ask(JOB, verb), status, {"stage": stage})
-    history.answered(early, 404, {})
-    history.answered(before, 200, {"stage": "running"})
+        history.record_answer(history.record_request(JOB, verb), status, {"stage": stage})
+    history.record_answer(early, 404, {})
+    history.record_answer(before, 200, {"stage": "running"})
     assert history.violations == []
     assert history.answers == 9
 
 
 def test_two_final_states_contradict_each_other_in_any_order() -> None:
     history = AnswerHistory()
-    first, second = history.ask(JOB, "abort"), history.ask(JOB, "poll")
-    history.answered(second, 200, {"stage": "done"})
-    history.answered(first, 200, {"stage": "withdrawn"})
+    first, second = history.record_request(JOB, "abort"), history.record_request(JOB, "poll")
+    history.record_answer(second, 200, {"stage": "done"})
+    history.record_answer(first, 200, {"stage": "withdrawn"})
     (violations,) = history.violations
     assert violations.startswith("went_back")
--- a/tests/simulation/test_cancellations.py
+++ b/tests/simulation/test_cancellations.py
@@ -12,12 +12,12 @@
     Script,
     call,
     cancel,
-    finished,
     leader,
     owners,
-    play_scenario,
     run_script,
+    run_script_scenario,
     submit_jobs,
+    unfinished_jobs,
 )
 from support.shard_bench import Bench, spec
 
@@ -29,7 +29,7 @@
     cancellations; then it is out for all for longer than `cancel_s`."""
 
     async def script(world: World) -> None:
-        world.lease_ends_hung = hang  # no deletion can be recorded meanwhile
+        world.hung_tasks_end_with_lease = hang  # no deletion can be recorded meanwhile
         await anyio.sleep(3)
         submit_jobs(world, 12, pieces=3, cpus=4.0, true_s=150.0, expected_s=150.0)
         await anyio.sleep(27)
@@ -60,7 +60,7 @@
         world.kept = len(world.on_machines())  # type: ignore[attr-defined]
         world.state.set_down(False)
         world.cut_peers.clear()
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     return script
 
@@ -72,10 +72,10 @@
 def test_a_confirmed_cancellation_binds_in_the_gap(
     who: str, lost: bool, hang: bool, seed: int
 ) -> None:
-    world = play_scenario(gap(who, lost, hang), seed, 450.0)
+    world = run_script_scenario(gap(who, lost, hang), seed, 450.0)
     assert world.violations == []
     assert len(world.cancelled_at) == 7
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     # Where the controllers can tell one another that none was missed, the others' work goes on.
     kept: int = world.kept  # type: ignore[attr-defined]
     assert kept == 0 if lost else kept >= 8
@@ -89,9 +89,9 @@
             await anyio.sleep(4)
             await cancel(world, world.names[job % 3], [f"run-{job:06d}"])
 
-    world = play_scenario(script, 3, 200.0)
+    world = run_script_scenario(script, 3, 200.0)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     # An image may be on its way when the user is told; the next heartbeat's answer stops it.
     assert max(world.started_after_cancel.values(), default=0.0) < 5.0
 
@@ -121,11 +121,11 @@
         world.state.set_down(False)
         world.cut_peers.clear()
         world.cloud.down = False
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     run_script(world, 200.0, script)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert begun[0] > 4
     assert (begun[1] == begun[0]) is lost
 
@@ -207,7 +207,7 @@
 async def cancel_at_completion(world: World, job: str, final: dict[str, set[str]]) -> None:
     """Ask all controllers about a job, and cancel it, around the end of its last task."""
     last = f"{job}/1"
-    while last not in world.results:
+    while last not in world.completed_tasks:
         await anyio.sleep(0.01)
     await anyio.sleep(world.random.uniform(0.0, 1.2))
 
--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -28,12 +28,12 @@
 from support.scenario_checks import AnswerProbe, ask, final_check_failures
 from support.scenarios import (
     cancel,
-    finished,
     leader,
     owners,
-    play_scenario,
     run_script,
+    run_script_scenario,
     submit_jobs,
+    unfinished_jobs,
 )
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -61,20 +61,20 @@
         while status not in (200, 201):
             name = world.random.choice(world.names)
             status, _ = await probe.request(name, ask(body, job_id), job_id)
-            await probe.look(job_id)
+            await probe.poll_all(job_id)
             await anyio.sleep(0.3)
         world.accepted.add(job_id)
         world.accepted_at[job_id] = now()
         for n in range(60):
             await anyio.sleep(0.7)
-            await probe.look(job_id)
+            await probe.poll_all(job_id)
             name = world.random.choice(world.names)
             if n == 2 and number % 3 == 0:
                 status, said = await probe.request(name, ask(None, job_id, "abort"), job_id)
                 if status == 200:
                     world.cancelled_at[job_id] = now()
-                    world.told[job_id] = said["stage"]
-                await probe.look(job_id)
+                    world.reported_stages[job_id] = said["stage"]
+                await probe.poll_all(job_id)
             if n % 9 == 4:
                 status, _ = await probe.request(name, ask(body, job_id), job_id)
                 assert status in (0, 200, 503)
@@ -145,12 +145,12 @@
             await anyio.sleep(0.3)
             world.start_controller(name)
         world.lost_answers = 0.0
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
-    world = play_scenario(script, seed, 330.0)
+    world = run_script_scenario(script, seed, 330.0)
     assert world.violations == []
     assert final_check_failures(world) == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert len(world.accepted) == 12
 
 
@@ -164,9 +164,9 @@
     for _ in range(4):
         await anyio.sleep(8)
         copies: list[Request] = []
-        world.kept_heartbeats = copies
+        world.recorded_heartbeats = copies
         await anyio.sleep(4)
-        world.kept_heartbeats = None
+        world.recorded_heartbeats = None
         await anyio.sleep(6)
         unreachable = [w for _, w in sorted(world.workers.items())][::3]
         for worker in unreachable:
@@ -183,19 +183,19 @@
         await anyio.sleep(8)
         for worker in unreachable:
             worker.cut = False
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_heartbeats_kept_for_the_next_leader_settle_nothing(
     seed: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = play_scenario(kept_for_the_next_leader, seed, 330.0)
-    assert world.copied > 200
+    world = run_script_scenario(kept_for_the_next_leader, seed, 330.0)
+    assert world.late_copies_delivered > 200
     assert "event=task_unexpected" not in caplog.text  # no owner finds what it thought elsewhere
     assert world.violations == []
     assert final_check_failures(world) == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
 
 
 def stale_heartbeats_settle(patch: pytest.MonkeyPatch) -> None:
@@ -223,7 +223,7 @@
 ) -> None:
     """Tasks that run were waiting to be started by then."""
     stale_heartbeats_settle(monkeypatch)
-    play_scenario(kept_for_the_next_leader, 1, 330.0)
+    run_script_scenario(kept_for_the_next_leader, 1, 330.0)
     assert "event=task_unexpected" in caplog.text
 
 
@@ -257,7 +257,7 @@
             wire.request = request  # type: ignore[method-assign]
 
     monkeypatch.setattr(World, "start_controller", spy)
-    play_scenario(kept_for_the_next_leader, 1, 120.0)
+    run_script_scenario(kept_for_the_next_leader, 1, 120.0)
     assert asked == {
         ("state", "keys"),
         ("state", "changes"),
@@ -286,7 +286,7 @@
 
 async def up_at_once(world: World) -> None:
     world.boot_s = (0.1, 2.0)
-    world.slow = 60.0
+    world.state_delay_factor = 60.0
     world.late_writes = 0.1
     await anyio.sleep(3)
     for n in range(16):
@@ -297,23 +297,23 @@
                 world.crash(name)
                 await anyio.sleep(0.4)
                 world.start_controller(name)
-    world.slow, world.late_writes = 1.0, 0.0
-    world.calm_at = now()
+    world.state_delay_factor, world.late_writes = 1.0, 0.0
+    world.faults_ended_at = now()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_machines_that_are_up_at_once_get_work_while_writes_lag(seed: int) -> None:
-    world = play_scenario(up_at_once, seed, 330.0)
+    world = run_script_scenario(up_at_once, seed, 330.0)
     assert world.violations == []
     assert final_check_failures(world) == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
 
 
 def test_work_on_machines_that_nobody_waits_for_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_wait_for_unheard_machines(monkeypatch)
-    worlds = (play_scenario(up_at_once, seed, 330.0) for seed in range(1, 6))
+    worlds = (run_script_scenario(up_at_once, seed, 330.0) for seed in range(1, 6))
     assert any(b.startswith("ran_twice") for world in worlds for b in world.violations)
 
 
@@ -347,7 +347,7 @@
                 status, said = await world.ask("POST", f"/v2/runs/{job_id}/abort")
                 await anyio.sleep(0.2 if status == 200 else 1.0)
             world._told(job_id, said["stage"], True)
-        while world.told.get(job_id) not in ("done", "withdrawn"):
+        while world.reported_stages.get(job_id) not in ("done", "withdrawn"):
             await anyio.sleep(3.0)
             status, said = await world.ask("GET", f"/v2/runs/{job_id}")
             assert status != 404
@@ -361,7 +361,7 @@
         for number in range(480):
             world.group.start_soon(user, number)
             await anyio.sleep(0.25)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     run_script(world, 190.0, script)
     assert world.violations == []
@@ -370,8 +370,8 @@
     assert caplog.records == []
     assert sorted(waits)[int(0.99 * len(waits))] < 1.0
     assert sorted(ended)[int(0.95 * len(ended))] < 45.0
-    assert world.state.refused[400] == 0
-    assert world.state.refused[429] <= 5
+    assert world.state.rejected_counts[400] == 0
+    assert world.state.rejected_counts[429] <= 5
 
 
 # Cancellations while a shard changes its owner, teams at their limit
@@ -401,23 +401,23 @@
         await anyio.sleep(10)
         for worker in lost:
             worker.cut = worker.hanging = False
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_cancellations_while_a_shard_changes_its_owner(seed: int) -> None:
-    world = play_scenario(cancelled_in_a_handover, seed, 420.0)
+    world = run_script_scenario(cancelled_in_a_handover, seed, 420.0)
     assert len(world.cancelled_at) > 6
     assert world.violations == []
     assert final_check_failures(world) == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
 
 
 def test_cancelled_tasks_that_go_on_after_a_handover_are_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_stop_of_cancelled_tasks(monkeypatch)
-    world = play_scenario(cancelled_in_a_handover, 1, 420.0)
+    world = run_script_scenario(cancelled_in_a_handover, 1, 420.0)
     assert any(b.startswith("ran_cancelled") for b in world.violations)
 
 
@@ -472,6 +472,6 @@
         (2, "running", 2),
         (2, "done", 2),
     ]:
-        probe.note("run-1", before, stage)
+        probe.record_answer("run-1", before, stage)
         assert len(probe.violations) == violations
     assert probe.known == {"run-1": 2}
--- a/tests/simulation/test_failure_pairs.py
+++ b/tests/simulation/test_failure_pairs.py
@@ -26,12 +26,12 @@
 from support.scenarios import (
     Script,
     cancel,
-    finished,
     leader,
     owners,
-    play,
-    play_scenario,
+    run_fault_scenario,
+    run_script_scenario,
     submit_jobs,
+    unfinished_jobs,
 )
 
 
@@ -47,13 +47,13 @@
     await anyio.sleep(0.4)
     for name in world.names:
         world.start_controller(name)
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 async def overload(world: World) -> None:
     """More work than room, urgent and not, while the state service answers slowly."""
-    world.cloud.lacking = {("g8", True), ("c8", True)}
-    world.slow = 60.0
+    world.cloud.unavailable_types = {("g8", True), ("c8", True)}
+    world.state_delay_factor = 60.0
     await anyio.sleep(3)
     for n in range(24):
         body = world.job(
@@ -68,8 +68,8 @@
         world.group.start_soon(world.user, body["name_id"], body, 20.0 if n % 5 == 0 else None)
         await anyio.sleep(0.5)
     await anyio.sleep(60)
-    world.slow = 1.0
-    world.calm_at = now()
+    world.state_delay_factor = 1.0
+    world.faults_ended_at = now()
 
 
 async def unreachable_with_long_tasks(world: World) -> None:
@@ -81,15 +81,15 @@
     names = sorted(world.workers)
     for n, name in enumerate(names):
         world.workers[name].cut = n % 3 == 0
-        world.workers[name].unreachable = n % 3 == 1
+        world.workers[name].answers_lost = n % 3 == 1
     for name in {leader(world), *owners(world)}:
         world.crash(name)
         await anyio.sleep(0.3)
         world.start_controller(name)
     await anyio.sleep(25)
     for worker in world.workers.values():
-        worker.cut = worker.unreachable = False
-    world.calm_at = now()
+        worker.cut = worker.answers_lost = False
+    world.faults_ended_at = now()
 
 
 async def limit_and_cancellation(world: World) -> None:
@@ -111,7 +111,7 @@
     await anyio.sleep(30)
     for worker in world.workers.values():
         worker.cut = False
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 async def cut_leader_and_new_one(world: World) -> None:
@@ -133,7 +133,7 @@
     assert leader(world) == other
     world.modes.clear()
     world.cut_peers.clear()
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 async def mute_machines(world: World) -> None:
@@ -148,7 +148,7 @@
         await anyio.sleep(24)
         for worker in mute:
             worker.cut = False
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 async def bound_jobs_lose_machines(world: World) -> None:
@@ -174,7 +174,7 @@
         await anyio.sleep(20)
         for worker in [w for w in world.workers.values() if w.zone == zone]:
             world.remove_machine(worker.name)
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 async def long_outage(world: World) -> None:
@@ -188,7 +188,7 @@
     await anyio.sleep(60)
     world.state.set_down(False)
     world.cut_peers.clear()
-    world.calm_at = now()
+    world.faults_ended_at = now()
     await anyio.sleep(10)
     world.after = set(world.workers)  # type: ignore[attr-defined]
 
@@ -196,7 +196,7 @@
 async def zone_cut_and_calm(world: World) -> None:
     submit_jobs(world, 10, pieces=4, cpus=4.0, true_s=40.0)
     await zone_cut(world)
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 COMPOUND_FAILURES = [
@@ -215,15 +215,15 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("script", COMPOUND_FAILURES, ids=lambda f: f.__name__)
 def test_under_compound_failures_rules_hold_and_all_is_served(script: Script, seed: int) -> None:
-    world = play_scenario(script, seed, 420.0)
+    world = run_script_scenario(script, seed, 420.0)
     assert world.violations == []
-    assert finished(world) == {}
-    assert len(world.told) == len(world.accepted) > 0
+    assert unfinished_jobs(world) == {}
+    assert len(world.reported_stages) == len(world.accepted) > 0
 
 
 def test_a_long_outage_costs_no_machine() -> None:
     """By their age alone all were silent or idle when the state service was back."""
-    world = play_scenario(long_outage, 3, 110.0)
+    world = run_script_scenario(long_outage, 3, 110.0)
     before, after = world.before, world.after  # type: ignore[attr-defined]
     assert len(before) > 3
     assert before <= after
@@ -238,9 +238,9 @@
 
 async def slow_state(world: World) -> None:
     await anyio.sleep(25)
-    world.slow = 80.0
+    world.state_delay_factor = 80.0
     await anyio.sleep(40)
-    world.slow = 1.0
+    world.state_delay_factor = 1.0
 
 
 async def mute(world: World) -> None:
@@ -289,10 +289,10 @@
         async with anyio.create_task_group() as group:
             for fault in world.random.sample(DRAWN, 2):
                 group.start_soon(fault, world)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     # Long enough for the most work with accelerators that may be drawn, at its team's limit.
-    world = play(pair, seed, length=360.0, slow=2.5)
+    world = run_fault_scenario(pair, seed, length=360.0, slow=2.5)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert len(world.accepted) == 14
--- a/tests/simulation/test_fleet_size.py
+++ b/tests/simulation/test_fleet_size.py
@@ -56,7 +56,7 @@
 
     run_script(world, 22.0, script)
     assert world.violations == []
-    assert world.told == {
+    assert world.reported_stages == {
         "run-000001": "done",
         "run-000002": "done",
         "run-000003": "withdrawn",
--- a/tests/simulation/test_isolated_leader.py
+++ b/tests/simulation/test_isolated_leader.py
@@ -23,7 +23,7 @@
 import pytest
 
 from standins import World, now
-from support.scenarios import finished, leader, play_scenario, submit_jobs
+from support.scenarios import leader, run_script_scenario, submit_jobs, unfinished_jobs
 
 CUT_AT_S = 25.0
 CUT_S = 300.0
@@ -60,14 +60,14 @@
     await anyio.sleep(CUT_S - 5)
     world.cut_peers.clear()
     world.cut_workers.clear()
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("count", [2, 3, 4], ids=lambda count: f"{count} controllers")
 def test_work_begins_while_the_leader_hears_nobody(count: int, seed: int) -> None:
-    world = play_scenario(leader_hears_nobody, seed, CUT_AT_S + CUT_S + 200.0, count)
+    world = run_script_scenario(leader_hears_nobody, seed, CUT_AT_S + CUT_S + 200.0, count)
     assert len(world.accepted) == 26
     assert late_jobs(world) == {}
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert world.violations == []
--- a/tests/simulation/test_late_jobs.py
+++ b/tests/simulation/test_late_jobs.py
@@ -23,7 +23,7 @@
 import pytest
 
 from standins import World, now
-from support.scenarios import finished, play_scenario, submit_jobs
+from support.scenarios import run_script_scenario, submit_jobs, unfinished_jobs
 
 BEGIN_WITHIN_S = 240.0  # of the largest jobs
 STREAM_S = 420.0  # for so long work comes that can still be in time, more than there is room for
@@ -54,14 +54,14 @@
             await anyio.sleep(40)
             late = work | {"pieces": 9, "due_s": 5.0, "true_s": 9.0, "expected_s": 9.0}
             submit_jobs(world, 4, **late)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
-    world = play_scenario(script, seed, STREAM_S + 400.0)
+    world = run_script_scenario(script, seed, STREAM_S + 400.0)
     waits = {
         job: min(world.first_start.get(f"{job}/{i}", float("inf")) for i in range(9))
         - world.accepted_at[job]
         for job in (f"run-{n:06d}" for n in range(4))
     }
     assert {job: wait for job, wait in waits.items() if wait > BEGIN_WITHIN_S} == {}
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert world.violations == []
--- a/tests/simulation/test_leadership.py
+++ b/tests/simulation/test_leadership.py
@@ -16,7 +16,7 @@
 from dapplewick.types import FencingToken, MachineId, TaskIndex, TaskRef, TypeName, zone_of
 from standins import World, now
 from support.faults import late_copies
-from support.scenarios import finished, leader, play_scenario, run_script, submit_jobs
+from support.scenarios import leader, run_script, run_script_scenario, submit_jobs, unfinished_jobs
 from support.shard_bench import TOKEN, ZONE, Bench, spec, starts
 
 # Late and stale
@@ -38,7 +38,7 @@
         again = LEADER in keys and bool(lost) and now() - lost[-1][0] < 4.0
         return again and world.random.random() < 0.7
 
-    world.lose = lose
+    world.is_late_write = lose
 
     async def script() -> None:
         await anyio.sleep(3)
@@ -47,7 +47,7 @@
     run_script(world, 200.0, script)
     assert len(lost) == 3
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     for at, epoch in lost:
         after = [
             body
@@ -68,14 +68,14 @@
         await anyio.sleep(world.random.choice([0.1, 3.0]))
         world.start_controller(name)
     world.late_writes = 0.0
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_late_writes_and_restarts_together(seed: int) -> None:
-    world = play_scenario(many_late_writes, seed, 300.0)
+    world = run_script_scenario(many_late_writes, seed, 300.0)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
 
 
 def test_a_late_presence_record_of_an_earlier_incarnation_takes_no_controller_out() -> None:
@@ -89,7 +89,7 @@
             return True
         return False
 
-    world.lose = lose
+    world.is_late_write = lose
     seen: list[bool] = []
 
     async def script() -> None:
@@ -157,12 +157,12 @@
         await anyio.sleep(3)
         submit_jobs(world, 10, pieces=6, cpus=2.0, true_s=40.0)
         await late_copies(world)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
-    world = play_scenario(script, seed, 360.0)
-    assert world.copied > 100
+    world = run_script_scenario(script, seed, 360.0)
+    assert world.late_copies_delivered > 100
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
 
 
 # Changes of leader and owner
@@ -188,13 +188,13 @@
             if outage and n % 3 == 2:
                 world.state.set_down(False)
         world.state.set_down(False)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
-    world = play_scenario(script, 7, 460.0)
+    world = run_script_scenario(script, 7, 460.0)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert len(world.accepted) == 6
-    assert world.reruns == []
+    assert world.restarted_after_done == []
 
 
 def test_a_leader_that_finds_its_old_key_after_an_outage_begins_a_new_epoch() -> None:
@@ -218,7 +218,7 @@
 
     run_script(world, 150.0, script)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert len(set(epochs)) == len(epochs)
     names = [
         op["write"]
--- a/tests/simulation/test_mutations.py
+++ b/tests/simulation/test_mutations.py
@@ -14,7 +14,7 @@
     no_team_limit,
     no_wait_for_unheard_machines,
 )
-from support.scenarios import Fault, play
+from support.scenarios import Fault, run_fault_scenario
 
 CASES: list[tuple[Patch, Fault, str]] = [
     (no_wait_for_unheard_machines, quick_restarts, "ran_twice"),
@@ -28,7 +28,7 @@
 def first_violation(fault: Fault, rule: str) -> World | None:
     for seed in range(1, 9):
         slow = 8.0 if rule == "ran_cancelled" else 1.0
-        world = play(fault, seed, jobs=30, length=150.0, slow=slow)
+        world = run_fault_scenario(fault, seed, jobs=30, length=150.0, slow=slow)
         if any(b.startswith(rule) for b in world.violations):
             return world
     return None
@@ -44,4 +44,4 @@
 
 @pytest.mark.parametrize("fault", [all_crash, lost_answers], ids=lambda f: f.__name__)
 def test_with_all_guards_the_same_scenarios_break_no_rule(fault: Fault) -> None:
-    assert play(fault, 1, jobs=30, length=150.0).violations == []
+    assert run_fault_scenario(fault, 1, jobs=30, length=150.0).violations == []
--- a/tests/simulation/test_partition_commands.py
+++ b/tests/simulation/test_partition_commands.py
@@ -10,17 +10,17 @@
 from standins import World
 from support.partition_moves import (
     NIGHT,
-    busy_zone,
     command,
     controller_in_role,
     crash,
+    fill_zone,
     machines_of,
     move,
     new_world,
-    partitions_begun,
-    pinned,
-    play_moves,
-    until,
+    run_partition_scenario,
+    submit_zone_job,
+    wait_for_partitions,
+    wait_until,
 )
 
 
@@ -36,15 +36,20 @@
             await anyio.sleep(0.25)
 
     async def script(world: World) -> None:
-        await partitions_begun(world)
+        await wait_for_partitions(world)
         world.group.start_soon(watch, world)
         for n in range(6):
-            pinned(world, f"run-00000{n}", 8, 9.0, crew="blue")
-        await until(lambda: len(machines_of(world, "a")) >= 2, 30.0)
+            submit_zone_job(world, f"run-00000{n}", 8, 9.0, crew="blue")
+        await wait_until(lambda: len(machines_of(world, "a")) >= 2, 30.0)
         await move(world, "o-00000013", "", "day", 1)
-        await until(lambda: {"done"} == set(world.told.values()) and len(world.told) == 6, 150.0)
-
-    play_moves(world, script, 200.0)
+        await wait_until(
+            lambda: (
+                {"done"} == set(world.reported_stages.values()) and len(world.reported_stages) == 6
+            ),
+            150.0,
+        )
+
+    run_partition_scenario(world, script, 200.0)
     assert 16.0 <= max(most) <= 24.0
 
 
@@ -74,7 +79,7 @@
     }
 
     async def script(world: World) -> None:
-        await busy_zone(world, 4, 5.0)
+        await fill_zone(world, 4, 5.0)
         for fields, complaint in BAD_COMMANDS:
             said = await command(world, "move", **(good | fields))
             assert said["status"] == 400, said
@@ -94,7 +99,7 @@
             assert complaint in said["error"], said
         assert (await command(world, "show"))["plan"] == before
 
-    play_moves(world, script, 80.0)
+    run_partition_scenario(world, script, 80.0)
 
 
 def test_a_stored_plan_is_in_force_at_every_leader_until_it_is_reset() -> None:
@@ -106,27 +111,27 @@
         return set((await command(world, "show"))["plan"].get("shares", {}))
 
     async def script(world: World) -> None:
-        await busy_zone(world, 8, 30.0)
+        await fill_zone(world, 8, 30.0)
         assert (await command(world, "plan", plan=plan))["status"] == 200
         await anyio.sleep(2.0)
         assert await partitions_now(world) == {"x"}
         await crash(world, controller_in_role(world, "leader"))
         await anyio.sleep(10.0)
         assert await partitions_now(world) == {"x"}
-        await until(lambda: bool(machines_of(world, shard_name("a", "x"))), 40.0)
+        await wait_until(lambda: bool(machines_of(world, shard_name("a", "x"))), 40.0)
         assert (await command(world, "plan"))["status"] == 200
         await anyio.sleep(2.0)
         assert await partitions_now(world) == {"night", "day"}
-        await until(lambda: not machines_of(world, shard_name("a", "x")), 60.0)
+        await wait_until(lambda: not machines_of(world, shard_name("a", "x")), 60.0)
 
-    play_moves(world, script)
+    run_partition_scenario(world, script)
 
 
 def test_malformed_records_are_refused_and_end_nothing() -> None:
     world = new_world(36)
 
     async def script(world: World) -> None:
-        await busy_zone(world, 4, 8.0)
+        await fill_zone(world, 4, 8.0)
         good: dict[str, Any] = {
             "generation": 1,
             "source": "a",
@@ -158,8 +163,8 @@
         await anyio.sleep(5.0)
         assert (await command(world, "show"))["transfers"] == []
         await move(world, "o-00000014", "", "night", 1)
-        await until(lambda: len(machines_of(world, NIGHT)) == 1, 60.0)
+        await wait_until(lambda: len(machines_of(world, NIGHT)) == 1, 60.0)
         # They are no transfers: the checker of histories is not shown them.
         world.state.log = [e for e in world.state.log if not e[1].startswith("dw/s/bad")]
 
-    play_moves(world, script, 110.0)
+    run_partition_scenario(world, script, 110.0)
--- a/tests/simulation/test_partition_faults.py
+++ b/tests/simulation/test_partition_faults.py
@@ -8,17 +8,17 @@
 from standins import World, now
 from support.partition_moves import (
     Script,
-    busy_zone,
     controller_in_role,
     crash,
+    fill_zone,
     machines_of,
     move,
     new_world,
     owner,
-    partitions_begun,
-    pinned,
-    play_moves,
-    until,
+    run_partition_scenario,
+    submit_zone_job,
+    wait_for_partitions,
+    wait_until,
 )
 
 
@@ -31,7 +31,7 @@
             elif kind == "blink":
                 group.start_soon(crash, world, name, 0.1)
             elif kind == "hang":
-                group.start_soon(world.stand_still, name, 17.0)
+                group.start_soon(world.pause_controller, name, 17.0)
             elif kind == "no state":
                 world.modes[(name, "state")] = "refused"
             elif kind == "held state":
@@ -58,19 +58,20 @@
     world = new_world(seed)
 
     async def script(world: World) -> None:
-        await busy_zone(world, 16, 8.0)
-        pinned(world, "run-000002", 12, 9.0)
-        pinned(world, "run-000003", 3, 9.0, shape="group", cpus=4.0)
+        await fill_zone(world, 16, 8.0)
+        submit_zone_job(world, "run-000002", 12, 9.0)
+        submit_zone_job(world, "run-000003", 3, 9.0, shape="group", cpus=4.0)
         await move(world, "o-0000000d", "", "night", 3)
         await anyio.sleep(after)
         await inject_fault(world, kind, [controller_in_role(world, role) for role in roles])
-        world.calm_at = now()
-        pinned(world, "run-000004", 6, 4.0)
-        await until(
-            lambda: all(world.told.get(f"run-00000{n}") == "done" for n in (1, 2, 3, 4)), 110.0
+        world.faults_ended_at = now()
+        submit_zone_job(world, "run-000004", 6, 4.0)
+        await wait_until(
+            lambda: all(world.reported_stages.get(f"run-00000{n}") == "done" for n in (1, 2, 3, 4)),
+            110.0,
         )
 
-    history = play_moves(world, script, 220.0)
+    history = run_partition_scenario(world, script, 220.0)
     assert history.open_transfers() == []
 
 
@@ -106,9 +107,9 @@
 
 async def late_heartbeats(world: World) -> None:
     """Copies of heartbeats that name the former holder, up to three leases late."""
-    world.copies = 0.3
+    world.late_copy_fraction = 0.3
     await anyio.sleep(40.0)
-    world.copies = 0.0
+    world.late_copy_fraction = 0.0
 
 
 async def machine_hangs(world: World) -> None:
@@ -130,7 +131,7 @@
     """Machines of the giving partition are gone without notice; new ones come up in mid-move."""
     for machine in sorted(machines_of(world, "a"))[:2]:
         world.remove_machine(machine)
-    pinned(world, "run-000005", 12, 5.0)
+    submit_zone_job(world, "run-000005", 12, 5.0)
     await anyio.sleep(20.0)
 
 
@@ -140,10 +141,10 @@
         world.workers[m] for m in sorted(machines_of(world, "a"))[:2] if m in world.workers
     ]
     for worker in unreachable:
-        worker.unreachable = True
+        worker.answers_lost = True
     await anyio.sleep(30.0)
     for worker in unreachable:
-        worker.unreachable = False
+        worker.answers_lost = False
 
 
 async def all_killed(world: World) -> None:
@@ -190,9 +191,9 @@
     world = new_world(300 + WORLD_FAULTS.index(fault))
 
     async def script(world: World) -> None:
-        await busy_zone(world, 16, 8.0)
-        pinned(world, "run-000002", 12, 9.0)
-        pinned(world, "run-000003", 3, 9.0, shape="group", cpus=4.0)
+        await fill_zone(world, 16, 8.0)
+        submit_zone_job(world, "run-000002", 12, 9.0)
+        submit_zone_job(world, "run-000003", 3, 9.0, shape="group", cpus=4.0)
         await move(world, "o-0000000e", "", "night", 3)
         await anyio.sleep(2.5)
         async with anyio.create_task_group() as group:
@@ -200,14 +201,15 @@
             if second:
                 await anyio.sleep(5.0)
                 await move(world, "o-0000000f", "night", "day", 1)
-        world.calm_at = now()
-        pinned(world, "run-000004", 6, 4.0)
-        await until(
-            lambda: all(world.told.get(f"run-00000{n}") == "done" for n in (1, 2, 3, 4)), 120.0
+        world.faults_ended_at = now()
+        submit_zone_job(world, "run-000004", 6, 4.0)
+        await wait_until(
+            lambda: all(world.reported_stages.get(f"run-00000{n}") == "done" for n in (1, 2, 3, 4)),
+            120.0,
         )
         await anyio.sleep(45.0)
 
-    history = play_moves(world, script, 330.0)
+    history = run_partition_scenario(world, script, 330.0)
     assert history.open_transfers() == []
 
 
@@ -234,19 +236,19 @@
                 await inject_fault(world, kind, [controller_in_role(world, role) for role in roles])
 
     async def script(world: World) -> None:
-        await partitions_begun(world)
+        await wait_for_partitions(world)
         for n in range(12):
             body = world.random_job() | {"name_id": f"run-1{n:05d}"}
             cancel = 20.0 if n % 4 == 0 else None
             world.group.start_soon(world.user, body["name_id"], body, cancel)
-        pinned(world, "run-000001", 20, 12.0)
+        submit_zone_job(world, "run-000001", 20, 12.0)
         async with anyio.create_task_group() as group:
             group.start_soon(moves, world)
             group.start_soon(faults, world)
-        world.calm_at = now()
+        world.faults_ended_at = now()
         await anyio.sleep(100.0)
 
-    history = play_moves(world, script, 420.0)
+    history = run_partition_scenario(world, script, 420.0)
     assert history.open_transfers() == []
-    assert set(world.told.values()) <= {"done", "withdrawn"}
-    assert len(world.told) >= 13
+    assert set(world.reported_stages.values()) <= {"done", "withdrawn"}
+    assert len(world.reported_stages) >= 13
--- a/tests/simulation/test_removed_guards.py
+++ b/tests/simulation/test_removed_guards.py
@@ -30,7 +30,7 @@
     no_wait_for_unheard_machines,
     unheard_shards_stay,
 )
-from support.scenarios import Script, play_scenario
+from support.scenarios import Script, run_script_scenario
 
 
 def a_lie_about_what_is_known(patch: pytest.MonkeyPatch) -> None:
@@ -167,5 +167,5 @@
     patch: Patch, script: Script, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     patch(monkeypatch)
-    worlds = (play_scenario(script, seed, 420.0) for seed in (1, 2))
+    worlds = (run_script_scenario(script, seed, 420.0) for seed in (1, 2))
     assert any(b.startswith(rule) for world in worlds for b in world.violations)
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -116,7 +116,7 @@
         body = world.job(name_id="run-000009", pieces=2, cpus=8.0, true_s=5.0)
         world.group.start_soon(world.user, body["name_id"], body, None)
         at = now()
-        while world.told.get("run-000009") != "done":
+        while world.reported_stages.get("run-000009") != "done":
             await anyio.sleep(0.5)
         begun.append(now() - at)
 
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -34,7 +34,7 @@
     unreachable_machines,
     zone_cut,
 )
-from support.scenarios import Fault, play, run_script, submit_jobs
+from support.scenarios import Fault, run_fault_scenario, run_script, submit_jobs
 
 FAULTS = [
     quiet,
@@ -64,19 +64,19 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_rules_hold_and_service_comes_back(fault: Fault, seed: int) -> None:
-    world = play(fault, seed)
+    world = run_fault_scenario(fault, seed)
     assert world.violations == []
     assert len(world.accepted) == 14
-    unfinished = {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")}
+    unfinished = {j: s for j, s in world.reported_stages.items() if s not in ("done", "withdrawn")}
     assert unfinished == {}
     assert world.starts > 20
 
 
 @pytest.mark.parametrize("seed", range(11, 21))
 def test_rules_hold_under_random_faults(seed: int) -> None:
-    world = play(drawn, seed, length=300.0)
+    world = run_fault_scenario(drawn, seed, length=300.0)
     assert world.violations == []
-    assert {j for j, s in world.told.items() if s not in ("done", "withdrawn")} == set()
+    assert {j for j, s in world.reported_stages.items() if s not in ("done", "withdrawn")} == set()
 
 
 @pytest.mark.parametrize(
@@ -93,15 +93,19 @@
     which the cloud has nothing that may be taken away."""
     for seed in (31, 32):
         world = World(seed, count, zones)
-        world.cloud.lacking = {(lacking, True)}
-        play(quick_restarts if seed == 31 else bad_machines, seed, length=300.0, world=world)
+        world.cloud.unavailable_types = {(lacking, True)}
+        run_fault_scenario(
+            quick_restarts if seed == 31 else bad_machines, seed, length=300.0, world=world
+        )
         assert world.violations == []
-        assert {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")} == {}
+        assert {
+            j: s for j, s in world.reported_stages.items() if s not in ("done", "withdrawn")
+        } == {}
 
 
 def test_the_same_scenario_twice_is_the_same() -> None:
-    first, second = play(all_crash, 3), play(all_crash, 3)
-    assert (first.starts, first.told) == (second.starts, second.told)
+    first, second = run_fault_scenario(all_crash, 3), run_fault_scenario(all_crash, 3)
+    assert (first.starts, first.reported_stages) == (second.starts, second.reported_stages)
 
 
 def test_now_is_virtual() -> None:
@@ -153,14 +157,14 @@
         submit_jobs(world, 2, pieces=16, true_s=15.0, cpus=4.0, crew="red")
         await anyio.sleep(20)
         seen["deaf"] = sorted(world.workers)[0]
-        world.workers[sorted(world.workers)[0]].unreachable = True
+        world.workers[sorted(world.workers)[0]].answers_lost = True
         await anyio.sleep(45)
         seen["kept"] = seen["deaf"] in world.workers
 
     run_script(world, 100.0, script)
     assert world.violations == []
     assert seen["kept"] is False
-    assert set(world.told.values()) == {"done"}
+    assert set(world.reported_stages.values()) == {"done"}
 
 
 def test_a_shard_whose_owner_hears_no_worker_gets_another_owner() -> None:
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -36,7 +36,7 @@
     unreachable_machines,
     zone_cut,
 )
-from support.scenarios import call, finished, run_script, submit_jobs
+from support.scenarios import call, run_script, submit_jobs, unfinished_jobs
 from support.shard_bench import IN_ZONE, TOKEN, Bench, spec, starts
 
 Script = Callable[[World], Coroutine[Any, Any, None]]
@@ -90,7 +90,7 @@
         submit_service(world, "run-s4", cancel=70.0, pieces=2, yard="a")
         submit_jobs(world, 6, pieces=8, cpus=2.0, true_s=12.0)
         await fault(world)
-        world.calm_at = now()
+        world.faults_ended_at = now()
         world.replica_ends = 0.0
         await anyio.sleep(75)
         there.append({name: replicas_on(world, name) for name in wanted})
@@ -98,8 +98,8 @@
     run_script(world, 320.0, script)
     assert world.violations == []
     assert there == [wanted]
-    assert finished(world) == dict.fromkeys(wanted, "running")
-    assert world.told["run-s4"] == "withdrawn"
+    assert unfinished_jobs(world) == dict.fromkeys(wanted, "running")
+    assert world.reported_stages["run-s4"] == "withdrawn"
     assert replicas_on(world, "run-s4") == 0
 
 
--- a/tests/simulation/test_team_limits.py
+++ b/tests/simulation/test_team_limits.py
@@ -17,7 +17,7 @@
 import pytest
 
 from standins import World, now
-from support.scenarios import Script, finished, play_scenario, submit_jobs
+from support.scenarios import Script, run_script_scenario, submit_jobs, unfinished_jobs
 
 BEGIN_WITHIN_S = 240.0  # of the largest jobs
 STREAM_S = 400.0  # for so long small work of the same team comes, as much as its limit allows
@@ -41,12 +41,12 @@
             group.start_soon(stream, world)
             await anyio.sleep(after_s)
             submit_jobs(world, 1, pieces=6, cpus=4.0, crew="blue", shape="group", true_s=8.0)
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
-    world = play_scenario(script, seed, length_s)
+    world = run_script_scenario(script, seed, length_s)
     begun = world.first_start.get("run-000000/0", float("inf"))
     assert begun - world.accepted_at["run-000000"] < BEGIN_WITHIN_S
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert world.violations == []
 
 
--- a/tests/simulation/test_unheard_shards.py
+++ b/tests/simulation/test_unheard_shards.py
@@ -25,7 +25,14 @@
 import pytest
 
 from standins import World, now
-from support.scenarios import Script, finished, leader, owners, play_scenario, submit_jobs
+from support.scenarios import (
+    Script,
+    leader,
+    owners,
+    run_script_scenario,
+    submit_jobs,
+    unfinished_jobs,
+)
 
 CUT_AT_S = 25.0
 CUT_S = 240.0
@@ -52,7 +59,7 @@
     submit_jobs(world, 2, first=9, pieces=2, cpus=2.0, true_s=8.0, yard="b")
     await anyio.sleep(CUT_S)
     world.cut_peers.clear()
-    world.calm_at = now()
+    world.faults_ended_at = now()
 
 
 async def all_refuse_one_another(world: World) -> None:
@@ -90,8 +97,8 @@
 def test_jobs_begin_while_controllers_cannot_hear_one_another(
     script: Script, within_s: float, seed: int
 ) -> None:
-    world = play_scenario(script, seed, CUT_AT_S + CUT_S + 60.0)
+    world = run_script_scenario(script, seed, CUT_AT_S + CUT_S + 60.0)
     assert len(world.accepted) == 11
     assert late_jobs(world, within_s) == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert world.violations == []
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -6,7 +6,16 @@
 
 from standins.answers import AnswerHistory
 from standins.cloud import Cloud
-from standins.deployment import NEXT, TEAMS, TYPES, WORKERS, ZONES, deployment, settings, zone_of
+from standins.deployment import (
+    LOWERED_LIMITS,
+    TEAMS,
+    TYPES,
+    WORKERS,
+    ZONES,
+    deployment,
+    settings,
+    zone_of,
+)
 from standins.network import Link, Wire
 from standins.rules import RuleChecker
 from standins.state_service import StateService
@@ -15,7 +24,7 @@
 from standins.world import World
 
 __all__ = [
-    "NEXT",
+    "LOWERED_LIMITS",
     "TEAMS",
     "TYPES",
     "WORKERS",
--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -38,14 +38,14 @@
     answers: int = 0
     jobs: dict[str, Told] = field(default_factory=dict)
 
-    def ask(self, job: str, verb: str) -> Question:
+    def record_request(self, job: str, verb: str) -> Question:
         """A user puts a question now."""
         told = self.jobs.setdefault(job, Told())
         if verb == "abort":
             told.cancel_asked = True
         return Question(job, verb, told.known)
 
-    def answered(self, question: Question, status: int, said: Any) -> None:
+    def record_answer(self, question: Question, status: int, said: Any) -> None:
         """The answer to a question arrives."""
         if status in (200, 201):
             self.answers += 1
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -21,7 +21,7 @@
         self.provisioning_requests: dict[str, list[str]] = {}
         self.next_name = 0
         self.down = False
-        self.lacking: set[tuple[str, bool]] = set()  # types that it has none of
+        self.unavailable_types: set[tuple[str, bool]] = set()  # types that it has none of
         self.history: list[tuple[float, list[dict[str, Any]]]] = [(0.0, [])]
 
     async def answer(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
@@ -33,7 +33,7 @@
             return 200, json.dumps({"builds": types}).encode()
         if path == "/hosts" and method == "POST":
             asked = json.loads(body or b"{}")
-            if (asked["build"], asked["borrowed"]) in self.lacking:
+            if (asked["build"], asked["borrowed"]) in self.unavailable_types:
                 return 503, b'{"error":"no capacity"}'
             if asked["booking"] not in self.provisioning_requests:
                 names = []
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -48,7 +48,7 @@
 
 
 # What the state service takes from some moment on, in scenarios in which that comes.
-NEXT = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0}
+LOWERED_LIMITS = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0}
 
 
 def deployment(count: int, zones: list[str] = ZONES) -> dict[str, Any]:
@@ -59,7 +59,13 @@
         "teams": TEAMS,
         "objectives": [],
         "workers": WORKERS,
-        "state": {"rps": 200.0, "write_rps": 80.0, "value_kb": 16.0, "txn_ops": 12, "next": NEXT},
+        "state": {
+            "rps": 200.0,
+            "write_rps": 80.0,
+            "value_kb": 16.0,
+            "txn_ops": 12,
+            "next": LOWERED_LIMITS,
+        },
         "cloud": {"rps": 8.0, "list_lag_s": 4.0},
         "time_bound_ms": 50.0,
     }
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -38,12 +38,12 @@
         recorder.record(
             "request", sender=self.controller, service=kind, method=method, target=target, body=body
         )
-        await self.world.thawed(self.controller)
+        await self.world.wait_until_resumed(self.controller)
         try:
             return await self._request(method, target, body, within)
         finally:
             # What a controller that stands still was answered is found when it goes on.
-            await self.world.thawed(self.controller)
+            await self.world.wait_until_resumed(self.controller)
 
     async def _request(
         self, method: str, target: str, body: bytes | None, within: float
@@ -51,7 +51,9 @@
         mode = self.world.mode(self.controller, self.service)
         random_ = self.world.random
         state = self.service is self.world.state
-        await anyio.sleep((0.002 + random_.random() * 0.004) * (self.world.slow if state else 1.0))
+        await anyio.sleep(
+            (0.002 + random_.random() * 0.004) * (self.world.state_delay_factor if state else 1.0)
+        )
         if mode == "refused":
             return 503, b"{}"
         deliver = partial(self.service.answer, method, target, body)
@@ -73,7 +75,7 @@
             # Carried out at once, and only its answer is lost.
             await deliver()
             await self._time_out(within)
-        if state and target == "/multi" and self.world.put_off(self.controller, body):
+        if state and target == "/multi" and self.world.transaction_is_late(self.controller, body):
             # No answer, and carried out after newer ones of the same controller.
             self.world.group.start_soon(self._deliver_late, deliver)
             await self._time_out(within)
@@ -132,7 +134,7 @@
     async def run(self) -> None:
         while True:
             await anyio.sleep(0.02 + self.world.random.random() * 0.03)
-            await self.world.thawed(self.sender)
+            await self.world.wait_until_resumed(self.sender)
             batch, self.waiting = list(self.waiting.values()), {}
             for frame in batch:
                 recorder.record(
@@ -144,7 +146,7 @@
             for frame in batch:
                 if len(frame) > MAX_FRAME_BYTES:
                     continue  # refused by the real one
-                if self.target in self.world.frozen:
-                    self.world.held.setdefault(self.target, []).append(frame)
+                if self.target in self.world.paused:
+                    self.world.held_messages.setdefault(self.target, []).append(frame)
                 else:
                     controller.on_message(cbor2.loads(frame))
--- a/tests/standins/recorder.py
+++ b/tests/standins/recorder.py
@@ -103,6 +103,6 @@
 
 async def _ask(world: World, name: str, message: dict[str, Any]) -> None:
     controller = world.controllers.get(name)
-    if controller is not None and name not in world.frozen:
+    if controller is not None and name not in world.paused:
         with anyio.move_on_after(ASK_S):
             await controller.on_request(message)
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -22,12 +22,12 @@
         """A task starts on a machine."""
         self.world.starts += 1
         self.world.first_start.setdefault(name, now())
-        self.world.starts_of[name] = self.world.starts_of.get(name, 0) + 1
+        self.world.start_counts[name] = self.world.start_counts.get(name, 0) + 1
         job_id = name.rpartition("/")[0]
         job = self.world.jobs[job_id]
         self.world.waiting_since.pop(job_id, None)
-        if name in self.world.results:
-            self.world.reruns.append(name)
+        if name in self.world.completed_tasks:
+            self.world.restarted_after_done.append(name)
         if job_id in self.world.cancelled_at:
             late = now() - self.world.cancelled_at[job_id]
             self.world.started_after_cancel[name] = late
@@ -76,13 +76,13 @@
             if asked is not None and now() > asked + WORKERS["cancel_s"]:
                 # Hung beyond its lease it ends its tasks before it goes on with anything.
                 over = worker.hanging and now() - worker.renewed > WORKERS["lease_s"]
-                if not (over and self.world.lease_ends_hung):
+                if not (over and self.world.hung_tasks_end_with_lease):
                     self.world.violations.append(f"ran_cancelled {name}")
 
     def check_waiting(self) -> None:
         """Once faults are over, no job waits for 90 s while a machine that fits has room and
         its team is under its limit."""
-        assert self.world.calm_at is not None
+        assert self.world.faults_ended_at is not None
         there = self.world.on_machines_or_fetching()
         where: dict[str, list[Worker]] = {}
         jobs_on: dict[str, list[dict[str, Any]]] = {}
@@ -94,15 +94,17 @@
             job = self.world.jobs[job_id]
             names = [f"{job_id}/{i}" for i in range(job["pieces"])]
             placed = where.get(job_id, [])
-            left = sum(n not in self.world.results for n in names) - len(placed)
+            left = sum(n not in self.world.completed_tasks for n in names) - len(placed)
             over = (
-                self.world.told.get(job_id) in ("done", "withdrawn")
+                self.world.reported_stages.get(job_id) in ("done", "withdrawn")
                 or job_id in self.world.cancelled_at
             )
             if over or left <= 0 or not self.could_start(job, placed, there, jobs_on):
                 self.world.waiting_since.pop(job_id, None)
                 continue
-            since = max(self.world.calm_at, self.world.waiting_since.setdefault(job_id, now()))
+            since = max(
+                self.world.faults_ended_at, self.world.waiting_since.setdefault(job_id, now())
+            )
             if now() - since > 90.0:
                 self.world.violations.append(f"waits {job_id}")
                 self.world.waiting_since.pop(job_id)
@@ -159,7 +161,7 @@
             if (
                 worker.hanging
                 or worker.cut
-                or worker.unreachable
+                or worker.answers_lost
                 or worker.spot_notice_s is not None
             ):
                 continue
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from standins.deployment import NEXT
+from standins.deployment import LOWERED_LIMITS
 from standins.virtual_time import now
 
 
@@ -22,10 +22,10 @@
         self.leases: dict[int, tuple[float, float]] = {}
         self.next_lease = 1
         self.down = False
-        self.lowered = False  # whether the limits of `NEXT` are in force
+        self.limits_lowered = False  # whether the limits of `NEXT` are in force
         self.rate = 0.0  # writes a second that it takes; 0: as many as come
         self._level, self._level_at = 0.0, 0.0
-        self.refused = {400: 0, 429: 0}
+        self.rejected_counts = {400: 0, 429: 0}
 
     def expire(self) -> None:
         if self.down:
@@ -55,7 +55,7 @@
             return 503, b"{}"
         said = json.loads(body) if body else {}
         if path == "/multi" and (status := self._over(said)):
-            self.refused[status] += 1
+            self.rejected_counts[status] += 1
             return status, b'{"error":"over the limit"}'
         status, out = self._apply(path, query, said)
         return status, json.dumps(out).encode()
@@ -63,7 +63,11 @@
     def _over(self, said: dict[str, Any]) -> int:
         """400 where a transaction is too large, 429 where there are too many writes."""
         apply = said.get("apply", [])
-        most, ops = (NEXT["value_kb"], NEXT["txn_ops"]) if self.lowered else (16.0, 12)
+        most, ops = (
+            (LOWERED_LIMITS["value_kb"], LOWERED_LIMITS["txn_ops"])
+            if self.limits_lowered
+            else (16.0, 12)
+        )
         if len(apply) > ops or len(said.get("if", [])) > 4 * ops:
             return 400
         for op in apply:
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -45,7 +45,7 @@
         self.sent_elsewhere = False  # the last heartbeat got no answer, or one that names another
         self.hanging = False
         self.cut = False
-        self.unreachable = False  # its heartbeats arrive, no answer reaches it
+        self.answers_lost = False  # its heartbeats arrive, no answer reaches it
         self.gone = False
 
     async def run(self) -> None:
@@ -168,7 +168,7 @@
             self.world.rules.check_start(self, name)
             task.stage = "gathering" if job["shape"] == "group" else "running"
             task.until = now() + self.world.run_time(name)
-            if name in self.world.results:
+            if name in self.world.completed_tasks:
                 task.stage, task.cause = "exited", "done"
             self.changed = True
         elif task.stage == "gathering":
@@ -180,7 +180,7 @@
                 task.stage, task.cause = "exited", "peers"
             else:
                 task.stage, task.cause = "exited", "done"
-                self.world.results.add(name)
+                self.world.completed_tasks.add(name)
                 if job["shape"] == "group":
                     self.world.finish(job_id, task.attempt)
             self.changed = True
@@ -194,7 +194,7 @@
 
     def _replica(self, name: str, task: TaskRun) -> None:
         """A replica runs until it is stopped, unless the scenario has it end by itself."""
-        self.world.served[name] = self.world.served.get(name, 0.0) + 0.25
+        self.world.replica_run_s[name] = self.world.replica_run_s.get(name, 0.0) + 0.25
         if self.world.random.random() < self.world.replica_ends * 0.25:
             task.stage = "exited"
             task.cause = self.world.random.choice(["done", "error", "full"])
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -43,41 +43,47 @@
         self.workers: dict[str, Worker] = {}
         self.jobs: dict[str, dict[str, Any]] = {}
         self.accepted: set[str] = set()
-        self.told: dict[str, str] = {}
+        self.reported_stages: dict[str, str] = {}
         self.cancelled_at: dict[str, float] = {}
-        self.results: set[str] = set()
+        self.completed_tasks: set[str] = set()
         self.launched: set[tuple[str, int]] = set()
         self.starts = 0
         self.violations: list[str] = []
         self.modes: dict[tuple[str, str], str] = {}
         self.cut_peers: set[str] = set()
         self.cut_workers: set[str] = set()
-        self.slow = 1.0  # how many times as long the state service takes to answer
+        self.state_delay_factor = 1.0  # how many times as long the state service takes to answer
         self.lost_answers = 0.0  # the fraction of transactions of which only the answer is lost
         self.boot_s = (2.0, 10.0)  # the least and the most that a machine takes to come up
-        self.kept_heartbeats: list[Request] | None = None  # copies, while they are kept
+        self.recorded_heartbeats: list[Request] | None = None  # copies, while they are kept
         self.accepted_at: dict[str, float] = {}
         self.first_start: dict[str, float] = {}  # of each task
         self.late_writes = 0.0  # the fraction of transactions without an answer, carried out late
-        self.lose: Any = None  # or which: called with a controller's name and the transaction
+        self.is_late_write: Any = (
+            None  # or which: called with a controller's name and the transaction
+        )
         self.writes: list[tuple[float, str, dict[str, Any]]] = []  # what was sent, and by whom
-        self.calm_at: float | None = None  # since when there are no more faults
-        self.lease_ends_hung = False  # hung beyond its lease, a machine can't go on with tasks
+        self.faults_ended_at: float | None = None  # since when there are no more faults
+        self.hung_tasks_end_with_lease = (
+            False  # hung beyond its lease, a machine can't go on with tasks
+        )
         self.waiting_since: dict[str, float] = {}
         self.answered_at: dict[str, float] = {}
-        self.served: dict[str, float] = {}  # seconds that each replica ran
+        self.replica_run_s: dict[str, float] = {}  # seconds that each replica ran
         self.replica_ends = 0.0  # how often in a second one ends by itself
-        self.reruns: list[str] = []  # tasks that were started again after they were done
-        self.starts_of: dict[str, int] = {}
+        self.restarted_after_done: list[
+            str
+        ] = []  # tasks that were started again after they were done
+        self.start_counts: dict[str, int] = {}
         self.started_after_cancel: dict[str, float] = {}
-        self.copies = 0.0  # the fraction of heartbeats of which a late copy comes
-        self.copied = 0
-        self.old: Any = None  # the version in production
-        self.old_names: set[str] = set()  # controllers that start with it
+        self.late_copy_fraction = 0.0  # the fraction of heartbeats of which a late copy comes
+        self.late_copies_delivered = 0
+        self.earlier_version: Any = None  # the version in production
+        self.earlier_version_controllers: set[str] = set()  # controllers that start with it
         self.partition_plan: PartitionPlan | None = None  # where partitions are switched on
         self.without_partitions: set[str] = set()  # controllers on which they are off all the same
-        self.frozen: set[str] = set()  # controllers that stand still
-        self.held: dict[str, list[Any]] = {}  # frames and heartbeats for them
+        self.paused: set[str] = set()  # controllers that stand still
+        self.held_messages: dict[str, list[Any]] = {}  # frames and heartbeats for them
         self.group: Any = None
         self.rules = RuleChecker(self)
         self.history = AnswerHistory()
@@ -90,12 +96,12 @@
 
     # Network
 
-    def put_off(self, controller: str, body: bytes | None) -> bool:
+    def transaction_is_late(self, controller: str, body: bytes | None) -> bool:
         """Whether a transaction gets no answer and is carried out late."""
         said = json.loads(body or b"{}")
         self.writes.append((now(), controller, said))
-        if self.lose is not None:
-            return bool(self.lose(controller, said))
+        if self.is_late_write is not None:
+            return bool(self.is_late_write(controller, said))
         return self.late_writes > 0.0 and self.random.random() < self.late_writes
 
     def mode(self, controller: str, service: Any) -> str:
@@ -115,37 +121,37 @@
                 return None
         await anyio.sleep(0.001 + self.random.random() * 0.004)
         controller = self.controllers.get(name)
-        if name in self.frozen:
-            self.held.setdefault(name, []).append(request)
+        if name in self.paused:
+            self.held_messages.setdefault(name, []).append(request)
             await anyio.sleep(10.0)
             return None
         if controller is None:
             return None
-        if worker is not None and self.random.random() < self.copies:
+        if worker is not None and self.random.random() < self.late_copy_fraction:
             self.group.start_soon(self._late_copy, request)
-        if worker is not None and self.kept_heartbeats is not None:
-            self.kept_heartbeats.append(request)
+        if worker is not None and self.recorded_heartbeats is not None:
+            self.recorded_heartbeats.append(request)
         answer = await controller.handle(request)
-        await self.thawed(name)
-        if worker is not None and worker.unreachable:
+        await self.wait_until_resumed(name)
+        if worker is not None and worker.answers_lost:
             await anyio.sleep(10.0)
             return None
         if worker is not None and self.random.random() < 0.01:
             await anyio.sleep(10.0)  # an answer that comes too late
         return answer if self.controllers.get(name) is controller else None
 
-    async def thawed(self, name: str) -> None:
-        while name in self.frozen:
+    async def wait_until_resumed(self, name: str) -> None:
+        while name in self.paused:
             await anyio.sleep(0.01)
 
-    async def stand_still(self, name: str, length: float) -> None:
+    async def pause_controller(self, name: str, length: float) -> None:
         """A controller stands still while its clock runs on: what it was answered, was about to
         send, or was sent meanwhile, it handles when it goes on."""
         controller = self.controllers.get(name)
-        self.frozen.add(name)
+        self.paused.add(name)
         await anyio.sleep(length)
-        self.frozen.discard(name)
-        for item in self.held.pop(name, []):
+        self.paused.discard(name)
+        for item in self.held_messages.pop(name, []):
             if controller is not None and self.controllers.get(name) is controller:
                 if isinstance(item, Request):
                     await controller.handle(item)
@@ -157,14 +163,14 @@
         await anyio.sleep(self.random.choice([1.0, 4.0, 12.0, 30.0]) * (0.5 + self.random.random()))
         controller = self.controllers.get(self.random.choice(self.names))
         if controller is not None:
-            self.copied += 1
+            self.late_copies_delivered += 1
             await controller.handle(request)
 
     async def deliver(self, copies: list[Request]) -> None:
         """Deliver copies of recorded heartbeats to each controller."""
         for request in copies:
             for controller in list(self.controllers.values()):
-                self.copied += 1
+                self.late_copies_delivered += 1
                 await controller.handle(request)
 
     # Controllers
@@ -173,7 +179,7 @@
         if name in self.controllers:
             return  # the restart of another fault was quicker: a controller runs once
 
-        old = self.old if name in self.old_names else None
+        old = self.earlier_version if name in self.earlier_version_controllers else None
         errors = old.http_client if old is not None else http_client
 
         def connect(_: str, port: int) -> Any:
@@ -269,7 +275,7 @@
                 if name.split("/")[0] == job_id and task.attempt == attempt:
                     task.stage, task.cause = "exited", "done"
                     worker.changed = True
-                    self.results.add(name)
+                    self.completed_tasks.add(name)
 
     # Rules
 
@@ -290,7 +296,7 @@
         for worker in list(self.workers.values()):
             worker.tick()
         self.rules.check_cancelled()
-        if self.calm_at is not None:
+        if self.faults_ended_at is not None:
             self.rules.check_waiting()
 
     # Users
@@ -307,19 +313,19 @@
         self, name: str, request: Request, within: float = 5.0
     ) -> tuple[int, Any]:
         """A user's request to one controller; what it answers is compared with all answers."""
-        question = self.history.ask(*self._asked(request))
+        question = self.history.record_request(*self._asked(request))
         answer: Response | None = None
         with anyio.move_on_after(within):  # a controller that crashes answers nobody
             answer = await self.to_controller(name, request)
         if answer is None:
             return 0, {}
-        return answer.status, self.note_answer(question, name, answer)
+        return answer.status, self.check_answer(question, name, answer)
 
-    def note_answer(self, question: Question, name: str, answer: Response) -> Any:
+    def check_answer(self, question: Question, name: str, answer: Response) -> Any:
         """Compare a controller's answer with all answers before; gives what it says."""
         said = json.loads(answer.body)
         before = len(self.history.violations)
-        self.history.answered(question, answer.status, said)
+        self.history.record_answer(question, answer.status, said)
         self.violations += [
             f"{b} by {name} at {now():.2f}" for b in self.history.violations[before:]
         ]
@@ -365,27 +371,27 @@
             if status == 200:
                 self.answered_at[job_id] = now()
                 self._told(job_id, said["stage"], asked or job_id in self.cancelled_at)
-            elif self.calm_at is not None and (
-                now() - max(self.calm_at, self.answered_at.get(job_id, 0.0)) > 75.0
+            elif self.faults_ended_at is not None and (
+                now() - max(self.faults_ended_at, self.answered_at.get(job_id, 0.0)) > 75.0
             ):
                 self.violations.append(f"forgotten {job_id} for 75 s")
             await anyio.sleep(3.0)
 
     def _told(self, job_id: str, stage: str, may_be_cancelled: bool) -> None:
-        before = self.told.get(job_id)
+        before = self.reported_stages.get(job_id)
         if before in ("done", "withdrawn") and stage != before:
             self.violations.append(f"went_back {job_id}")
         if stage == "done" and self.jobs[job_id]["shape"] == "daemon":
             self.violations.append(f"not_done {job_id} is a service")
         if stage == "done":
             pieces = self.jobs[job_id]["pieces"]
-            if any(f"{job_id}/{i}" not in self.results for i in range(pieces)):
+            if any(f"{job_id}/{i}" not in self.completed_tasks for i in range(pieces)):
                 self.violations.append(f"not_done {job_id}")
         if stage == "withdrawn":
             if not may_be_cancelled:
                 self.violations.append(f"went_back {job_id} was not cancelled")
             self.cancelled_at.setdefault(job_id, now())
-        self.told[job_id] = stage
+        self.reported_stages[job_id] = stage
 
     def job(self, **fields: Any) -> dict[str, Any]:
         body = {
@@ -436,7 +442,7 @@
             expected_s=true_s * pick.uniform(0.5, 2.0),
         )
 
-    async def play(self, until: float, script: Any) -> None:
+    async def run_scenario(self, until: float, script: Any) -> None:
         """Start the controllers, run the script beside the world, and stop after a time."""
         async with anyio.create_task_group() as group:
             self.group = group
--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -70,7 +70,7 @@
 
 
 async def _stands_still(world: World, name: str) -> None:
-    await world.stand_still(_leader_or(world, name), world.random.choice([0.4, 1.2, 3.0]))
+    await world.pause_controller(_leader_or(world, name), world.random.choice([0.4, 1.2, 3.0]))
 
 
 async def _late_writes(world: World, _: str) -> None:
@@ -86,9 +86,9 @@
 
 
 async def _slow_state(world: World, _: str) -> None:
-    world.slow = world.random.choice([20.0, 100.0, 400.0])
+    world.state_delay_factor = world.random.choice([20.0, 100.0, 400.0])
     await anyio.sleep(world.random.uniform(2.0, 6.0))
-    world.slow = 1.0
+    world.state_delay_factor = 1.0
 
 
 async def _outage(world: World, _: str) -> None:
@@ -164,9 +164,10 @@
         if stage == "withdrawn":
             self.world.cancelled_at.setdefault(self.job_id, now())
         if stage in ("done", "withdrawn"):
-            self.world.told[self.job_id] = stage
+            self.world.reported_stages[self.job_id] = stage
         if stage == "done" and any(
-            f"{self.job_id}/{n}" not in self.world.results for n in range(self.body["pieces"])
+            f"{self.job_id}/{n}" not in self.world.completed_tasks
+            for n in range(self.body["pieces"])
         ):
             self.world.violations.append(f"not_done {self.job_id}")
         return status, said
@@ -208,7 +209,7 @@
                 group.start_soon(self.ask, self.submission, name)
 
 
-def play_answers(seed: int, jobs: int = 40) -> World:
+def run_answer_scenario(seed: int, jobs: int = 40) -> World:
     """Play a random scenario. Tens of machines come up, as many as the jobs need."""
     world = World(seed, CONTROLLERS)
     world.boot_s = (0.5, 4.0)
@@ -224,7 +225,7 @@
             world.group.start_soon(JobUsers(world, f"run-{number:06d}").run)
 
     async def main() -> None:
-        await world.play(LENGTH_S, script)
+        await world.run_scenario(LENGTH_S, script)
 
     run_in_virtual_time(main)
     return world
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -129,15 +129,15 @@
     await anyio.sleep(25)
     for _ in range(4):
         for name in sorted(world.workers)[:2]:
-            world.workers[name].unreachable = True
+            world.workers[name].answers_lost = True
         await anyio.sleep(30)
 
 
 async def late_copies(world: World) -> None:
-    world.copies = 0.4
+    world.late_copy_fraction = 0.4
     await quick_restarts(world)
     await anyio.sleep(60)
-    world.copies = 0.0
+    world.late_copy_fraction = 0.0
 
 
 async def blinks(world: World) -> None:
@@ -165,11 +165,11 @@
     for service in ("state", "cloud"):
         world.modes[(owner, service)] = "cut"
     world.cut_peers.add(owner)
-    world.copies = 0.2
+    world.late_copy_fraction = 0.2
     await anyio.sleep(50)
     world.modes.clear()
     world.cut_peers.clear()
-    world.copies = 0.0
+    world.late_copy_fraction = 0.0
 
 
 async def stands_still(world: World) -> None:
@@ -179,9 +179,9 @@
     for length in (9.0, 25.0, 14.0):
         leader = world.state.keys.get("dw/leader")
         if leader is not None and length < 20:
-            world.group.start_soon(world.stand_still, leader[0]["node"], length)
+            world.group.start_soon(world.pause_controller, leader[0]["node"], length)
         await anyio.sleep(world.random.uniform(0.0, 3.0))
-        await world.stand_still(owners(world)[-1], length)
+        await world.pause_controller(owners(world)[-1], length)
         await anyio.sleep(world.random.uniform(4.0, 12.0))
 
 
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -734,7 +734,7 @@
         return answer
 
     async def main() -> None:
-        await world.play(length, script)
+        await world.run_scenario(length, script)
 
     with (
         patch.object(Wire, call.__name__, keep_call),
--- a/tests/support/machine_store.py
+++ b/tests/support/machine_store.py
@@ -41,6 +41,6 @@
     def machine_lifecycle(self) -> MachineLifecycle:
         return MachineLifecycle(self.cache, None, 14.0, 4.0, VALUE_BYTES, TXN_OPS)  # type: ignore[arg-type]
 
-    def read_anew(self, cache: Any) -> Any:
+    def reload_cache(self, cache: Any) -> Any:
         cache.reload(dict(sorted(self.keys.items())), self.revision)
         return cache
--- a/tests/support/partition_moves.py
+++ b/tests/support/partition_moves.py
@@ -66,7 +66,7 @@
     )
 
 
-def pinned(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
+def submit_zone_job(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
     """A user's job in zone a on machines of type c8."""
     cancel_after = fields.pop("cancel_after", None)
     known = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
@@ -74,7 +74,7 @@
     world.group.start_soon(world.user, name, body, cancel_after)
 
 
-async def until(reached: Callable[[], bool], within: float = 60.0) -> None:
+async def wait_until(reached: Callable[[], bool], within: float = 60.0) -> None:
     """Wait until something is so."""
     end = now() + within
     while not reached():
@@ -93,19 +93,19 @@
     }
 
 
-async def partitions_begun(world: World) -> None:
+async def wait_for_partitions(world: World) -> None:
     def begun() -> bool:
         record = world.state.keys.get(FORMAT)
         return record is not None and record[0]["version"] == PARTITIONS_FORMAT
 
-    await until(begun)
+    await wait_until(begun)
 
 
-async def busy_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
+async def fill_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
     """Machines come up for work in zone a: four tasks on each."""
-    await partitions_begun(world)
-    pinned(world, "run-000001", tasks, seconds, expected_s=200.0)
-    await until(lambda: len(world.first_start) == tasks, 60.0)
+    await wait_for_partitions(world)
+    submit_zone_job(world, "run-000001", tasks, seconds, expected_s=200.0)
+    await wait_until(lambda: len(world.first_start) == tasks, 60.0)
 
 
 def running(world: World) -> set[str]:
@@ -113,14 +113,14 @@
     return {name for _, name in world.on_machines()}
 
 
-def play_moves(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
+def run_partition_scenario(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
     """Play a scenario; returns its history, which the checker has found valid."""
 
     async def main() -> None:
         async def run() -> None:
             await script(world)
 
-        await world.play(length, run)
+        await world.run_scenario(length, run)
 
     run_in_virtual_time(main)
     history = PartitionHistory()
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -11,7 +11,7 @@
 
 from dapplewick.storage.formats import CURRENT_FORMAT
 from dapplewick.storage.keys import FORMAT
-from standins import NEXT, World, now
+from standins import LOWERED_LIMITS, World, now
 from support.scenarios import leader, run_script
 
 Fault = Callable[[World], Coroutine[Any, Any, None]]
@@ -97,11 +97,13 @@
 
 
 @dataclass
-class PlayedRoll:
+class RollingUpgradeResult:
     """A scenario on which this version replaced an earlier one."""
 
     world: World
-    raised_early: list[str] = field(default_factory=list)  # before whose turn the format was new
+    controllers_with_early_format: list[str] = field(
+        default_factory=list
+    )  # before whose turn the format was new
 
 
 def submit_large_arrays(world: World, first: int) -> None:
@@ -137,20 +139,20 @@
 
 def lower_limits(world: World) -> None:
     """The state service takes only what `state.next` of the settings names."""
-    world.state.lowered, world.state.rate = True, float(NEXT["write_rps"])
+    world.state.limits_lowered, world.state.rate = True, float(LOWERED_LIMITS["write_rps"])
 
 
-def play_roll(
+def run_rolling_upgrade(
     earlier: SimpleNamespace, fault: Fault, seed: int, *, lowered_after: float | None = None
-) -> PlayedRoll:
+) -> RollingUpgradeResult:
     """Play a scenario that begins with the earlier version alone, and a fault during the roll.
 
     The limits of the state service fall once all controllers are of this version, or with
     `lowered_after` so many seconds after the beginning.
     """
     world = World(seed)
-    world.old, world.old_names = earlier, set(world.names)
-    played = PlayedRoll(world)
+    world.earlier_version, world.earlier_version_controllers = earlier, set(world.names)
+    played = RollingUpgradeResult(world)
 
     async def fall() -> None:
         assert lowered_after is not None
@@ -162,8 +164,8 @@
         for name in world.names:
             await anyio.sleep(10)
             if FORMAT in world.state.keys:
-                played.raised_early.append(name)
-            world.old_names.discard(name)
+                played.controllers_with_early_format.append(name)
+            world.earlier_version_controllers.discard(name)
             world.crash(name)
             await anyio.sleep(world.random.choice([0.2, 3.0]))
             world.start_controller(name)
@@ -188,7 +190,7 @@
             await anyio.sleep(world.random.uniform(0.0, 10.0))
             lower_limits(world)
         submit_large_arrays(world, 4)
-        world.calm_at = now()
+        world.faults_ended_at = now()
         await anyio.sleep(110)
 
     run_script(world, 330.0, script)
--- a/tests/support/scenario_checks.py
+++ b/tests/support/scenario_checks.py
@@ -82,16 +82,16 @@
             self.violations.append(f"no Retry-After {job_id}")
         if answer.status in (200, 201, 404):
             stage = "unknown" if answer.status == 404 else said["stage"]
-            self.note(job_id, before, stage)
+            self.record_answer(job_id, before, stage)
         return answer.status, said
 
-    def note(self, job_id: str, before: int, stage: str) -> None:
+    def record_answer(self, job_id: str, before: int, stage: str) -> None:
         """An answer whose question was put when `before` was known."""
         self.answers += 1
         if ORDER[stage] < before:
             self.violations.append(f"older_answer {job_id} {stage}")
         self.known[job_id] = max(self.known.get(job_id, 0), ORDER[stage])
 
-    async def look(self, job_id: str) -> None:
+    async def poll_all(self, job_id: str) -> None:
         for name in list(self.world.names):
             await self.request(name, ask(None, job_id), job_id)
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -21,7 +21,7 @@
     )
 
 
-def play(
+def run_fault_scenario(
     fault: Fault,
     seed: int,
     jobs: int = 14,
@@ -43,7 +43,7 @@
                 group.start_soon(world.user, body["name_id"], body, cancel)
 
     async def main() -> None:
-        await world.play(length, script)
+        await world.run_scenario(length, script)
 
     run_in_virtual_time(main)
     return world
@@ -55,7 +55,7 @@
     """Play a scenario with a script beside it, in virtual time."""
 
     async def main() -> None:
-        await world.play(length, script)
+        await world.run_scenario(length, script)
 
     run_in_virtual_time(main)
 
@@ -80,10 +80,10 @@
 ) -> tuple[int, dict[str, Any]]:
     """A user's request to one controller."""
     path = f"/v2/runs/{job}" + (f"/{verb}" if verb else "")
-    question = world.history.ask(job, verb or "poll")
+    question = world.history.record_request(job, verb or "poll")
     answer = await world.controllers[name].handle(Request(method, path, b"", False))
     assert answer.status != 503 or answer.retry_after
-    return answer.status, world.note_answer(question, name, answer)
+    return answer.status, world.check_answer(question, name, answer)
 
 
 async def cancel(world: World, name: str, jobs: list[str]) -> None:
@@ -91,15 +91,15 @@
     for job in jobs:
         status, said = await call(world, name, "POST", job, "abort")
         if status == 200 and said["stage"] == "withdrawn":
-            world.told[job] = "withdrawn"
+            world.reported_stages[job] = "withdrawn"
             world.cancelled_at.setdefault(job, now())
 
 
-def finished(world: World) -> dict[str, str]:
-    return {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")}
+def unfinished_jobs(world: World) -> dict[str, str]:
+    return {j: s for j, s in world.reported_stages.items() if s not in ("done", "withdrawn")}
 
 
-def play_scenario(script: Script, seed: int, length: float, count: int = 3) -> World:
+def run_script_scenario(script: Script, seed: int, length: float, count: int = 3) -> World:
     world = World(seed, count)
 
     async def run() -> None:
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -13,7 +13,7 @@
 from dapplewick.errors import DapplewickError
 from standins import WORKERS, now
 from support.scenario_checks import final_check_failures
-from support.soak_faults import FaultPlayer
+from support.soak_faults import FaultInjector
 from support.soak_schedule import draw_schedule, end_of
 from support.soak_users import SERVICE_JOB, SoakUsers, draw_jobs, fleet_job, service_job
 from support.soak_world import SoakWorld
@@ -41,14 +41,14 @@
     seed: int
     violations: list[str]
     jobs: int
-    most_machines: int
+    max_machines: int
     served_after_s: float
 
     def line(self) -> str:
         """The result as one line of text."""
         verdict = "BROKEN" if self.violations else "ok"
         return (
-            f"seed {self.seed}: {verdict}, {self.jobs} jobs, at most {self.most_machines} "
+            f"seed {self.seed}: {verdict}, {self.jobs} jobs, at most {self.max_machines} "
             f"machines, all over {self.served_after_s:.0f} s after the last fault"
         )
 
@@ -70,7 +70,7 @@
             body = world.jobs[job_id]
             if body["crew"] != team["name"] or body["shape"] == "daemon":
                 continue
-            left = sum(f"{job_id}/{n}" not in world.results for n in range(body["pieces"]))
+            left = sum(f"{job_id}/{n}" not in world.completed_tasks for n in range(body["pieces"]))
             seconds = left * (body["true_s"] + TASK_OVERHEAD_S)
             cpu_s += body["cpus"] * seconds
             gpu_s += body["accelerators"] * seconds
@@ -89,7 +89,7 @@
         if body["shape"] == "daemon":
             settled = all(f"{job_id}/{n}" in running for n in range(body["pieces"]))
         else:
-            settled = world.told.get(job_id) in ("done", "withdrawn")
+            settled = world.reported_stages.get(job_id) in ("done", "withdrawn")
         if not settled:
             left.append(f"{job_id} ({body['bundle']}, {body['crew']}, {body['pieces']} tasks)")
     return left
@@ -108,7 +108,7 @@
         self._most_machines = 0
         self._served_after_s = math.inf
 
-    async def play(self) -> SoakResult:
+    async def run(self) -> SoakResult:
         """Play the run to its end; all its processes have ended then."""
         await self._world.run(self._script)
         return SoakResult(
@@ -129,10 +129,10 @@
             group.start_soon(users.probe)
             group.start_soon(self._count_machines)
             async with anyio.create_task_group() as troubles:
-                group.start_soon(FaultPlayer(world).play, self.schedule)
+                group.start_soon(FaultInjector(world).run, self.schedule)
                 troubles.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
                 troubles.start_soon(users.submit, jobs, end_of(self.schedule))
-            world.calm_at = now()
+            world.faults_ended_at = now()
             await self._wait_until_served()
             await self._ask_for_violations()
             group.cancel_scope.cancel()
@@ -145,13 +145,13 @@
     async def _wait_until_served(self) -> None:
         """Wait until all jobs are over, or the time for that has passed."""
         world = self._world
-        assert world.calm_at is not None
+        assert world.faults_ended_at is not None
         bound_s = RECOVERY_S + WASTE * work_left_s(world)
         expected = self._options.jobs + 1 + bool(self._options.machines)
-        while now() - world.calm_at < bound_s:
+        while now() - world.faults_ended_at < bound_s:
             await anyio.sleep(1.0)
             if len(world.accepted) == expected and not unsettled(world):
-                self._served_after_s = now() - world.calm_at
+                self._served_after_s = now() - world.faults_ended_at
                 return
         if len(world.accepted) < expected:
             world.violations.append(f"{expected - len(world.accepted)} jobs were not accepted")
@@ -184,9 +184,9 @@
         ]
 
 
-def play_seed(folder: Path, seed: int, options: SoakOptions) -> SoakResult:
+def run_seed(folder: Path, seed: int, options: SoakOptions) -> SoakResult:
     """Play one seed; what the folder holds is left to the caller."""
     run = SoakRun(folder, seed, options)
-    result: Any = anyio.run(run.play)
+    result: Any = anyio.run(run.run)
     assert isinstance(result, SoakResult)
     return result
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -28,7 +28,7 @@
     return world.random.choice(world.names)
 
 
-class FaultPlayer:
+class FaultInjector:
     """Plays faults, each for its time; several may be under way at once."""
 
     def __init__(self, world: SoakWorld) -> None:
@@ -56,7 +56,7 @@
             FaultKind.CLOUD_OUTAGE: self._cloud_outage,
         }
 
-    async def play(self, schedule: list[Fault]) -> None:
+    async def run(self, schedule: list[Fault]) -> None:
         """Play a schedule to its end."""
         begun = now()
         async with anyio.create_task_group() as group:
@@ -109,9 +109,9 @@
         self._world.state.set_down(False)
 
     async def _slow_state(self, fault: Fault) -> None:
-        self._world.slow = SLOW_TIMES
+        self._world.state_delay_factor = SLOW_TIMES
         await anyio.sleep(fault.for_s)
-        self._world.slow = 1.0
+        self._world.state_delay_factor = 1.0
 
     async def _late_writes(self, fault: Fault) -> None:
         self._world.late_writes = fault.share / 2
@@ -176,7 +176,7 @@
         await self._befall_machines(fault, "cut")
 
     async def _deafen_machines(self, fault: Fault) -> None:
-        await self._befall_machines(fault, "unreachable")
+        await self._befall_machines(fault, "answers_lost")
 
     async def _hang_machines(self, fault: Fault) -> None:
         await self._befall_machines(fault, "hanging")
@@ -195,6 +195,6 @@
             self._world.remove_machine(worker.name)
 
     async def _copy_heartbeats(self, fault: Fault) -> None:
-        self._world.copies = fault.share / 2
+        self._world.late_copy_fraction = fault.share / 2
         await anyio.sleep(fault.for_s)
-        self._world.copies = 0.0
+        self._world.late_copy_fraction = 0.0
--- a/tests/support/soak_users.py
+++ b/tests/support/soak_users.py
@@ -126,7 +126,10 @@
             raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
             name = self._random.choice(self._world.names)
             await self._put(name, Request("POST", "/v2/runs", raw, False))
-        if self._world.told.get(job_id) == "done" and self._random.random() < CANCELLED_LATE:
+        if (
+            self._world.reported_stages.get(job_id) == "done"
+            and self._random.random() < CANCELLED_LATE
+        ):
             name = self._random.choice(self._world.names)
             await self._put(name, Request("POST", f"/v2/runs/{job_id}/abort", b"", False))
 
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -163,10 +163,10 @@
         if isinstance(worker, Worker) and (worker.cut or name in self.cut_workers):
             await anyio.sleep(10.0)
             return None
-        if worker is not None and self.random.random() < self.copies:
+        if worker is not None and self.random.random() < self.late_copy_fraction:
             self.group.start_soon(self._late_copy, request)
         status, said = await self.call(name, request.method, request.target, request.body)
-        if isinstance(worker, Worker) and worker.unreachable:
+        if isinstance(worker, Worker) and worker.answers_lost:
             await anyio.sleep(10.0)
             return None
         if not status:
@@ -177,7 +177,7 @@
 
     async def _late_copy(self, request: Request) -> None:
         await anyio.sleep(self.random.choice([2.0, 6.0, 16.0]))
-        self.copied += 1
+        self.late_copies_delivered += 1
         await self.call(
             self.random.choice(self.names), request.method, request.target, request.body
         )
@@ -194,7 +194,7 @@
         for worker in list(self.workers.values()):
             worker.tick()
         self.rules.check_cancelled()
-        if self.calm_at is not None and now() - self._waiting_checked_at > SLOW_TICK_S:
+        if self.faults_ended_at is not None and now() - self._waiting_checked_at > SLOW_TICK_S:
             self._waiting_checked_at = now()
             self.rules.check_waiting()
 
--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -23,7 +23,7 @@
 from dapplewick.protocol.workers import encode_heartbeat_response
 from standins import World, recorder
 from support import production, rolls
-from support.answer_scenarios import play_answers
+from support.answer_scenarios import run_answer_scenario
 from support.shard_bench import TOKEN, busy_shard, leader_of
 
 Play = Callable[[], Any]
@@ -31,22 +31,22 @@
 
 def answers(seed: int, jobs: int) -> Play:
     """Many users ask about short jobs during compound failures; limits are lowered on odd seeds."""
-    return lambda: play_answers(seed, jobs)
+    return lambda: run_answer_scenario(seed, jobs)
 
 
 def single_fault(kind: scenarios.Fault, seed: int) -> Play:
     """Gangs and arrays of users, and one kind of failure."""
-    return lambda: scenarios.play(kind, seed)
+    return lambda: scenarios.run_fault_scenario(kind, seed)
 
 
 def layout(count: int, zones: list[str], kind: scenarios.Fault, seed: int) -> Play:
     """Another number of controllers and of zones."""
-    return lambda: scenarios.play(kind, seed, world=World(seed, count, zones))
+    return lambda: scenarios.run_fault_scenario(kind, seed, world=World(seed, count, zones))
 
 
 def compound(script: scenarios.Script, seed: int, length: float) -> Play:
     """Compound failures."""
-    return lambda: scenarios.play_scenario(script, seed, length)
+    return lambda: scenarios.run_script_scenario(script, seed, length)
 
 
 def service(fault: services.Script) -> Play:
@@ -56,12 +56,12 @@
 
 def roll(fault: rolls.Fault, seed: int) -> Play:
     """Controllers of production are replaced by this version; then the limits fall."""
-    return lambda: rolls.play_roll(production.load(), fault, seed)
+    return lambda: rolls.run_rolling_upgrade(production.load(), fault, seed)
 
 
 def roll_with_services(fault: rolls.Fault, seed: int, lowered_after: float) -> Play:
     """The same from a version that has services: the limits fall in the middle of the roll."""
-    return lambda: rolls.play_roll(
+    return lambda: rolls.run_rolling_upgrade(
         production.load_commit(production.PREVIOUS_MAIN), fault, seed, lowered_after=lowered_after
     )
 
--- a/tests/tools/make_production_data.py
+++ b/tests/tools/make_production_data.py
@@ -18,7 +18,7 @@
 
 def main() -> None:
     world = standins.World(5)
-    world.old, world.old_names = production.load(), set(world.names)
+    world.earlier_version, world.earlier_version_controllers = production.load(), set(world.names)
     messages: dict[str, object] = {}
     post = standins.Link.post
 
--- a/tests/tools/measure_partitions.py
+++ b/tests/tools/measure_partitions.py
@@ -17,7 +17,15 @@
 from dapplewick.storage.formats import PARTITIONS_FORMAT
 from dapplewick.storage.keys import FORMAT, MACHINES
 from standins import World, now, run_in_virtual_time
-from support.partition_moves import NIGHT, PLAN, machines_of, move, new_world, pinned, until
+from support.partition_moves import (
+    NIGHT,
+    PLAN,
+    machines_of,
+    move,
+    new_world,
+    submit_zone_job,
+    wait_until,
+)
 
 SIZES = (4, 16, 48)
 LOADS = {"idle": 0.0, "tasks of 10 s": 10.0, "tasks of 60 s": 60.0}
@@ -44,7 +52,7 @@
     for name in names:
         world.new_machine(name, "c8", "a", False)
     world.cloud.next_name = len(names)
-    await until(
+    await wait_until(
         lambda: world.state.keys.get(FORMAT, ({"version": 0},))[0]["version"] == PARTITIONS_FORMAT
     )
     await anyio.sleep(6.0)
@@ -73,7 +81,7 @@
                 nonlocal job
                 while True:
                     job += 1
-                    pinned(world, f"run-{job:06d}", 12 * machines + 2, task_s)
+                    submit_zone_job(world, f"run-{job:06d}", 12 * machines + 2, task_s)
                     await anyio.sleep(task_s)
 
             world.group.start_soon(load)
@@ -81,7 +89,7 @@
         began = now()
         await move(world, "o-00000001", "", "night", machines)
         with anyio.move_on_after(600.0):
-            await until(lambda: len(machines_of(world, NIGHT)) >= machines, 590.0)
+            await wait_until(lambda: len(machines_of(world, NIGHT)) >= machines, 590.0)
         took = now() - began
         await anyio.sleep(max(15.0, 1.5 * task_s))
         waits = [0.0, 0.0]
@@ -91,7 +99,7 @@
         world.group.cancel_scope.cancel()
 
     async def main() -> None:
-        await world.play(1200.0, script)
+        await world.run_scenario(1200.0, script)
 
     run_in_virtual_time(main)
     assert world.violations == []
--- a/tests/tools/play_answers.py
+++ b/tests/tools/play_answers.py
@@ -9,7 +9,7 @@
 import logging
 import sys
 
-from support.answer_scenarios import play_answers
+from support.answer_scenarios import run_answer_scenario
 
 
 def main(arguments: list[str]) -> None:
@@ -18,7 +18,7 @@
     logging.disable(logging.CRITICAL)
     violations = 0
     for seed in range(first, last + 1):
-        world = play_answers(seed, jobs)
+        world = run_answer_scenario(seed, jobs)
         violations += bool(world.violations)
         print(
             f"seed {seed}: {world.history.answers} answers, {len(world.accepted)} jobs,",
--- a/tests/tools/soak.py
+++ b/tests/tools/soak.py
@@ -25,7 +25,7 @@
 sys.path[:0] = [str(TESTS.parent / "src"), str(TESTS)]
 
 from support.mutations import SOAK_GUARDS  # noqa: E402
-from support.soak import SoakOptions, play_seed  # noqa: E402
+from support.soak import SoakOptions, run_seed  # noqa: E402
 from support.soak_schedule import draw_schedule  # noqa: E402
 
 SEED_LIMIT_S = 600.0  # no run takes nearly so long
@@ -107,7 +107,7 @@
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     schedule = [fault.line() for fault in draw_schedule(seed)]
     (folder / "schedule.txt").write_text("\n".join(schedule) + "\n")
-    result = play_seed(folder, seed, options)
+    result = run_seed(folder, seed, options)
     print(result.line())
     if not result.violations:
         shutil.rmtree(folder)
