--- a/tests/simulation/test_compound_failures.py
+++ b/tests/simulation/test_compound_failures.py
@@ -346,13 +346,13 @@
             while status != 200:
                 status, said = await world.ask("POST", f"/v2/runs/{job_id}/abort")
                 await anyio.sleep(0.2 if status == 200 else 1.0)
-            world._told(job_id, said["stage"], True)
+            world._record_reported_stage(job_id, said["stage"], True)
         while world.reported_stages.get(job_id) not in ("done", "withdrawn"):
             await anyio.sleep(3.0)
             status, said = await world.ask("GET", f"/v2/runs/{job_id}")
             assert status != 404
             if status == 200:
-                world._told(job_id, said["stage"], job_id in world.cancelled_at)
+                world._record_reported_stage(job_id, said["stage"], job_id in world.cancelled_at)
         ended.append(now() - begun)
 
     async def script() -> None:
--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -9,7 +9,7 @@
 FINAL_STAGES = ("done", "withdrawn")
 
 
-class Question(NamedTuple):
+class UserRequest(NamedTuple):
     """A user's request about a job. `known`: what any user had been told when it was put."""
 
     job: str
@@ -18,12 +18,12 @@
 
 
 @dataclass
-class Told:
+class ReportedState:
     """What users were told about one job so far."""
 
     known: int = UNKNOWN
     final: str = ""
-    cancel_asked: bool = False
+    cancel_requested: bool = False
 
 
 @dataclass
@@ -36,37 +36,37 @@
 
     violations: list[str] = field(default_factory=list)
     answers: int = 0
-    jobs: dict[str, Told] = field(default_factory=dict)
+    jobs: dict[str, ReportedState] = field(default_factory=dict)
 
-    def record_request(self, job: str, verb: str) -> Question:
+    def record_request(self, job: str, verb: str) -> UserRequest:
         """A user puts a question now."""
-        told = self.jobs.setdefault(job, Told())
+        reported = self.jobs.setdefault(job, ReportedState())
         if verb == "abort":
-            told.cancel_asked = True
-        return Question(job, verb, told.known)
+            reported.cancel_requested = True
+        return UserRequest(job, verb, reported.known)
 
-    def record_answer(self, question: Question, status: int, said: Any) -> None:
+    def record_answer(self, request: UserRequest, status: int, body: Any) -> None:
         """The answer to a question arrives."""
         if status in (200, 201):
             self.answers += 1
-            self._stage(question, said["stage"])
+            self._check_stage(request, body["stage"])
         elif status == 404:
             self.answers += 1
-            if question.known > UNKNOWN:
-                self.violations.append(f"forgotten {question.job} 404 to {question.verb}")
-        elif status in (400, 422) and question.verb == "submit" and question.known > UNKNOWN:
-            self.violations.append(f"forgotten {question.job} {status} to submit")
-
-    def _stage(self, question: Question, stage: str) -> None:
-        told = self.jobs[question.job]
-        what = f"{question.job} {stage} to {question.verb}"
+            if request.known > UNKNOWN:
+                self.violations.append(f"forgotten {request.job} 404 to {request.verb}")
+        elif status in (400, 422) and request.verb == "submit" and request.known > UNKNOWN:
+            self.violations.append(f"forgotten {request.job} {status} to submit")
+
+    def _check_stage(self, request: UserRequest, stage: str) -> None:
+        reported = self.jobs[request.job]
+        what = f"{request.job} {stage} to {request.verb}"
         if stage not in FINAL_STAGES:
-            if question.known == OVER:
-                self.violations.append(f"went_back {what} after {told.final}")
-            told.known = max(told.known, ACCEPTED)
+            if request.known == OVER:
+                self.violations.append(f"went_back {what} after {reported.final}")
+            reported.known = max(reported.known, ACCEPTED)
             return
-        if stage == "withdrawn" and not told.cancel_asked:
+        if stage == "withdrawn" and not reported.cancel_requested:
             self.violations.append(f"went_back {what}, nobody cancelled it")
-        if told.final and told.final != stage:
-            self.violations.append(f"went_back {what} after {told.final}")
-        told.known, told.final = OVER, told.final or stage
+        if reported.final and reported.final != stage:
+            self.violations.append(f"went_back {what} after {reported.final}")
+        reported.known, reported.final = OVER, reported.final or stage
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -29,29 +29,35 @@
             return 503, b'{"error":"trouble"}'
         path, query = urlsplit(target).path, parse_qs(urlsplit(target).query)
         if path == "/catalog":
-            types = [kind | {"yards": self.world.zones} for kind in TYPES]
+            types = [machine_type | {"yards": self.world.zones} for machine_type in TYPES]
             return 200, json.dumps({"builds": types}).encode()
         if path == "/hosts" and method == "POST":
-            asked = json.loads(body or b"{}")
-            if (asked["build"], asked["borrowed"]) in self.unavailable_types:
+            request = json.loads(body or b"{}")
+            if (request["build"], request["borrowed"]) in self.unavailable_types:
                 return 503, b'{"error":"no capacity"}'
-            if asked["booking"] not in self.provisioning_requests:
+            if request["booking"] not in self.provisioning_requests:
                 names = []
-                for _ in range(asked["how_many"]):
+                for _ in range(request["how_many"]):
                     name = f"vm-{self.next_name:06d}"
                     self.next_name += 1
-                    self.world.new_machine(name, asked["build"], asked["yard"], asked["borrowed"])
+                    self.world.new_machine(
+                        name, request["build"], request["yard"], request["borrowed"]
+                    )
                     names.append(name)
-                self.provisioning_requests[asked["booking"]] = names
-            return 200, json.dumps({"looms": self.provisioning_requests[asked["booking"]]}).encode()
+                self.provisioning_requests[request["booking"]] = names
+            return 200, json.dumps(
+                {"looms": self.provisioning_requests[request["booking"]]}
+            ).encode()
         if path == "/hosts/delete":
             for name in json.loads(body or b"{}")["looms"]:
                 self.world.remove_machine(name)
             return 200, b"{}"
-        lag = 4.0 * self.world.random.random() * 2
-        shown = [m for at, m in self.history if at <= now() - lag] or [[]]
-        since = query.get("since", [""])[0]
-        return 200, json.dumps({"looms": [m for m in shown[-1] if m["name_id"] > since]}).encode()
+        lag_s = 4.0 * self.world.random.random() * 2
+        visible = [m for at, m in self.history if at <= now() - lag_s] or [[]]
+        start_after = query.get("since", [""])[0]
+        return 200, json.dumps(
+            {"looms": [m for m in visible[-1] if m["name_id"] > start_after]}
+        ).encode()
 
     def snapshot(self) -> None:
         machines = [
@@ -62,7 +68,7 @@
                 "yard": w.zone,
                 "borrowed": w.spot,
                 "stage": "running",
-                "held_s": now() - w.born,
+                "held_s": now() - w.created_at,
             }
             for w in self.world.workers.values()
         ]
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -32,7 +32,7 @@
         self.errors = errors  # the version of the controller has its own
 
     async def request(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
         kind = "state" if self.service is self.world.state else "cloud"
         recorder.record(
@@ -40,13 +40,13 @@
         )
         await self.world.wait_until_resumed(self.controller)
         try:
-            return await self._request(method, target, body, within)
+            return await self._request(method, target, body, timeout_s)
         finally:
             # What a controller that stands still was answered is found when it goes on.
             await self.world.wait_until_resumed(self.controller)
 
     async def _request(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
         mode = self.world.mode(self.controller, self.service)
         random_ = self.world.random
@@ -60,35 +60,37 @@
         if mode == "held":
             if "/changes" not in target:
                 self.world.group.start_soon(self._deliver_after_cut, deliver)
-            await self._time_out(within)
+            await self._sleep_and_time_out(timeout_s)
         if mode == "cut":
-            await anyio.sleep(within)
-            known = random_.random() >= 0.5
-            raise (self.errors.RequestNotSentError if known else self.errors.HttpError)("timeout")
+            await anyio.sleep(timeout_s)
+            known_unsent = random_.random() >= 0.5
+            raise (self.errors.RequestNotSentError if known_unsent else self.errors.HttpError)(
+                "timeout"
+            )
         lossy = mode == "lossy" and "/changes" not in target
         if lossy and random_.random() < 0.3:
             # The request is carried out late, or its answer is lost.
             delay = random_.choice([0.0, 1.0, 5.0, 20.0])
             self.world.group.start_soon(self._deliver_after, delay, deliver)
-            await self._time_out(within)
+            await self._sleep_and_time_out(timeout_s)
         if state and target == "/multi" and random_.random() < self.world.lost_answers:
             # Carried out at once, and only its answer is lost.
             await deliver()
-            await self._time_out(within)
+            await self._sleep_and_time_out(timeout_s)
         if state and target == "/multi" and self.world.transaction_is_late(self.controller, body):
             # No answer, and carried out after newer ones of the same controller.
-            self.world.group.start_soon(self._deliver_late, deliver)
-            await self._time_out(within)
-        with anyio.move_on_after(within):
+            self.world.group.start_soon(self._deliver_out_of_order, deliver)
+            await self._sleep_and_time_out(timeout_s)
+        with anyio.move_on_after(timeout_s):
             answer: tuple[int, bytes] = await deliver()
             if "/changes" in target and self.world.mode(self.controller, self.service) == "refused":
                 # The open watch of a controller that alone is refused waits as in an outage.
-                await anyio.sleep(within)
+                await anyio.sleep(timeout_s)
             return answer
         raise self.errors.HttpError("timeout")
 
-    async def _time_out(self, within: float) -> NoReturn:
-        await anyio.sleep(within)
+    async def _sleep_and_time_out(self, timeout_s: float) -> NoReturn:
+        await anyio.sleep(timeout_s)
         raise self.errors.HttpError("timeout")
 
     async def _deliver_after_cut(self, deliver: Deliver) -> None:
@@ -101,7 +103,7 @@
         await anyio.sleep(delay)
         await deliver()
 
-    async def _deliver_late(self, deliver: Deliver) -> None:
+    async def _deliver_out_of_order(self, deliver: Deliver) -> None:
         await anyio.sleep(self.world.random.uniform(2.0, 12.0))
         await deliver()
 
@@ -113,29 +115,29 @@
         self.world = world
         self.sender = sender
         self.target = f"n{port - 100}"
-        self.waiting: dict[str, Any] = {}
+        self.latest_by_kind: dict[str, Any] = {}
 
     def post(self, kind: str, message: dict[str, Any]) -> None:
-        self.waiting[kind] = cbor2.dumps(message)
+        self.latest_by_kind[kind] = cbor2.dumps(message)
 
-    async def ask(self, message: dict[str, Any], within: float) -> dict[str, Any] | None:
+    async def ask(self, message: dict[str, Any], timeout_s: float) -> dict[str, Any] | None:
         recorder.record("ask", sender=self.sender, target=self.target, message=message)
         controller = self.world.controllers.get(self.target)
-        with anyio.move_on_after(within):
+        with anyio.move_on_after(timeout_s):
             if controller is None or {self.sender, self.target} & self.world.cut_peers:
-                await anyio.sleep(within)
+                await anyio.sleep(timeout_s)
                 return None
             await anyio.sleep(0.005)
             answer = await controller.on_request(cbor2.loads(cbor2.dumps(message)))
-            said: dict[str, Any] | None = cbor2.loads(cbor2.dumps(answer))
-            return said
+            decoded: dict[str, Any] | None = cbor2.loads(cbor2.dumps(answer))
+            return decoded
         return None
 
     async def run(self) -> None:
         while True:
             await anyio.sleep(0.02 + self.world.random.random() * 0.03)
             await self.world.wait_until_resumed(self.sender)
-            batch, self.waiting = list(self.waiting.values()), {}
+            batch, self.latest_by_kind = list(self.latest_by_kind.values()), {}
             for frame in batch:
                 recorder.record(
                     "frame", sender=self.sender, target=self.target, message=cbor2.loads(frame)
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -29,19 +29,23 @@
         if name in self.world.completed_tasks:
             self.world.restarted_after_done.append(name)
         if job_id in self.world.cancelled_at:
-            late = now() - self.world.cancelled_at[job_id]
-            self.world.started_after_cancel[name] = late
-            if late > WORKERS["cancel_s"]:
+            delay_s = now() - self.world.cancelled_at[job_id]
+            self.world.started_after_cancel[name] = delay_s
+            if delay_s > WORKERS["cancel_s"]:
                 self.world.violations.append(f"ran_cancelled {name} started")
-        there = self.world.on_machines()
-        for other, other_name in there:
+        present_tasks = self.world.on_machines()
+        for other, other_name in present_tasks:
             if other_name == name and other is not worker:
                 self.world.violations.append(f"ran_twice {name}")
-        self._check_placement(worker, name, job, there)
-        self._check_quota(name, job, there)
+        self._check_placement(worker, name, job, present_tasks)
+        self._check_quota(name, job, present_tasks)
 
     def _check_placement(
-        self, worker: Worker, name: str, job: dict[str, Any], there: list[tuple[Worker, str]]
+        self,
+        worker: Worker,
+        name: str,
+        job: dict[str, Any],
+        present_tasks: list[tuple[Worker, str]],
     ) -> None:
         if job["builds"] is not None and worker.type not in job["builds"]:
             self.world.violations.append(f"wrong_place {name} type")
@@ -50,20 +54,24 @@
         if worker.spot and not job["borrowed"]:
             self.world.violations.append(f"wrong_place {name} spot")
         job_id = name.rpartition("/")[0]
-        mates = [w for w, n in there if n.rpartition("/")[0] == job_id and n != name]
-        if job["same_place"] and any(w.zone != worker.zone for w in mates):
+        sibling_workers = [
+            w for w, n in present_tasks if n.rpartition("/")[0] == job_id and n != name
+        ]
+        if job["same_place"] and any(w.zone != worker.zone for w in sibling_workers):
             self.world.violations.append(f"wrong_place {name} same_place")
         if job["scatter"]:
-            here = sum(w.zone == worker.zone for w in mates) + 1
-            if here > (job["pieces"] + 1) // 2:
+            tasks_in_zone = sum(w.zone == worker.zone for w in sibling_workers) + 1
+            if tasks_in_zone > (job["pieces"] + 1) // 2:
                 self.world.violations.append(f"wrong_place {name} scatter")
 
-    def _check_quota(self, name: str, job: dict[str, Any], there: list[tuple[Worker, str]]) -> None:
+    def _check_quota(
+        self, name: str, job: dict[str, Any], present_tasks: list[tuple[Worker, str]]
+    ) -> None:
         team = next(t for t in self.world.teams if t["name"] == job["crew"])
         for limit, field in (("cpus_max", "cpus"), ("gpus_max", "accelerators")):
             used = sum(
                 self.world.jobs[n.rpartition("/")[0]][field]
-                for _, n in there
+                for _, n in present_tasks
                 if self.world.jobs[n.rpartition("/")[0]]["crew"] == job["crew"] and n != name
             )
             if 0 < team[limit] < used + job[field] - 1e-6:
@@ -72,10 +80,10 @@
     def check_cancelled(self) -> None:
         """No task of a cancelled job is on a machine for longer than it may."""
         for worker, name in self.world.on_machines():
-            asked = self.world.cancelled_at.get(name.rpartition("/")[0])
-            if asked is not None and now() > asked + WORKERS["cancel_s"]:
+            cancelled_at = self.world.cancelled_at.get(name.rpartition("/")[0])
+            if cancelled_at is not None and now() > cancelled_at + WORKERS["cancel_s"]:
                 # Hung beyond its lease it ends its tasks before it goes on with anything.
-                over = worker.hanging and now() - worker.renewed > WORKERS["lease_s"]
+                over = worker.hanging and now() - worker.lease_renewed_at > WORKERS["lease_s"]
                 if not (over and self.world.hung_tasks_end_with_lease):
                     self.world.violations.append(f"ran_cancelled {name}")
 
@@ -83,23 +91,23 @@
         """Once faults are over, no job waits for 90 s while a machine that fits has room and
         its team is under its limit."""
         assert self.world.faults_ended_at is not None
-        there = self.world.on_machines_or_fetching()
-        where: dict[str, list[Worker]] = {}
+        present_tasks = self.world.on_machines_or_fetching()
+        workers_by_job: dict[str, list[Worker]] = {}
         jobs_on: dict[str, list[dict[str, Any]]] = {}
-        for worker, name in there:
+        for worker, name in present_tasks:
             job_id = name.rpartition("/")[0]
-            where.setdefault(job_id, []).append(worker)
+            workers_by_job.setdefault(job_id, []).append(worker)
             jobs_on.setdefault(worker.name, []).append(self.world.jobs[job_id])
         for job_id in sorted(self.world.accepted):
             job = self.world.jobs[job_id]
             names = [f"{job_id}/{i}" for i in range(job["pieces"])]
-            placed = where.get(job_id, [])
-            left = sum(n not in self.world.completed_tasks for n in names) - len(placed)
+            placed = workers_by_job.get(job_id, [])
+            remaining = sum(n not in self.world.completed_tasks for n in names) - len(placed)
             over = (
                 self.world.reported_stages.get(job_id) in ("done", "withdrawn")
                 or job_id in self.world.cancelled_at
             )
-            if over or left <= 0 or not self.could_start(job, placed, there, jobs_on):
+            if over or remaining <= 0 or not self.could_start(job, placed, present_tasks, jobs_on):
                 self.world.waiting_since.pop(job_id, None)
                 continue
             since = max(
@@ -113,41 +121,44 @@
         self,
         job: dict[str, Any],
         placed: list[Worker],
-        there: list[tuple[Worker, str]],
+        present_tasks: list[tuple[Worker, str]],
         jobs_on: dict[str, list[dict[str, Any]]],
     ) -> bool:
         """Whether one task of an array, or all of a gang, fit somewhere by plain counting."""
         gang = job["shape"] == "group"
         if gang and placed:
             return False
-        want = job["pieces"] if gang else 1
-        if not self._within_quota(job, want, there):
+        task_count = job["pieces"] if gang else 1
+        if not self._within_quota(job, task_count, present_tasks):
             return False
-        rooms = self._room_by_zone(job, jobs_on)
+        free_by_zone = self._fitting_tasks_by_zone(job, jobs_on)
         if job["same_place"]:
             if placed:
-                rooms = {z: n for z, n in rooms.items() if z == placed[0].zone}
-            return max(rooms.values(), default=0) >= want
+                free_by_zone = {z: n for z, n in free_by_zone.items() if z == placed[0].zone}
+            return max(free_by_zone.values(), default=0) >= task_count
         if job["scatter"]:
-            cap = (job["pieces"] + 1) // 2
-            rooms = {z: min(n, cap - sum(w.zone == z for w in placed)) for z, n in rooms.items()}
-        return sum(max(0, n) for n in rooms.values()) >= want
+            zone_limit = (job["pieces"] + 1) // 2
+            free_by_zone = {
+                z: min(n, zone_limit - sum(w.zone == z for w in placed))
+                for z, n in free_by_zone.items()
+            }
+        return sum(max(0, n) for n in free_by_zone.values()) >= task_count
 
     def _within_quota(
-        self, job: dict[str, Any], want: int, there: list[tuple[Worker, str]]
+        self, job: dict[str, Any], task_count: int, present_tasks: list[tuple[Worker, str]]
     ) -> bool:
         team = next(t for t in self.world.teams if t["name"] == job["crew"])
         for limit, field in (("cpus_max", "cpus"), ("gpus_max", "accelerators")):
             used = sum(
                 self.world.jobs[n.rpartition("/")[0]][field]
-                for _, n in there
+                for _, n in present_tasks
                 if self.world.jobs[n.rpartition("/")[0]]["crew"] == job["crew"]
             )
-            if 0 < team[limit] < used + want * job[field] - 1e-6:
+            if 0 < team[limit] < used + task_count * job[field] - 1e-6:
                 return False
         return True
 
-    def _room_by_zone(
+    def _fitting_tasks_by_zone(
         self, job: dict[str, Any], jobs_on: dict[str, list[dict[str, Any]]]
     ) -> dict[str, int]:
         """How many tasks of a job would fit on the machines of each zone now.
@@ -156,7 +167,7 @@
             job: The job.
             jobs_on: The job of each task on a machine, by the machine's name.
         """
-        rooms: dict[str, int] = {}
+        free_by_zone: dict[str, int] = {}
         for worker in self.world.workers.values():
             if (
                 worker.hanging
@@ -169,12 +180,14 @@
                 continue
             if job["yard"] not in (None, worker.zone) or (worker.spot and not job["borrowed"]):
                 continue
-            kind = next(t for t in TYPES if t["sku"] == worker.type)
-            fit = 99.0
+            machine_type = next(t for t in TYPES if t["sku"] == worker.type)
+            fitting_tasks = 99.0
             for field in ("cpus", "accelerators", "ram_gb"):
                 used = sum(other[field] for other in jobs_on.get(worker.name, ()))
                 if job[field] > 0:
-                    room = float(kind[field]) - used + 1e-6  # type: ignore[arg-type]
-                    fit = min(fit, room // job[field])
-            rooms[worker.zone] = rooms.get(worker.zone, 0) + int(max(0.0, fit))
-        return rooms
+                    free_tasks = float(machine_type[field]) - used + 1e-6  # type: ignore[arg-type]
+                    fitting_tasks = min(fitting_tasks, free_tasks // job[field])
+            free_by_zone[worker.zone] = free_by_zone.get(worker.zone, 0) + int(
+                max(0.0, fitting_tasks)
+            )
+        return free_by_zone
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -23,8 +23,8 @@
         self.next_lease = 1
         self.down = False
         self.limits_lowered = False  # whether the limits of `NEXT` are in force
-        self.rate = 0.0  # writes a second that it takes; 0: as many as come
-        self._level, self._level_at = 0.0, 0.0
+        self.max_writes_per_s = 0.0  # writes a second that it takes; 0: as many as come
+        self._write_tokens, self._write_tokens_at = 0.0, 0.0
         self.rejected_counts = {400: 0, 429: 0}
 
     def expire(self) -> None:
@@ -53,48 +53,51 @@
             return await self._changes(query)
         if self.down:
             return 503, b"{}"
-        said = json.loads(body) if body else {}
-        if path == "/multi" and (status := self._over(said)):
+        request = json.loads(body) if body else {}
+        if path == "/multi" and (status := self._limit_status(request)):
             self.rejected_counts[status] += 1
             return status, b'{"error":"over the limit"}'
-        status, out = self._apply(path, query, said)
+        status, out = self._apply(path, query, request)
         return status, json.dumps(out).encode()
 
-    def _over(self, said: dict[str, Any]) -> int:
+    def _limit_status(self, request: dict[str, Any]) -> int:
         """400 where a transaction is too large, 429 where there are too many writes."""
-        apply = said.get("apply", [])
-        most, ops = (
+        apply = request.get("apply", [])
+        max_value_kb, max_ops = (
             (LOWERED_LIMITS["value_kb"], LOWERED_LIMITS["txn_ops"])
             if self.limits_lowered
             else (16.0, 12)
         )
-        if len(apply) > ops or len(said.get("if", [])) > 4 * ops:
+        if len(apply) > max_ops or len(request.get("if", [])) > 4 * max_ops:
             return 400
         for op in apply:
-            if len(json.dumps(op.get("data"), separators=(",", ":"))) > most * 1024:
+            if len(json.dumps(op.get("data"), separators=(",", ":"))) > max_value_kb * 1024:
                 return 400
-        if self.rate:
-            self._level = min(self.rate, self._level + (now() - self._level_at) * self.rate)
-            self._level_at = now()
-            if self._level < len(apply):
+        if self.max_writes_per_s:
+            self._write_tokens = min(
+                self.max_writes_per_s,
+                self._write_tokens + (now() - self._write_tokens_at) * self.max_writes_per_s,
+            )
+            self._write_tokens_at = now()
+            if self._write_tokens < len(apply):
                 return 429
-            self._level -= len(apply)
+            self._write_tokens -= len(apply)
         return 0
 
     async def _changes(self, query: dict[str, list[str]]) -> tuple[int, bytes]:
-        prefix, since = query["starts"][0], int(query["since"][0])
+        prefix, after = query["starts"][0], int(query["since"][0])
         until = now() + int(query.get("wait_ms", ["0"])[0]) / 1000
         if self.down and until <= now():
             return 503, b"{}"
         while True:
             self.expire()
-            events = [e for e in self.log if e[0] > since and e[1].startswith(prefix)]
+            events = [e for e in self.log if e[0] > after and e[1].startswith(prefix)]
             if not self.down and (events or now() >= until):
                 break
             await anyio.sleep(0.02)
         out = [
-            {"remove": k, "stamp": r} if gone else {"write": k, "data": v, "stamp": r}
-            for r, k, v, gone in events
+            {"remove": k, "stamp": r} if removed else {"write": k, "data": v, "stamp": r}
+            for r, k, v, removed in events
         ]
         return 200, json.dumps({"ledger": self.ledger, "events": out}).encode()
 
@@ -114,8 +117,8 @@
             self.leases[lease] = (now() + ttl, ttl)
             return 200, {}
         if path == "/keys":
-            prefix, since = query["starts"][0], query.get("since", [""])[0]
-            found = sorted(k for k in self.keys if k.startswith(prefix) and k > since)
+            prefix, after = query["starts"][0], query.get("since", [""])[0]
+            found = sorted(k for k in self.keys if k.startswith(prefix) and k > after)
             limit = int(query["limit"][0])
             items = [
                 {"key": k, "data": self.keys[k][0], "stamp": self.keys[k][1]} for k in found[:limit]
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -21,7 +21,7 @@
         self.stage = "fetching"
         self.cause: str | None = None
         self.saved = False
-        self.until = 0.0
+        self.stage_ends_at = 0.0
 
 
 class Worker:
@@ -33,42 +33,46 @@
         self.type = type_
         self.zone = zone
         self.spot = spot
-        self.born = now()
+        self.created_at = now()
         self.incarnation = 1
         self.sequence = 0
         self.token = 0
         self.spot_notice_s: float | None = None
         self.tasks: dict[str, TaskRun] = {}
         self.images: set[str] = set()
-        self.renewed = now()
+        self.lease_renewed_at = now()
         self.changed = True
-        self.sent_elsewhere = False  # the last heartbeat got no answer, or one that names another
+        self.send_at_once = False  # the last heartbeat got no answer, or one that names another
         self.hanging = False
         self.cut = False
         self.answers_lost = False  # its heartbeats arrive, no answer reaches it
-        self.gone = False
+        self.removed = False
 
     async def run(self) -> None:
         await anyio.sleep(self.world.random.uniform(*self.world.boot_s))
-        self.renewed = now()
-        target, last = self.world.random.choice(sorted(self.world.names)), -1e9
-        while not self.gone:
-            due = last + WORKERS["report_s"] * (0.75 + 0.5 * self.world.random.random())
-            if self.sent_elsewhere:
-                due = now()  # the protocol: at once, or after the pause that was already made
-            while not self.gone and now() < due and not (self.changed and now() > last + 0.5):
+        self.lease_renewed_at = now()
+        target, last_sent_at = self.world.random.choice(sorted(self.world.names)), -1e9
+        while not self.removed:
+            due_at = last_sent_at + WORKERS["report_s"] * (0.75 + 0.5 * self.world.random.random())
+            if self.send_at_once:
+                due_at = now()  # the protocol: at once, or after the pause that was already made
+            while (
+                not self.removed
+                and now() < due_at
+                and not (self.changed and now() > last_sent_at + 0.5)
+            ):
                 await anyio.sleep(0.1)
-            while self.hanging and not self.gone:
+            while self.hanging and not self.removed:
                 await anyio.sleep(0.1)
-            if self.gone:
+            if self.removed:
                 return
             self.changed = False
-            last = now()
+            last_sent_at = now()
             target = await self._send_heartbeat(target)
 
     async def _send_heartbeat(self, target: str) -> str:
         self.sequence += 1
-        incarnation, sent = self.incarnation, now()
+        incarnation, sent_at = self.incarnation, now()
         body = {
             "loom": self.name,
             "endpoint": "",
@@ -91,27 +95,27 @@
             answer = await self.world.to_controller(
                 target, Request("POST", "/checkin", raw, False), self
             )
-        self.sent_elsewhere = answer is None or answer.status != 200
+        self.send_at_once = answer is None or answer.status != 200
         names = sorted(self.world.names)
-        following = names[(names.index(target) + 1) % len(names)]
+        next_target = names[(names.index(target) + 1) % len(names)]
         if answer is None or answer.status not in (200, 421):
             await anyio.sleep(1.0)
-            return following
-        said = json.loads(answer.body)
+            return next_target
+        response = json.loads(answer.body)
         if answer.status == 421:
-            owner: str | None = said.get("foreman")
+            owner: str | None = response.get("foreman")
             if owner is not None and owner in names and owner != target:
                 await anyio.sleep(self.world.random.random() * 0.5)
                 return owner
             await anyio.sleep(1.0)
-            return following
-        if incarnation != self.incarnation or said["baton"] < self.token or self.gone:
+            return next_target
+        if incarnation != self.incarnation or response["baton"] < self.token or self.removed:
             return target
-        if said["baton"] > self.token:
-            self.token = said["baton"]
+        if response["baton"] > self.token:
+            self.token = response["baton"]
             self.changed = True
-        self.renewed = sent
-        for command in said["orders"]:
+        self.lease_renewed_at = sent_at
+        for command in response["orders"]:
             self.execute(command)
         return target
 
@@ -130,15 +134,15 @@
                 return
             new = self.tasks[name] = TaskRun(attempt)
             job = self.world.jobs[name.split("/")[0]]
-            new.until = now() + (0.0 if job["kit"] in self.images else 1.0)
+            new.stage_ends_at = now() + (0.0 if job["kit"] in self.images else 1.0)
             used = [
                 self.world.jobs[n.split("/")[0]]
                 for n, p in self.tasks.items()
                 if p.stage != "exited"
             ]
-            kind = next(t for t in TYPES if t["sku"] == self.type)
+            machine_type = next(t for t in TYPES if t["sku"] == self.type)
             for field in ("cpus", "accelerators", "ram_gb"):
-                if sum(j[field] for j in used) > kind[field] + 1e-6:  # type: ignore[operator]
+                if sum(j[field] for j in used) > machine_type[field] + 1e-6:  # type: ignore[operator]
                     new.stage, new.cause = "exited", "full"
         elif verb == "kill" and task is not None and task.attempt == attempt:
             if task.stage != "exited":
@@ -151,10 +155,10 @@
     def tick(self) -> None:
         if self.hanging:
             return
-        if now() - self.renewed > WORKERS["lease_s"]:
+        if now() - self.lease_renewed_at > WORKERS["lease_s"]:
             self.tasks.clear()
             self.incarnation += 1
-            self.renewed = now()
+            self.lease_renewed_at = now()
             self.changed = True
             return
         for name, task in list(self.tasks.items()):
@@ -163,36 +167,36 @@
     def _advance(self, name: str, task: TaskRun) -> None:
         job_id = name.split("/")[0]
         job = self.world.jobs[job_id]
-        if task.stage == "fetching" and now() >= task.until:
+        if task.stage == "fetching" and now() >= task.stage_ends_at:
             self.images.add(job["kit"])
             self.world.rules.check_start(self, name)
             task.stage = "gathering" if job["shape"] == "group" else "running"
-            task.until = now() + self.world.run_time(name)
+            task.stage_ends_at = now() + self.world.run_time(name)
             if name in self.world.completed_tasks:
                 task.stage, task.cause = "exited", "done"
             self.changed = True
         elif task.stage == "gathering":
-            self._gather(job_id, job, task)
+            self._advance_gathering(job_id, job, task)
         elif task.stage == "running" and job["shape"] == "daemon":
-            self._replica(name, task)
-        elif task.stage == "running" and now() >= task.until:
-            if job["shape"] == "group" and not self.world.complete(job_id, task.attempt):
+            self._advance_replica(name, task)
+        elif task.stage == "running" and now() >= task.stage_ends_at:
+            if job["shape"] == "group" and not self.world.gang_is_complete(job_id, task.attempt):
                 task.stage, task.cause = "exited", "peers"
             else:
                 task.stage, task.cause = "exited", "done"
                 self.world.completed_tasks.add(name)
                 if job["shape"] == "group":
-                    self.world.finish(job_id, task.attempt)
+                    self.world.complete_gang(job_id, task.attempt)
             self.changed = True
         elif (
             task.stage == "running"
             and job["shape"] == "group"
-            and not self.world.complete(job_id, task.attempt)
+            and not self.world.gang_is_complete(job_id, task.attempt)
         ):
             task.stage, task.cause = "exited", "peers"
             self.changed = True
 
-    def _replica(self, name: str, task: TaskRun) -> None:
+    def _advance_replica(self, name: str, task: TaskRun) -> None:
         """A replica runs until it is stopped, unless the scenario has it end by itself."""
         self.world.replica_run_s[name] = self.world.replica_run_s.get(name, 0.0) + 0.25
         if self.world.random.random() < self.world.replica_ends * 0.25:
@@ -200,11 +204,11 @@
             task.cause = self.world.random.choice(["done", "error", "full"])
             self.changed = True
 
-    def _gather(self, job_id: str, job: dict[str, Any], task: TaskRun) -> None:
-        if self.world.complete(job_id, task.attempt):
+    def _advance_gathering(self, job_id: str, job: dict[str, Any], task: TaskRun) -> None:
+        if self.world.gang_is_complete(job_id, task.attempt):
             task.stage = "running"
-            task.until = now() + job["true_s"]
+            task.stage_ends_at = now() + job["true_s"]
             self.changed = True
-        elif now() > task.until - job["true_s"] + WORKERS["gang_wait_s"]:
+        elif now() > task.stage_ends_at - job["true_s"] + WORKERS["gang_wait_s"]:
             task.stage, task.cause = "exited", "alone"
             self.changed = True
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -17,7 +17,7 @@
 from dapplewick.transport import http_client
 from dapplewick.transport.http import Request, Response
 from standins import recorder
-from standins.answers import AnswerHistory, Question
+from standins.answers import AnswerHistory, UserRequest
 from standins.cloud import Cloud
 from standins.deployment import TEAMS, ZONES, settings, zone_of
 from standins.network import Link, Wire
@@ -34,7 +34,7 @@
         self.random = random.Random(seed)
         self.teams: list[dict[str, Any]] = TEAMS
         self.zones = zones
-        self.cut_zone = ""  # a zone whose controllers and workers reach only one another
+        self.isolated_zone = ""  # a zone whose controllers and workers reach only one another
         self.names = [f"n{i}" for i in range(count)]
         self.controllers: dict[str, Controller] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
@@ -98,10 +98,10 @@
 
     def transaction_is_late(self, controller: str, body: bytes | None) -> bool:
         """Whether a transaction gets no answer and is carried out late."""
-        said = json.loads(body or b"{}")
-        self.writes.append((now(), controller, said))
+        answer_body = json.loads(body or b"{}")
+        self.writes.append((now(), controller, answer_body))
         if self.is_late_write is not None:
-            return bool(self.is_late_write(controller, said))
+            return bool(self.is_late_write(controller, answer_body))
         return self.late_writes > 0.0 and self.random.random() < self.late_writes
 
     def mode(self, controller: str, service: Any) -> str:
@@ -114,9 +114,11 @@
         if worker is not None and (worker.cut or name in self.cut_workers):
             await anyio.sleep(10.0)
             return None
-        if self.cut_zone:
-            there = worker.zone if worker is not None else "users"
-            if (there == self.cut_zone) != (zone_of(name, self.zones) == self.cut_zone):
+        if self.isolated_zone:
+            gang_tasks = worker.zone if worker is not None else "users"
+            if (gang_tasks == self.isolated_zone) != (
+                zone_of(name, self.zones) == self.isolated_zone
+            ):
                 await anyio.sleep(10.0)
                 return None
         await anyio.sleep(0.001 + self.random.random() * 0.004)
@@ -189,18 +191,18 @@
             return Link(self, name, port)
 
         seed = self.random.getrandbits(32)
-        made: Any = old.Controller if old is not None else Controller
+        controller_class: Any = old.Controller if old is not None else Controller
         parse = old.config if old is not None else config
-        more: Any = (
+        version_arguments: Any = (
             {} if old is not None else {"partitions": self._partitions(name), "wall_time": now}
         )
-        controller: Any = made(
+        controller: Any = controller_class(
             settings(name, self.count, self.zones, parse),
             connect=connect,
             link=link,
             clock=now,
             seed=seed,
-            **more,
+            **version_arguments,
         )
         if old is not None:
             # The earlier versions' names.
@@ -230,12 +232,12 @@
         return PartitionService(self.partition_plan, solve_here)
 
     def crash(self, name: str) -> None:
-        self._note_invariants(name, self.controllers.pop(name, None))
+        self._collect_invariant_violations(name, self.controllers.pop(name, None))
         scope = self.scopes.pop(name, None)
         if scope is not None:
             scope.cancel()
 
-    def _note_invariants(self, name: str, controller: Any) -> None:
+    def _collect_invariant_violations(self, name: str, controller: Any) -> None:
         """What a controller found violated while it ran breaks the scenario."""
         invariants = getattr(controller, "invariants", None)  # earlier versions have none
         if invariants is not None:
@@ -253,11 +255,11 @@
     def remove_machine(self, name: str) -> None:
         worker = self.workers.pop(name, None)
         if worker is not None:
-            worker.gone = True
+            worker.removed = True
             worker.tasks.clear()
 
-    def complete(self, job_id: str, attempt: int) -> bool:
-        there = {
+    def gang_is_complete(self, job_id: str, attempt: int) -> bool:
+        gang_tasks = {
             n
             for w in self.workers.values()
             if not w.hanging
@@ -266,9 +268,9 @@
             and p.attempt == attempt
             and (p.stage in ("gathering", "running") or p.cause == "done")
         }
-        return bool(len(there) == self.jobs[job_id]["pieces"])
+        return bool(len(gang_tasks) == self.jobs[job_id]["pieces"])
 
-    def finish(self, job_id: str, attempt: int) -> None:
+    def complete_gang(self, job_id: str, attempt: int) -> None:
         """The tasks of a gang complete together: if one is done, all are."""
         for worker in self.workers.values():
             for name, task in worker.tasks.items():
@@ -313,7 +315,7 @@
         self, name: str, request: Request, within: float = 5.0
     ) -> tuple[int, Any]:
         """A user's request to one controller; what it answers is compared with all answers."""
-        question = self.history.record_request(*self._asked(request))
+        question = self.history.record_request(*self._job_and_verb(request))
         answer: Response | None = None
         with anyio.move_on_after(within):  # a controller that crashes answers nobody
             answer = await self.to_controller(name, request)
@@ -321,20 +323,20 @@
             return 0, {}
         return answer.status, self.check_answer(question, name, answer)
 
-    def check_answer(self, question: Question, name: str, answer: Response) -> Any:
+    def check_answer(self, question: UserRequest, name: str, answer: Response) -> Any:
         """Compare a controller's answer with all answers before; gives what it says."""
-        said = json.loads(answer.body)
+        answer_body = json.loads(answer.body)
         before = len(self.history.violations)
-        self.history.record_answer(question, answer.status, said)
+        self.history.record_answer(question, answer.status, answer_body)
         self.violations += [
             f"{b} by {name} at {now():.2f}" for b in self.history.violations[before:]
         ]
         if answer.status == 503 and not answer.retry_after:
             self.violations.append(f"no Retry-After from {name}")
-        return said
+        return answer_body
 
     @staticmethod
-    def _asked(request: Request) -> tuple[str, str]:
+    def _job_and_verb(request: Request) -> tuple[str, str]:
         """The job that a request is about, and what it asks of it."""
         segments = request.target.split("/")
         if len(segments) > 3:
@@ -361,23 +363,25 @@
         while True:
             if cancel_after is not None and now() - begun > cancel_after:
                 asked = True
-                status, said = await self.ask("POST", f"/v2/runs/{job_id}/abort")
+                status, answer_body = await self.ask("POST", f"/v2/runs/{job_id}/abort")
                 if status == 200:
-                    self._told(job_id, said["stage"], True)
+                    self._record_reported_stage(job_id, answer_body["stage"], True)
                     cancel_after = None
-            status, said = await self.ask("GET", f"/v2/runs/{job_id}")
+            status, answer_body = await self.ask("GET", f"/v2/runs/{job_id}")
             if status == 404:
                 self.violations.append(f"forgotten {job_id}")
             if status == 200:
                 self.answered_at[job_id] = now()
-                self._told(job_id, said["stage"], asked or job_id in self.cancelled_at)
+                self._record_reported_stage(
+                    job_id, answer_body["stage"], asked or job_id in self.cancelled_at
+                )
             elif self.faults_ended_at is not None and (
                 now() - max(self.faults_ended_at, self.answered_at.get(job_id, 0.0)) > 75.0
             ):
                 self.violations.append(f"forgotten {job_id} for 75 s")
             await anyio.sleep(3.0)
 
-    def _told(self, job_id: str, stage: str, may_be_cancelled: bool) -> None:
+    def _record_reported_stage(self, job_id: str, stage: str, may_be_cancelled: bool) -> None:
         before = self.reported_stages.get(job_id)
         if before in ("done", "withdrawn") and stage != before:
             self.violations.append(f"went_back {job_id}")
@@ -420,26 +424,26 @@
         return body | fields
 
     def random_job(self) -> dict[str, Any]:
-        pick = self.random
-        gang = pick.random() < 0.3
-        gpus = pick.choice([0.0, 0.0, 1.0])
-        true_s = pick.uniform(3.0, 16.0)
-        place = pick.choice(["", "", "", "", "one", "spread", "yard"])
+        rng = self.random
+        gang = rng.random() < 0.3
+        gpus = rng.choice([0.0, 0.0, 1.0])
+        true_s = rng.uniform(3.0, 16.0)
+        place = rng.choice(["", "", "", "", "one", "spread", "yard"])
         return self.job(
             shape="group" if gang else "sweep",
-            pieces=pick.randint(1, 3) if gang else pick.randint(1, 14),
+            pieces=rng.randint(1, 3) if gang else rng.randint(1, 14),
             accelerators=gpus,
-            cpus=pick.choice([1.0, 2.0, 4.0]),
-            crew="red" if gpus else pick.choice(["red", "blue"]),
-            urgency=pick.choice(["urgent", "standard", "best_effort"]),
+            cpus=rng.choice([1.0, 2.0, 4.0]),
+            crew="red" if gpus else rng.choice(["red", "blue"]),
+            urgency=rng.choice(["urgent", "standard", "best_effort"]),
             builds=["g8"] if gpus else None,
             yard=self.zones[0] if place == "yard" else None,
             same_place=place == "one",
             scatter=place == "spread" and len(self.zones) > 1,
-            borrowed=pick.random() < 0.6,
-            fold_s=pick.choice([0.0, 5.0]),
+            borrowed=rng.random() < 0.6,
+            fold_s=rng.choice([0.0, 5.0]),
             true_s=true_s,
-            expected_s=true_s * pick.uniform(0.5, 2.0),
+            expected_s=true_s * rng.uniform(0.5, 2.0),
         )
 
     async def run_scenario(self, until: float, script: Any) -> None:
@@ -456,5 +460,5 @@
                 self.tick()
                 self.cloud.snapshot()
             for name, controller in self.controllers.items():
-                self._note_invariants(name, controller)
+                self._collect_invariant_violations(name, controller)
             group.cancel_scope.cancel()
--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -194,7 +194,7 @@
         while True:
             await anyio.sleep(pick.uniform(0.2, 4.0))
             again = [self.question, self.question, self.submission]
-            if self.world.history.jobs[self.job_id].cancel_asked:
+            if self.world.history.jobs[self.job_id].cancel_requested:
                 again.append(self.cancellation)
             before = self.world.history.jobs[self.job_id].final
             await self.ask(pick.choice(again))
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -217,7 +217,7 @@
     await anyio.sleep(25)
     zone = world.zones[-1]
     inside = [n for n in world.names if zone_of(n, world.zones) == zone]
-    world.cut_zone = zone
+    world.isolated_zone = zone
     for name in inside:
         for service in ("state", "cloud"):
             world.modes[(name, service)] = "held"
@@ -230,7 +230,7 @@
     await anyio.sleep(25)
     world.modes.clear()
     world.cut_peers.clear()
-    world.cut_zone = ""
+    world.isolated_zone = ""
 
 
 async def many_machines(world: World) -> None:
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -139,7 +139,10 @@
 
 def lower_limits(world: World) -> None:
     """The state service takes only what `state.next` of the settings names."""
-    world.state.limits_lowered, world.state.rate = True, float(LOWERED_LIMITS["write_rps"])
+    world.state.limits_lowered, world.state.max_writes_per_s = (
+        True,
+        float(LOWERED_LIMITS["write_rps"]),
+    )
 
 
 def run_rolling_upgrade(
