--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,7 +1,7 @@
 """Stand-ins for the state service, the cloud, the workers and the users, in virtual time.
 
-They follow the published protocols and check the rules as things happen. Everything is driven
-by a seeded generator and an event loop whose clock jumps, so a scenario repeats exactly.
+The stand-ins follow the published protocols and check the users' rules on every event. A seeded
+random generator and an event loop with a virtual clock drive them, so a scenario repeats exactly.
 """
 
 from standins.answers import AnswerHistory
--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -1,4 +1,4 @@
-"""What users were told about their jobs, and whether any answer contradicts another."""
+"""Records the answers to users about their jobs and checks them for contradictions."""
 
 from __future__ import annotations
 
@@ -10,16 +10,22 @@
 
 
 class UserRequest(NamedTuple):
-    """A user's request about a job. `known`: what any user had been told when it was put."""
+    """A user's request about a job.
+
+    Attributes:
+        job: ID of the job.
+        verb: "submit", "poll" or "abort".
+        known: the furthest state that any user had been sent when the request was made.
+    """
 
     job: str
-    verb: str  # "submit", "poll" or "abort"
+    verb: str
     known: int
 
 
 @dataclass
 class ReportedState:
-    """What users were told about one job so far."""
+    """What the answers to users have reported about one job so far."""
 
     known: int = UNKNOWN
     final: str = ""
@@ -28,10 +34,10 @@
 
 @dataclass
 class AnswerHistory:
-    """Follows every answer of every controller to every user.
+    """Checks every answer of every controller to every user.
 
-    An answer is too old if its question was put after something later had been told. Two answers
-    that name different final states contradict each other in whatever order they came.
+    An answer is stale if its request was made after a later state had been reported. Two answers
+    with different final states contradict each other regardless of their order.
     """
 
     violations: list[str] = field(default_factory=list)
@@ -39,14 +45,14 @@
     jobs: dict[str, ReportedState] = field(default_factory=dict)
 
     def record_request(self, job: str, verb: str) -> UserRequest:
-        """A user puts a question now."""
+        """Record a request that a user makes now."""
         reported = self.jobs.setdefault(job, ReportedState())
         if verb == "abort":
             reported.cancel_requested = True
         return UserRequest(job, verb, reported.known)
 
     def record_answer(self, request: UserRequest, status: int, body: Any) -> None:
-        """The answer to a question arrives."""
+        """Record the answer to a request, and any contradiction with earlier answers."""
         if status in (200, 201):
             self.answers += 1
             self._check_stage(request, body["stage"])
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud that rents machines."""
+"""Stand-in for the cloud provider that rents machines."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Cloud:
-    """Rents machines; each new one gets a worker."""
+    """Rents machines and starts a worker on each new machine."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.provisioning_requests: dict[str, list[str]] = {}
         self.next_name = 0
         self.down = False
-        self.unavailable_types: set[tuple[str, bool]] = set()  # types that it has none of
+        self.unavailable_types: set[tuple[str, bool]] = set()  # (type, spot) without capacity
         self.history: list[tuple[float, list[dict[str, Any]]]] = [(0.0, [])]
 
     async def answer(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the stand-ins play: zones, teams, types of machines and limits."""
+"""The simulated deployment: zones, teams, machine types and limits."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 ]
 
 
-# What the state service takes from some moment on, in scenarios in which that comes.
+# Limits of the state service after a scenario has lowered them (`state.next` of the settings).
 LOWERED_LIMITS = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0}
 
 
 def deployment(count: int, zones: list[str] = ZONES) -> dict[str, Any]:
-    """The deployment's part of the settings, the same for every controller."""
+    """The deployment section of the settings, which all controllers share."""
     return {
         "count": count,
         "zones": zones,
@@ -72,7 +72,7 @@
 
 
 def zone_of(name: str, zones: list[str]) -> str:
-    """The zone of a controller."""
+    """The zone of a controller, from the number in its name."""
     return zones[int(name[1:]) % len(zones)]
 
 
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -1,4 +1,4 @@
-"""The ways of controllers to services and to one another, with what can go wrong on them."""
+"""Simulated connections from controllers to services and to one another, with network faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class Wire:
-    """The way of one controller to a service. Mode: how the network treats it now."""
+    """The connection from one controller to a service.
+
+    `World.modes` sets the fault that is injected into it, if any.
+    """
 
     def __init__(
         self, world: World, controller: str, service: Any, errors: Any = http_client
@@ -29,7 +32,7 @@
         self.world = world
         self.controller = controller
         self.service = service
-        self.errors = errors  # the version of the controller has its own
+        self.errors = errors  # the exception classes of the controller's version
 
     async def request(
         self, method: str, target: str, body: bytes | None, timeout_s: float
@@ -42,7 +45,7 @@
         try:
             return await self._request(method, target, body, timeout_s)
         finally:
-            # What a controller that stands still was answered is found when it goes on.
+            # A paused controller processes the answer when it resumes.
             await self.world.wait_until_resumed(self.controller)
 
     async def _request(
@@ -69,22 +72,23 @@
             )
         lossy = mode == "lossy" and "/changes" not in target
         if lossy and random_.random() < 0.3:
-            # The request is carried out late, or its answer is lost.
+            # The request is executed late, or at once with its answer lost.
             delay = random_.choice([0.0, 1.0, 5.0, 20.0])
             self.world.group.start_soon(self._deliver_after, delay, deliver)
             await self._sleep_and_time_out(timeout_s)
         if state and target == "/multi" and random_.random() < self.world.lost_answers:
-            # Carried out at once, and only its answer is lost.
+            # The transaction is executed at once; only its answer is lost.
             await deliver()
             await self._sleep_and_time_out(timeout_s)
         if state and target == "/multi" and self.world.transaction_is_late(self.controller, body):
-            # No answer, and carried out after newer ones of the same controller.
+            # The transaction times out and is executed after newer ones of this controller.
             self.world.group.start_soon(self._deliver_out_of_order, deliver)
             await self._sleep_and_time_out(timeout_s)
         with anyio.move_on_after(timeout_s):
             answer: tuple[int, bytes] = await deliver()
             if "/changes" in target and self.world.mode(self.controller, self.service) == "refused":
-                # The open watch of a controller that alone is refused waits as in an outage.
+                # An open watch gets no events while the state service refuses this controller,
+                # as in an outage.
                 await anyio.sleep(timeout_s)
             return answer
         raise self.errors.HttpError("timeout")
@@ -94,7 +98,7 @@
         raise self.errors.HttpError("timeout")
 
     async def _deliver_after_cut(self, deliver: Deliver) -> None:
-        """The network keeps the request and delivers it when the cut is over."""
+        """Buffer the request and deliver it when the partition ends."""
         while self.world.mode(self.controller, self.service) == "held":
             await anyio.sleep(0.05)
         await deliver()
@@ -109,7 +113,7 @@
 
 
 class Link:
-    """The way of one controller to another."""
+    """The connection from one controller to another; keeps the latest message of each kind."""
 
     def __init__(self, world: World, sender: str, port: int) -> None:
         self.world = world
@@ -147,7 +151,7 @@
                 continue
             for frame in batch:
                 if len(frame) > MAX_FRAME_BYTES:
-                    continue  # refused by the real one
+                    continue  # the real connection refuses such a frame
                 if self.target in self.world.paused:
                     self.world.held_messages.setdefault(self.target, []).append(frame)
                 else:
--- a/tests/standins/recorder.py
+++ b/tests/standins/recorder.py
@@ -1,7 +1,7 @@
-"""A trace of what controllers send, answer and tell one another; off unless it is switched on.
+"""Records a trace of the messages and answers of controllers; off by default.
 
-`tests/tools/compare_behaviour.py` compares the traces of two versions. So the names of events and
-of their fields are part of its format: a refactoring leaves them as they are.
+`tests/tools/compare_behaviour.py` compares the traces of two versions. The names of events and of
+their fields are therefore part of the trace format and don't change in a refactoring.
 """
 
 from __future__ import annotations
@@ -15,26 +15,28 @@
 if TYPE_CHECKING:
     from standins.world import World
 
-ASK_S = 5.0  # how often an operator asks each controller
+ASK_S = 5.0  # interval between an operator's requests to each controller
 
 _out: TextIO | None = None
 
 
 def start(out: TextIO) -> None:
-    """Record all events to a file from now on, one line of JSON each."""
+    """Start recording events to a file, one line of JSON each."""
     global _out
     _out = out
 
 
 def stop() -> None:
-    """Record nothing any more."""
+    """Stop recording."""
     global _out
     _out = None
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON can hold it, the same for the same value: bodies are parsed, and bytes and
-    keys that are no text are told from text."""
+    """Convert a value to plain JSON, deterministically.
+
+    Bodies are parsed; bytes and keys that aren't strings are marked, to differ from strings.
+    """
     if isinstance(value, bytes):
         try:
             return {"json": plain(json.loads(value))}
@@ -52,19 +54,19 @@
 
 
 def record(event: str, **fields: Any) -> None:
-    """Record one event with the virtual time; does nothing while nothing is recorded."""
+    """Record one event with the virtual time, if recording is on."""
     if _out is None:
         return
     try:
         at = round(asyncio.get_running_loop().time(), 6)
     except RuntimeError:
-        at = 0.0  # outside of a scenario
+        at = 0.0  # no event loop: outside a scenario
     line = {"at": at, "event": event, **{name: plain(value) for name, value in fields.items()}}
     _out.write(json.dumps(line, sort_keys=True, separators=(",", ":")) + "\n")
 
 
 def watch(name: str, controller: Any) -> None:
-    """Record what a controller answers to workers, users, operators and other controllers."""
+    """Record a controller's answers to workers, users, operators and other controllers."""
     if _out is None:
         return
     handle, on_request = controller.handle, controller.on_request
@@ -93,7 +95,7 @@
 
 
 async def ask_operators(world: World) -> None:
-    """While recording, an operator asks every controller for its status and its partitions."""
+    """While recording, request the status and the partitions of every controller periodically."""
     while _out is not None:
         await anyio.sleep(ASK_S)
         for name in sorted(world.controllers):
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -1,4 +1,4 @@
-"""The users' rules, checked by plain counting while a scenario is played."""
+"""Checks the users' rules on every event of a scenario, independently of the scheduler's code."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class RuleChecker:
-    """Checks the rules as things happen, by plain counting over all machines."""
+    """Checks the rules on every event by counting over all machines."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def check_start(self, worker: Worker, name: str) -> None:
-        """A task starts on a machine."""
+        """Check the rules for a task that starts on a machine."""
         self.world.starts += 1
         self.world.first_start.setdefault(name, now())
         self.world.start_counts[name] = self.world.start_counts.get(name, 0) + 1
@@ -78,18 +78,18 @@
                 self.world.violations.append(f"quota {name}")
 
     def check_cancelled(self) -> None:
-        """No task of a cancelled job is on a machine for longer than it may."""
+        """Check that no task of a cancelled job stays on a machine longer than `cancel_s`."""
         for worker, name in self.world.on_machines():
             cancelled_at = self.world.cancelled_at.get(name.rpartition("/")[0])
             if cancelled_at is not None and now() > cancelled_at + WORKERS["cancel_s"]:
-                # Hung beyond its lease it ends its tasks before it goes on with anything.
+                # A worker that hung for longer than its lease ends its tasks before anything else.
                 over = worker.hanging and now() - worker.lease_renewed_at > WORKERS["lease_s"]
                 if not (over and self.world.hung_tasks_end_with_lease):
                     self.world.violations.append(f"ran_cancelled {name}")
 
     def check_waiting(self) -> None:
-        """Once faults are over, no job waits for 90 s while a machine that fits has room and
-        its team is under its limit."""
+        """Check, once faults have ended, that no job waits for more than 90 s while a suitable
+        machine has free capacity and the job's team is below its limit."""
         assert self.world.faults_ended_at is not None
         present_tasks = self.world.on_machines_or_fetching()
         workers_by_job: dict[str, list[Worker]] = {}
@@ -124,7 +124,7 @@
         present_tasks: list[tuple[Worker, str]],
         jobs_on: dict[str, list[dict[str, Any]]],
     ) -> bool:
-        """Whether one task of an array, or all of a gang, fit somewhere by plain counting."""
+        """Whether one task of an array, or all tasks of a gang, fit into the free capacity."""
         gang = job["shape"] == "group"
         if gang and placed:
             return False
@@ -161,11 +161,11 @@
     def _fitting_tasks_by_zone(
         self, job: dict[str, Any], jobs_on: dict[str, list[dict[str, Any]]]
     ) -> dict[str, int]:
-        """How many tasks of a job would fit on the machines of each zone now.
+        """Count the tasks of a job that fit on the machines of each zone now.
 
         Args:
             job: The job.
-            jobs_on: The job of each task on a machine, by the machine's name.
+            jobs_on: The job of each task on a machine, by machine name.
         """
         free_by_zone: dict[str, int] = {}
         for worker in self.world.workers.values():
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -1,4 +1,4 @@
-"""The key-value store that keeps the controllers' records."""
+"""Stand-in for the key-value store that holds the controllers' records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StateService:
-    """The key-value store: revisions, conditions, leases and watches."""
+    """A key-value store with revisions, conditional transactions, leases and watches."""
 
     def __init__(self) -> None:
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
@@ -22,8 +22,8 @@
         self.leases: dict[int, tuple[float, float]] = {}
         self.next_lease = 1
         self.down = False
-        self.limits_lowered = False  # whether the limits of `NEXT` are in force
-        self.max_writes_per_s = 0.0  # writes a second that it takes; 0: as many as come
+        self.limits_lowered = False  # whether `LOWERED_LIMITS` apply
+        self.max_writes_per_s = 0.0  # 0: unlimited
         self._write_tokens, self._write_tokens_at = 0.0, 0.0
         self.rejected_counts = {400: 0, 429: 0}
 
@@ -61,7 +61,7 @@
         return status, json.dumps(out).encode()
 
     def _limit_status(self, request: dict[str, Any]) -> int:
-        """400 where a transaction is too large, 429 where there are too many writes."""
+        """400 if a transaction is too large, 429 if the write rate is exceeded, else 0."""
         apply = request.get("apply", [])
         max_value_kb, max_ops = (
             (LOWERED_LIMITS["value_kb"], LOWERED_LIMITS["txn_ops"])
--- a/tests/standins/virtual_time.py
+++ b/tests/standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps, so that a scenario takes seconds and repeats exactly."""
+"""An event loop with a virtual clock: scenarios take seconds and repeat exactly."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop that never waits: its clock jumps to the next timer."""
+    """An event loop that never sleeps: its clock advances to the next timer."""
 
     def __init__(self) -> None:
         super().__init__(_JumpingSelector(self))
@@ -27,18 +27,18 @@
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise RuntimeError("nothing will ever happen again")
+            raise RuntimeError("deadlock in virtual time: no timer and no ready task is left")
         self._loop.at += max(0.0, timeout)
         return super().select(0)
 
 
 def run_in_virtual_time(main: Any) -> None:
-    """Run a coroutine function to its end in virtual time."""
+    """Run a coroutine function to completion in virtual time."""
     anyio.run(main, backend_options={"loop_factory": VirtualLoop})
 
 
 class Clock:
-    """Virtual time, read as the controllers read theirs."""
+    """The virtual time in seconds, with the interface of the controllers' clock."""
 
     def __call__(self) -> float:
         return asyncio.get_running_loop().time()
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -1,4 +1,4 @@
-"""The worker of one machine, with the tasks on it."""
+"""Stand-in for the worker process on a machine."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class TaskRun:
+    """One attempt of a task on a machine."""
+
     def __init__(self, attempt: int) -> None:
         self.attempt = attempt
         self.stage = "fetching"
@@ -25,7 +27,7 @@
 
 
 class Worker:
-    """One machine's worker, with the tasks on it."""
+    """The worker of one machine, with the tasks on it."""
 
     def __init__(self, world: World, name: str, type_: str, zone: str, spot: bool) -> None:
         self.world = world
@@ -42,10 +44,10 @@
         self.images: set[str] = set()
         self.lease_renewed_at = now()
         self.changed = True
-        self.send_at_once = False  # the last heartbeat got no answer, or one that names another
+        self.send_at_once = False  # the last heartbeat failed or was redirected
         self.hanging = False
         self.cut = False
-        self.answers_lost = False  # its heartbeats arrive, no answer reaches it
+        self.answers_lost = False  # its heartbeats arrive, but it receives no answers
         self.removed = False
 
     async def run(self) -> None:
@@ -55,7 +57,7 @@
         while not self.removed:
             due_at = last_sent_at + WORKERS["report_s"] * (0.75 + 0.5 * self.world.random.random())
             if self.send_at_once:
-                due_at = now()  # the protocol: at once, or after the pause that was already made
+                due_at = now()  # the protocol: at once, after the delay already made for a failure
             while (
                 not self.removed
                 and now() < due_at
@@ -197,7 +199,7 @@
             self.changed = True
 
     def _advance_replica(self, name: str, task: TaskRun) -> None:
-        """A replica runs until it is stopped, unless the scenario has it end by itself."""
+        """Advance a replica: it runs until stopped, or exits at rate `World.replica_ends`."""
         self.world.replica_run_s[name] = self.world.replica_run_s.get(name, 0.0) + 0.25
         if self.world.random.random() < self.world.replica_ends * 0.25:
             task.stage = "exited"
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -1,4 +1,4 @@
-"""Controllers, services, machines and users together, in one scenario."""
+"""Runs controllers, services, machines and users together in one scenario."""
 
 from __future__ import annotations
 
@@ -28,13 +28,16 @@
 
 
 class World:
-    """Everything together; the rules are checked as things happen."""
+    """A simulated cluster with its users, and the record of what happened in it.
+
+    The rules are checked on every event; broken rules are added to `violations`.
+    """
 
     def __init__(self, seed: int, count: int = 3, zones: list[str] = ZONES) -> None:
         self.random = random.Random(seed)
         self.teams: list[dict[str, Any]] = TEAMS
         self.zones = zones
-        self.isolated_zone = ""  # a zone whose controllers and workers reach only one another
+        self.isolated_zone = ""  # controllers and workers of this zone reach only one another
         self.names = [f"n{i}" for i in range(count)]
         self.controllers: dict[str, Controller] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
@@ -52,38 +55,37 @@
         self.modes: dict[tuple[str, str], str] = {}
         self.cut_peers: set[str] = set()
         self.cut_workers: set[str] = set()
-        self.state_delay_factor = 1.0  # how many times as long the state service takes to answer
-        self.lost_answers = 0.0  # the fraction of transactions of which only the answer is lost
-        self.boot_s = (2.0, 10.0)  # the least and the most that a machine takes to come up
-        self.recorded_heartbeats: list[Request] | None = None  # copies, while they are kept
+        self.state_delay_factor = 1.0  # multiplies the latency of the state service
+        self.lost_answers = 0.0  # fraction of transactions that are executed, but not answered
+        self.boot_s = (2.0, 10.0)  # minimum and maximum boot time of a machine
+        self.recorded_heartbeats: list[Request] | None = None  # None: not recorded
         self.accepted_at: dict[str, float] = {}
-        self.first_start: dict[str, float] = {}  # of each task
-        self.late_writes = 0.0  # the fraction of transactions without an answer, carried out late
-        self.is_late_write: Any = (
-            None  # or which: called with a controller's name and the transaction
-        )
-        self.writes: list[tuple[float, str, dict[str, Any]]] = []  # what was sent, and by whom
-        self.faults_ended_at: float | None = None  # since when there are no more faults
-        self.hung_tasks_end_with_lease = (
-            False  # hung beyond its lease, a machine can't go on with tasks
-        )
+        self.first_start: dict[str, float] = {}  # time by task
+        self.late_writes = 0.0  # fraction of transactions that time out and are executed late
+        # If set, selects the late transactions, by the controller's name and the transaction, in
+        # place of `late_writes`.
+        self.is_late_write: Any = None
+        self.writes: list[tuple[float, str, dict[str, Any]]] = []  # time, controller, transaction
+        self.faults_ended_at: float | None = None  # end of the last fault; None: still faults
+        # Whether the tasks of a worker that hung beyond its lease count as ended.
+        self.hung_tasks_end_with_lease = False
         self.waiting_since: dict[str, float] = {}
         self.answered_at: dict[str, float] = {}
-        self.replica_run_s: dict[str, float] = {}  # seconds that each replica ran
-        self.replica_ends = 0.0  # how often in a second one ends by itself
-        self.restarted_after_done: list[
-            str
-        ] = []  # tasks that were started again after they were done
+        self.replica_run_s: dict[str, float] = {}  # by replica
+        self.replica_ends = 0.0  # rate per second at which a replica exits by itself
+        self.restarted_after_done: list[str] = []  # names of tasks
         self.start_counts: dict[str, int] = {}
         self.started_after_cancel: dict[str, float] = {}
-        self.late_copy_fraction = 0.0  # the fraction of heartbeats of which a late copy comes
+        self.late_copy_fraction = 0.0  # fraction of heartbeats that are delivered again late
         self.late_copies_delivered = 0
-        self.earlier_version: Any = None  # the version in production
-        self.earlier_version_controllers: set[str] = set()  # controllers that start with it
-        self.partition_plan: PartitionPlan | None = None  # where partitions are switched on
-        self.without_partitions: set[str] = set()  # controllers on which they are off all the same
-        self.paused: set[str] = set()  # controllers that stand still
-        self.held_messages: dict[str, list[Any]] = {}  # frames and heartbeats for them
+        self.earlier_version: Any = None  # modules of an earlier version
+        # Controllers that start with the earlier version.
+        self.earlier_version_controllers: set[str] = set()
+        self.partition_plan: PartitionPlan | None = None  # None: partitions are off
+        # Controllers with partitions off in spite of a plan.
+        self.without_partitions: set[str] = set()
+        self.paused: set[str] = set()  # names of paused controllers
+        self.held_messages: dict[str, list[Any]] = {}  # frames and requests for paused controllers
         self.group: Any = None
         self.rules = RuleChecker(self)
         self.history = AnswerHistory()
@@ -97,11 +99,11 @@
     # Network
 
     def transaction_is_late(self, controller: str, body: bytes | None) -> bool:
-        """Whether a transaction gets no answer and is carried out late."""
-        answer_body = json.loads(body or b"{}")
-        self.writes.append((now(), controller, answer_body))
+        """Record a transaction; returns whether it times out and is executed late."""
+        transaction = json.loads(body or b"{}")
+        self.writes.append((now(), controller, transaction))
         if self.is_late_write is not None:
-            return bool(self.is_late_write(controller, answer_body))
+            return bool(self.is_late_write(controller, transaction))
         return self.late_writes > 0.0 and self.random.random() < self.late_writes
 
     def mode(self, controller: str, service: Any) -> str:
@@ -115,8 +117,8 @@
             await anyio.sleep(10.0)
             return None
         if self.isolated_zone:
-            gang_tasks = worker.zone if worker is not None else "users"
-            if (gang_tasks == self.isolated_zone) != (
+            sender_zone = worker.zone if worker is not None else "users"
+            if (sender_zone == self.isolated_zone) != (
                 zone_of(name, self.zones) == self.isolated_zone
             ):
                 await anyio.sleep(10.0)
@@ -139,7 +141,7 @@
             await anyio.sleep(10.0)
             return None
         if worker is not None and self.random.random() < 0.01:
-            await anyio.sleep(10.0)  # an answer that comes too late
+            await anyio.sleep(10.0)  # the answer arrives after the worker's time-out
         return answer if self.controllers.get(name) is controller else None
 
     async def wait_until_resumed(self, name: str) -> None:
@@ -147,8 +149,11 @@
             await anyio.sleep(0.01)
 
     async def pause_controller(self, name: str, length: float) -> None:
-        """A controller stands still while its clock runs on: what it was answered, was about to
-        send, or was sent meanwhile, it handles when it goes on."""
+        """Pause a controller while its clock advances.
+
+        When it resumes, it processes the answers and messages that arrived meanwhile and sends
+        what it was about to send.
+        """
         controller = self.controllers.get(name)
         self.paused.add(name)
         await anyio.sleep(length)
@@ -161,7 +166,7 @@
                     controller.on_message(cbor2.loads(item))
 
     async def _late_copy(self, request: Request) -> None:
-        """A copy of a heartbeat, seconds to well over a lease late, at any controller."""
+        """Deliver a copy of a heartbeat to any controller, 0.5 s to 45 s (three leases) late."""
         await anyio.sleep(self.random.choice([1.0, 4.0, 12.0, 30.0]) * (0.5 + self.random.random()))
         controller = self.controllers.get(self.random.choice(self.names))
         if controller is not None:
@@ -169,7 +174,7 @@
             await controller.handle(request)
 
     async def deliver(self, copies: list[Request]) -> None:
-        """Deliver copies of recorded heartbeats to each controller."""
+        """Deliver copies of recorded heartbeats to every controller."""
         for request in copies:
             for controller in list(self.controllers.values()):
                 self.late_copies_delivered += 1
@@ -179,7 +184,7 @@
 
     def start_controller(self, name: str) -> None:
         if name in self.controllers:
-            return  # the restart of another fault was quicker: a controller runs once
+            return  # already restarted after another fault; a controller runs once
 
         old = self.earlier_version if name in self.earlier_version_controllers else None
         errors = old.http_client if old is not None else http_client
@@ -205,14 +210,14 @@
             **version_arguments,
         )
         if old is not None:
-            # The earlier versions' names.
+            # Attribute names of the earlier versions.
             controller.boot, controller.wall = f"{name}-{seed}", now
         else:
             controller.identity.incarnation = f"{name}-{seed}"
         recorder.watch(name, controller)
         self.controllers[name] = controller
 
-        # Known before it runs: one that ends in the same moment must not run on.
+        # Stored before the task starts, so that a crash at the same instant cancels it.
         scope = self.scopes[name] = anyio.CancelScope()
 
         async def run() -> None:
@@ -222,7 +227,10 @@
         self.group.start_soon(run)
 
     def _partitions(self, name: str) -> PartitionService | None:
-        """A controller's partitions. The solver runs in its turn: threads know no virtual time."""
+        """A controller's partition service.
+
+        The solver runs in the event loop, since threads don't follow virtual time.
+        """
         if self.partition_plan is None or name in self.without_partitions:
             return None
 
@@ -238,8 +246,8 @@
             scope.cancel()
 
     def _collect_invariant_violations(self, name: str, controller: Any) -> None:
-        """What a controller found violated while it ran breaks the scenario."""
-        invariants = getattr(controller, "invariants", None)  # earlier versions have none
+        """Add the invariant violations that a controller counted to those of the scenario."""
+        invariants = getattr(controller, "invariants", None)  # None in earlier versions
         if invariants is not None:
             self.violations += [
                 f"{name} violated {invariant} {count} times"
@@ -271,7 +279,7 @@
         return bool(len(gang_tasks) == self.jobs[job_id]["pieces"])
 
     def complete_gang(self, job_id: str, attempt: int) -> None:
-        """The tasks of a gang complete together: if one is done, all are."""
+        """Complete all tasks of a gang: they complete together."""
         for worker in self.workers.values():
             for name, task in worker.tasks.items():
                 if name.split("/")[0] == job_id and task.attempt == attempt:
@@ -304,7 +312,7 @@
     # Users
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        """A user's request to a controller that takes requests, any of them."""
+        """Send a user's request to a random controller that is ready."""
         alive = [n for n in sorted(self.controllers) if self.controllers[n].ready]
         if not alive:
             return 0, {}
@@ -314,20 +322,20 @@
     async def ask_controller(
         self, name: str, request: Request, within: float = 5.0
     ) -> tuple[int, Any]:
-        """A user's request to one controller; what it answers is compared with all answers."""
-        question = self.history.record_request(*self._job_and_verb(request))
+        """Send a user's request to one controller and check the answer against all earlier ones."""
+        user_request = self.history.record_request(*self._job_and_verb(request))
         answer: Response | None = None
-        with anyio.move_on_after(within):  # a controller that crashes answers nobody
+        with anyio.move_on_after(within):  # a controller that crashes sends no answer
             answer = await self.to_controller(name, request)
         if answer is None:
             return 0, {}
-        return answer.status, self.check_answer(question, name, answer)
+        return answer.status, self.check_answer(user_request, name, answer)
 
-    def check_answer(self, question: UserRequest, name: str, answer: Response) -> Any:
-        """Compare a controller's answer with all answers before; gives what it says."""
+    def check_answer(self, user_request: UserRequest, name: str, answer: Response) -> Any:
+        """Check an answer against all earlier ones; returns its decoded body."""
         answer_body = json.loads(answer.body)
         before = len(self.history.violations)
-        self.history.record_answer(question, answer.status, answer_body)
+        self.history.record_answer(user_request, answer.status, answer_body)
         self.violations += [
             f"{b} by {name} at {now():.2f}" for b in self.history.violations[before:]
         ]
@@ -337,7 +345,7 @@
 
     @staticmethod
     def _job_and_verb(request: Request) -> tuple[str, str]:
-        """The job that a request is about, and what it asks of it."""
+        """The job ID of a request, and its verb: submit, poll or abort."""
         segments = request.target.split("/")
         if len(segments) > 3:
             return segments[3], "abort" if segments[-1] == "abort" else "poll"
@@ -359,10 +367,10 @@
             return
         self.accepted.add(job_id)
         begun = self.accepted_at.setdefault(job_id, now())
-        asked = False
+        cancel_sent = False
         while True:
             if cancel_after is not None and now() - begun > cancel_after:
-                asked = True
+                cancel_sent = True
                 status, answer_body = await self.ask("POST", f"/v2/runs/{job_id}/abort")
                 if status == 200:
                     self._record_reported_stage(job_id, answer_body["stage"], True)
@@ -373,7 +381,7 @@
             if status == 200:
                 self.answered_at[job_id] = now()
                 self._record_reported_stage(
-                    job_id, answer_body["stage"], asked or job_id in self.cancelled_at
+                    job_id, answer_body["stage"], cancel_sent or job_id in self.cancelled_at
                 )
             elif self.faults_ended_at is not None and (
                 now() - max(self.faults_ended_at, self.answered_at.get(job_id, 0.0)) > 75.0
@@ -447,7 +455,7 @@
         )
 
     async def run_scenario(self, until: float, script: Any) -> None:
-        """Start the controllers, run the script beside the world, and stop after a time."""
+        """Start the controllers, run a script concurrently, and stop after `until` seconds."""
         async with anyio.create_task_group() as group:
             self.group = group
             for name in self.names:
