--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -69,7 +69,7 @@
     world.cut_peers.discard(name)
 
 
-async def _stands_still(world: World, name: str) -> None:
+async def _paused(world: World, name: str) -> None:
     await world.pause_controller(_leader_or(world, name), world.random.choice([0.4, 1.2, 3.0]))
 
 
@@ -104,7 +104,7 @@
     _held,
     _lossy,
     _cut_from_peers,
-    _stands_still,
+    _paused,
     _late_writes,
     _lost_answers,
     _slow_state,
@@ -119,18 +119,18 @@
         await world.random.choice(FAULTS)(world, world.random.choice(world.names))
 
 
-def _drawn_job(world: World, job_id: str) -> dict[str, Any]:
+def _random_job(world: World, job_id: str) -> dict[str, Any]:
     """A short array, gang or service."""
-    pick = world.random
-    if pick.random() < LONG_ARRAYS:
+    rng = world.random
+    if rng.random() < LONG_ARRAYS:
         # Its record outgrows the lower limit of a value, so it is kept in chunks.
         return world.job(name_id=job_id, pieces=400, cpus=0.1, ram_gb=0.1, true_s=2.0)
-    shape = pick.choice(["sweep", "sweep", "sweep", "group", "daemon"])
-    true_s = pick.choice([0.3, 1.0, 3.0, 8.0])
+    shape = rng.choice(["sweep", "sweep", "sweep", "group", "daemon"])
+    true_s = rng.choice([0.3, 1.0, 3.0, 8.0])
     return world.job(
         name_id=job_id,
         shape=shape,
-        pieces=pick.randint(1, 4),
+        pieces=rng.randint(1, 4),
         cpus=6.0,
         ram_gb=6.0,
         image_gb=0.1,
@@ -146,19 +146,19 @@
     def __init__(self, world: World, job_id: str) -> None:
         self.world = world
         self.job_id = job_id
-        self.body = _drawn_job(world, job_id)
+        self.body = _random_job(world, job_id)
         world.jobs[job_id] = self.body
         raw = {k: v for k, v in self.body.items() if k != "true_s"}
         self.submission = Request("POST", "/v2/runs", json.dumps(raw).encode(), False)
-        self.question = Request("GET", f"/v2/runs/{job_id}", b"", False)
+        self.poll = Request("GET", f"/v2/runs/{job_id}", b"", False)
         self.cancellation = Request("POST", f"/v2/runs/{job_id}/abort", b"", False)
         self.cancels = self.body["shape"] == "daemon" or world.random.random() < 0.5
 
     async def ask(self, request: Request, name: str | None = None) -> tuple[int, Any]:
         name = name or self.world.random.choice(self.world.names)
-        wait = POLL_WAIT_S if request.method == "GET" else CHANGE_WAIT_S
-        status, said = await self.world.ask_controller(name, request, wait)
-        stage = said.get("stage") if status in (200, 201) else None
+        timeout_s = POLL_WAIT_S if request.method == "GET" else CHANGE_WAIT_S
+        status, answer_body = await self.world.ask_controller(name, request, timeout_s)
+        stage = answer_body.get("stage") if status in (200, 201) else None
         if status in (200, 201):
             self.world.accepted.add(self.job_id)
         if stage == "withdrawn":
@@ -170,42 +170,42 @@
             for n in range(self.body["pieces"])
         ):
             self.world.violations.append(f"not_done {self.job_id}")
-        return status, said
+        return status, answer_body
 
     async def run(self) -> None:
-        pick = self.world.random
+        rng = self.world.random
         while (await self.ask(self.submission))[0] not in (200, 201):
-            await anyio.sleep(pick.uniform(0.5, 1.5))
+            await anyio.sleep(rng.uniform(0.5, 1.5))
         async with anyio.create_task_group() as group:
             for _ in range(2):
-                group.start_soon(self._look_around)
+                group.start_soon(self._poll_and_repeat)
             if self.cancels:
-                group.start_soon(self._cancel, pick.choice([0.0, 0.05, 1.0, 3.0, 6.0, 15.0]))
+                group.start_soon(self._cancel, rng.choice([0.0, 0.05, 1.0, 3.0, 6.0, 15.0]))
 
     async def _cancel(self, after: float) -> None:
         await anyio.sleep(after)
         while (await self.ask(self.cancellation))[0] != 200:
             await anyio.sleep(self.world.random.uniform(0.3, 1.0))
-        await self._ask_everywhere()
+        await self._ask_all_controllers()
 
-    async def _look_around(self) -> None:
+    async def _poll_and_repeat(self) -> None:
         """Poll, and repeat the submission and a cancellation that was asked for."""
-        pick = self.world.random
+        rng = self.world.random
         while True:
-            await anyio.sleep(pick.uniform(0.2, 4.0))
-            again = [self.question, self.question, self.submission]
+            await anyio.sleep(rng.uniform(0.2, 4.0))
+            requests = [self.poll, self.poll, self.submission]
             if self.world.history.jobs[self.job_id].cancel_requested:
-                again.append(self.cancellation)
+                requests.append(self.cancellation)
             before = self.world.history.jobs[self.job_id].final
-            await self.ask(pick.choice(again))
+            await self.ask(rng.choice(requests))
             if self.world.history.jobs[self.job_id].final != before:
-                await self._ask_everywhere()
+                await self._ask_all_controllers()
 
-    async def _ask_everywhere(self) -> None:
+    async def _ask_all_controllers(self) -> None:
         """Poll and repeat the submission at all controllers at once."""
         async with anyio.create_task_group() as group:
             for name in self.world.names:
-                group.start_soon(self.ask, self.question, name)
+                group.start_soon(self.ask, self.poll, name)
                 group.start_soon(self.ask, self.submission, name)
 
 
@@ -220,9 +220,9 @@
             lower_limits(world)
         for _ in range(3):
             world.group.start_soon(_faults, world)
-        for number in range(jobs):
+        for job_index in range(jobs):
             await anyio.sleep(world.random.uniform(0.0, 2 * (FAULTS_UNTIL_S - 10.0) / jobs))
-            world.group.start_soon(JobUsers(world, f"run-{number:06d}").run)
+            world.group.start_soon(JobUsers(world, f"run-{job_index:06d}").run)
 
     async def main() -> None:
         await world.run_scenario(LENGTH_S, script)
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -21,8 +21,8 @@
 
 
 async def all_crash(world: World) -> None:
-    for pause in (25, 20):
-        await anyio.sleep(pause)
+    for delay_s in (25, 20):
+        await anyio.sleep(delay_s)
         for name in world.names:
             world.crash(name)
         await anyio.sleep(world.random.choice([0.2, 3.0]))
--- a/tests/support/partition_history.py
+++ b/tests/support/partition_history.py
@@ -26,15 +26,15 @@
         self._records: dict[str, Any] = {}
         self._versions: dict[str, int] = {}
         self._shard_of: dict[str, str] = {}
-        self._floor_of: dict[str, int] = {}
+        self._min_token_of: dict[str, int] = {}
 
     def check(self, log: Iterable[Entry]) -> list[str]:
         """Go through a log; gives what was wrong."""
         for revision, entries in groupby(log, key=lambda entry: entry[0]):
             changed = list(entries)
             before = {key: self._records.get(key) for _, key, _, _ in changed}
-            for _, key, value, gone in changed:
-                if gone:
+            for _, key, value, removed in changed:
+                if removed:
                     self._records.pop(key, None)
                     self._versions.pop(key, None)
                 else:
@@ -48,8 +48,8 @@
                     self._check_transfer(revision, key, before[key])
         return self.violations
 
-    def _fail(self, revision: int, what: str) -> None:
-        self.violations.append(f"revision {revision}: {what}")
+    def _add_violation(self, revision: int, problem: str) -> None:
+        self.violations.append(f"revision {revision}: {problem}")
 
     # Machines
 
@@ -67,12 +67,12 @@
         for machine, groups in listed.items():
             shards = {self._shard(self._records[key]) for key in groups}
             if len(shards) > 1:
-                self._fail(revision, f"{machine} counts in {sorted(shards)}")
+                self._add_violation(revision, f"{machine} counts in {sorted(shards)}")
                 continue
             newest = max(groups, key=lambda key: self._versions[key])
             self._check_move(revision, machine, shards.pop(), self._records[newest], before)
         for machine in self._shard_of.keys() - listed.keys():
-            text = next(
+            encoded_state = next(
                 (
                     group["machines"][machine]
                     for key, group in before.items()
@@ -80,8 +80,10 @@
                 ),
                 "",
             )
-            if text[:1] != "d":
-                self._fail(revision, f"{machine} counts nowhere, and was not to be deleted")
+            if encoded_state[:1] != "d":
+                self._add_violation(
+                    revision, f"{machine} counts nowhere, and was not to be deleted"
+                )
             del self._shard_of[machine]
 
     @staticmethod
@@ -97,17 +99,23 @@
         before: dict[str, Any],
     ) -> None:
         old = self._shard_of.get(machine)
-        floor = group.get("floors", {}).get(machine, 0)
+        min_token = group.get("floors", {}).get(machine, 0)
         if old is not None and old != shard:
             self.handovers.append((revision, machine, old, shard))
-            self._check_handover(revision, machine, old, shard, floor, before)
-        elif floor < self._floor_of.get(machine, 0):
-            self._fail(revision, f"{machine}'s least token went back")
+            self._check_handover(revision, machine, old, shard, min_token, before)
+        elif min_token < self._min_token_of.get(machine, 0):
+            self._add_violation(revision, f"{machine}'s least token went back")
         self._shard_of[machine] = shard
-        self._floor_of[machine] = max(floor, self._floor_of.get(machine, 0))
+        self._min_token_of[machine] = max(min_token, self._min_token_of.get(machine, 0))
 
     def _check_handover(
-        self, revision: int, machine: str, old: str, shard: str, floor: int, before: dict[str, Any]
+        self,
+        revision: int,
+        machine: str,
+        old: str,
+        shard: str,
+        min_token: int,
+        before: dict[str, Any],
     ) -> None:
         transfers = [
             (value, self._records.get(key))
@@ -122,13 +130,17 @@
             and now.get("moved", 0) > was.get("moved", 0)
             for was, now in transfers
         ):
-            self._fail(revision, f"{machine} went from {old} to {shard} without a transfer")
-        if floor <= max(self._versions.get(SHARDS + old, 0), self._floor_of.get(machine, 0)):
-            self._fail(revision, f"{machine}'s least token does not shut {old} out")
+            self._add_violation(
+                revision, f"{machine} went from {old} to {shard} without a transfer"
+            )
+        if min_token <= max(
+            self._versions.get(SHARDS + old, 0), self._min_token_of.get(machine, 0)
+        ):
+            self._add_violation(revision, f"{machine}'s least token does not shut {old} out")
         for key, job in self._records.items():
             gang = job.get("gang") if key.startswith(JOBS) else None
             if gang and any(m == machine for _, m in gang.get("places", [])):
-                self._fail(revision, f"{machine} went while {key} had a place on it")
+                self._add_violation(revision, f"{machine} went while {key} had a place on it")
 
     # Transfers
 
@@ -136,17 +148,17 @@
         value = self._records.get(key)
         if value is None:
             if before is not None and before["state"] in ("requested", "draining"):
-                self._fail(revision, f"{key} was removed while it was open")
+                self._add_violation(revision, f"{key} was removed while it was open")
             return
         if value.get("moved", 0) > value["count"]:
-            self._fail(revision, f"{key} moved more than it was to")
+            self._add_violation(revision, f"{key} moved more than it was to")
         ended = before is not None and before["state"] not in ("requested", "draining")
         if ended and value["state"] in ("requested", "draining"):
-            self._fail(revision, f"{key} was opened again")
+            self._add_violation(revision, f"{key} was opened again")
         for other, record in self._records.items():
             both = other.startswith(TRANSFERS) and other != key
             if both and set(record.get("draining", [])) & set(value.get("draining", [])):
-                self._fail(revision, f"{key} and {other} drain the same machine")
+                self._add_violation(revision, f"{key} and {other} drain the same machine")
 
     # In the end
 
@@ -163,7 +175,10 @@
         out: dict[tuple[str, str], int] = {}
         for key, group in self._records.items():
             if key.startswith(MACHINES):
-                live = sum(not text.startswith("d") for text in group["machines"].values())
+                live = sum(
+                    not encoded_state.startswith("d")
+                    for encoded_state in group["machines"].values()
+                )
                 if live:
                     name = (self._shard(group), group["type"])
                     out[name] = out.get(name, 0) + live
--- a/tests/support/partition_moves.py
+++ b/tests/support/partition_moves.py
@@ -51,9 +51,9 @@
         names = sorted(world.controllers)
         if names:
             controller = world.controllers[names[attempt % len(names)]]
-            said = await controller.on_request({"kind": "shares", "verb": verb, **fields})
-            if said is not None and said["status"] != 503:
-                return said
+            answer = await controller.on_request({"kind": "shares", "verb": verb, **fields})
+            if answer is not None and answer["status"] != 503:
+                return answer
         await anyio.sleep(1.0)
     raise AssertionError("no controller answered")
 
@@ -69,15 +69,17 @@
 def submit_zone_job(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
     """A user's job in zone a on machines of type c8."""
     cancel_after = fields.pop("cancel_after", None)
-    known = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
-    body = world.job(name_id=name, pieces=pieces, **({"expected_s": seconds} | known | fields))
+    zone_fields = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
+    body = world.job(
+        name_id=name, pieces=pieces, **({"expected_s": seconds} | zone_fields | fields)
+    )
     world.group.start_soon(world.user, name, body, cancel_after)
 
 
-async def wait_until(reached: Callable[[], bool], within: float = 60.0) -> None:
+async def wait_until(condition: Callable[[], bool], within: float = 60.0) -> None:
     """Wait until something is so."""
     end = now() + within
-    while not reached():
+    while not condition():
         assert now() < end, "not reached"
         await anyio.sleep(0.1)
 
@@ -88,17 +90,17 @@
         machine
         for key, (group, _, _) in world.state.keys.items()
         if key.startswith("dw/m/") and shard_name(group["zone"], group.get("share", "")) == shard
-        for machine, text in group["machines"].items()
-        if not text.startswith("d")
+        for machine, state in group["machines"].items()
+        if not state.startswith("d")
     }
 
 
 async def wait_for_partitions(world: World) -> None:
-    def begun() -> bool:
+    def is_switched_on() -> bool:
         record = world.state.keys.get(FORMAT)
         return record is not None and record[0]["version"] == PARTITIONS_FORMAT
 
-    await wait_until(begun)
+    await wait_until(is_switched_on)
 
 
 async def fill_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
--- a/tests/support/real_world.py
+++ b/tests/support/real_world.py
@@ -107,8 +107,8 @@
     async def to_controller(
         self, name: str, request: Request, _worker: object = None
     ) -> Response | None:
-        status, said = await self.call(name, request.method, request.target, request.body)
-        return Response(status, json.dumps(said).encode()) if status else None
+        status, answer_body = await self.call(name, request.method, request.target, request.body)
+        return Response(status, json.dumps(answer_body).encode()) if status else None
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
         return await self.call(self.random.choice(self.names), method, path, body)
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -8,7 +8,7 @@
 import anyio.abc
 
 POLL_S = 0.05
-ENDED = (
+CONNECTION_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -53,27 +53,31 @@
             for scope in list(self._connections):
                 scope.cancel()
 
-    async def _relay(self, near: anyio.abc.SocketStream) -> None:
-        async with near:
+    async def _relay(self, client_stream: anyio.abc.SocketStream) -> None:
+        async with client_stream:
             if self._mode is RelayMode.REFUSED:
                 return
             with anyio.CancelScope() as scope:
                 self._connections.add(scope)
                 try:
-                    far = await anyio.connect_tcp("127.0.0.1", self._target_port)
-                    async with far, anyio.create_task_group() as group:
-                        group.start_soon(self._pass_on, near, far, group.cancel_scope)
-                        group.start_soon(self._pass_on, far, near, group.cancel_scope)
-                except ENDED:
+                    target_stream = await anyio.connect_tcp("127.0.0.1", self._target_port)
+                    async with target_stream, anyio.create_task_group() as group:
+                        group.start_soon(
+                            self._copy, client_stream, target_stream, group.cancel_scope
+                        )
+                        group.start_soon(
+                            self._copy, target_stream, client_stream, group.cancel_scope
+                        )
+                except CONNECTION_ERRORS:
                     pass
                 finally:
                     self._connections.discard(scope)
 
-    async def _pass_on(
+    async def _copy(
         self,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
-        both: anyio.CancelScope,
+        connection_scope: anyio.CancelScope,
     ) -> None:
         try:
             while True:
@@ -81,5 +85,5 @@
                 while self._mode is RelayMode.HELD:
                     await anyio.sleep(POLL_S)
                 await sink.send(data)
-        except ENDED:
-            both.cancel()
+        except CONNECTION_ERRORS:
+            connection_scope.cancel()
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -155,9 +155,9 @@
     """
     world = World(seed)
     world.earlier_version, world.earlier_version_controllers = earlier, set(world.names)
-    played = RollingUpgradeResult(world)
+    result = RollingUpgradeResult(world)
 
-    async def fall() -> None:
+    async def lower_limits_later() -> None:
         assert lowered_after is not None
         await anyio.sleep(lowered_after)
         lower_limits(world)
@@ -167,7 +167,7 @@
         for name in world.names:
             await anyio.sleep(10)
             if FORMAT in world.state.keys:
-                played.controllers_with_early_format.append(name)
+                result.controllers_with_early_format.append(name)
             world.earlier_version_controllers.discard(name)
             world.crash(name)
             await anyio.sleep(world.random.choice([0.2, 3.0]))
@@ -184,7 +184,7 @@
             group.start_soon(roll)
             group.start_soon(fault, world)
             if lowered_after is not None:
-                group.start_soon(fall)
+                group.start_soon(lower_limits_later)
                 submit_services(world)
         await anyio.sleep(world.random.uniform(5.0, 9.0))
         assert world.state.keys[FORMAT][0] == {"version": CURRENT_FORMAT}
@@ -197,4 +197,4 @@
         await anyio.sleep(110)
 
     run_script(world, 330.0, script)
-    return played
+    return result
--- a/tests/support/scenario_checks.py
+++ b/tests/support/scenario_checks.py
@@ -24,15 +24,17 @@
 def groups_of_jobs(world: World) -> dict[tuple[str, str], list[str]]:
     """Accepted jobs that nobody cancelled, by class, by team, and the largest of each class."""
     groups: dict[tuple[str, str], list[str]] = defaultdict(list)
-    wanted = [j for j in sorted(world.accepted) if j not in world.cancelled_at]
-    for job_id in wanted:
+    uncancelled = [j for j in sorted(world.accepted) if j not in world.cancelled_at]
+    for job_id in uncancelled:
         job = world.jobs[job_id]
         groups[("class", job["bundle"])].append(job_id)
         groups[("team", job["crew"])].append(job_id)
     for (kind, name), members in list(groups.items()):
         if kind == "class":
-            most = max(world.jobs[j]["pieces"] for j in members)
-            groups[("largest", name)] = [j for j in members if world.jobs[j]["pieces"] == most]
+            max_pieces = max(world.jobs[j]["pieces"] for j in members)
+            groups[("largest", name)] = [
+                j for j in members if world.jobs[j]["pieces"] == max_pieces
+            ]
     return groups
 
 
@@ -42,17 +44,17 @@
     if not world.starts:
         violations.append("nothing_ran")
     for (kind, name), jobs in groups_of_jobs(world).items():
-        served = sum(started_tasks(world, j) == world.jobs[j]["pieces"] for j in jobs)
-        if 2 * served < len(jobs):
+        started = sum(started_tasks(world, j) == world.jobs[j]["pieces"] for j in jobs)
+        if 2 * started < len(jobs):
             violations.append(f"served {kind} {name}")
         if kind == "largest":
             for job_id in jobs:
-                begun = world.first_start.get(f"{job_id}/0")
-                if begun is None or begun - world.accepted_at[job_id] > BEGIN_WITHIN_S:
+                started_at = world.first_start.get(f"{job_id}/0")
+                if started_at is None or started_at - world.accepted_at[job_id] > BEGIN_WITHIN_S:
                     violations.append(f"late {job_id}")
-    for name, late in world.started_after_cancel.items():
-        if late > START_IN_FLIGHT_S:
-            violations.append(f"started_after_cancel {name} {late:.1f}")
+    for name, delay_s in world.started_after_cancel.items():
+        if delay_s > START_IN_FLIGHT_S:
+            violations.append(f"started_after_cancel {name} {delay_s:.1f}")
     return violations
 
 
@@ -77,13 +79,13 @@
             return 0, {}
         before = self.known.get(job_id, 0)  # what was told when the question was put
         answer = await controller.handle(request)
-        said = json.loads(answer.body)
+        answer_body = json.loads(answer.body)
         if answer.status == 503 and not answer.retry_after:
             self.violations.append(f"no Retry-After {job_id}")
         if answer.status in (200, 201, 404):
-            stage = "unknown" if answer.status == 404 else said["stage"]
+            stage = "unknown" if answer.status == 404 else answer_body["stage"]
             self.record_answer(job_id, before, stage)
-        return answer.status, said
+        return answer.status, answer_body
 
     def record_answer(self, job_id: str, before: int, stage: str) -> None:
         """An answer whose question was put when `before` was known."""
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -89,8 +89,8 @@
 async def cancel(world: World, name: str, jobs: list[str]) -> None:
     """Cancel through one controller; what it confirms binds from then on."""
     for job in jobs:
-        status, said = await call(world, name, "POST", job, "abort")
-        if status == 200 and said["stage"] == "withdrawn":
+        status, answer_body = await call(world, name, "POST", job, "abort")
+        if status == 200 and answer_body["stage"] == "withdrawn":
             world.reported_stages[job] = "withdrawn"
             world.cancelled_at.setdefault(job, now())
 
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -23,7 +23,7 @@
 # new ones are up, and 20 s for calls, gangs and moves that are made anew after a pause.
 RECOVERY_S = 5.0 + OWNER_CONTACT_TIMEOUT_S + float(WORKERS["lease_s"]) + 10.0 + 20.0
 SETTLE_S = 1.0  # after the end of a fault, until what it kept back is on its way
-WASTE = 2.0  # a task waits for a heartbeat and an image, and gangs for one another
+WORK_TIME_FACTOR = 2.0  # a task waits for a heartbeat and an image, and gangs for one another
 TASK_OVERHEAD_S = 4.0
 
 
@@ -42,14 +42,14 @@
     violations: list[str]
     jobs: int
     max_machines: int
-    served_after_s: float
+    finished_after_s: float
 
     def line(self) -> str:
         """The result as one line of text."""
         verdict = "BROKEN" if self.violations else "ok"
         return (
             f"seed {self.seed}: {verdict}, {self.jobs} jobs, at most {self.max_machines} "
-            f"machines, all over {self.served_after_s:.0f} s after the last fault"
+            f"machines, all over {self.finished_after_s:.0f} s after the last fault"
         )
 
 
@@ -61,7 +61,7 @@
     program: tuple[str, ...] = ()  # in place of run.py
 
 
-def work_left_s(world: SoakWorld) -> float:
+def remaining_work_s(world: SoakWorld) -> float:
     """How long the work that is left takes at the limits of its teams."""
     longest_s = 0.0
     for team in world.teams:
@@ -70,8 +70,10 @@
             body = world.jobs[job_id]
             if body["crew"] != team["name"] or body["shape"] == "daemon":
                 continue
-            left = sum(f"{job_id}/{n}" not in world.completed_tasks for n in range(body["pieces"]))
-            seconds = left * (body["true_s"] + TASK_OVERHEAD_S)
+            unfinished = sum(
+                f"{job_id}/{n}" not in world.completed_tasks for n in range(body["pieces"])
+            )
+            seconds = unfinished * (body["true_s"] + TASK_OVERHEAD_S)
             cpu_s += body["cpus"] * seconds
             gpu_s += body["accelerators"] * seconds
         for work_s, limit in ((cpu_s, team["cpus_max"]), (gpu_s, team["gpus_max"])):
@@ -80,19 +82,21 @@
     return longest_s
 
 
-def unsettled(world: SoakWorld) -> list[str]:
+def unfinished_job_names(world: SoakWorld) -> list[str]:
     """The accepted jobs that are not over, or whose replicas do not all run."""
     running = {name for _, name in world.on_machines()}
-    left = []
+    unfinished = []
     for job_id in sorted(world.accepted):
         body = world.jobs[job_id]
         if body["shape"] == "daemon":
-            settled = all(f"{job_id}/{n}" in running for n in range(body["pieces"]))
+            finished = all(f"{job_id}/{n}" in running for n in range(body["pieces"]))
         else:
-            settled = world.reported_stages.get(job_id) in ("done", "withdrawn")
-        if not settled:
-            left.append(f"{job_id} ({body['bundle']}, {body['crew']}, {body['pieces']} tasks)")
-    return left
+            finished = world.reported_stages.get(job_id) in ("done", "withdrawn")
+        if not finished:
+            unfinished.append(
+                f"{job_id} ({body['bundle']}, {body['crew']}, {body['pieces']} tasks)"
+            )
+    return unfinished
 
 
 class SoakRun:
@@ -106,7 +110,7 @@
         if options.program:
             self._world.program = list(options.program)
         self._most_machines = 0
-        self._served_after_s = math.inf
+        self._finished_after_s = math.inf
 
     async def run(self) -> SoakResult:
         """Play the run to its end; all its processes have ended then."""
@@ -116,7 +120,7 @@
             self._violations(),
             len(self._world.accepted),
             self._most_machines,
-            self._served_after_s,
+            self._finished_after_s,
         )
 
     async def _script(self) -> None:
@@ -128,13 +132,13 @@
         async with anyio.create_task_group() as group:
             group.start_soon(users.probe)
             group.start_soon(self._count_machines)
-            async with anyio.create_task_group() as troubles:
+            async with anyio.create_task_group() as fault_period:
                 group.start_soon(FaultInjector(world).run, self.schedule)
-                troubles.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
-                troubles.start_soon(users.submit, jobs, end_of(self.schedule))
+                fault_period.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
+                fault_period.start_soon(users.submit, jobs, end_of(self.schedule))
             world.faults_ended_at = now()
-            await self._wait_until_served()
-            await self._ask_for_violations()
+            await self._wait_until_finished()
+            await self._collect_invariant_violations()
             group.cancel_scope.cancel()
 
     async def _count_machines(self) -> None:
@@ -142,22 +146,24 @@
             self._most_machines = max(self._most_machines, len(self._world.workers))
             await anyio.sleep(1.0)
 
-    async def _wait_until_served(self) -> None:
+    async def _wait_until_finished(self) -> None:
         """Wait until all jobs are over, or the time for that has passed."""
         world = self._world
         assert world.faults_ended_at is not None
-        bound_s = RECOVERY_S + WASTE * work_left_s(world)
+        limit_s = RECOVERY_S + WORK_TIME_FACTOR * remaining_work_s(world)
         expected = self._options.jobs + 1 + bool(self._options.machines)
-        while now() - world.faults_ended_at < bound_s:
+        while now() - world.faults_ended_at < limit_s:
             await anyio.sleep(1.0)
-            if len(world.accepted) == expected and not unsettled(world):
-                self._served_after_s = now() - world.faults_ended_at
+            if len(world.accepted) == expected and not unfinished_job_names(world):
+                self._finished_after_s = now() - world.faults_ended_at
                 return
         if len(world.accepted) < expected:
             world.violations.append(f"{expected - len(world.accepted)} jobs were not accepted")
-        world.violations += [f"unserved after {bound_s:.0f} s: {job}" for job in unsettled(world)]
+        world.violations += [
+            f"unserved after {limit_s:.0f} s: {job}" for job in unfinished_job_names(world)
+        ]
 
-    async def _ask_for_violations(self) -> None:
+    async def _collect_invariant_violations(self) -> None:
         """Ask each controller which invariants it found violated."""
         for name, port in self._world.peer_ports.items():
             try:
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -12,12 +12,12 @@
 from support.soak_schedule import Fault, FaultKind, Role
 from support.soak_world import SoakWorld
 
-LEADS_FOR_S = 0.8  # a leader that is to end has led for about so long
-BACK_AFTER_S = 0.4
-SLOW_TIMES = 40.0
+MEAN_LEADER_LIFE_S = 0.8  # a leader that is to end has led for about so long
+LEADER_RESTART_DELAY_S = 0.4
+STATE_DELAY_FACTOR = 40.0
 
 
-def befallen(world: SoakWorld, role: Role) -> str:
+def target_controller(world: SoakWorld, role: Role) -> str:
     """The controller with a role now; any one if none has it."""
     keys = world.state.keys
     if role is Role.LEADER and "dw/leader" in keys:
@@ -33,7 +33,7 @@
 
     def __init__(self, world: SoakWorld) -> None:
         self._world = world
-        self._play: dict[FaultKind, Callable[[Fault], Coroutine[Any, Any, None]]] = {
+        self._handlers: dict[FaultKind, Callable[[Fault], Coroutine[Any, Any, None]]] = {
             FaultKind.KILL: self._kill,
             FaultKind.LEADERS_END: self._end_leaders,
             FaultKind.PAUSE: self._pause,
@@ -58,135 +58,145 @@
 
     async def run(self, schedule: list[Fault]) -> None:
         """Play a schedule to its end."""
-        begun = now()
+        started_at = now()
         async with anyio.create_task_group() as group:
             for fault in schedule:
-                await anyio.sleep(max(0.0, begun + fault.at_s - now()))
-                group.start_soon(self._play[fault.kind], fault)
+                await anyio.sleep(max(0.0, started_at + fault.start_s - now()))
+                group.start_soon(self._handlers[fault.kind], fault)
 
     # Controllers
 
     async def _kill(self, fault: Fault) -> None:
-        name = befallen(self._world, fault.role)
+        name = target_controller(self._world, fault.role)
         self._world.crash(name)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.start_controller(name)
 
     async def _end_leaders(self, fault: Fault) -> None:
         """End each leader as soon as it leads, one after the other."""
-        end = now() + fault.for_s
-        ended = None
+        end = now() + fault.duration_s
+        last_incarnation = None
         while now() < end:
             record = self._world.state.keys.get("dw/leader")
-            if record is None or record[0]["boot"] == ended:
+            if record is None or record[0]["boot"] == last_incarnation:
                 await anyio.sleep(0.1)
                 continue
-            ended = record[0]["boot"]
-            await anyio.sleep(self._world.random.uniform(0.0, 2 * LEADS_FOR_S))
+            last_incarnation = record[0]["boot"]
+            await anyio.sleep(self._world.random.uniform(0.0, 2 * MEAN_LEADER_LIFE_S))
             self._world.crash(record[0]["node"])
-            await anyio.sleep(BACK_AFTER_S)
+            await anyio.sleep(LEADER_RESTART_DELAY_S)
             self._world.start_controller(record[0]["node"])
 
     async def _pause(self, fault: Fault) -> None:
-        await self._world.pause(befallen(self._world, fault.role), fault.for_s)
+        await self._world.pause(target_controller(self._world, fault.role), fault.duration_s)
 
     # The state service and the cloud
 
     async def _refuse_state(self, fault: Fault) -> None:
-        await self._set_state_mode(befallen(self._world, fault.role), "refused", fault.for_s)
+        await self._set_state_mode(
+            target_controller(self._world, fault.role), "refused", fault.duration_s
+        )
 
     async def _hold_state(self, fault: Fault) -> None:
-        await self._set_state_mode(befallen(self._world, fault.role), "held", fault.for_s)
+        await self._set_state_mode(
+            target_controller(self._world, fault.role), "held", fault.duration_s
+        )
 
-    async def _set_state_mode(self, name: str, mode: str, for_s: float) -> None:
+    async def _set_state_mode(self, name: str, mode: str, duration_s: float) -> None:
         self._world.modes[name, "state"] = mode
-        await anyio.sleep(for_s)
+        await anyio.sleep(duration_s)
         self._world.modes.pop((name, "state"), None)
 
     async def _state_outage(self, fault: Fault) -> None:
         self._world.state.set_down(True)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.state.set_down(False)
 
     async def _slow_state(self, fault: Fault) -> None:
-        self._world.state_delay_factor = SLOW_TIMES
-        await anyio.sleep(fault.for_s)
+        self._world.state_delay_factor = STATE_DELAY_FACTOR
+        await anyio.sleep(fault.duration_s)
         self._world.state_delay_factor = 1.0
 
     async def _late_writes(self, fault: Fault) -> None:
         self._world.late_writes = fault.share / 2
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.late_writes = 0.0
 
     async def _lose_answers(self, fault: Fault) -> None:
         self._world.lost_answers = fault.share / 2
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.lost_answers = 0.0
 
     async def _cloud_outage(self, fault: Fault) -> None:
         self._world.cloud.down = True
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.cloud.down = False
 
     # Ways between controllers
 
     async def _refuse_peers(self, fault: Fault) -> None:
-        await self._set_ways(list(self._world.relays.values()), RelayMode.REFUSED, fault.for_s)
+        await self._set_relay_mode(
+            list(self._world.relays.values()), RelayMode.REFUSED, fault.duration_s
+        )
 
     async def _reset_peers(self, fault: Fault) -> None:
-        ways = self._world.relays_of(befallen(self._world, fault.role))
-        await self._set_ways(ways, RelayMode.REFUSED, fault.for_s)
+        relays = self._world.relays_of(target_controller(self._world, fault.role))
+        await self._set_relay_mode(relays, RelayMode.REFUSED, fault.duration_s)
 
     async def _hold_one_direction(self, fault: Fault) -> None:
-        name = befallen(self._world, fault.role)
+        name = target_controller(self._world, fault.role)
         other = self._world.random.choice([n for n in self._world.names if n != name])
-        await self._set_ways([self._world.relays[name, other]], RelayMode.HELD, fault.for_s)
-
-    async def _set_ways(self, ways: list[Relay], mode: RelayMode, for_s: float) -> None:
-        for relay in ways:
+        await self._set_relay_mode(
+            [self._world.relays[name, other]], RelayMode.HELD, fault.duration_s
+        )
+
+    async def _set_relay_mode(
+        self, relays: list[Relay], mode: RelayMode, duration_s: float
+    ) -> None:
+        for relay in relays:
             relay.set_mode(mode)
-        await anyio.sleep(for_s)
-        for relay in ways:
+        await anyio.sleep(duration_s)
+        for relay in relays:
             relay.set_mode(RelayMode.OPEN)
 
     async def _leave_alone(self, fault: Fault) -> None:
         """A controller loses the state service and its peers, not its workers and users."""
-        name = befallen(self._world, fault.role)
+        name = target_controller(self._world, fault.role)
         async with anyio.create_task_group() as group:
-            group.start_soon(self._set_state_mode, name, "held", fault.for_s)
+            group.start_soon(self._set_state_mode, name, "held", fault.duration_s)
             group.start_soon(
-                self._set_ways, self._world.relays_of(name), RelayMode.HELD, fault.for_s
+                self._set_relay_mode, self._world.relays_of(name), RelayMode.HELD, fault.duration_s
             )
 
     async def _cut_workers(self, fault: Fault) -> None:
-        name = befallen(self._world, fault.role)
+        name = target_controller(self._world, fault.role)
         self._world.cut_workers.add(name)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.cut_workers.discard(name)
 
     # Machines
 
     def _some_machines(self, share: float) -> list[Worker]:
-        return [w for _, w in sorted(self._world.workers.items()) if self._drawn(share)]
+        return [w for _, w in sorted(self._world.workers.items()) if self._is_selected(share)]
 
-    def _drawn(self, share: float) -> bool:
+    def _is_selected(self, share: float) -> bool:
         return self._world.random.random() < share
 
     async def _mute_machines(self, fault: Fault) -> None:
-        await self._befall_machines(fault, "cut")
+        await self._set_machine_fault(fault, "cut")
 
     async def _deafen_machines(self, fault: Fault) -> None:
-        await self._befall_machines(fault, "answers_lost")
+        await self._set_machine_fault(fault, "answers_lost")
 
     async def _hang_machines(self, fault: Fault) -> None:
-        await self._befall_machines(fault, "hanging")
+        await self._set_machine_fault(fault, "hanging")
 
-    async def _befall_machines(self, fault: Fault, state: str) -> None:
+    async def _set_machine_fault(self, fault: Fault, state: str) -> None:
         """Put some machines into a state of the stand-in for its time."""
         machines = self._some_machines(fault.share)
         for worker in machines:
             setattr(worker, state, True)
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         for worker in machines:
             setattr(worker, state, False)
 
@@ -196,5 +206,5 @@
 
     async def _copy_heartbeats(self, fault: Fault) -> None:
         self._world.late_copy_fraction = fault.share / 2
-        await anyio.sleep(fault.for_s)
+        await anyio.sleep(fault.duration_s)
         self._world.late_copy_fraction = 0.0
--- a/tests/support/soak_schedule.py
+++ b/tests/support/soak_schedule.py
@@ -56,16 +56,16 @@
         share: of the machines, transactions or heartbeats that it befalls.
     """
 
-    at_s: float
+    start_s: float
     kind: FaultKind
-    for_s: float
+    duration_s: float
     role: Role
     share: float
 
     def line(self) -> str:
         """The fault as one line of text."""
         return (
-            f"{self.at_s:6.1f} s  for {self.for_s:5.1f} s  {self.kind}"
+            f"{self.start_s:6.1f} s  for {self.duration_s:5.1f} s  {self.kind}"
             f"  ({self.role}, share {self.share:.2f})"
         )
 
@@ -97,25 +97,26 @@
 
 def draw_schedule(seed: int) -> list[Fault]:
     """The faults of a run: episodes of two or three that overlap, the same for the same seed."""
-    pick = random.Random(f"schedule {seed}")
+    rng = random.Random(f"schedule {seed}")
     faults: list[Fault] = []
-    at_s = QUIET_START_S
+    start_s = QUIET_START_S
     for _ in range(EPISODES):
-        kinds = pick.sample(list(FaultKind), pick.choice([2, 3]))
+        kinds = rng.sample(list(FaultKind), rng.choice([2, 3]))
         episode = []
         for kind in kinds:
-            for_s = pick.choice(DURATIONS_S[kind])
-            begin_s = at_s + pick.uniform(0.0, 5.0)
-            role = pick.choice(list(Role))
-            episode.append(Fault(begin_s, kind, for_s, role, pick.uniform(0.1, 0.5)))
+            duration_s = rng.choice(DURATIONS_S[kind])
+            begin_s = start_s + rng.uniform(0.0, 5.0)
+            role = rng.choice(list(Role))
+            episode.append(Fault(begin_s, kind, duration_s, role, rng.uniform(0.1, 0.5)))
         faults += episode
         # The next episode does not wait for the longest fault of this one: they overlap too.
-        at_s = max(fault.at_s for fault in episode) + pick.uniform(*GAP_S) + 6.0
+        start_s = max(fault.start_s for fault in episode) + rng.uniform(*GAP_S) + 6.0
     return sorted(faults)
 
 
 def end_of(faults: list[Fault]) -> float:
     """When the last fault is over, but for those that last until the end of the run."""
     return max(
-        fault.at_s if math.isinf(fault.for_s) else fault.at_s + fault.for_s for fault in faults
+        fault.start_s if math.isinf(fault.duration_s) else fault.start_s + fault.duration_s
+        for fault in faults
     )
--- a/tests/support/soak_users.py
+++ b/tests/support/soak_users.py
@@ -14,43 +14,43 @@
 
 FLEET_JOB = "run-fleet"
 SERVICE_JOB = "run-service"
-CANCELLED = 0.2  # of the jobs, while they wait or run
-PROBE_S = 0.5
-REPEATED = 0.2  # of the looks at a job also submit it again
-CANCELLED_LATE = 0.05  # and so many of those at a job that is over cancel it
+CANCELLED_FRACTION = 0.2  # of the jobs, while they wait or run
+PROBE_INTERVAL_S = 0.5
+RESUBMITTED_FRACTION = 0.2  # of the looks at a job also submit it again
+CANCELLED_LATE_FRACTION = 0.05  # and so many of those at a job that is over cancel it
 
 
 def draw_jobs(seed: int, count: int, world: SoakWorld) -> list[dict[str, Any]]:
     """Jobs of several classes, teams and sizes; the same for the same seed."""
-    pick = random.Random(f"jobs {seed}")
-    return [_draw_job(pick, f"run-{n:06d}", world) for n in range(count)]
+    rng = random.Random(f"jobs {seed}")
+    return [_draw_job(rng, f"run-{n:06d}", world) for n in range(count)]
 
 
-def _draw_job(pick: random.Random, name: str, world: SoakWorld) -> dict[str, Any]:
-    true_s = pick.uniform(1.0, 5.0)
-    common = {"name_id": name, "true_s": true_s, "expected_s": true_s * pick.uniform(0.5, 2.0)}
-    common["kit"] = pick.choice(["img-1", "img-2"])
-    kind = pick.choice(["route", "merge", "scan", "batch", "batch"])
+def _draw_job(rng: random.Random, name: str, world: SoakWorld) -> dict[str, Any]:
+    true_s = rng.uniform(1.0, 5.0)
+    common = {"name_id": name, "true_s": true_s, "expected_s": true_s * rng.uniform(0.5, 2.0)}
+    common["kit"] = rng.choice(["img-1", "img-2"])
+    kind = rng.choice(["route", "merge", "scan", "batch", "batch"])
     if kind == "route":  # gangs with objectives, in one zone
         fields: dict[str, Any] = {
             "shape": "group",
-            "pieces": pick.choice([1, 2, 4]),
+            "pieces": rng.choice([1, 2, 4]),
             "cpus": 4.0,
-            "crew": pick.choice(["green", "amber"]),
+            "crew": rng.choice(["green", "amber"]),
             "urgency": "urgent",
-            "same_place": pick.random() < 0.5,
+            "same_place": rng.random() < 0.5,
         }
     elif kind == "merge":  # gangs without objectives, up to the limit of their team
         fields = {
             "shape": "group",
-            "pieces": pick.choice([2, 3, 6]),
+            "pieces": rng.choice([2, 3, 6]),
             "cpus": 4.0,
-            "crew": pick.choice(["blue", "amber"]),
-            "scatter": pick.random() < 0.3,
+            "crew": rng.choice(["blue", "amber"]),
+            "scatter": rng.random() < 0.3,
         }
     elif kind == "scan":
         fields = {
-            "pieces": pick.randint(1, 4),
+            "pieces": rng.randint(1, 4),
             "cpus": 2.0,
             "accelerators": 1.0,
             "builds": ["g8"],
@@ -59,12 +59,12 @@
         }
     else:
         fields = {
-            "pieces": pick.randint(1, 12),
-            "cpus": pick.choice([1.0, 2.0]),
-            "crew": pick.choice(["blue", "amber", "green"]),
-            "urgency": pick.choice(["standard", "best_effort"]),
-            "yard": pick.choice([None, None, "a"]),
-            "borrowed": pick.random() < 0.7,
+            "pieces": rng.randint(1, 12),
+            "cpus": rng.choice([1.0, 2.0]),
+            "crew": rng.choice(["blue", "amber", "green"]),
+            "urgency": rng.choice(["standard", "best_effort"]),
+            "yard": rng.choice([None, None, "a"]),
+            "borrowed": rng.random() < 0.7,
         }
     return world.job(bundle=kind, **(common | fields))
 
@@ -100,7 +100,7 @@
     async def submit(self, jobs: list[dict[str, Any]], over_s: float) -> None:
         """Submit jobs evenly over a time; a part of them is cancelled later."""
         for body in jobs:
-            cancelled = self._random.random() < CANCELLED and body["shape"] != "daemon"
+            cancelled = self._random.random() < CANCELLED_FRACTION and body["shape"] != "daemon"
             cancel_after_s = self._random.uniform(0.0, 15.0) if cancelled else None
             self._world.group.start_soon(self._world.user, body["name_id"], body, cancel_after_s)
             await anyio.sleep(over_s / len(jobs))
@@ -108,32 +108,32 @@
     async def probe(self) -> None:
         """Ask all controllers about jobs, repeat submissions and cancellations, for ever."""
         while True:
-            await anyio.sleep(PROBE_S)
+            await anyio.sleep(PROBE_INTERVAL_S)
             accepted = sorted(self._world.accepted)
             if accepted:
                 # New ones more often: what was told of them has changed just now.
                 self._world.group.start_soon(
-                    self._look, self._random.choice([*accepted, *accepted[-5:]])
+                    self._probe_job, self._random.choice([*accepted, *accepted[-5:]])
                 )
 
-    async def _look(self, job_id: str) -> None:
+    async def _probe_job(self, job_id: str) -> None:
         for name in self._world.names:
             self._world.group.start_soon(
-                self._put, name, Request("GET", f"/v2/runs/{job_id}", b"", False)
+                self._send, name, Request("GET", f"/v2/runs/{job_id}", b"", False)
             )
-        if self._random.random() < REPEATED:
+        if self._random.random() < RESUBMITTED_FRACTION:
             body = self._world.jobs[job_id]
             raw = json.dumps({k: v for k, v in body.items() if k != "true_s"}).encode()
             name = self._random.choice(self._world.names)
-            await self._put(name, Request("POST", "/v2/runs", raw, False))
+            await self._send(name, Request("POST", "/v2/runs", raw, False))
         if (
             self._world.reported_stages.get(job_id) == "done"
-            and self._random.random() < CANCELLED_LATE
+            and self._random.random() < CANCELLED_LATE_FRACTION
         ):
             name = self._random.choice(self._world.names)
-            await self._put(name, Request("POST", f"/v2/runs/{job_id}/abort", b"", False))
+            await self._send(name, Request("POST", f"/v2/runs/{job_id}/abort", b"", False))
 
-    async def _put(self, name: str, request: Request) -> None:
-        begun = now()
+    async def _send(self, name: str, request: Request) -> None:
+        started_at = now()
         await self._world.ask_controller(name, request)
-        assert now() - begun < 30.0
+        assert now() - started_at < 30.0
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -33,9 +33,9 @@
 # own port free.
 PORTS = range(12_000, 32_000)
 TICK_S = 0.25
-SLOW_TICK_S = 2.0  # what looks at all jobs and machines is checked this often
-WATCH_S = 70.0  # a watch is answered within a minute
-NO_ANSWER_S = 15.0  # the client has given up by then
+SLOW_CHECK_INTERVAL_S = 2.0  # what looks at all jobs and machines is checked this often
+WATCH_TIMEOUT_S = 70.0  # a watch is answered within a minute
+REQUEST_TIMEOUT_S = 15.0  # the client has given up by then
 TEAMS: list[dict[str, Any]] = [
     {"name": "red", "cpus": 0.0, "cpus_max": 0.0, "gpus": 2.0, "gpus_max": 5.0},
     {"name": "blue", "cpus": 0.0, "cpus_max": 24.0, "gpus": 0.0, "gpus_max": 0.0},
@@ -49,11 +49,11 @@
 ]
 
 
-def reserve_ports(pick: random.Random, count: int) -> list[int]:
+def reserve_ports(rng: random.Random, count: int) -> list[int]:
     """Ports that nobody listens at now."""
     ports: list[int] = []
     while len(ports) < count:
-        port = pick.choice(PORTS)
+        port = rng.choice(PORTS)
         with socket.socket() as probe:
             if port not in ports and probe.connect_ex(("127.0.0.1", port)) != 0:
                 ports.append(port)
@@ -97,13 +97,13 @@
             stderr=log,
         )
 
-    async def pause(self, name: str, for_s: float) -> None:
+    async def pause(self, name: str, duration_s: float) -> None:
         """A process stands still, and goes on unless it has ended meanwhile."""
         process = self.processes[name]
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGSTOP)
         try:
-            await anyio.sleep(for_s)
+            await anyio.sleep(duration_s)
         finally:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -120,7 +120,7 @@
         """The ways between a controller and its peers, in both directions."""
         return [relay for pair, relay in self.relays.items() if name in pair]
 
-    async def open_ways(self, group: anyio.abc.TaskGroup) -> None:
+    async def open_relays(self, group: anyio.abc.TaskGroup) -> None:
         """Open all ways, and write the settings that name their ports."""
         for sender in self.names:
             for target in self.names:
@@ -145,11 +145,11 @@
         wire = Wire(self, name, service)
 
         async def handle(request: Request) -> Response:
-            within_s = WATCH_S if "/changes" in request.target else NO_ANSWER_S
+            timeout_s = WATCH_TIMEOUT_S if "/changes" in request.target else REQUEST_TIMEOUT_S
             try:
-                answer = await wire.request(request.method, request.target, request.body, within_s)
+                answer = await wire.request(request.method, request.target, request.body, timeout_s)
             except HttpError:
-                await anyio.sleep(NO_ANSWER_S)
+                await anyio.sleep(REQUEST_TIMEOUT_S)
                 return Response(503)
             return Response(*answer)
 
@@ -165,7 +165,7 @@
             return None
         if worker is not None and self.random.random() < self.late_copy_fraction:
             self.group.start_soon(self._late_copy, request)
-        status, said = await self.call(name, request.method, request.target, request.body)
+        status, answer_body = await self.call(name, request.method, request.target, request.body)
         if isinstance(worker, Worker) and worker.answers_lost:
             await anyio.sleep(10.0)
             return None
@@ -173,7 +173,7 @@
             return None
         # The client does not show the header; the simulations check that a refusal has it.
         retry_after = 1 if status == 503 else None
-        return Response(status, json.dumps(said).encode(), retry_after)
+        return Response(status, json.dumps(answer_body).encode(), retry_after)
 
     async def _late_copy(self, request: Request) -> None:
         await anyio.sleep(self.random.choice([2.0, 6.0, 16.0]))
@@ -194,7 +194,10 @@
         for worker in list(self.workers.values()):
             worker.tick()
         self.rules.check_cancelled()
-        if self.faults_ended_at is not None and now() - self._waiting_checked_at > SLOW_TICK_S:
+        if (
+            self.faults_ended_at is not None
+            and now() - self._waiting_checked_at > SLOW_CHECK_INTERVAL_S
+        ):
             self._waiting_checked_at = now()
             self.rules.check_waiting()
 
@@ -202,8 +205,8 @@
         """Start everything, play a script, and end everything."""
         async with anyio.create_task_group() as group:
             self.group = group
-            await self.open_ways(group)
-            group.start_soon(self._keep_time)
+            await self.open_relays(group)
+            group.start_soon(self._tick_periodically)
             try:
                 for name in self.names:
                     self.start_controller(name)
@@ -212,11 +215,11 @@
                 self.kill_all()
                 group.cancel_scope.cancel()
 
-    async def _keep_time(self) -> None:
+    async def _tick_periodically(self) -> None:
         listed_at = 0.0
         while True:
             await anyio.sleep(TICK_S)
             self.tick()
-            if now() - listed_at > SLOW_TICK_S / 2:
+            if now() - listed_at > SLOW_CHECK_INTERVAL_S / 2:
                 listed_at = now()
                 self.cloud.snapshot()
