--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several tests and tools share."""
+"""Helpers that several tests and tools share."""
--- a/tests/support/answer_scenarios.py
+++ b/tests/support/answer_scenarios.py
@@ -1,6 +1,6 @@
-"""Random scenarios in which many users ask all controllers about short jobs during faults.
+"""Random scenarios in which many users poll short jobs at all controllers during faults.
 
-`tests/tools/play_answers.py` plays a range of seeds; the test suite plays a fixed few of them.
+`tests/tools/play_answers.py` runs a range of seeds; the test suite runs a few fixed seeds.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from support.rolls import lower_limits
 from support.scenarios import leader
 
-POLL_WAIT_S, CHANGE_WAIT_S = 2.0, 5.0  # how long users wait for an answer
+POLL_WAIT_S, CHANGE_WAIT_S = 2.0, 5.0  # time-outs of users' polls, and of their other requests
 LENGTH_S = 100.0
 FAULTS_UNTIL_S = 80.0
 CONTROLLERS = 4
-LONG_ARRAYS = 0.05  # the share of jobs
+LONG_ARRAYS = 0.05  # fraction of jobs
 
 Fault = Callable[[World, str], Coroutine[Any, Any, None]]
 
 
 def _leader_or(world: World, name: str) -> str:
-    """The leader, half of the times that there is one; else the controller that was drawn."""
+    """The leader with probability 0.5 if there is one, else the given controller."""
     if LEADER not in world.state.keys or world.random.random() < 0.5:
         return name
     return leader(world)
@@ -113,17 +113,17 @@
 
 
 async def _faults(world: World) -> None:
-    """One fault after another; several of these run at once."""
+    """Inject one fault after another; a scenario runs several of these sequences at once."""
     while now() < 1000.0 + FAULTS_UNTIL_S:
         await anyio.sleep(world.random.uniform(0.5, 5.0))
         await world.random.choice(FAULTS)(world, world.random.choice(world.names))
 
 
 def _random_job(world: World, job_id: str) -> dict[str, Any]:
-    """A short array, gang or service."""
+    """Draw a short array, a gang or a service, or rarely a long array."""
     rng = world.random
     if rng.random() < LONG_ARRAYS:
-        # Its record outgrows the lower limit of a value, so it is kept in chunks.
+        # The record exceeds the lowered limit of a value, so it is stored in chunks.
         return world.job(name_id=job_id, pieces=400, cpus=0.1, ram_gb=0.1, true_s=2.0)
     shape = rng.choice(["sweep", "sweep", "sweep", "group", "daemon"])
     true_s = rng.choice([0.3, 1.0, 3.0, 8.0])
@@ -141,7 +141,7 @@
 
 
 class JobUsers:
-    """All who ask about one job: they submit, cancel and repeat both until the end."""
+    """The users of one job: they submit and poll it, may cancel it, and repeat their requests."""
 
     def __init__(self, world: World, job_id: str) -> None:
         self.world = world
@@ -189,7 +189,7 @@
         await self._ask_all_controllers()
 
     async def _poll_and_repeat(self) -> None:
-        """Poll, and repeat the submission and a cancellation that was asked for."""
+        """Poll the job; repeat its submission, and its cancellation once it was requested."""
         rng = self.world.random
         while True:
             await anyio.sleep(rng.uniform(0.2, 4.0))
@@ -202,7 +202,7 @@
                 await self._ask_all_controllers()
 
     async def _ask_all_controllers(self) -> None:
-        """Poll and repeat the submission at all controllers at once."""
+        """Poll the job and repeat its submission at all controllers concurrently."""
         async with anyio.create_task_group() as group:
             for name in self.world.names:
                 group.start_soon(self.ask, self.poll, name)
@@ -210,7 +210,7 @@
 
 
 def run_answer_scenario(seed: int, jobs: int = 40) -> World:
-    """Play a random scenario. Tens of machines come up, as many as the jobs need."""
+    """Run a random scenario; the jobs need tens of machines."""
     world = World(seed, CONTROLLERS)
     world.boot_s = (0.5, 4.0)
 
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,4 +1,4 @@
-"""Faults of controllers, services, machines and zones, each as a script beside a scenario."""
+"""Faults of controllers, services, machines and zones, as scripts that run during a scenario."""
 
 from __future__ import annotations
 
@@ -141,7 +141,10 @@
 
 
 async def blinks(world: World) -> None:
-    """Processes and machines back in a split second, the leader in the middle of an election."""
+    """Controllers, the leader among them, and machines fail for a fraction of a second.
+
+    The outages are so short that an election may be under way when the leader restarts.
+    """
     for _ in range(10):
         await anyio.sleep(world.random.uniform(3.0, 8.0))
         leader = world.state.keys.get("dw/leader")
@@ -159,7 +162,8 @@
 
 
 async def alone_with_its_workers(world: World) -> None:
-    """A controller that owns a shard loses the state service and its peers, not its workers."""
+    """The owner of a shard is partitioned from the state service and its peers, but not from
+    its workers."""
     await anyio.sleep(25)
     owner = owners(world)[0]
     for service in ("state", "cloud"):
@@ -173,8 +177,8 @@
 
 
 async def stands_still(world: World) -> None:
-    """The leader, then an owner, stand still for longer than their leases, and go on with what
-    they held."""
+    """The leader and an owner are paused for longer than their leases, and resume with the state
+    that they had."""
     await anyio.sleep(20)
     for length in (9.0, 25.0, 14.0):
         leader = world.state.keys.get("dw/leader")
@@ -186,8 +190,8 @@
 
 
 async def all_end_in_an_outage(world: World) -> None:
-    """All controllers end at the end of an outage, again while they are restarted one after
-    the other, and all but one a third time."""
+    """All controllers crash at the end of an outage, two of them again one after the other, then
+    all at once, and finally all but one."""
     await anyio.sleep(25)
     world.state.set_down(True)
     await anyio.sleep(15)
@@ -212,8 +216,8 @@
 
 
 async def zone_cut(world: World) -> None:
-    """A zone, with its controllers and machines, is cut off for longer than a lease while a
-    controller elsewhere ends; what was held is delivered when it is back."""
+    """A zone with its controllers and machines is partitioned for longer than a lease, and a
+    controller of another zone restarts meanwhile. Delayed requests are delivered afterwards."""
     await anyio.sleep(25)
     zone = world.zones[-1]
     inside = [n for n in world.names if zone_of(n, world.zones) == zone]
@@ -234,7 +238,7 @@
 
 
 async def many_machines(world: World) -> None:
-    """Many machines die in one moment; many hang in another and go on later."""
+    """Half of the machines fail at once; later half of those present hang and then resume."""
     await anyio.sleep(20)
     for name in sorted(world.workers)[::2]:
         world.remove_machine(name)
@@ -248,7 +252,7 @@
 
 
 async def drawn(world: World) -> None:
-    """Several faults at once, as the seed has it."""
+    """Three faults at once, drawn by the seed."""
     faults = [
         one_crash,
         all_crash,
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,8 +1,9 @@
-"""Reads golden values with the present sources and writes them again.
+"""Decodes golden values with the current sources and encodes them again.
 
-`WRITERS` has, for each kind of golden item, what turns the given values into what is stored or
-sent. Given and written values are raw: no name of the sources is in them, so that a renaming of
-the sources can't change them. What is only parsed is listed by `neutral`, without field names.
+`WRITERS` maps each kind of golden item to the function that converts its input values to the
+stored or sent form. Inputs and outputs are raw values without identifiers of the sources, so that
+renaming identifiers doesn't change them. Values that are only parsed are converted to lists by
+`without_field_names`.
 """
 
 from __future__ import annotations
@@ -86,26 +87,28 @@
 Writer = Callable[[Any], Any]
 
 
-def neutral(value: Any) -> Any:
-    """A value as lists of plain values in the order of declaration, without field names."""
+def without_field_names(value: Any) -> Any:
+    """Convert a value to nested lists in the order of declaration, without field names."""
     if isinstance(value, msgspec.Struct):
-        return [neutral(getattr(value, name)) for name in value.__struct_fields__]
+        return [without_field_names(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, dict):
-        return [[neutral(key), neutral(item)] for key, item in value.items()]
+        return [
+            [without_field_names(key), without_field_names(item)] for key, item in value.items()
+        ]
     if isinstance(value, list | tuple):
-        return [neutral(item) for item in value]
+        return [without_field_names(item) for item in value]
     if isinstance(value, set | frozenset):
-        return sorted(neutral(item) for item in value)
+        return sorted(without_field_names(item) for item in value)
     return value
 
 
 def text(value: Any) -> str:
-    """A value as it is stored."""
+    """A value in its stored encoding."""
     return msgspec.json.encode(value).decode()
 
 
 def through_frame(message: Any) -> Any:
-    """A message as a peer gets it; JSON has no bytes, so a body is kept as their numbers."""
+    """A message as a peer decodes it. Golden files hold bodies as lists of byte values."""
     if isinstance(message, dict) and isinstance(message.get("body"), list):
         message = {**message, "body": bytes(message["body"])}
     return cbor2.loads(cbor2.dumps(message))
@@ -115,7 +118,7 @@
 
 
 def watch_cache_of(records: list[list[Any]]) -> WatchCache:
-    """A watch cache that has read these records: key, value and version of each."""
+    """A watch cache that has loaded these records (key, value, version)."""
     cache = WatchCache()
     for key, value, version in records:
         cache.put(key, value, version)
@@ -124,7 +127,7 @@
 
 
 def _rewritten(cache: WatchCache, key: str) -> Any:
-    """A record as the present code writes what it has read of it."""
+    """A record, decoded and encoded again by the current code."""
     name = key.split("/", 2)[-1]
     job, _, number = name.rpartition("/")
     if key.startswith(JOBS):
@@ -147,7 +150,7 @@
 
 
 def _table_record(cache: WatchCache, key: str, name: str) -> Any:
-    """A record that stands as a whole in one table of the watch cache."""
+    """A record that the watch cache holds as one entry of one table."""
     tables: list[tuple[str, Any]] = [
         (MACHINES, cache.groups),
         (SHARDS, cache.shards),
@@ -162,14 +165,17 @@
 
 
 def rewrite(records: list[list[Any]]) -> Any:
-    """Records read and written again, and what was read of machines, which no record names."""
+    """Records decoded and encoded again, with the machine table that was derived from them."""
     cache = watch_cache_of(records)
-    again = [[key, text(_rewritten(cache, key))] for key, _, _ in records]
-    return {"again": again, "machines": neutral(cache.machines)}
+    rewritten = [[key, text(_rewritten(cache, key))] for key, _, _ in records]
+    return {"again": rewritten, "machines": without_field_names(cache.machines)}
 
 
 def _changes(changes: list[ConditionalWrite]) -> Any:
-    return [[neutral(change)[0], text(change.value), *neutral(change)[2:]] for change in changes]
+    return [
+        [without_field_names(change)[0], text(change.value), *without_field_names(change)[2:]]
+        for change in changes
+    ]
 
 
 def _draft_of(given: Any) -> tuple[JobWrites, WatchCache, JobId]:
@@ -178,39 +184,39 @@
 
 
 def write_placements(given: Any) -> Any:
-    """The keys of a long gang's placement."""
+    """The writes of a long gang's placement."""
     writes, cache, job = _draft_of(given)
     return _changes(writes.changes(10.0, job, cache.jobs[job].copy(), WritePriority.NORMAL))
 
 
 def write_assignments(given: Any) -> Any:
-    """The keys of a job of which a shard is assigned some tasks."""
+    """The writes of a job when tasks are assigned to a shard."""
     writes, cache, job = _draft_of(given)
     draft = cache.jobs[job].copy()
     draft.assignments.setdefault(given["part"], set()).update(given["tasks"])
     return _changes(writes.changes(10.0, job, draft, WritePriority.NORMAL))
 
 
-def write_cut(given: Any) -> Any:
-    """The keys of a job that is cut into chunks."""
+def write_conversion(given: Any) -> Any:
+    """The writes that convert a job to chunks."""
     writes, _, _ = _draft_of(given)
     return _changes(writes.conversion_writes())
 
 
-def write_leftovers(given: Any) -> Any:
-    """The removal of keys that nothing reads any more."""
+def write_removals(given: Any) -> Any:
+    """The writes that remove obsolete keys."""
     writes, _, _ = _draft_of(given)
     return _changes(writes.obsolete_key_removals([]))
 
 
-def write_widened(given: Any) -> Any:
-    """A cancelled job whose assignments do not fit into a value."""
+def write_cancelled(given: Any) -> Any:
+    """A cancelled job whose assignments exceed the limit of a value."""
     _, cache, job = _draft_of(given)
     return text(cache.jobs[job].dump(given["most"]))
 
 
 def write_machines(given: Any) -> Any:
-    """A group with a terminating machine, and one of which machines move to another partition."""
+    """The writes of a group when a machine is terminated or machines move to a partition."""
     cache = watch_cache_of(given["records"])
     machine_lifecycle = MachineLifecycle(cache, None, 14.0, 4.0)  # type: ignore[arg-type]
     machine_lifecycle.begin()
@@ -219,55 +225,55 @@
         return _changes(machine_lifecycle.changes())
     floors = {MachineId(name): floor for name, floor in given["floors"]}
     going = machine_lifecycle.move(floors, given["share"], "tie")
-    return [neutral(going), _changes(machine_lifecycle.moves("tie"))]
+    return [without_field_names(going), _changes(machine_lifecycle.moves("tie"))]
 
 
-# A controller of its own
+# A single controller
 
 
-class Service:
-    """Answers what it is told to, and keeps what it is asked."""
+class ScriptedService:
+    """A service stub that returns given answers in order and records the requests."""
 
     def __init__(self, answers: list[list[Any]]) -> None:
         self.answers = [(int(status), str(body)) for status, body in answers]
-        self.asked: list[list[Any]] = []
+        self.requests: list[list[Any]] = []
 
     async def request(
         self, method: str, target: str, body: bytes | None, _within: float
     ) -> tuple[int, bytes]:
-        """Give the next answer."""
-        self.asked.append([method, target, None if body is None else body.decode()])
+        """Record a request and return the next answer."""
+        self.requests.append([method, target, None if body is None else body.decode()])
         status, answer = self.answers.pop(0)
         return status, answer.encode()
 
 
-class Peer:
-    """A link that keeps what is posted."""
+class RecordingPeer:
+    """A link stub that records posted messages and requests."""
 
     def __init__(self, answer: Any = None) -> None:
         self.posted: list[list[str]] = []
-        self.asked: list[str] = []
+        self.requests: list[str] = []
         self.answer = answer
 
     def post(self, kind: str, message: dict[str, Any]) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.posted.append([kind, cbor2.dumps(message).hex()])
 
     async def ask(self, message: dict[str, Any], _within: float) -> Any:
-        """Keep a question, and give the answer."""
-        self.asked.append(cbor2.dumps(message).hex())
+        """Record a request and return the given answer."""
+        self.requests.append(cbor2.dumps(message).hex())
         return self.answer
 
     async def run(self) -> None:
-        """Nothing is sent."""
+        """Do nothing: no message leaves the stub."""
 
 
-def _in_time(scene: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    """Run a scene in virtual time and give its result."""
+def _result_in_virtual_time(scenario_steps: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
+    """Run steps in virtual time and return their result."""
     out: list[Any] = []
 
     async def main() -> None:
-        out.append(await scene())
+        out.append(await scenario_steps())
 
     run_in_virtual_time(main)
     return out[0]
@@ -275,18 +281,18 @@
 
 def _controller(
     records: list[list[Any]], answers: list[list[Any]], answer: Any = None
-) -> tuple[Controller, Service, Peer]:
-    service, link = Service(answers), Peer(answer)
+) -> tuple[Controller, ScriptedService, RecordingPeer]:
+    service, link = ScriptedService(answers), RecordingPeer(answer)
 
     def connect(_host: str, _port: int) -> Any:
         return service
 
-    def linked(_host: str, _port: int) -> Any:
+    def link_to(_host: str, _port: int) -> Any:
         return link
 
     with patch.object(time, "time_ns", lambda: 1):
         controller = Controller(
-            settings("n0"), connect=connect, link=linked, clock=now, wall_time=now, seed=1
+            settings("n0"), connect=connect, link=link_to, clock=now, wall_time=now, seed=1
         )
     controller.identity.incarnation = "n0-1"
     controller.records.ready = True
@@ -313,10 +319,10 @@
     return leader
 
 
-def hear(given: Any) -> Any:
-    """Messages of peers: what is read of them, and what is sent in answer."""
+def exchange_messages(given: Any) -> Any:
+    """Deliver messages of peers; returns the state decoded from them and the messages sent."""
 
-    async def scene() -> Any:
+    async def scenario_steps() -> Any:
         controller, _, link = _controller(given["records"], [])
         leader = _is_leader(controller) if given.get("leads") else None
         answers = [controller.on_message(through_frame(message)) for message in given["messages"]]
@@ -327,7 +333,7 @@
         if leader is not None:
             leader.receive_catalog(list(controller.cache.types.values()))
             unreachable = leader.unreachable_shards()
-            shards = neutral(
+            shards = without_field_names(
                 [
                     [
                         shard.shard,
@@ -348,7 +354,7 @@
             )
             shards.append(_changes(leader.plan(now(), now())))
         cancelled = controller.cache.cancellations(0)
-        read = neutral(
+        read = without_field_names(
             [
                 controller.peers.contacts,
                 controller.peers.running,
@@ -362,11 +368,11 @@
         frames = [None if answer is None else cbor2.dumps(answer).hex() for answer in answers]
         return {"read": read, "parts": shards, "sent": link.posted, "answers": frames}
 
-    return _in_time(scene)
+    return _result_in_virtual_time(scenario_steps)
 
 
 def _request_of(kind: str, body: Any) -> Request | None:
-    """The HTTP request of a step; None where it has none."""
+    """The HTTP request of a step, or None for other steps."""
     if kind == "report":
         return Request("POST", "/checkin", text(body).encode(), False)
     if kind == "request":
@@ -377,10 +383,10 @@
     return None
 
 
-def work(given: Any) -> Any:
-    """An owner of a shard: its answers to workers, the status that it sends, and operators'."""
+def handle_owner_steps(given: Any) -> Any:
+    """Run steps on the owner of a shard; returns its answers and the statuses it sends."""
 
-    async def scene() -> Any:
+    async def scenario_steps() -> Any:
         controller, service, link = _controller(given["records"], given.get("answers", []))
         out: list[Any] = []
         for kind, body in given["steps"]:
@@ -400,15 +406,15 @@
                 controller.records.current_at = -1e9
             elif kind == "falls behind":
                 controller.overload.lag_s = 9.0
-        return {"answers": out, "sent": link.posted, "asked": service.asked}
+        return {"answers": out, "sent": link.posted, "asked": service.requests}
 
-    return _in_time(scene)
+    return _result_in_virtual_time(scenario_steps)
 
 
-def put_to_peer(given: Any) -> Any:
-    """A user's request that a peer answers: the frame to it, and what is made of the answer."""
+def forward_to_peer(given: Any) -> Any:
+    """Forward a user's request to a peer; returns the frame sent and the answer to the user."""
 
-    async def scene() -> Any:
+    async def scenario_steps() -> Any:
         controller, _, link = _controller([], [], through_frame(given["answer"]))
         for name in ("n1", "n2"):
             controller.peers.contacts[ControllerName(name)] = PeerContact(now(), True)
@@ -417,19 +423,19 @@
         said = None
         if answer is not None:
             said = [answer.status, answer.body.decode(), answer.retry_after]
-        return {"sent": link.asked, "answer": said}
+        return {"sent": link.requests, "answer": said}
 
-    return _in_time(scene)
+    return _result_in_virtual_time(scenario_steps)
 
 
 # Services
 
 
 def call_state(given: Any) -> Any:
-    """A call of the state service, and what is read of its answers."""
+    """Call the state service; returns the requests sent and the decoded answer."""
 
-    async def scene() -> Any:
-        service = Service(given["answers"])
+    async def scenario_steps() -> Any:
+        service = ScriptedService(given["answers"])
         state = StateClient(service, 100.0, 100.0)  # type: ignore[arg-type]
         arguments = given["arguments"]
         calls: dict[str, Callable[..., Coroutine[Any, Any, Any]]] = {
@@ -449,17 +455,17 @@
             RevisionCompactedError: "too old",
         }
         try:
-            said = neutral(await calls[given["call"]](*arguments))
+            said = without_field_names(await calls[given["call"]](*arguments))
         except tuple(refusals) as err:
             said = [refusals[type(err)], str(err)]
-        left = [round(budget.available(), 6) for budget in (state.calls, state.writes)]
-        return {"asked": service.asked, "read": said, "left": left}
+        remaining = [round(budget.available(), 6) for budget in (state.calls, state.writes)]
+        return {"asked": service.requests, "read": said, "left": remaining}
 
-    return _in_time(scene)
+    return _result_in_virtual_time(scenario_steps)
 
 
 def transactions(given: Any) -> Any:
-    """How writes are cut into transactions, and which of them a budget lets through."""
+    """Split writes into transactions, and select the first whole groups for each budget."""
     changes = [
         ConditionalWrite(key, value, 0, WritePriority.URGENT, (), transaction_group_name)
         for key, value, transaction_group_name in given["changes"]
@@ -467,18 +473,18 @@
     limits = settings("n0").deployment.state.lowest()
     cut = split_into_transactions(changes, lambda change: encoded_size(change.value), limits)
     return {
-        "cut": [[neutral(change)[0] for change in batch] for batch in cut],
+        "cut": [[without_field_names(change)[0] for change in batch] for batch in cut],
         "first": [
-            [neutral(change)[0] for change in first_whole_groups(changes, most)]
-            for most in range(len(changes) + 1)
+            [without_field_names(change)[0] for change in first_whole_groups(changes, max_count)]
+            for max_count in range(len(changes) + 1)
         ],
     }
 
 
 def call_cloud(given: Any) -> Any:
-    """A call of the cloud, and what the leader takes over of its answers."""
+    """Call the cloud; returns the requests sent and the leader's state after the answers."""
 
-    async def scene() -> Any:
+    async def scenario_steps() -> Any:
         controller, service, _ = _controller(given["records"], given["answers"])
         leader = _is_leader(controller)
         calls = controller.cloud_calls
@@ -497,29 +503,29 @@
             leader.types,
         ]
         writes = _changes(leader.plan(now(), now()))
-        return {"asked": service.asked, "read": neutral(read), "writes": writes}
+        return {"asked": service.requests, "read": without_field_names(read), "writes": writes}
 
-    return _in_time(scene)
+    return _result_in_virtual_time(scenario_steps)
 
 
 # Bodies
 
 
 def submission(given: Any) -> Any:
-    """What is read of a submission, or why it is refused."""
+    """A submission, decoded, or the reason for its rejection."""
     try:
-        return neutral(parse_submission(given.encode()))
+        return without_field_names(parse_submission(given.encode()))
     except MalformedMessageError as err:
         return ["refused", str(err)]
 
 
 def report(given: Any) -> Any:
-    """What is read of a worker's heartbeat."""
-    return neutral(parse_heartbeat(given.encode()))
+    """A worker's heartbeat, decoded."""
+    return without_field_names(parse_heartbeat(given.encode()))
 
 
 def worker_answer(given: Any) -> Any:
-    """The answer to a worker."""
+    """The encoded answer to a worker's heartbeat."""
     commands = [
         Command(op, TaskRef(JobId(job), TaskIndex(number)), Attempt(attempt), grace)
         for op, job, number, attempt, grace in given["orders"]
@@ -528,22 +534,22 @@
 
 
 def redirection(given: Any) -> Any:
-    """The answer to a worker that names the owner of its shard."""
+    """The encoded redirect that sends a worker to the owner of its shard."""
     return encode_redirect(given).decode()
 
 
 def user_answer(given: Any) -> Any:
-    """The answer to a user."""
+    """The encoded state of a job for a user."""
     return encode_job_state(*given).decode()
 
 
 def plan_script(given: Any) -> Any:
-    """A plan of partitions as it is stored."""
+    """A partition plan in its stored encoding."""
     return text(msgspec.to_builtins(plan.parse("plan.star", given)))
 
 
 def operators(given: Any) -> Any:
-    """What the command line prints of a controller's answer, as text and as JSON."""
+    """The output of the command line for a controller's answer, as text and as JSON."""
 
     async def said(*_: Any, **__: Any) -> Any:
         return given["said"]
@@ -558,51 +564,51 @@
 
 
 def command(given: Any) -> Any:
-    """What the command line sends to a controller."""
+    """The message that the command line sends to a controller, with its output."""
     sent: list[str] = []
 
-    async def kept(_: str, message: Any) -> Any:
+    async def record_message(_: str, message: Any) -> Any:
         sent.append(cbor2.dumps(message).hex())
         return given["said"]
 
-    with patch.object(client, client._request_peer.__name__, kept):
+    with patch.object(client, client._request_peer.__name__, record_message):
         result = CliRunner().invoke(cli.main, given["arguments"])
     return {"sent": sent, "printed": result.output, "code": result.exit_code}
 
 
 def frame(given: Any) -> Any:
-    """A frame with its length."""
+    """An encoded frame with its length prefix."""
     return peer._encode_frame(given).hex()
 
 
 def operators_script(given: Any) -> Any:
-    """What an operators' script sets, as the command line prints it."""
+    """The settings of an operators' script, as the command line prints them."""
     return text(msgspec.to_builtins(script.parse("a.star", given)))
 
 
 def platform_settings(given: Any) -> Any:
-    """What is read of the platform's file."""
-    return neutral(config.parse(text(given).encode()))
+    """The platform's settings file, decoded."""
+    return without_field_names(config.parse(text(given).encode()))
 
 
 def estimates(given: Any) -> Any:
-    """What owners tell one another of estimates."""
+    """The estimates that owners of shards exchange."""
     known = Estimates()
     known.merge(given)
-    return neutral(known.dump())
+    return without_field_names(known.dump())
 
 
 WRITERS: dict[str, Writer] = {
     "records": rewrite,
     "places": write_placements,
     "grants": write_assignments,
-    "cut": write_cut,
-    "leftovers": write_leftovers,
-    "widened": write_widened,
+    "cut": write_conversion,
+    "leftovers": write_removals,
+    "widened": write_cancelled,
     "machines": write_machines,
-    "messages": hear,
-    "part": work,
-    "to peer": put_to_peer,
+    "messages": exchange_messages,
+    "part": handle_owner_steps,
+    "to peer": forward_to_peer,
     "state": call_state,
     "transactions": transactions,
     "script": operators_script,
@@ -621,26 +627,28 @@
 }
 
 
-# A scenario of which all that is sent is kept
+# Scenarios with a record of everything that is sent
 
 IDS = re.compile(r"^(run-|vm-|[rox]-|n\d|dw/|[a-z](/|$)|[a-z]\d+$)")
 
 
-def paths(value: Any, place: str = "") -> set[str]:
-    """The fields in a value, without what differs from one job, machine or controller to the
-    next. Texts of one word tell of a state, so they are among them."""
+def field_paths(value: Any, place: str = "") -> set[str]:
+    """The paths of all fields in a value, with IDs of jobs, machines and others replaced by "*".
+
+    Single-word strings are mostly states, so their values are part of the path.
+    """
     if isinstance(value, dict):
         keys = [(("*" if IDS.match(str(key)) else str(key)), item) for key, item in value.items()]
-        return {place}.union(*(paths(item, f"{place}.{key}") for key, item in keys))
+        return {place}.union(*(field_paths(item, f"{place}.{key}") for key, item in keys))
     if isinstance(value, list):
-        return {place}.union(*(paths(item, f"{place}[]") for item in value))
+        return {place}.union(*(field_paths(item, f"{place}[]") for item in value))
     if isinstance(value, str) and re.fullmatch(r"[a-z_]{2,}", value):
         return {f"{place}={value}"}
     return {f"{place}:{type(value).__name__}"}
 
 
-class Kept:
-    """What is sent in a scenario, by its kind: a sum of all, and the first ones with new fields."""
+class SentMessages:
+    """The messages of a scenario by kind: a hash of all, and a sample for each new field."""
 
     def __init__(self) -> None:
         self._sums: dict[str, Any] = {}
@@ -649,17 +657,17 @@
         self._samples: dict[str, list[str]] = {}
 
     def add(self, kind: str, sent: str, value: Any) -> None:
-        """Keep what was sent; `value` is the same as plain values."""
+        """Add a message, given in its encoded form and as plain values."""
         self._sums.setdefault(kind, hashlib.sha256()).update(sent.encode() + b"\n")
         self._counts[kind] = self._counts.get(kind, 0) + 1
-        fields, seen = paths(value), self._seen.setdefault(kind, set())
+        fields, seen = field_paths(value), self._seen.setdefault(kind, set())
         samples = self._samples.setdefault(kind, [])
         if not fields <= seen:
             samples.append(sent)
         seen |= fields
 
-    def view(self) -> dict[str, Any]:
-        """What was kept of each kind."""
+    def summary(self) -> dict[str, Any]:
+        """The number, the hash and the samples of the messages of each kind."""
         return {
             kind: {
                 "count": self._counts[kind],
@@ -694,17 +702,19 @@
     return json.loads(raw) if raw else None
 
 
-def _recorded_scenario(world: World, kept: Kept, script: Any, length: float) -> None:
-    """Play a scenario and keep what controllers send and answer."""
+def _recorded_scenario(
+    world: World, sent_messages: SentMessages, script: Any, length: float
+) -> None:
+    """Run a scenario and record the messages and answers of controllers."""
     call, post, ask, handle = Wire.request, Link.post, Link.ask, Controller.handle
 
-    async def keep_call(
+    async def record_call(
         self: Wire, method: str, target: str, body: bytes | None, within: float
     ) -> tuple[int, bytes]:
         service = "state" if self.service is world.state else "cloud"
         path = target.partition("?")[0]
         said = _plain(body)
-        kept.add(
+        sent_messages.add(
             f"{service} {method} {re.sub('[0-9]+', '*', '/'.join(path.split('/')[:3]))}",
             text([target, None if body is None else body.decode()]),
             said,
@@ -713,65 +723,72 @@
             if "write" in item:
                 kind = re.match(r"dw/(\w/|\w+)", item["write"])
                 assert kind is not None
-                kept.add(f"record {kind[0]}", text([item["write"], item["data"]]), item["data"])
+                sent_messages.add(
+                    f"record {kind[0]}", text([item["write"], item["data"]]), item["data"]
+                )
         return await call(self, method, target, body, within)
 
-    def keep_post(self: Link, kind: str, message: dict[str, Any]) -> None:
+    def record_post(self: Link, kind: str, message: dict[str, Any]) -> None:
         plain = json.loads(json.dumps(through_frame(message)))
-        kept.add(f"message {plain['kind']}", cbor2.dumps(message).hex(), plain)
+        sent_messages.add(f"message {plain['kind']}", cbor2.dumps(message).hex(), plain)
         post(self, kind, message)
 
-    async def keep_ask(self: Link, message: dict[str, Any], within: float) -> Any:
+    async def record_ask(self: Link, message: dict[str, Any], within: float) -> Any:
         frame = cbor2.dumps(message).hex()
-        kept.add(f"question {message['kind']}", frame, {"keys": list(message)})
+        sent_messages.add(f"question {message['kind']}", frame, {"keys": list(message)})
         return await ask(self, message, within)
 
-    async def keep_handle(self: Controller, request: Request) -> Any:
+    async def record_handle(self: Controller, request: Request) -> Any:
         answer = await handle(self, request)
         of = "worker" if request.target == "/checkin" else f"user {request.method}"
         sent = text([answer.status, answer.body.decode(), answer.retry_after])
-        kept.add(f"answer to {of} {answer.status}", sent, _plain(answer.body))
+        sent_messages.add(f"answer to {of} {answer.status}", sent, _plain(answer.body))
         return answer
 
     async def main() -> None:
         await world.run_scenario(length, script)
 
     with (
-        patch.object(Wire, call.__name__, keep_call),
-        patch.object(Link, post.__name__, keep_post),
-        patch.object(Link, ask.__name__, keep_ask),
-        patch.object(Controller, handle.__name__, keep_handle),
+        patch.object(Wire, call.__name__, record_call),
+        patch.object(Link, post.__name__, record_post),
+        patch.object(Link, ask.__name__, record_ask),
+        patch.object(Controller, handle.__name__, record_handle),
         patch.object(time, "time_ns", lambda: 1),
     ):
         run_in_virtual_time(main)
     assert world.violations == []
 
 
-async def _operator(world: World, kept: Kept, kind: str, message: dict[str, Any]) -> Any:
-    """An operator's question to the leader or another controller."""
+async def _operator(
+    world: World, sent_messages: SentMessages, kind: str, message: dict[str, Any]
+) -> Any:
+    """Send an operator's request to controller n0, and record the answer."""
     said = await world.controllers["n0"].on_request(through_frame(message))
     frame = cbor2.dumps(said)
-    kept.add(f"operator {kind}", frame.hex(), json.loads(json.dumps(cbor2.loads(frame))))
+    sent_messages.add(f"operator {kind}", frame.hex(), json.loads(json.dumps(cbor2.loads(frame))))
     return said
 
 
-def _start(world: World, job: str, cancel_after: float | None = None, **fields: Any) -> None:
+def _submit(world: World, job: str, cancel_after: float | None = None, **fields: Any) -> None:
     body = world.job(name_id=job, **fields)
     world.group.start_soon(world.user, job, body, cancel_after)
 
 
-def scenario() -> dict[str, Any]:
-    """What is sent in a scenario without partitions: arrays, gangs, services, cancellations,
-    refusals, a restart, and a state service that one controller does not reach."""
-    kept = Kept()
+def batch_scenario() -> dict[str, Any]:
+    """The messages of a scenario without partitions.
+
+    It has arrays, gangs, services, cancellations, rejected requests, a restart, and a controller
+    that the state service refuses.
+    """
+    sent_messages = SentMessages()
     world = World(5)
     world.boot_s = (0.5, 2.0)
 
     async def script() -> None:
         await anyio.sleep(4.0)
-        _start(world, "run-000001", pieces=9, true_s=4.0)
-        _start(world, "run-000002", pieces=2, shape="group", true_s=5.0, scatter=True)
-        _start(
+        _submit(world, "run-000001", pieces=9, true_s=4.0)
+        _submit(world, "run-000002", pieces=2, shape="group", true_s=5.0, scatter=True)
+        _submit(
             world,
             "run-000003",
             cancel_after=14.0,
@@ -781,8 +798,8 @@
             expected_s=0.0,
             borrowed=False,
         )
-        _start(world, "run-000004", pieces=400, true_s=3.0, cancel_after=9.0, cpus=0.2)
-        _start(
+        _submit(world, "run-000004", pieces=400, true_s=3.0, cancel_after=9.0, cpus=0.2)
+        _submit(
             world,
             "run-000005",
             pieces=1,
@@ -819,7 +836,7 @@
             ("GET", "/healthz"),
         ):
             await world.controllers["n0"].handle(Request(method, path, b"", False))
-        await _operator(world, kept, "status", {"kind": "status"})
+        await _operator(world, sent_messages, "status", {"kind": "status"})
         world.modes["n1", "state"] = "refused"
         await anyio.sleep(0.5)
         for name in world.names:
@@ -830,13 +847,13 @@
         await anyio.sleep(1.0)
         world.start_controller("n2")
 
-    _recorded_scenario(world, kept, script, 32.0)
-    return kept.view()
+    _recorded_scenario(world, sent_messages, script, 32.0)
+    return sent_messages.summary()
 
 
 def partition_scenario() -> dict[str, Any]:
-    """What is sent in a scenario in which machines move between partitions."""
-    kept = Kept()
+    """The messages of a scenario in which machines move between partitions."""
+    sent_messages = SentMessages()
     world = World(11)
     world.partition_plan = plan.parse("plan.star", PLAN)
     world.boot_s = (0.5, 2.0)
@@ -845,7 +862,7 @@
     async def script() -> None:
         await anyio.sleep(5.0)
         known: dict[str, Any] = {"yard": "a", "builds": ["c8"], "borrowed": False}
-        _start(world, "run-000001", pieces=16, true_s=9.0, expected_s=200.0, **known)
+        _submit(world, "run-000001", pieces=16, true_s=9.0, expected_s=200.0, **known)
         await anyio.sleep(9.0)
         order = {
             "verb": "move",
@@ -855,24 +872,32 @@
             "target": "night",
             "count": 2,
         }
-        await _operator(world, kept, "move", {**shares, **order, "id": "o-000000f1"})
-        await _operator(world, kept, "show", {**shares, "verb": "show"})
-        await _operator(world, kept, "move", {**shares, **order, "count": 900, "id": "o-000000f2"})
-        await _operator(world, kept, "move", {**shares, **order, "id": "o-000000f3", "count": 1})
-        await _operator(world, kept, "cancel", {**shares, "verb": "cancel", "id": "o-000000f3"})
-        await _operator(world, kept, "cancel", {**shares, "verb": "cancel", "id": "o-000000f9"})
-        await _operator(world, kept, "unknown", {**shares, "verb": "none"})
+        await _operator(world, sent_messages, "move", {**shares, **order, "id": "o-000000f1"})
+        await _operator(world, sent_messages, "show", {**shares, "verb": "show"})
+        await _operator(
+            world, sent_messages, "move", {**shares, **order, "count": 900, "id": "o-000000f2"}
+        )
+        await _operator(
+            world, sent_messages, "move", {**shares, **order, "id": "o-000000f3", "count": 1}
+        )
+        await _operator(
+            world, sent_messages, "cancel", {**shares, "verb": "cancel", "id": "o-000000f3"}
+        )
+        await _operator(
+            world, sent_messages, "cancel", {**shares, "verb": "cancel", "id": "o-000000f9"}
+        )
+        await _operator(world, sent_messages, "unknown", {**shares, "verb": "none"})
         given = msgspec.to_builtins(world.partition_plan)
-        await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": given})
+        await _operator(world, sent_messages, "plan", {**shares, "verb": "plan", "plan": given})
         await anyio.sleep(10.0)
-        await _operator(world, kept, "show", {**shares, "verb": "show"})
-        await _operator(world, kept, "plan", {**shares, "verb": "plan", "plan": None})
+        await _operator(world, sent_messages, "show", {**shares, "verb": "show"})
+        await _operator(world, sent_messages, "plan", {**shares, "verb": "plan", "plan": None})
 
-    _recorded_scenario(world, kept, script, 34.0)
-    return kept.view()
+    _recorded_scenario(world, sent_messages, script, 34.0)
+    return sent_messages.summary()
 
 
 SCENARIOS: dict[str, Callable[[], dict[str, Any]]] = {
-    "without shares": scenario,
+    "without shares": batch_scenario,
     "shares": partition_scenario,
 }
--- a/tests/support/machine_store.py
+++ b/tests/support/machine_store.py
@@ -1,4 +1,4 @@
-"""Groups of machines in a plain state service, with a watch cache that follows."""
+"""Machine groups in a minimal key-value store, with a watch cache that is kept current."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.watch_cache import WatchCache
 
-VALUE_BYTES = 942  # what the lower limit leaves of 1 KiB
+VALUE_BYTES = 942  # usable part of a value at the lowered limit of 1 KiB
 TXN_OPS = 4
 
 
@@ -19,7 +19,7 @@
 
 
 class Store:
-    """Machine groups as the state service has them, with a watch cache that follows."""
+    """Machine groups in a key-value store, with a watch cache that receives each write."""
 
     def __init__(self, count: int) -> None:
         self.cache = WatchCache()
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the guards of the sources: what the checks must detect."""
+"""Mutations that disable guards in the sources; the checks must detect each of them."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     patch.setattr(ShardContacts, "shards_without_contact", lambda *_: set())
 
 
-# Guards that a soak run has to notice when they are taken out, by name.
+# Guards whose removal a soak run must detect, by name.
 SOAK_GUARDS: dict[str, Patch] = {
     "wait-for-unheard-machines": no_wait_for_unheard_machines,
     "stop-of-cancelled-tasks": no_stop_of_cancelled_tasks,
--- a/tests/support/partition_history.py
+++ b/tests/support/partition_history.py
@@ -1,8 +1,7 @@
-"""A checker of all written revisions: each machine in one partition, each handover proven.
+"""Checks every revision of the records: each machine is in one partition, each handover is safe.
 
-It reads what the state service's log tells, in the order of the revisions, and knows nothing of the
-code that wrote it. `tests/unit/test_partition_history.py` shows that it fails on made-up bad
-histories.
+The checker reads the log of the state service in revision order and uses none of the code that
+wrote it. `tests/unit/test_partition_history.py` checks that it rejects invalid histories.
 """
 
 from __future__ import annotations
@@ -14,11 +13,11 @@
 from dapplewick.storage.keys import CHUNKS, JOBS, LEADER, MACHINES, SHARDS, TRANSFERS
 from dapplewick.types import shard_name
 
-Entry = tuple[int, str, Any, bool]  # revision, key, value, whether it was removed
+Entry = tuple[int, str, Any, bool]  # revision, key, value, removed
 
 
 class PartitionHistory:
-    """The records after each revision, and what was wrong with any of them."""
+    """The records after the latest revision read, and the violations found so far."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
@@ -29,7 +28,7 @@
         self._min_token_of: dict[str, int] = {}
 
     def check(self, log: Iterable[Entry]) -> list[str]:
-        """Go through a log; gives what was wrong."""
+        """Check all revisions of a log; returns the violations found."""
         for revision, entries in groupby(log, key=lambda entry: entry[0]):
             changed = list(entries)
             before = {key: self._records.get(key) for _, key, _, _ in changed}
@@ -54,7 +53,7 @@
     # Machines
 
     def _listed(self) -> dict[str, list[str]]:
-        """The groups that list each machine."""
+        """The keys of the groups that list each machine."""
         listed: dict[str, list[str]] = {}
         for key, group in self._records.items():
             if key.startswith(MACHINES):
@@ -160,10 +159,10 @@
             if both and set(record.get("draining", [])) & set(value.get("draining", [])):
                 self._add_violation(revision, f"{key} and {other} drain the same machine")
 
-    # In the end
+    # Final state
 
     def open_transfers(self) -> list[str]:
-        """Transfers that have not ended."""
+        """The keys of transfers that haven't ended."""
         return [
             key
             for key, value in self._records.items()
@@ -171,7 +170,7 @@
         ]
 
     def counts(self) -> dict[tuple[str, str], int]:
-        """How many machines of each type each shard has, without those to be deleted."""
+        """Count machines by shard and type, without those that are to be deleted."""
         out: dict[tuple[str, str], int] = {}
         for key, group in self._records.items():
             if key.startswith(MACHINES):
@@ -185,7 +184,7 @@
         return out
 
     def shards_in_assignments(self) -> set[str]:
-        """Every shard that a job's record names."""
+        """All shards that the records of jobs name."""
         named: set[str] = set()
         for key, value in self._records.items():
             if key.startswith((JOBS, CHUNKS)):
@@ -194,5 +193,5 @@
         return named
 
     def leader(self) -> str:
-        """The controller that leads."""
+        """The name of the leader, or an empty string."""
         return str(self._records.get(LEADER, {}).get("node", ""))
--- a/tests/support/partition_moves.py
+++ b/tests/support/partition_moves.py
@@ -1,4 +1,4 @@
-"""Scenarios with partitions: plans, commands of operators, and what has moved."""
+"""Helpers for scenarios with partitions: plans, operator commands and machine moves."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 async def command(world: World, verb: str, **fields: Any) -> dict[str, Any]:
-    """An operator's command, repeated until a controller has answered it finally."""
+    """Send an operator's command until a controller answers with a status other than 503."""
     for attempt in range(100):
         names = sorted(world.controllers)
         if names:
@@ -67,7 +67,7 @@
 
 
 def submit_zone_job(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
-    """A user's job in zone a on machines of type c8."""
+    """Submit a user's job that needs machines of type c8 in zone a."""
     cancel_after = fields.pop("cancel_after", None)
     zone_fields = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
     body = world.job(
@@ -77,10 +77,10 @@
 
 
 async def wait_until(condition: Callable[[], bool], within: float = 60.0) -> None:
-    """Wait until something is so."""
+    """Poll a condition until it holds; fails after `within` seconds."""
     end = now() + within
     while not condition():
-        assert now() < end, "not reached"
+        assert now() < end, "condition not met in time"
         await anyio.sleep(0.1)
 
 
@@ -104,19 +104,19 @@
 
 
 async def fill_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
-    """Machines come up for work in zone a: four tasks on each."""
+    """Submit work to zone a and wait until all of it has started, four tasks on each machine."""
     await wait_for_partitions(world)
     submit_zone_job(world, "run-000001", tasks, seconds, expected_s=200.0)
     await wait_until(lambda: len(world.first_start) == tasks, 60.0)
 
 
 def running(world: World) -> set[str]:
-    """The tasks that run on machines."""
+    """The names of the tasks that are on machines."""
     return {name for _, name in world.on_machines()}
 
 
 def run_partition_scenario(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
-    """Play a scenario; returns its history, which the checker has found valid."""
+    """Run a scenario, check its history and the users' rules, and return the history."""
 
     async def main() -> None:
         async def run() -> None:
@@ -143,7 +143,7 @@
 
 
 def controller_in_role(world: World, role: str) -> str:
-    """The controller that plays a role in a move now."""
+    """The controller that has a role in a move now: giver, receiver or leader."""
     shard = {"giver": "a", "receiver": str(NIGHT)}.get(role)
     if shard is None:
         record = world.state.keys.get("dw/leader")
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the repository and the recorded data of the tests are."""
+"""Paths of the repository and of the recorded test data."""
 
 from __future__ import annotations
 
--- a/tests/support/production.py
+++ b/tests/support/production.py
@@ -1,8 +1,8 @@
-"""Earlier versions of the service, from the repository's history, beside the present one.
+"""Loads earlier versions of the service from the Git history, next to the current version.
 
-`deploy/service.toml` names the commit in production. The package of a commit is read from there
-under another name, so that controllers of several versions run in one process. A missing history
-fails the tests that need it.
+`deploy/service.toml` names the commit in production. The package of a commit is extracted and
+imported under another name, so that controllers of several versions can run in one process. Tests
+that need a commit fail if the history lacks it.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 from support.paths import ROOT
 
-# The last main before the present round of work: it has services and writes records of format 3.
+# An earlier commit of main, with services and with records of format 3.
 PREVIOUS_MAIN = "c6e3367"
 
 
 def commit() -> str:
-    """The commit that is in production."""
+    """The commit in production, from `deploy/service.toml`."""
     text = (ROOT / "deploy" / "service.toml").read_text()
     return str(tomllib.loads(text)["production"])
 
@@ -39,7 +39,7 @@
 
 @lru_cache(maxsize=2)
 def load_commit(revision: str) -> SimpleNamespace:
-    """The modules of the version at a commit."""
+    """The modules of the version at a commit, under the names that the tests use."""
     name = f"dapplewick_at_{revision[:7]}"
     archive = subprocess.run(
         ["git", "-C", str(ROOT), "archive", revision, "src/dapplewick"],
--- a/tests/support/real_world.py
+++ b/tests/support/real_world.py
@@ -1,4 +1,4 @@
-"""Controllers as processes on loopback, with the stand-ins in real time behind sockets."""
+"""Runs controllers as processes on loopback, with the stand-ins behind sockets in real time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RealWorld(World):
-    """The stand-ins in real time; controllers are processes reached over HTTP."""
+    """The stand-ins in real time; controllers are processes that are reached over HTTP."""
 
     def __init__(self, folder: Path, count: int = 2) -> None:
         super().__init__(1, count)
@@ -38,7 +38,7 @@
         self.client_ports = dict(zip(self.names, ports[2 : 2 + count], strict=True))
         self.peer_ports = dict(zip(self.names, ports[2 + count :], strict=True))
         self.folder = folder
-        self.options: list[str] = []  # before the settings file
+        self.options: list[str] = []  # arguments of run.py before --config
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.files: dict[str, Path] = {}
         self.write_settings(deployment(count), self.peer_ports, self.state_port, self.cloud_port)
@@ -51,7 +51,7 @@
         cloud_port: int,
         names: list[str] | None = None,
     ) -> None:
-        """Write the settings files of controllers, which find others at these ports."""
+        """Write the settings files of the named controllers, or of all, with these ports."""
         for name in names or self.names:
             value = {
                 "host_name": name,
@@ -91,7 +91,7 @@
         self.processes[name].wait()
 
     def kill_all(self) -> None:
-        """End the processes of all controllers."""
+        """Kill the processes of all controllers and wait for them."""
         for process in self.processes.values():
             process.kill()
             process.wait()
@@ -149,7 +149,7 @@
         if all(status == 200 for status, _ in answers):
             return
         await anyio.sleep(0.1)
-    raise AssertionError("not healthy")
+    raise AssertionError("a controller did not become healthy within about 20 s")
 
 
 async def raw(port: int, data: bytes) -> bytes:
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""A relay between two processes on loopback, which can refuse, reset, hold and delay."""
+"""A TCP relay between two processes on loopback that injects network faults."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class RelayMode(Enum):
-    """How the network treats a way."""
+    """The fault that a relay injects."""
 
     OPEN = auto()
-    HELD = auto()  # nothing arrives until it is open again
-    REFUSED = auto()  # connections are reset, and new ones end at once
+    HELD = auto()  # data is buffered until the mode is OPEN again
+    REFUSED = auto()  # connections are closed, and new ones end at once
 
 
 class Relay:
-    """One direction's way from a process to a port; each has a port of its own."""
+    """Relays connections from its own port to a target port."""
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
@@ -35,19 +35,19 @@
         self._listener: anyio.abc.Listener[anyio.abc.SocketStream] | None = None
 
     async def open(self) -> None:
-        """Listen; the port is known from then on."""
+        """Listen on a free port, and set `port`."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self._listener = listener
 
     async def run(self) -> None:
-        """Pass on what comes, until cancelled."""
+        """Serve connections until cancelled."""
         assert self._listener is not None
         async with self._listener:
             await self._listener.serve(self._relay)
 
     def set_mode(self, mode: RelayMode) -> None:
-        """Treat the way differently from now on."""
+        """Set the fault to inject; REFUSED closes open connections."""
         self._mode = mode
         if mode is RelayMode.REFUSED:
             for scope in list(self._connections):
--- a/tests/support/rolls.py
+++ b/tests/support/rolls.py
@@ -1,4 +1,4 @@
-"""Whole scenarios on which the controllers are replaced one after the other by this version."""
+"""Scenarios of a rolling upgrade from an earlier version to this version."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     await anyio.sleep(14)
     world.crash("n2")
     await anyio.sleep(2)
-    world.start_controller("n2")  # still with the old version
+    world.start_controller("n2")  # still the earlier version
 
 
 async def outage(world: World) -> None:
@@ -45,7 +45,7 @@
 
 
 async def leaders_in_turn(world: World) -> None:
-    """New, old and new lead one after the other."""
+    """Each leader crashes in turn, so that both versions lead alternately."""
     for _ in range(5):
         await anyio.sleep(9)
         name = leader(world)
@@ -65,7 +65,7 @@
 
 
 async def writes_come_late(world: World) -> None:
-    """Transactions get no answer and are carried out seconds later, after newer ones."""
+    """Transactions time out and are executed seconds later, after newer ones."""
     await anyio.sleep(12)
     world.late_writes = 0.15
     await anyio.sleep(35)
@@ -73,7 +73,7 @@
 
 
 async def leader_refused_alone(world: World) -> None:
-    """The state service refuses the leader, and a second later everybody."""
+    """The state service refuses the leader, and one second later all controllers."""
     await anyio.sleep(24)
     name = leader(world)
     world.modes[(name, "state")] = "refused"
@@ -98,16 +98,20 @@
 
 @dataclass
 class RollingUpgradeResult:
-    """A scenario on which this version replaced an earlier one."""
+    """The result of a rolling upgrade.
+
+    Attributes:
+        world: the scenario after its end.
+        controllers_with_early_format: controllers that still ran the earlier version when a
+            record of the new format existed; empty if the upgrade is correct.
+    """
 
     world: World
-    controllers_with_early_format: list[str] = field(
-        default_factory=list
-    )  # before whose turn the format was new
+    controllers_with_early_format: list[str] = field(default_factory=list)
 
 
 def submit_large_arrays(world: World, first: int) -> None:
-    """Arrays whose records outgrow the lower limit, done in no order."""
+    """Submit arrays whose records exceed the lowered limit, and whose tasks end out of order."""
     for n in range(first, first + 2):
         each = [world.random.choice([1.0, 45.0]) for _ in range(420)]
         body = world.job(
@@ -122,7 +126,7 @@
 
 
 def submit_services(world: World) -> None:
-    """Three services, the last of which is cancelled after a minute."""
+    """Submit three services; the last one is cancelled after 60 s."""
     for n in range(3):
         body = world.job(
             name_id=f"run-service{n}",
@@ -138,7 +142,7 @@
 
 
 def lower_limits(world: World) -> None:
-    """The state service takes only what `state.next` of the settings names."""
+    """Apply the limits of `state.next` of the settings to the state service."""
     world.state.limits_lowered, world.state.max_writes_per_s = (
         True,
         float(LOWERED_LIMITS["write_rps"]),
@@ -148,10 +152,14 @@
 def run_rolling_upgrade(
     earlier: SimpleNamespace, fault: Fault, seed: int, *, lowered_after: float | None = None
 ) -> RollingUpgradeResult:
-    """Play a scenario that begins with the earlier version alone, and a fault during the roll.
-
-    The limits of the state service fall once all controllers are of this version, or with
-    `lowered_after` so many seconds after the beginning.
+    """Upgrade all controllers from an earlier version one by one, with a fault meanwhile.
+
+    Args:
+        earlier: The modules of the earlier version.
+        fault: The fault, which runs concurrently with the upgrade.
+        seed: Seed of the scenario.
+        lowered_after: Seconds until the limits of the state service are lowered; None: they are
+            lowered when all controllers run this version.
     """
     world = World(seed)
     world.earlier_version, world.earlier_version_controllers = earlier, set(world.names)
--- a/tests/support/scenario_checks.py
+++ b/tests/support/scenario_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a whole scenario, by plain counting: at its end, or beside the users."""
+"""Checks of a whole scenario: at its end, or by requests during the scenario."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from dapplewick.transport.http import Request
 from standins import World
 
-BEGIN_WITHIN_S = 240.0  # the largest jobs of a class have begun by then
-# A start that was on its way when the cancellation was confirmed: an owner that can't read the
-# records sends none after 9 s, and the image takes the rest.
+BEGIN_WITHIN_S = 240.0  # maximum wait until the largest jobs of a class start
+# Maximum delay of a start after its cancellation was confirmed: an owner that can't read the
+# records stops sending starts after 9 s, and fetching the image takes the rest.
 START_IN_FLIGHT_S = 12.0
 ORDER = {"unknown": 0, "queued": 1, "running": 1, "done": 2, "withdrawn": 2}
 
@@ -22,7 +22,7 @@
 
 
 def groups_of_jobs(world: World) -> dict[tuple[str, str], list[str]]:
-    """Accepted jobs that nobody cancelled, by class, by team, and the largest of each class."""
+    """Group the accepted, not cancelled jobs by class, by team and by largest of a class."""
     groups: dict[tuple[str, str], list[str]] = defaultdict(list)
     uncancelled = [j for j in sorted(world.accepted) if j not in world.cancelled_at]
     for job_id in uncancelled:
@@ -39,7 +39,7 @@
 
 
 def final_check_failures(world: World) -> list[str]:
-    """What makes a scenario fail beside the rules that are checked as things happen."""
+    """Violations that show only at the end of a scenario; other rules are checked on each event."""
     violations = []
     if not world.starts:
         violations.append("nothing_ran")
@@ -65,7 +65,7 @@
 
 
 class AnswerProbe:
-    """Asks every controller about a job, and keeps that no answer is older than an earlier one."""
+    """Sends requests to controllers and records answers that are older than an earlier one."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -77,7 +77,7 @@
         controller = self.world.controllers.get(name)
         if controller is None or not controller.ready:
             return 0, {}
-        before = self.known.get(job_id, 0)  # what was told when the question was put
+        before = self.known.get(job_id, 0)  # known when the request is sent
         answer = await controller.handle(request)
         answer_body = json.loads(answer.body)
         if answer.status == 503 and not answer.retry_after:
@@ -88,7 +88,7 @@
         return answer.status, answer_body
 
     def record_answer(self, job_id: str, before: int, stage: str) -> None:
-        """An answer whose question was put when `before` was known."""
+        """Record an answer to a request that was sent when stage rank `before` was known."""
         self.answers += 1
         if ORDER[stage] < before:
             self.violations.append(f"older_answer {job_id} {stage}")
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,4 +1,4 @@
-"""Plays scenarios in virtual time, and what users and operators do in them."""
+"""Runs scenarios in virtual time, with actions of users and operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def owners(world: World) -> list[str]:
-    """The controllers that own a shard now; any one if none does."""
+    """The controllers that own a shard now, or the first controller if none does."""
     return (
         sorted(n for n, controller in world.controllers.items() if controller.shard_schedulers)
         or world.names[:1]
@@ -52,7 +52,7 @@
 def run_script(
     world: World, length: float, script: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Play a scenario with a script beside it, in virtual time."""
+    """Run a scenario and a concurrent script in virtual time."""
 
     async def main() -> None:
         await world.run_scenario(length, script)
@@ -61,7 +61,7 @@
 
 
 def submit_jobs(world: World, count: int, first: int = 0, **fields: object) -> None:
-    """Users submit jobs that are alike, from run-000000 on."""
+    """Submit `count` identical jobs, numbered from `first`."""
     for n in range(first, first + count):
         body = world.job(name_id=f"run-{n:06d}", **fields)
         world.group.start_soon(world.user, body["name_id"], body, None)
@@ -78,7 +78,7 @@
 async def call(
     world: World, name: str, method: str, job: str, verb: str = ""
 ) -> tuple[int, dict[str, Any]]:
-    """A user's request to one controller."""
+    """Send a user's request to one controller."""
     path = f"/v2/runs/{job}" + (f"/{verb}" if verb else "")
     question = world.history.record_request(job, verb or "poll")
     answer = await world.controllers[name].handle(Request(method, path, b"", False))
@@ -87,7 +87,7 @@
 
 
 async def cancel(world: World, name: str, jobs: list[str]) -> None:
-    """Cancel through one controller; what it confirms binds from then on."""
+    """Cancel jobs through one controller; a confirmed cancellation is recorded as final."""
     for job in jobs:
         status, answer_body = await call(world, name, "POST", job, "abort")
         if status == 200 and answer_body["stage"] == "withdrawn":
--- a/tests/support/shard_bench.py
+++ b/tests/support/shard_bench.py
@@ -1,4 +1,4 @@
-"""A shard alone: its scheduler with records, and workers that do as they are told."""
+"""A single shard for tests: its scheduler, its records, and workers that execute commands."""
 
 from __future__ import annotations
 
@@ -60,14 +60,14 @@
 
 
 def group(name: str) -> dict[str, object]:
-    """The record of a machine that is up."""
+    """The record of a group with one running machine."""
     return {"type": "k", "zone": "a", "spot": False, "machines": {name: "u"}}
 
 
 def machine_status(
     free: tuple[float, float, float], ends: list[Any] | None = None
 ) -> dict[str, Any]:
-    """A machine of a status, usable and heard, as it stands on the wire."""
+    """The encoded status of a machine that is usable and in contact."""
     return {
         "free": free,
         "ends": ends or [],
@@ -81,7 +81,7 @@
 
 
 def shard_status(machines: dict[str, Any], number: int = 1, at: Seconds = 1.0) -> ShardStatus:
-    """The first status of shard a, as the leader reads it from the wire, with these machines."""
+    """The first status of shard a with these machines, decoded as the leader receives it."""
     message = {
         "zone": "a",
         "token": 2,
@@ -103,7 +103,7 @@
 
 
 class Bench:
-    """A shard on four-CPU machines, its records, and its workers."""
+    """A shard of machines with four CPUs, with its records and workers."""
 
     def __init__(self, machines: int, threshold: Seconds = 0.0) -> None:
         self.cache = WatchCache()
@@ -137,19 +137,19 @@
         self.scheduler.job_changed(at, JobId(job))
 
     def gang_state(self, at: Seconds, job: str) -> str:
-        """What the leader is told of a gang."""
+        """The state of a gang in the status that the leader receives."""
         status = self.scheduler.status(at).gangs[JobId(job)]
         assert status is not None
         return status.state
 
     def job_status(self, at: Seconds, job: str) -> JobStatus:
-        """What the leader is told of a job's array tasks."""
+        """The status of a job's array tasks that the leader receives."""
         status = self.scheduler.status(at).jobs[JobId(job)]
         assert status is not None
         return status
 
     def machine_status(self, at: Seconds, name: MachineId) -> MachineStatus:
-        """What the leader is told of a machine."""
+        """The status of a machine that the leader receives."""
         status = self.scheduler.status(at).machines[name]
         assert status is not None
         return status
@@ -180,7 +180,7 @@
         return commands
 
     def store(self, done: set[TaskRef], at: Seconds) -> None:
-        """What the leader does with results: they are stored, and the assignments are over."""
+        """Store results as the leader does, which ends the assignments of these tasks."""
         for job in {t.job for t in done}:
             record = JobRecord.load(self.cache.jobs[job].dump(), 0)
             numbers = {int(t.task_index) for t in done if t.job == job}
@@ -195,7 +195,7 @@
 
 
 def calls(work: Callable[[], Any]) -> int:
-    """How many function calls some work makes."""
+    """Count the function calls that some work makes."""
     count = 0
 
     def step(_frame: Any, event: str, _argument: Any) -> None:
@@ -211,7 +211,7 @@
 
 
 def busy_shard(machines: int) -> Bench:
-    """A shard whose machines are all full, with queues and gangs that hold slots."""
+    """A shard with all machines full, queued array tasks and gangs with reserved slots."""
     bench = Bench(machines)
     for name in bench.names:
         bench.heartbeat(name, 0.0)
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -1,4 +1,4 @@
-"""One soak run: a drawn schedule of faults on real controllers, and the verdict on it."""
+"""Runs one soak test: a random schedule of faults on real controllers, and its checks."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from support.soak_users import SERVICE_JOB, SoakUsers, draw_jobs, fleet_job, service_job
 from support.soak_world import SoakWorld
 
-# How long it may take after the last fault until work flows: a presence lease of 5 s, the time
-# after which an unheard shard is moved, a lease until silent machines are deleted, 10 s until
-# new ones are up, and 20 s for calls, gangs and moves that are made anew after a pause.
+# Maximum time from the last fault until tasks start again: a presence lease of 5 s, the time until
+# a shard without contact is moved, a worker lease until unreachable machines are deleted, 10 s to
+# boot new machines, and 20 s for retries of calls, gangs and moves after their back-off.
 RECOVERY_S = 5.0 + OWNER_CONTACT_TIMEOUT_S + float(WORKERS["lease_s"]) + 10.0 + 20.0
-SETTLE_S = 1.0  # after the end of a fault, until what it kept back is on its way
-WORK_TIME_FACTOR = 2.0  # a task waits for a heartbeat and an image, and gangs for one another
+SETTLE_S = 1.0  # from the end of a fault until delayed messages are sent
+WORK_TIME_FACTOR = 2.0  # tasks wait for heartbeats and images, and gangs for one another
 TASK_OVERHEAD_S = 4.0
 
 
 class SoakResult(NamedTuple):
-    """What a run has shown.
+    """The result of a soak run.
 
     Attributes:
-        seed: what it was drawn from.
-        violations: what was broken; empty if nothing was.
-        jobs: how many jobs were accepted.
-        most_machines: how many machines were there at a time, at most.
-        served_after_s: how long after the last fault all jobs were over.
+        seed: seed of the schedule and the jobs.
+        violations: the violations found; empty if the run passed.
+        jobs: number of accepted jobs.
+        max_machines: maximum number of machines at a time.
+        finished_after_s: seconds from the last fault until all jobs had finished.
     """
 
     seed: int
@@ -54,15 +54,15 @@
 
 
 class SoakOptions(NamedTuple):
-    """The size of a run, and what starts its controllers."""
+    """The size of a run, and the program of its controllers."""
 
-    machines: int = 0  # an array that takes so many is submitted too
+    machines: int = 0  # 0, or the size of an additional array that fills as many
     jobs: int = 40
-    program: tuple[str, ...] = ()  # in place of run.py
+    program: tuple[str, ...] = ()  # command in place of run.py
 
 
 def remaining_work_s(world: SoakWorld) -> float:
-    """How long the work that is left takes at the limits of its teams."""
+    """Estimate how long the remaining work takes at the teams' limits."""
     longest_s = 0.0
     for team in world.teams:
         cpu_s = gpu_s = 0.0
@@ -83,7 +83,7 @@
 
 
 def unfinished_job_names(world: SoakWorld) -> list[str]:
-    """The accepted jobs that are not over, or whose replicas do not all run."""
+    """Describe the accepted jobs that haven't finished, or whose replicas don't all run."""
     running = {name for _, name in world.on_machines()}
     unfinished = []
     for job_id in sorted(world.accepted):
@@ -100,7 +100,7 @@
 
 
 class SoakRun:
-    """Plays one seed in a folder, which keeps settings and logs."""
+    """Runs one seed; settings and logs are written to a folder."""
 
     def __init__(self, folder: Path, seed: int, options: SoakOptions) -> None:
         self.schedule = draw_schedule(seed)
@@ -113,7 +113,7 @@
         self._finished_after_s = math.inf
 
     async def run(self) -> SoakResult:
-        """Play the run to its end; all its processes have ended then."""
+        """Run to completion; all processes of the run have ended when it returns."""
         await self._world.run(self._script)
         return SoakResult(
             self._seed,
@@ -132,10 +132,10 @@
         async with anyio.create_task_group() as group:
             group.start_soon(users.probe)
             group.start_soon(self._count_machines)
-            async with anyio.create_task_group() as fault_period:
+            async with anyio.create_task_group() as fault_group:
                 group.start_soon(FaultInjector(world).run, self.schedule)
-                fault_period.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
-                fault_period.start_soon(users.submit, jobs, end_of(self.schedule))
+                fault_group.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
+                fault_group.start_soon(users.submit, jobs, end_of(self.schedule))
             world.faults_ended_at = now()
             await self._wait_until_finished()
             await self._collect_invariant_violations()
@@ -147,7 +147,7 @@
             await anyio.sleep(1.0)
 
     async def _wait_until_finished(self) -> None:
-        """Wait until all jobs are over, or the time for that has passed."""
+        """Wait until all jobs have finished; add violations for those that exceed the limit."""
         world = self._world
         assert world.faults_ended_at is not None
         limit_s = RECOVERY_S + WORK_TIME_FACTOR * remaining_work_s(world)
@@ -164,7 +164,7 @@
         ]
 
     async def _collect_invariant_violations(self) -> None:
-        """Ask each controller which invariants it found violated."""
+        """Fetch the invariant violations that each controller counted."""
         for name, port in self._world.peer_ports.items():
             try:
                 status = await client.status(f"127.0.0.1:{port}")
@@ -177,11 +177,11 @@
     def _violations(self) -> list[str]:
         world = self._world
         found = [*dict.fromkeys(world.violations)]
-        served = [v for v in final_check_failures(world) if SERVICE_JOB not in v]
-        return [*found, *served, *self._logged_errors()]
+        final_failures = [v for v in final_check_failures(world) if SERVICE_JOB not in v]
+        return [*found, *final_failures, *self._logged_errors()]
 
     def _logged_errors(self) -> list[str]:
-        """Error events in the controllers' logs: each is a defect."""
+        """ERROR lines in the controllers' logs, each of which is a defect."""
         return [
             f"{name} logged {line[:300]}"
             for name in self._world.names
@@ -191,7 +191,7 @@
 
 
 def run_seed(folder: Path, seed: int, options: SoakOptions) -> SoakResult:
-    """Play one seed; what the folder holds is left to the caller."""
+    """Run one seed; the caller removes the folder."""
     run = SoakRun(folder, seed, options)
     result: Any = anyio.run(run.run)
     assert isinstance(result, SoakResult)
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -1,4 +1,4 @@
-"""Brings the faults of a schedule about in a soak run."""
+"""Injects the faults of a schedule into a soak run."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from support.soak_schedule import Fault, FaultKind, Role
 from support.soak_world import SoakWorld
 
-MEAN_LEADER_LIFE_S = 0.8  # a leader that is to end has led for about so long
+MEAN_LEADER_LIFE_S = 0.8  # mean time until a new leader is killed
 LEADER_RESTART_DELAY_S = 0.4
 STATE_DELAY_FACTOR = 40.0
 
 
 def target_controller(world: SoakWorld, role: Role) -> str:
-    """The controller with a role now; any one if none has it."""
+    """The controller that has a role now, or a random one if none has it."""
     keys = world.state.keys
     if role is Role.LEADER and "dw/leader" in keys:
         return str(keys["dw/leader"][0]["node"])
@@ -29,7 +29,7 @@
 
 
 class FaultInjector:
-    """Plays faults, each for its time; several may be under way at once."""
+    """Injects faults for their durations; several may be active at once."""
 
     def __init__(self, world: SoakWorld) -> None:
         self._world = world
@@ -57,7 +57,7 @@
         }
 
     async def run(self, schedule: list[Fault]) -> None:
-        """Play a schedule to its end."""
+        """Inject all faults of a schedule."""
         started_at = now()
         async with anyio.create_task_group() as group:
             for fault in schedule:
@@ -73,7 +73,7 @@
         self._world.start_controller(name)
 
     async def _end_leaders(self, fault: Fault) -> None:
-        """End each leader as soon as it leads, one after the other."""
+        """Kill each new leader shortly after it is elected."""
         end = now() + fault.duration_s
         last_incarnation = None
         while now() < end:
@@ -132,7 +132,7 @@
         await anyio.sleep(fault.duration_s)
         self._world.cloud.down = False
 
-    # Ways between controllers
+    # Connections between controllers
 
     async def _refuse_peers(self, fault: Fault) -> None:
         await self._set_relay_mode(
@@ -160,7 +160,7 @@
             relay.set_mode(RelayMode.OPEN)
 
     async def _leave_alone(self, fault: Fault) -> None:
-        """A controller loses the state service and its peers, not its workers and users."""
+        """Cut a controller from the state service and its peers, not from workers and users."""
         name = target_controller(self._world, fault.role)
         async with anyio.create_task_group() as group:
             group.start_soon(self._set_state_mode, name, "held", fault.duration_s)
@@ -192,7 +192,7 @@
         await self._set_machine_fault(fault, "hanging")
 
     async def _set_machine_fault(self, fault: Fault, state: str) -> None:
-        """Put some machines into a state of the stand-in for its time."""
+        """Set a fault flag of the stand-in workers of some machines for the fault's duration."""
         machines = self._some_machines(fault.share)
         for worker in machines:
             setattr(worker, state, True)
--- a/tests/support/soak_schedule.py
+++ b/tests/support/soak_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults for soak runs: what happens to whom, when, and for how long."""
+"""Random schedules of faults for soak runs: kind, target, start and duration."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-QUIET_START_S = 12.0  # jobs come and machines are up before the first fault
-# Peers that refuse one another for good: the service has to do without what they would say.
+QUIET_START_S = 12.0  # jobs are submitted and machines boot before the first fault
+# Peers may stay disconnected until the end: the service must work without peer messages.
 UNTIL_THE_END_S = math.inf
-GAP_S = (2.0, 6.0)  # between two episodes of overlapping faults
+GAP_S = (2.0, 6.0)  # range of the delay between two episodes of overlapping faults
 EPISODES = 3
 
 
 class FaultKind(StrEnum):
-    """What may happen to controllers, the ways between processes, and machines."""
+    """Kinds of faults of controllers, connections and machines."""
 
-    KILL = "kill"  # the process ends, and is started again after the given time
-    LEADERS_END = "leaders end in series"  # each leader ends as soon as it leads
-    PAUSE = "pause"  # the process stands still
+    KILL = "kill"  # the process is restarted after the duration
+    LEADERS_END = "leaders end in series"  # each new leader is killed soon after its election
+    PAUSE = "pause"  # the process is stopped by a signal and continued
     STATE_REFUSES = "state service refuses one"
     STATE_CUT = "state service cut from one"  # transactions are delivered late
     STATE_OUTAGE = "state service out for all"
@@ -40,7 +40,7 @@
 
 
 class Role(StrEnum):
-    """Which controller a fault befalls, as it stands when it begins."""
+    """The role that selects the target controller when a fault starts."""
 
     LEADER = "leader"
     OWNER = "owner"
@@ -51,9 +51,9 @@
     """One fault of a schedule.
 
     Attributes:
-        at_s: when it begins, from the start of the run.
-        for_s: how long it lasts; of a kill, until the process is started again.
-        share: of the machines, transactions or heartbeats that it befalls.
+        start_s: start, in seconds from the start of the run.
+        duration_s: duration; for a kill, the time until the process is restarted.
+        share: fraction of machines, transactions or heartbeats affected.
     """
 
     start_s: float
@@ -70,7 +70,7 @@
         )
 
 
-# How long each kind lasts. The long ones are longer than any lease of the deployment.
+# Durations of each kind. The long ones exceed every lease of the deployment.
 DURATIONS_S: dict[FaultKind, tuple[float, ...]] = {
     FaultKind.KILL: (0.1, 0.4, 3.0),
     FaultKind.LEADERS_END: (8.0, 14.0),
@@ -96,7 +96,7 @@
 
 
 def draw_schedule(seed: int) -> list[Fault]:
-    """The faults of a run: episodes of two or three that overlap, the same for the same seed."""
+    """Draw the faults of a run, deterministically: episodes of two or three overlapping faults."""
     rng = random.Random(f"schedule {seed}")
     faults: list[Fault] = []
     start_s = QUIET_START_S
@@ -109,13 +109,13 @@
             role = rng.choice(list(Role))
             episode.append(Fault(begin_s, kind, duration_s, role, rng.uniform(0.1, 0.5)))
         faults += episode
-        # The next episode does not wait for the longest fault of this one: they overlap too.
+        # The next episode may start before the longest fault of this one ends.
         start_s = max(fault.start_s for fault in episode) + rng.uniform(*GAP_S) + 6.0
     return sorted(faults)
 
 
 def end_of(faults: list[Fault]) -> float:
-    """When the last fault is over, but for those that last until the end of the run."""
+    """The end of the last fault, except faults that last until the end of the run."""
     return max(
         fault.start_s if math.isinf(fault.duration_s) else fault.start_s + fault.duration_s
         for fault in faults
--- a/tests/support/soak_users.py
+++ b/tests/support/soak_users.py
@@ -1,4 +1,4 @@
-"""Users of a soak run: what they submit, cancel, ask and repeat."""
+"""Users of a soak run: they submit, poll and cancel jobs, and repeat requests."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 FLEET_JOB = "run-fleet"
 SERVICE_JOB = "run-service"
-CANCELLED_FRACTION = 0.2  # of the jobs, while they wait or run
+CANCELLED_FRACTION = 0.2  # of the jobs, within 15 s
 PROBE_INTERVAL_S = 0.5
-RESUBMITTED_FRACTION = 0.2  # of the looks at a job also submit it again
-CANCELLED_LATE_FRACTION = 0.05  # and so many of those at a job that is over cancel it
+RESUBMITTED_FRACTION = 0.2  # of the probes of a job
+CANCELLED_LATE_FRACTION = 0.05  # of the probes of a job that is done
 
 
 def draw_jobs(seed: int, count: int, world: SoakWorld) -> list[dict[str, Any]]:
-    """Jobs of several classes, teams and sizes; the same for the same seed."""
+    """Draw jobs of several classes, teams and sizes, deterministically."""
     rng = random.Random(f"jobs {seed}")
     return [_draw_job(rng, f"run-{n:06d}", world) for n in range(count)]
 
@@ -31,7 +31,7 @@
     common = {"name_id": name, "true_s": true_s, "expected_s": true_s * rng.uniform(0.5, 2.0)}
     common["kit"] = rng.choice(["img-1", "img-2"])
     kind = rng.choice(["route", "merge", "scan", "batch", "batch"])
-    if kind == "route":  # gangs with objectives, in one zone
+    if kind == "route":  # gangs with objectives, half of them in one zone
         fields: dict[str, Any] = {
             "shape": "group",
             "pieces": rng.choice([1, 2, 4]),
@@ -70,7 +70,7 @@
 
 
 def fleet_job(world: SoakWorld, machines: int) -> dict[str, Any]:
-    """An array that fills so many machines: each of its tasks takes a whole one."""
+    """An array with one task per machine, each of which fills its machine."""
     return world.job(
         name_id=FLEET_JOB,
         bundle="fleet",
@@ -91,14 +91,14 @@
 
 
 class SoakUsers:
-    """Submits jobs over a time, and looks at all of them at every controller."""
+    """Submits jobs over a period, and polls them at every controller."""
 
     def __init__(self, world: SoakWorld, seed: int) -> None:
         self._world = world
         self._random = random.Random(f"users {seed}")
 
     async def submit(self, jobs: list[dict[str, Any]], over_s: float) -> None:
-        """Submit jobs evenly over a time; a part of them is cancelled later."""
+        """Submit jobs evenly over `over_s` seconds; a fraction of them is cancelled later."""
         for body in jobs:
             cancelled = self._random.random() < CANCELLED_FRACTION and body["shape"] != "daemon"
             cancel_after_s = self._random.uniform(0.0, 15.0) if cancelled else None
@@ -106,12 +106,12 @@
             await anyio.sleep(over_s / len(jobs))
 
     async def probe(self) -> None:
-        """Ask all controllers about jobs, repeat submissions and cancellations, for ever."""
+        """Poll jobs at all controllers and repeat submissions and cancellations until cancelled."""
         while True:
             await anyio.sleep(PROBE_INTERVAL_S)
             accepted = sorted(self._world.accepted)
             if accepted:
-                # New ones more often: what was told of them has changed just now.
+                # The latest jobs are probed more often: their states change most.
                 self._world.group.start_soon(
                     self._probe_job, self._random.choice([*accepted, *accepted[-5:]])
                 )
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -1,9 +1,9 @@
-"""A deployment of real controllers for soak runs, and what may go wrong in it.
+"""A deployment of real controllers for soak runs, with fault injection.
 
 Controllers are processes of `run.py`. The stand-ins for users, workers, the cloud and the state
-service run here, in real time. All is on loopback; each way between two controllers leads through a
-relay, and each controller has its own port of the state service and of the cloud, so that each way
-can be cut alone.
+service run in this process, in real time. All connections are on loopback: a relay for each
+direction between two controllers, and a port of the state service and of the cloud for each
+controller, so that each connection can be interrupted separately.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from support.real_world import RealWorld
 from support.relay import Relay
 
-# Below the ports that the kernel gives to connections: a controller that is started again finds its
-# own port free.
+# Below the kernel's ephemeral ports, so that no connection takes the port of a controller that is
+# being restarted.
 PORTS = range(12_000, 32_000)
 TICK_S = 0.25
-SLOW_CHECK_INTERVAL_S = 2.0  # what looks at all jobs and machines is checked this often
-WATCH_TIMEOUT_S = 70.0  # a watch is answered within a minute
-REQUEST_TIMEOUT_S = 15.0  # the client has given up by then
+SLOW_CHECK_INTERVAL_S = 2.0  # interval of the checks that scan all jobs and machines
+WATCH_TIMEOUT_S = 70.0  # watches are answered within 60 s
+REQUEST_TIMEOUT_S = 15.0  # longer than the time-out of the client
 TEAMS: list[dict[str, Any]] = [
     {"name": "red", "cpus": 0.0, "cpus_max": 0.0, "gpus": 2.0, "gpus_max": 5.0},
     {"name": "blue", "cpus": 0.0, "cpus_max": 24.0, "gpus": 0.0, "gpus_max": 0.0},
@@ -50,7 +50,7 @@
 
 
 def reserve_ports(rng: random.Random, count: int) -> list[int]:
-    """Ports that nobody listens at now."""
+    """Draw free ports: none accepts connections now."""
     ports: list[int] = []
     while len(ports) < count:
         port = rng.choice(PORTS)
@@ -61,12 +61,12 @@
 
 
 class SoakWorld(RealWorld):
-    """Real controllers, and stand-ins that tell what goes wrong.
+    """Real controllers, with stand-ins that record violations.
 
     Attributes:
-        relays: the way from one controller to another.
-        program: what starts a controller, before its arguments.
-        log_level: of the controllers.
+        relays: the relay for each (sender, target) pair of controllers.
+        program: command that starts a controller, without arguments.
+        log_level: log level of the controllers.
     """
 
     def __init__(self, folder: Path, seed: int, count: int = 3) -> None:
@@ -78,7 +78,7 @@
         self.relays: dict[tuple[str, str], Relay] = {}
         self._logs: list[Any] = []
         self._waiting_checked_at = 0.0
-        # By the system's random numbers: runs of the same seed may be played beside one another.
+        # From the system's random numbers, since runs of the same seed may run concurrently.
         ports = reserve_ports(random.SystemRandom(), 2 * count)
         self.client_ports = dict(zip(self.names, ports[:count], strict=True))
         self.peer_ports = dict(zip(self.names, ports[count:], strict=True))
@@ -88,7 +88,7 @@
     def start_controller(self, name: str) -> None:
         process = self.processes.get(name)
         if process is not None and process.poll() is None:
-            return  # the restart of another fault was quicker
+            return  # already restarted after another fault
         log = open(self.folder / f"{name}.log", "ab")  # noqa: SIM115 - kept until the run ends
         self._logs.append(log)
         self.processes[name] = subprocess.Popen(
@@ -98,7 +98,7 @@
         )
 
     async def pause(self, name: str, duration_s: float) -> None:
-        """A process stands still, and goes on unless it has ended meanwhile."""
+        """Stop a process with SIGSTOP; resume it with SIGCONT, unless it has ended meanwhile."""
         process = self.processes[name]
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGSTOP)
@@ -114,14 +114,14 @@
             log.close()
         self._logs.clear()
 
-    # Ways
+    # Connections
 
     def relays_of(self, name: str) -> list[Relay]:
-        """The ways between a controller and its peers, in both directions."""
+        """The relays between a controller and its peers, in both directions."""
         return [relay for pair, relay in self.relays.items() if name in pair]
 
     async def open_relays(self, group: anyio.abc.TaskGroup) -> None:
-        """Open all ways, and write the settings that name their ports."""
+        """Open all relays and service ports, and write the settings that name them."""
         for sender in self.names:
             for target in self.names:
                 if sender != target:
@@ -139,7 +139,7 @@
             self.write_settings(settings, peer_ports, state_port, cloud_port, [name])
 
     async def _open_service(self, group: anyio.abc.TaskGroup, name: str, service: Any) -> int:
-        """Serve the state service or the cloud to one controller; gives the port."""
+        """Serve the state service or the cloud to one controller; returns the port."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port: int = listener.extra(anyio.abc.SocketAttribute.local_port)
         wire = Wire(self, name, service)
@@ -159,7 +159,7 @@
     async def to_controller(
         self, name: str, request: Request, worker: Any = None
     ) -> Response | None:
-        """A request of a worker or a user, on the ways as they are now."""
+        """Send a request of a worker or a user, subject to the faults that are active."""
         if isinstance(worker, Worker) and (worker.cut or name in self.cut_workers):
             await anyio.sleep(10.0)
             return None
@@ -171,7 +171,7 @@
             return None
         if not status:
             return None
-        # The client does not show the header; the simulations check that a refusal has it.
+        # The client drops the Retry-After header; the simulations check that a 503 has it.
         retry_after = 1 if status == 503 else None
         return Response(status, json.dumps(answer_body).encode(), retry_after)
 
@@ -183,7 +183,7 @@
         )
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        """A user's request to any controller; what it answers is compared with all answers."""
+        """Send a user's request to a random controller and check the answer."""
         return await self.ask_controller(
             self.random.choice(self.names), Request(method, path, body, False)
         )
@@ -202,7 +202,7 @@
             self.rules.check_waiting()
 
     async def run(self, script: Any) -> None:
-        """Start everything, play a script, and end everything."""
+        """Start all controllers and stand-ins, run a script, and stop them."""
         async with anyio.create_task_group() as group:
             self.group = group
             await self.open_relays(group)
