--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,7 +1,8 @@
 """Stand-ins for the state service, the cloud, the workers and the users, in virtual time.
 
-The stand-ins follow the published protocols and check the users' rules on every event. A seeded
-random generator and an event loop with a virtual clock drive them, so a scenario repeats exactly.
+The stand-ins follow the published protocols and check the users' rules during a scenario. A
+seeded random generator and an event loop with a virtual clock drive them, so that each scenario
+repeats exactly.
 """
 
 from standins.answers import AnswerHistory
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -1,4 +1,4 @@
-"""Checks the users' rules on every event of a scenario, independently of the scheduler's code."""
+"""Checks the users' rules during a scenario, independently of the scheduler's code."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RuleChecker:
-    """Checks the rules on every event by counting over all machines."""
+    """Checks the rules at each start of a task and periodically, by counting over all machines."""
 
     def __init__(self, world: World) -> None:
         self.world = world
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -57,7 +57,7 @@
         while not self.removed:
             due_at = last_sent_at + WORKERS["report_s"] * (0.75 + 0.5 * self.world.random.random())
             if self.send_at_once:
-                due_at = now()  # the protocol: at once, after the delay already made for a failure
+                due_at = now()  # `_send_heartbeat` has already waited for the back-off
             while (
                 not self.removed
                 and now() < due_at
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -30,7 +30,7 @@
 class World:
     """A simulated cluster with its users, and the record of what happened in it.
 
-    The rules are checked on every event; broken rules are added to `violations`.
+    The rules are checked while the scenario runs; each broken rule is added to `violations`.
     """
 
     def __init__(self, seed: int, count: int = 3, zones: list[str] = ZONES) -> None:
@@ -66,7 +66,7 @@
         # place of `late_writes`.
         self.is_late_write: Any = None
         self.writes: list[tuple[float, str, dict[str, Any]]] = []  # time, controller, transaction
-        self.faults_ended_at: float | None = None  # end of the last fault; None: still faults
+        self.faults_ended_at: float | None = None  # end of the last fault; None: not yet
         # Whether the tasks of a worker that hung beyond its lease count as ended.
         self.hung_tasks_end_with_lease = False
         self.waiting_since: dict[str, float] = {}
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -18,13 +18,13 @@
 
 
 def no_wait_for_unheard_machines(patch: pytest.MonkeyPatch) -> None:
-    settle = HeartbeatReconciler.requeue_if_all_reconciled
+    requeue = HeartbeatReconciler.requeue_if_all_reconciled
 
-    def hasty(self: HeartbeatReconciler, now: float) -> None:
+    def requeue_unconditionally(self: HeartbeatReconciler, now: float) -> None:
         self.unreconciled.clear()
-        settle(self, now)
+        requeue(self, now)
 
-    patch.setattr(HeartbeatReconciler, "requeue_if_all_reconciled", hasty)
+    patch.setattr(HeartbeatReconciler, "requeue_if_all_reconciled", requeue_unconditionally)
 
 
 def no_team_limit(patch: pytest.MonkeyPatch) -> None:
--- a/tests/support/scenario_checks.py
+++ b/tests/support/scenario_checks.py
@@ -39,7 +39,7 @@
 
 
 def final_check_failures(world: World) -> list[str]:
-    """Violations that show only at the end of a scenario; other rules are checked on each event."""
+    """Violations that show only at the end of a scenario; other rules are checked during it."""
     violations = []
     if not world.starts:
         violations.append("nothing_ran")
--- a/tests/support/soak_users.py
+++ b/tests/support/soak_users.py
@@ -14,7 +14,7 @@
 
 FLEET_JOB = "run-fleet"
 SERVICE_JOB = "run-service"
-CANCELLED_FRACTION = 0.2  # of the jobs, within 15 s
+CANCELLED_FRACTION = 0.2  # of the jobs, within 15 s of acceptance
 PROBE_INTERVAL_S = 0.5
 RESUBMITTED_FRACTION = 0.2  # of the probes of a job
 CANCELLED_LATE_FRACTION = 0.05  # of the probes of a job that is done
