--- a/tests/compatibility/test_previous_main.py
+++ b/tests/compatibility/test_previous_main.py
@@ -12,11 +12,11 @@
 from dapplewick.storage.keys import FORMAT, MACHINES
 from dapplewick.storage.machine_records import MachineGroupRecord, MachineRecord
 from dapplewick.storage.watch_cache import WatchCache
-from standins import NEXT
+from standins import LOWERED_LIMITS
 from support import production
 from support.machine_store import TXN_OPS, VALUE_BYTES, Store, group
-from support.rolls import FAULTS, Fault, play_roll
-from support.scenarios import finished
+from support.rolls import FAULTS, Fault, run_rolling_upgrade
+from support.scenarios import unfinished_jobs
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
@@ -28,12 +28,12 @@
     seed = FAULTS.index(fault) + 1
     lowered_after = random.Random(seed).uniform(4.0, 60.0)
     previous_main = production.load_commit(production.PREVIOUS_MAIN)
-    world = play_roll(previous_main, fault, seed, lowered_after=lowered_after).world
+    world = run_rolling_upgrade(previous_main, fault, seed, lowered_after=lowered_after).world
     assert world.violations == []
-    assert finished(world) == {"run-service0": "running", "run-service1": "running"}
-    assert world.told["run-service2"] == "withdrawn"
+    assert unfinished_jobs(world) == {"run-service0": "running", "run-service1": "running"}
+    assert world.reported_stages["run-service2"] == "withdrawn"
     largest = max(encoded_size(value) for value, _, _ in world.state.keys.values())
-    assert largest <= float(NEXT["value_kb"]) * 1024
+    assert largest <= float(LOWERED_LIMITS["value_kb"]) * 1024
 
 
 def machine_states(machines: dict[Any, Any]) -> dict[str, tuple[bool, bool]]:
@@ -59,7 +59,7 @@
     """
     rng = random.Random(seed)
     store, previous_main = Store(count), production.load_commit(production.PREVIOUS_MAIN)
-    follower_cache = store.read_anew(previous_main.WatchCache())
+    follower_cache = store.reload_cache(previous_main.WatchCache())
     machines, machine_lifecycle = dict(store.machines), store.machine_lifecycle()
     for _ in range(400):
         if rng.random() < 0.2:
@@ -85,8 +85,8 @@
         for cache in (
             store.cache,
             follower_cache,
-            store.read_anew(WatchCache()),
-            store.read_anew(previous_main.WatchCache()),
+            store.reload_cache(WatchCache()),
+            store.reload_cache(previous_main.WatchCache()),
         ):
             assert machine_states(cache.machines) == machine_states(machines)
         if all(encoded_size(v) <= VALUE_BYTES for k, (v, _) in store.keys.items() if k != FORMAT):
--- a/tests/loopback/test_operators.py
+++ b/tests/loopback/test_operators.py
@@ -161,7 +161,7 @@
                 assert controller.cache.revision == before
 
     async def main_() -> None:
-        await world.play(60.0, script_)
+        await world.run_scenario(60.0, script_)
 
     run_in_virtual_time(main_)
     assert len(statuses) == 3
--- a/tests/simulation/test_cancellations.py
+++ b/tests/simulation/test_cancellations.py
@@ -12,12 +12,12 @@
     Script,
     call,
     cancel,
-    finished,
     leader,
     owners,
-    play_scenario,
     run_script,
+    run_script_scenario,
     submit_jobs,
+    unfinished_jobs,
 )
 from support.shard_bench import Bench, spec
 
@@ -36,7 +36,7 @@
     """
 
     async def script(world: World) -> None:
-        world.lease_ends_hung = hang  # hung machines can't be deleted in the outage
+        world.hung_tasks_end_with_lease = hang  # hung machines can't be deleted in the outage
         await anyio.sleep(3)
         submit_jobs(world, 12, pieces=3, cpus=4.0, true_s=150.0, expected_s=150.0)
         await anyio.sleep(27)
@@ -67,7 +67,7 @@
         world.tasks_at_outage_end = len(world.on_machines())  # type: ignore[attr-defined]
         world.state.set_down(False)
         world.cut_peers.clear()
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     return script
 
@@ -79,10 +79,10 @@
 def test_a_confirmed_cancellation_is_enforced_through_refusal_and_outage(
     who: str, lost: bool, hang: bool, seed: int
 ) -> None:
-    world = play_scenario(refusal_then_outage(who, lost, hang), seed, 450.0)
+    world = run_script_scenario(refusal_then_outage(who, lost, hang), seed, 450.0)
     assert world.violations == []
     assert len(world.cancelled_at) == 7
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     # Tasks of other jobs keep running only while the controllers can confirm to one another that
     # none has missed a cancellation.
     tasks: int = world.tasks_at_outage_end  # type: ignore[attr-defined]
@@ -97,9 +97,9 @@
             await anyio.sleep(4)
             await cancel(world, world.names[job % 3], [f"run-{job:06d}"])
 
-    world = play_scenario(script, 3, 200.0)
+    world = run_script_scenario(script, 3, 200.0)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     # A task may be fetching its image when the cancellation is confirmed. The answer to the
     # machine's next heartbeat stops it.
     assert max(world.started_after_cancel.values(), default=0.0) < 5.0
@@ -130,11 +130,11 @@
         world.state.set_down(False)
         world.cut_peers.clear()
         world.cloud.down = False
-        world.calm_at = now()
+        world.faults_ended_at = now()
 
     run_script(world, 200.0, script)
     assert world.violations == []
-    assert finished(world) == {}
+    assert unfinished_jobs(world) == {}
     assert started_tasks[0] > 4
     assert (started_tasks[1] == started_tasks[0]) is lost
 
@@ -222,7 +222,7 @@
 async def cancel_at_completion(world: World, job: str, final_stages: dict[str, set[str]]) -> None:
     """Poll a job at all controllers and cancel it, within 1.2 s after its last task has ended."""
     last = f"{job}/1"
-    while last not in world.results:
+    while last not in world.completed_tasks:
         await anyio.sleep(0.01)
     await anyio.sleep(world.random.uniform(0.0, 1.2))
 
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,12 +1,22 @@
 """Stand-ins for the state service, the cloud, the workers and the users, in virtual time.
 
-They follow the published protocols and check the rules as things happen. Everything is driven
-by a seeded generator and an event loop whose clock jumps, so a scenario repeats exactly.
+The stand-ins follow the published protocols and check the users' rules during a scenario. A
+seeded random generator and an event loop with a virtual clock drive them, so that each scenario
+repeats exactly.
 """
 
 from standins.answers import AnswerHistory
 from standins.cloud import Cloud
-from standins.deployment import NEXT, TEAMS, TYPES, WORKERS, ZONES, deployment, settings, zone_of
+from standins.deployment import (
+    LOWERED_LIMITS,
+    TEAMS,
+    TYPES,
+    WORKERS,
+    ZONES,
+    deployment,
+    settings,
+    zone_of,
+)
 from standins.network import Link, Wire
 from standins.rules import RuleChecker
 from standins.state_service import StateService
@@ -15,7 +25,7 @@
 from standins.world import World
 
 __all__ = [
-    "NEXT",
+    "LOWERED_LIMITS",
     "TEAMS",
     "TYPES",
     "WORKERS",
--- a/tests/support/partition_history.py
+++ b/tests/support/partition_history.py
@@ -1,8 +1,7 @@
-"""A checker of all written revisions: each machine in one partition, each handover proven.
+"""Checks every revision of the records: each machine is in one partition, each handover is safe.
 
-It reads what the state service's log tells, in the order of the revisions, and knows nothing of the
-code that wrote it. `tests/unit/test_partition_history.py` shows that it fails on made-up bad
-histories.
+The checker reads the log of the state service in revision order and uses none of the code that
+wrote it. `tests/unit/test_partition_history.py` checks that it rejects invalid histories.
 """
 
 from __future__ import annotations
@@ -14,11 +13,11 @@
 from dapplewick.storage.keys import CHUNKS, JOBS, LEADER, MACHINES, SHARDS, TRANSFERS
 from dapplewick.types import shard_name
 
-Entry = tuple[int, str, Any, bool]  # revision, key, value, whether it was removed
+Entry = tuple[int, str, Any, bool]  # revision, key, value, removed
 
 
 class PartitionHistory:
-    """The records after each revision, and what was wrong with any of them."""
+    """The records after the latest revision read, and the violations found so far."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
@@ -26,15 +25,15 @@
         self._records: dict[str, Any] = {}
         self._versions: dict[str, int] = {}
         self._shard_of: dict[str, str] = {}
-        self._floor_of: dict[str, int] = {}
+        self._min_token_of: dict[str, int] = {}
 
     def check(self, log: Iterable[Entry]) -> list[str]:
-        """Go through a log; gives what was wrong."""
+        """Check all revisions of a log; returns the violations found."""
         for revision, entries in groupby(log, key=lambda entry: entry[0]):
             changed = list(entries)
             before = {key: self._records.get(key) for _, key, _, _ in changed}
-            for _, key, value, gone in changed:
-                if gone:
+            for _, key, value, removed in changed:
+                if removed:
                     self._records.pop(key, None)
                     self._versions.pop(key, None)
                 else:
@@ -48,13 +47,13 @@
                     self._check_transfer(revision, key, before[key])
         return self.violations
 
-    def _fail(self, revision: int, what: str) -> None:
-        self.violations.append(f"revision {revision}: {what}")
+    def _add_violation(self, revision: int, problem: str) -> None:
+        self.violations.append(f"revision {revision}: {problem}")
 
     # Machines
 
     def _listed(self) -> dict[str, list[str]]:
-        """The groups that list each machine."""
+        """The keys of the groups that list each machine."""
         listed: dict[str, list[str]] = {}
         for key, group in self._records.items():
             if key.startswith(MACHINES):
@@ -67,12 +66,12 @@
         for machine, groups in listed.items():
             shards = {self._shard(self._records[key]) for key in groups}
             if len(shards) > 1:
-                self._fail(revision, f"{machine} counts in {sorted(shards)}")
+                self._add_violation(revision, f"{machine} counts in {sorted(shards)}")
                 continue
             newest = max(groups, key=lambda key: self._versions[key])
             self._check_move(revision, machine, shards.pop(), self._records[newest], before)
         for machine in self._shard_of.keys() - listed.keys():
-            text = next(
+            encoded_state = next(
                 (
                     group["machines"][machine]
                     for key, group in before.items()
@@ -80,8 +79,10 @@
                 ),
                 "",
             )
-            if text[:1] != "d":
-                self._fail(revision, f"{machine} counts nowhere, and was not to be deleted")
+            if encoded_state[:1] != "d":
+                self._add_violation(
+                    revision, f"{machine} counts nowhere, and was not to be deleted"
+                )
             del self._shard_of[machine]
 
     @staticmethod
@@ -97,17 +98,23 @@
         before: dict[str, Any],
     ) -> None:
         old = self._shard_of.get(machine)
-        floor = group.get("floors", {}).get(machine, 0)
+        min_token = group.get("floors", {}).get(machine, 0)
         if old is not None and old != shard:
             self.handovers.append((revision, machine, old, shard))
-            self._check_handover(revision, machine, old, shard, floor, before)
-        elif floor < self._floor_of.get(machine, 0):
-            self._fail(revision, f"{machine}'s least token went back")
+            self._check_handover(revision, machine, old, shard, min_token, before)
+        elif min_token < self._min_token_of.get(machine, 0):
+            self._add_violation(revision, f"{machine}'s least token went back")
         self._shard_of[machine] = shard
-        self._floor_of[machine] = max(floor, self._floor_of.get(machine, 0))
+        self._min_token_of[machine] = max(min_token, self._min_token_of.get(machine, 0))
 
     def _check_handover(
-        self, revision: int, machine: str, old: str, shard: str, floor: int, before: dict[str, Any]
+        self,
+        revision: int,
+        machine: str,
+        old: str,
+        shard: str,
+        min_token: int,
+        before: dict[str, Any],
     ) -> None:
         transfers = [
             (value, self._records.get(key))
@@ -122,13 +129,17 @@
             and now.get("moved", 0) > was.get("moved", 0)
             for was, now in transfers
         ):
-            self._fail(revision, f"{machine} went from {old} to {shard} without a transfer")
-        if floor <= max(self._versions.get(SHARDS + old, 0), self._floor_of.get(machine, 0)):
-            self._fail(revision, f"{machine}'s least token does not shut {old} out")
+            self._add_violation(
+                revision, f"{machine} went from {old} to {shard} without a transfer"
+            )
+        if min_token <= max(
+            self._versions.get(SHARDS + old, 0), self._min_token_of.get(machine, 0)
+        ):
+            self._add_violation(revision, f"{machine}'s least token does not shut {old} out")
         for key, job in self._records.items():
             gang = job.get("gang") if key.startswith(JOBS) else None
             if gang and any(m == machine for _, m in gang.get("places", [])):
-                self._fail(revision, f"{machine} went while {key} had a place on it")
+                self._add_violation(revision, f"{machine} went while {key} had a place on it")
 
     # Transfers
 
@@ -136,22 +147,22 @@
         value = self._records.get(key)
         if value is None:
             if before is not None and before["state"] in ("requested", "draining"):
-                self._fail(revision, f"{key} was removed while it was open")
+                self._add_violation(revision, f"{key} was removed while it was open")
             return
         if value.get("moved", 0) > value["count"]:
-            self._fail(revision, f"{key} moved more than it was to")
+            self._add_violation(revision, f"{key} moved more than it was to")
         ended = before is not None and before["state"] not in ("requested", "draining")
         if ended and value["state"] in ("requested", "draining"):
-            self._fail(revision, f"{key} was opened again")
+            self._add_violation(revision, f"{key} was opened again")
         for other, record in self._records.items():
             both = other.startswith(TRANSFERS) and other != key
             if both and set(record.get("draining", [])) & set(value.get("draining", [])):
-                self._fail(revision, f"{key} and {other} drain the same machine")
+                self._add_violation(revision, f"{key} and {other} drain the same machine")
 
-    # In the end
+    # Final state
 
     def open_transfers(self) -> list[str]:
-        """Transfers that have not ended."""
+        """The keys of transfers that haven't ended."""
         return [
             key
             for key, value in self._records.items()
@@ -159,18 +170,21 @@
         ]
 
     def counts(self) -> dict[tuple[str, str], int]:
-        """How many machines of each type each shard has, without those to be deleted."""
+        """Count machines by shard and type, without those that are to be deleted."""
         out: dict[tuple[str, str], int] = {}
         for key, group in self._records.items():
             if key.startswith(MACHINES):
-                live = sum(not text.startswith("d") for text in group["machines"].values())
+                live = sum(
+                    not encoded_state.startswith("d")
+                    for encoded_state in group["machines"].values()
+                )
                 if live:
                     name = (self._shard(group), group["type"])
                     out[name] = out.get(name, 0) + live
         return out
 
     def shards_in_assignments(self) -> set[str]:
-        """Every shard that a job's record names."""
+        """All shards that the records of jobs name."""
         named: set[str] = set()
         for key, value in self._records.items():
             if key.startswith((JOBS, CHUNKS)):
@@ -179,5 +193,5 @@
         return named
 
     def leader(self) -> str:
-        """The controller that leads."""
+        """The name of the leader, or an empty string."""
         return str(self._records.get(LEADER, {}).get("node", ""))
--- a/tests/support/partition_moves.py
+++ b/tests/support/partition_moves.py
@@ -1,4 +1,4 @@
-"""Scenarios with partitions: plans, commands of operators, and what has moved."""
+"""Helpers for scenarios with partitions: plans, operator commands and machine moves."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
 
 
 async def command(world: World, verb: str, **fields: Any) -> dict[str, Any]:
-    """An operator's command, repeated until a controller has answered it finally."""
+    """Send an operator's command until a controller answers with a status other than 503."""
     for attempt in range(100):
         names = sorted(world.controllers)
         if names:
             controller = world.controllers[names[attempt % len(names)]]
-            said = await controller.on_request({"kind": "shares", "verb": verb, **fields})
-            if said is not None and said["status"] != 503:
-                return said
+            answer = await controller.on_request({"kind": "shares", "verb": verb, **fields})
+            if answer is not None and answer["status"] != 503:
+                return answer
         await anyio.sleep(1.0)
     raise AssertionError("no controller answered")
 
@@ -66,19 +66,21 @@
     )
 
 
-def pinned(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
-    """A user's job in zone a on machines of type c8."""
+def submit_zone_job(world: World, name: str, pieces: int, seconds: float, **fields: Any) -> None:
+    """Submit a user's job that needs machines of type c8 in zone a."""
     cancel_after = fields.pop("cancel_after", None)
-    known = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
-    body = world.job(name_id=name, pieces=pieces, **({"expected_s": seconds} | known | fields))
+    zone_fields = {"yard": "a", "builds": ["c8"], "borrowed": False, "true_s": seconds}
+    body = world.job(
+        name_id=name, pieces=pieces, **({"expected_s": seconds} | zone_fields | fields)
+    )
     world.group.start_soon(world.user, name, body, cancel_after)
 
 
-async def until(reached: Callable[[], bool], within: float = 60.0) -> None:
-    """Wait until something is so."""
+async def wait_until(condition: Callable[[], bool], within: float = 60.0) -> None:
+    """Poll a condition until it holds; fails after `within` seconds."""
     end = now() + within
-    while not reached():
-        assert now() < end, "not reached"
+    while not condition():
+        assert now() < end, "condition not met in time"
         await anyio.sleep(0.1)
 
 
@@ -88,39 +90,39 @@
         machine
         for key, (group, _, _) in world.state.keys.items()
         if key.startswith("dw/m/") and shard_name(group["zone"], group.get("share", "")) == shard
-        for machine, text in group["machines"].items()
-        if not text.startswith("d")
+        for machine, state in group["machines"].items()
+        if not state.startswith("d")
     }
 
 
-async def partitions_begun(world: World) -> None:
-    def begun() -> bool:
+async def wait_for_partitions(world: World) -> None:
+    def is_switched_on() -> bool:
         record = world.state.keys.get(FORMAT)
         return record is not None and record[0]["version"] == PARTITIONS_FORMAT
 
-    await until(begun)
+    await wait_until(is_switched_on)
 
 
-async def busy_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
-    """Machines come up for work in zone a: four tasks on each."""
-    await partitions_begun(world)
-    pinned(world, "run-000001", tasks, seconds, expected_s=200.0)
-    await until(lambda: len(world.first_start) == tasks, 60.0)
+async def fill_zone(world: World, tasks: int = 16, seconds: float = 12.0) -> None:
+    """Submit work to zone a and wait until all of it has started, four tasks on each machine."""
+    await wait_for_partitions(world)
+    submit_zone_job(world, "run-000001", tasks, seconds, expected_s=200.0)
+    await wait_until(lambda: len(world.first_start) == tasks, 60.0)
 
 
 def running(world: World) -> set[str]:
-    """The tasks that run on machines."""
+    """The names of the tasks that are on machines."""
     return {name for _, name in world.on_machines()}
 
 
-def play_moves(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
-    """Play a scenario; returns its history, which the checker has found valid."""
+def run_partition_scenario(world: World, script: Script, length: float = 150.0) -> PartitionHistory:
+    """Run a scenario, check its history and the users' rules, and return the history."""
 
     async def main() -> None:
         async def run() -> None:
             await script(world)
 
-        await world.play(length, run)
+        await world.run_scenario(length, run)
 
     run_in_virtual_time(main)
     history = PartitionHistory()
@@ -141,7 +143,7 @@
 
 
 def controller_in_role(world: World, role: str) -> str:
-    """The controller that plays a role in a move now."""
+    """The controller that has a role in a move now: giver, receiver or leader."""
     shard = {"giver": "a", "receiver": str(NIGHT)}.get(role)
     if shard is None:
         record = world.state.keys.get("dw/leader")
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,4 +1,4 @@
-"""Plays scenarios in virtual time, and what users and operators do in them."""
+"""Runs scenarios in virtual time, with actions of users and operators."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def owners(world: World) -> list[str]:
-    """The controllers that own a shard now; any one if none does."""
+    """The controllers that own a shard now, or the first controller if none does."""
     return (
         sorted(n for n, controller in world.controllers.items() if controller.shard_schedulers)
         or world.names[:1]
     )
 
 
-def play(
+def run_fault_scenario(
     fault: Fault,
     seed: int,
     jobs: int = 14,
@@ -43,7 +43,7 @@
                 group.start_soon(world.user, body["name_id"], body, cancel)
 
     async def main() -> None:
-        await world.play(length, script)
+        await world.run_scenario(length, script)
 
     run_in_virtual_time(main)
     return world
@@ -52,16 +52,16 @@
 def run_script(
     world: World, length: float, script: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Play a scenario with a script beside it, in virtual time."""
+    """Run a scenario and a concurrent script in virtual time."""
 
     async def main() -> None:
-        await world.play(length, script)
+        await world.run_scenario(length, script)
 
     run_in_virtual_time(main)
 
 
 def submit_jobs(world: World, count: int, first: int = 0, **fields: object) -> None:
-    """Users submit jobs that are alike, from run-000000 on."""
+    """Submit `count` identical jobs, numbered from `first`."""
     for n in range(first, first + count):
         body = world.job(name_id=f"run-{n:06d}", **fields)
         world.group.start_soon(world.user, body["name_id"], body, None)
@@ -78,28 +78,28 @@
 async def call(
     world: World, name: str, method: str, job: str, verb: str = ""
 ) -> tuple[int, dict[str, Any]]:
-    """A user's request to one controller."""
+    """Send a user's request to one controller."""
     path = f"/v2/runs/{job}" + (f"/{verb}" if verb else "")
-    question = world.history.ask(job, verb or "poll")
+    question = world.history.record_request(job, verb or "poll")
     answer = await world.controllers[name].handle(Request(method, path, b"", False))
     assert answer.status != 503 or answer.retry_after
-    return answer.status, world.note_answer(question, name, answer)
+    return answer.status, world.check_answer(question, name, answer)
 
 
 async def cancel(world: World, name: str, jobs: list[str]) -> None:
-    """Cancel through one controller; what it confirms binds from then on."""
+    """Cancel jobs through one controller; a confirmed cancellation is recorded as final."""
     for job in jobs:
-        status, said = await call(world, name, "POST", job, "abort")
-        if status == 200 and said["stage"] == "withdrawn":
-            world.told[job] = "withdrawn"
+        status, answer_body = await call(world, name, "POST", job, "abort")
+        if status == 200 and answer_body["stage"] == "withdrawn":
+            world.reported_stages[job] = "withdrawn"
             world.cancelled_at.setdefault(job, now())
 
 
-def finished(world: World) -> dict[str, str]:
-    return {j: s for j, s in world.told.items() if s not in ("done", "withdrawn")}
+def unfinished_jobs(world: World) -> dict[str, str]:
+    return {j: s for j, s in world.reported_stages.items() if s not in ("done", "withdrawn")}
 
 
-def play_scenario(script: Script, seed: int, length: float, count: int = 3) -> World:
+def run_script_scenario(script: Script, seed: int, length: float, count: int = 3) -> World:
     world = World(seed, count)
 
     async def run() -> None:
--- a/tests/support/soak.py
+++ b/tests/support/soak.py
@@ -1,4 +1,4 @@
-"""One soak run: a drawn schedule of faults on real controllers, and the verdict on it."""
+"""Runs one soak test: a random schedule of faults on real controllers, and its checks."""
 
 from __future__ import annotations
 
@@ -13,56 +13,56 @@
 from dapplewick.errors import DapplewickError
 from standins import WORKERS, now
 from support.scenario_checks import final_check_failures
-from support.soak_faults import FaultPlayer
+from support.soak_faults import FaultInjector
 from support.soak_schedule import draw_schedule, end_of
 from support.soak_users import SERVICE_JOB, SoakUsers, draw_jobs, fleet_job, service_job
 from support.soak_world import SoakWorld
 
-# How long it may take after the last fault until work flows: a presence lease of 5 s, the time
-# after which an unheard shard is moved, a lease until silent machines are deleted, 10 s until
-# new ones are up, and 20 s for calls, gangs and moves that are made anew after a pause.
+# Maximum time from the last fault until tasks start again: a presence lease of 5 s, the time until
+# a shard without contact is moved, a worker lease until unreachable machines are deleted, 10 s to
+# boot new machines, and 20 s for retries of calls, gangs and moves after their back-off.
 RECOVERY_S = 5.0 + OWNER_CONTACT_TIMEOUT_S + float(WORKERS["lease_s"]) + 10.0 + 20.0
-SETTLE_S = 1.0  # after the end of a fault, until what it kept back is on its way
-WASTE = 2.0  # a task waits for a heartbeat and an image, and gangs for one another
+SETTLE_S = 1.0  # from the end of a fault until delayed messages are sent
+WORK_TIME_FACTOR = 2.0  # tasks wait for heartbeats and images, and gangs for one another
 TASK_OVERHEAD_S = 4.0
 
 
 class SoakResult(NamedTuple):
-    """What a run has shown.
+    """The result of a soak run.
 
     Attributes:
-        seed: what it was drawn from.
-        violations: what was broken; empty if nothing was.
-        jobs: how many jobs were accepted.
-        most_machines: how many machines were there at a time, at most.
-        served_after_s: how long after the last fault all jobs were over.
+        seed: seed of the schedule and the jobs.
+        violations: the violations found; empty if the run passed.
+        jobs: number of accepted jobs.
+        max_machines: maximum number of machines at a time.
+        finished_after_s: seconds from the last fault until all jobs had finished.
     """
 
     seed: int
     violations: list[str]
     jobs: int
-    most_machines: int
-    served_after_s: float
+    max_machines: int
+    finished_after_s: float
 
     def line(self) -> str:
         """The result as one line of text."""
         verdict = "BROKEN" if self.violations else "ok"
         return (
-            f"seed {self.seed}: {verdict}, {self.jobs} jobs, at most {self.most_machines} "
-            f"machines, all over {self.served_after_s:.0f} s after the last fault"
+            f"seed {self.seed}: {verdict}, {self.jobs} jobs, at most {self.max_machines} "
+            f"machines, all over {self.finished_after_s:.0f} s after the last fault"
         )
 
 
 class SoakOptions(NamedTuple):
-    """The size of a run, and what starts its controllers."""
+    """The size of a run, and the program of its controllers."""
 
-    machines: int = 0  # an array that takes so many is submitted too
+    machines: int = 0  # 0, or the size of an additional array that fills as many
     jobs: int = 40
-    program: tuple[str, ...] = ()  # in place of run.py
+    program: tuple[str, ...] = ()  # command in place of run.py
 
 
-def work_left_s(world: SoakWorld) -> float:
-    """How long the work that is left takes at the limits of its teams."""
+def remaining_work_s(world: SoakWorld) -> float:
+    """Estimate how long the remaining work takes at the teams' limits."""
     longest_s = 0.0
     for team in world.teams:
         cpu_s = gpu_s = 0.0
@@ -70,8 +70,10 @@
             body = world.jobs[job_id]
             if body["crew"] != team["name"] or body["shape"] == "daemon":
                 continue
-            left = sum(f"{job_id}/{n}" not in world.results for n in range(body["pieces"]))
-            seconds = left * (body["true_s"] + TASK_OVERHEAD_S)
+            unfinished = sum(
+                f"{job_id}/{n}" not in world.completed_tasks for n in range(body["pieces"])
+            )
+            seconds = unfinished * (body["true_s"] + TASK_OVERHEAD_S)
             cpu_s += body["cpus"] * seconds
             gpu_s += body["accelerators"] * seconds
         for work_s, limit in ((cpu_s, team["cpus_max"]), (gpu_s, team["gpus_max"])):
@@ -80,23 +82,25 @@
     return longest_s
 
 
-def unsettled(world: SoakWorld) -> list[str]:
-    """The accepted jobs that are not over, or whose replicas do not all run."""
+def unfinished_job_names(world: SoakWorld) -> list[str]:
+    """Describe the accepted jobs that haven't finished, or whose replicas don't all run."""
     running = {name for _, name in world.on_machines()}
-    left = []
+    unfinished = []
     for job_id in sorted(world.accepted):
         body = world.jobs[job_id]
         if body["shape"] == "daemon":
-            settled = all(f"{job_id}/{n}" in running for n in range(body["pieces"]))
+            finished = all(f"{job_id}/{n}" in running for n in range(body["pieces"]))
         else:
-            settled = world.told.get(job_id) in ("done", "withdrawn")
-        if not settled:
-            left.append(f"{job_id} ({body['bundle']}, {body['crew']}, {body['pieces']} tasks)")
-    return left
+            finished = world.reported_stages.get(job_id) in ("done", "withdrawn")
+        if not finished:
+            unfinished.append(
+                f"{job_id} ({body['bundle']}, {body['crew']}, {body['pieces']} tasks)"
+            )
+    return unfinished
 
 
 class SoakRun:
-    """Plays one seed in a folder, which keeps settings and logs."""
+    """Runs one seed; settings and logs are written to a folder."""
 
     def __init__(self, folder: Path, seed: int, options: SoakOptions) -> None:
         self.schedule = draw_schedule(seed)
@@ -106,17 +110,17 @@
         if options.program:
             self._world.program = list(options.program)
         self._most_machines = 0
-        self._served_after_s = math.inf
+        self._finished_after_s = math.inf
 
-    async def play(self) -> SoakResult:
-        """Play the run to its end; all its processes have ended then."""
+    async def run(self) -> SoakResult:
+        """Run to completion; all processes of the run have ended when it returns."""
         await self._world.run(self._script)
         return SoakResult(
             self._seed,
             self._violations(),
             len(self._world.accepted),
             self._most_machines,
-            self._served_after_s,
+            self._finished_after_s,
         )
 
     async def _script(self) -> None:
@@ -128,13 +132,13 @@
         async with anyio.create_task_group() as group:
             group.start_soon(users.probe)
             group.start_soon(self._count_machines)
-            async with anyio.create_task_group() as troubles:
-                group.start_soon(FaultPlayer(world).play, self.schedule)
-                troubles.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
-                troubles.start_soon(users.submit, jobs, end_of(self.schedule))
-            world.calm_at = now()
-            await self._wait_until_served()
-            await self._ask_for_violations()
+            async with anyio.create_task_group() as fault_group:
+                group.start_soon(FaultInjector(world).run, self.schedule)
+                fault_group.start_soon(anyio.sleep, end_of(self.schedule) + SETTLE_S)
+                fault_group.start_soon(users.submit, jobs, end_of(self.schedule))
+            world.faults_ended_at = now()
+            await self._wait_until_finished()
+            await self._collect_invariant_violations()
             group.cancel_scope.cancel()
 
     async def _count_machines(self) -> None:
@@ -142,23 +146,25 @@
             self._most_machines = max(self._most_machines, len(self._world.workers))
             await anyio.sleep(1.0)
 
-    async def _wait_until_served(self) -> None:
-        """Wait until all jobs are over, or the time for that has passed."""
+    async def _wait_until_finished(self) -> None:
+        """Wait until all jobs have finished; add violations for those that exceed the limit."""
         world = self._world
-        assert world.calm_at is not None
-        bound_s = RECOVERY_S + WASTE * work_left_s(world)
+        assert world.faults_ended_at is not None
+        limit_s = RECOVERY_S + WORK_TIME_FACTOR * remaining_work_s(world)
         expected = self._options.jobs + 1 + bool(self._options.machines)
-        while now() - world.calm_at < bound_s:
+        while now() - world.faults_ended_at < limit_s:
             await anyio.sleep(1.0)
-            if len(world.accepted) == expected and not unsettled(world):
-                self._served_after_s = now() - world.calm_at
+            if len(world.accepted) == expected and not unfinished_job_names(world):
+                self._finished_after_s = now() - world.faults_ended_at
                 return
         if len(world.accepted) < expected:
             world.violations.append(f"{expected - len(world.accepted)} jobs were not accepted")
-        world.violations += [f"unserved after {bound_s:.0f} s: {job}" for job in unsettled(world)]
+        world.violations += [
+            f"unserved after {limit_s:.0f} s: {job}" for job in unfinished_job_names(world)
+        ]
 
-    async def _ask_for_violations(self) -> None:
-        """Ask each controller which invariants it found violated."""
+    async def _collect_invariant_violations(self) -> None:
+        """Fetch the invariant violations that each controller counted."""
         for name, port in self._world.peer_ports.items():
             try:
                 status = await client.status(f"127.0.0.1:{port}")
@@ -171,11 +177,11 @@
     def _violations(self) -> list[str]:
         world = self._world
         found = [*dict.fromkeys(world.violations)]
-        served = [v for v in final_check_failures(world) if SERVICE_JOB not in v]
-        return [*found, *served, *self._logged_errors()]
+        final_failures = [v for v in final_check_failures(world) if SERVICE_JOB not in v]
+        return [*found, *final_failures, *self._logged_errors()]
 
     def _logged_errors(self) -> list[str]:
-        """Error events in the controllers' logs: each is a defect."""
+        """ERROR lines in the controllers' logs, each of which is a defect."""
         return [
             f"{name} logged {line[:300]}"
             for name in self._world.names
@@ -184,9 +190,9 @@
         ]
 
 
-def play_seed(folder: Path, seed: int, options: SoakOptions) -> SoakResult:
-    """Play one seed; what the folder holds is left to the caller."""
+def run_seed(folder: Path, seed: int, options: SoakOptions) -> SoakResult:
+    """Run one seed; the caller removes the folder."""
     run = SoakRun(folder, seed, options)
-    result: Any = anyio.run(run.play)
+    result: Any = anyio.run(run.run)
     assert isinstance(result, SoakResult)
     return result
--- a/tests/tools/behaviour_scenarios.py
+++ b/tests/tools/behaviour_scenarios.py
@@ -26,7 +26,7 @@
 from dapplewick.protocol.workers import encode_heartbeat_response
 from standins import World, recorder
 from support import production, rolls
-from support.answer_scenarios import play_answers
+from support.answer_scenarios import run_answer_scenario
 from support.shard_bench import TOKEN, busy_shard, leader_of
 
 ScenarioRun = Callable[[], Any]
@@ -37,22 +37,22 @@
 
     With an odd seed the state service also lowers its limits during the run.
     """
-    return lambda: play_answers(seed, jobs)
+    return lambda: run_answer_scenario(seed, jobs)
 
 
 def single_fault(kind: scenarios.Fault, seed: int) -> ScenarioRun:
     """Users submit gangs and arrays while one kind of failure occurs."""
-    return lambda: scenarios.play(kind, seed)
+    return lambda: scenarios.run_fault_scenario(kind, seed)
 
 
 def cluster_layout(count: int, zones: list[str], kind: scenarios.Fault, seed: int) -> ScenarioRun:
     """A single kind of failure with the given number of controllers and the given zones."""
-    return lambda: scenarios.play(kind, seed, world=World(seed, count, zones))
+    return lambda: scenarios.run_fault_scenario(kind, seed, world=World(seed, count, zones))
 
 
 def compound_failure(script: scenarios.Script, seed: int, length: float) -> ScenarioRun:
     """Overlapping failures, as the script of a compound scenario injects them."""
-    return lambda: scenarios.play_scenario(script, seed, length)
+    return lambda: scenarios.run_script_scenario(script, seed, length)
 
 
 def service_fault(fault: services.Script) -> ScenarioRun:
@@ -65,7 +65,7 @@
 
     The state service lowers its limits after the upgrade.
     """
-    return lambda: rolls.play_roll(production.load(), fault, seed)
+    return lambda: rolls.run_rolling_upgrade(production.load(), fault, seed)
 
 
 def rolling_upgrade_with_services(
@@ -75,7 +75,7 @@
 
     The state service lowers its limits `lowered_after` seconds after the start, in mid-upgrade.
     """
-    return lambda: rolls.play_roll(
+    return lambda: rolls.run_rolling_upgrade(
         production.load_commit(production.PREVIOUS_MAIN), fault, seed, lowered_after=lowered_after
     )
 
