--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud by the leader: provisioning, deletion, catalogue and machine list."""
+"""Calls to the cloud by the leader: provisioning, deletion, catalog and machine list."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 class CloudCaller:
     """Sends the provisioning requests and deletions that are in the records.
 
-    Also polls the cloud's catalogue and machine list for the planner. Requests are sent only while
+    Also polls the cloud's catalog and machine list for the planner. Requests are sent only while
     this controller leads and its presence lease is valid.
     """
 
@@ -177,14 +177,14 @@
             self._deleting.difference_update(machines)
 
     async def _refresh_catalog(self, planner: LeaderPlanner) -> bool:
-        """Fetch the catalogue for the planner; return whether this succeeded."""
+        """Fetch the catalog for the planner; return whether this succeeded."""
         status, response_body = await self._call("GET", "/catalog", None)
         try:
             if status == 200:
                 planner.receive_catalog(parse_catalog(response_body))
                 self._leadership.request_pass()
                 return True
-        except Exception as err:  # noqa: BLE001 a malformed catalogue must not stop the other calls
+        except Exception as err:  # noqa: BLE001 a malformed catalog must not stop the other calls
             log.error("event=catalog_malformed error=%s", err)
         return False
 
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -213,8 +213,8 @@
     async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
         """Refuse a submission permanently, unless its job was accepted before.
 
-        A job that was accepted may no longer pass validation if the catalogue or the limits have
-        changed since; its state is returned. While the records can't be read, the catalogue and the
+        A job that was accepted may no longer pass validation if the catalog or the limits have
+        changed since; its state is returned. While the records can't be read, the catalog and the
         limits alone decide, as they do for any job that was never accepted.
         """
         try:
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -35,13 +35,13 @@
     """Identifies a message of a peer, so that a reply can acknowledge this message."""
 
     incarnation: str  # of the sender
-    at: Seconds  # when the message was sent, by the sender's steady clock
+    at: Seconds  # when the message was sent, by the sender's monotonic clock
 
 
 class PeerRevision(NamedTuple):
     """The revision up to which a peer had read the records when it sent its last message."""
 
-    received_at: Seconds  # by this controller's steady clock
+    received_at: Seconds  # by this controller's monotonic clock
     revision: Revision
 
 
@@ -55,7 +55,7 @@
     `dapplewick.protocol.peers.Gossip`.
 
     Attributes:
-        at: when the message was sent, by the sender's steady clock.
+        at: when the message was sent, by the sender's monotonic clock.
         incarnation: the sender's incarnation.
         revision: the revision up to which the sender has read the records.
         heard: the stamp of the newest message received from each peer.
@@ -89,8 +89,8 @@
 class CancellationExchange:
     """One controller's side of the exchange: a state machine without I/O.
 
-    Times are in seconds, by this controller's steady clock; only the time in a `MessageStamp` is by
-    the sender's clock.
+    Times are in seconds, by this controller's monotonic clock; only the time in a `MessageStamp` is
+    by the sender's clock.
     """
 
     def __init__(self, incarnation: str, peers: Iterable[ControllerName], count: int) -> None:
@@ -109,7 +109,7 @@
         """Create the message to send to all peers now.
 
         Args:
-            now: the steady clock of this process.
+            now: the monotonic clock of this process.
             cache: this controller's copy of the records.
             ready: whether this controller has read the records since it started.
         """
@@ -143,7 +143,7 @@
         """Process a peer's message, and add the listed cancellations to the watch cache.
 
         Args:
-            now: the steady clock of this process.
+            now: the monotonic clock of this process.
             own_name: this controller.
             peer: the sender; a message from outside this deployment is ignored.
             message: the peer's message.
--- a/src/dapplewick/coordination/leader_isolation.py
+++ b/src/dapplewick/coordination/leader_isolation.py
@@ -39,7 +39,7 @@
         """Whether this process, which leads, should let another controller lead.
 
         Args:
-            now: The steady clock, in seconds.
+            now: The monotonic clock, in seconds.
             unreachable_controllers: The present controllers that are unreachable from this one.
             populated_shards: The shards of this process that have machines. Only these show
                 whether workers reach this process. Without any, the leader does not step down.
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -44,7 +44,7 @@
 class StateServiceReport(NamedTuple):
     """A peer's last report on whether it reaches the state service."""
 
-    received_at: Seconds  # by this process's steady clock
+    received_at: Seconds  # by this process's monotonic clock
     reaches_state_service: bool
 
 
--- a/src/dapplewick/coordination/records.py
+++ b/src/dapplewick/coordination/records.py
@@ -23,7 +23,7 @@
 
     @property
     def contact_at(self) -> Seconds:
-        """The time of the last answer of the state service, by the steady clock."""
+        """The time of the last answer of the state service, by the monotonic clock."""
         ...
 
     def mark_contact(self) -> None:
@@ -42,7 +42,7 @@
         """Return once the watch cache contains every change made before this call.
 
         Returns:
-            When the changes were requested from the state service, by the steady clock.
+            When the changes were requested from the state service, by the monotonic clock.
 
         Raises:
             RequestRefusedError: the changes could not be read.
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -90,7 +90,7 @@
         """Choose the shards that get a new owner now.
 
         Args:
-            now: the steady clock of this process, in seconds.
+            now: the monotonic clock of this process, in seconds.
             reachability: the reachability of the present owners.
         """
         load: dict[ControllerName, int] = dict.fromkeys(self._cache.controllers, 0)
--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's wire protocol: catalogue, provisioning, deletion and machine list."""
+"""The cloud's wire protocol: catalog, provisioning, deletion and machine list."""
 
 from __future__ import annotations
 
@@ -76,10 +76,10 @@
 
 
 def parse_catalog(raw: bytes) -> list[MachineType]:
-    """Parse the catalogue.
+    """Parse the catalog.
 
     Raises:
-        msgspec.MsgspecError: the catalogue is malformed. All parsers of this module raise this
+        msgspec.MsgspecError: the catalog is malformed. All parsers of this module raise this
             error for malformed input.
     """
     return _CATALOG_DECODER.decode(raw).types
