--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -51,13 +51,13 @@
             method: the HTTP method.
             target: the path and the query.
             body: the request's body, if any.
-            within: the time-out in seconds.
+            within: the timeout in seconds.
 
         Returns:
             The status and the body of the response.
 
         Raises:
-            HttpError: no response arrived within the time-out.
+            HttpError: no response arrived within the timeout.
         """
         ...
 
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -60,7 +60,7 @@
 if TYPE_CHECKING:
     from dapplewick.partitions.service import PartitionService
 
-MIN_WRITE_BURST = 6.0  # lets each controller accept a burst of simultaneous submissions
+MIN_WRITE_BURST = 6.0  # enough for each controller to accept a burst of simultaneous submissions
 PEER_LISTEN_BACKLOG = 64
 
 
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -66,7 +66,7 @@
             return True
         # If only this controller has lost contact with the state service, the platform should route
         # users to its peers. If all controllers have lost contact, this one stays healthy, since
-        # being taken out of service would cost further seconds once the state service is back. Each
-        # controller contacts the state service at least once per lease renewal, so by now no peer
-        # still reports a contact from before such an outage.
+        # being taken out of service would cost further seconds once the state service recovers.
+        # Each controller contacts the state service at least once per lease renewal, so by now no
+        # peer still reports a contact from before such an outage.
         return not self.peers.any_peer_reaches_state_service(now)
--- a/src/dapplewick/coordination/cancellation_exchange.py
+++ b/src/dapplewick/coordination/cancellation_exchange.py
@@ -6,9 +6,9 @@
 before it does so. Therefore, once every other controller has sent all cancellations in its watch
 cache, this controller knows every cancellation that was acknowledged before.
 
-The age of this knowledge counts from the time at which this controller sent its message: each
+The age of this information counts from the time at which this controller sent its message: each
 message carries the sender's time, and the reply contains the newest time received from each peer.
-If a message is lost, a peer is unreachable, or a peer has not read the records since it started,
+If a message is lost, a peer is unreachable or a peer has not read the records since it started,
 the age keeps growing. No conclusion depends on how fast messages arrive.
 """
 
--- a/src/dapplewick/coordination/leader_isolation.py
+++ b/src/dapplewick/coordination/leader_isolation.py
@@ -1,4 +1,4 @@
-"""Detection of an isolated leader, which should let another controller lead.
+"""Detection of an isolated leader, which should step down so that another controller leads.
 
 Leadership and presence depend only on the state service. A leader without contact to its peers and
 to the workers of its own shards can neither plan nor serve, and yet it would keep all shards.
@@ -36,7 +36,7 @@
         populated_shards: Set[ShardName],
         shards_without_machine_contact: Set[ShardName],
     ) -> bool:
-        """Whether this process, which leads, should let another controller lead.
+        """Whether this process, which leads, should step down so that another controller leads.
 
         Args:
             now: The monotonic clock, in seconds.
--- a/src/dapplewick/coordination/peer_exchange.py
+++ b/src/dapplewick/coordination/peer_exchange.py
@@ -31,7 +31,7 @@
 
 GOSSIP_INTERVAL_S = 1.0
 GOSSIP_AFTER_CANCELLATION_S = 0.1
-# Gossip reports the state service as reachable if it answered within this time.
+# Gossip reports the state service as reachable if it responded within this time.
 STATE_CONTACT_MAX_AGE_S = 2.5
 # Requests are forwarded only to peers that reported within this time that they reach the state
 # service.
@@ -192,8 +192,8 @@
         """Forward a user's request to a random peer that reaches the state service.
 
         Returns:
-            The peer's answer; None if no peer has recently reported that it reaches the state
-            service, or if the peer does not answer in time or answers with status 503.
+            The peer's response; None if no peer has recently reported that it reaches the state
+            service, or if the peer does not respond in time or responds with status 503.
         """
         now = self._now()
         eligible = [
--- a/src/dapplewick/coordination/records.py
+++ b/src/dapplewick/coordination/records.py
@@ -23,11 +23,11 @@
 
     @property
     def contact_at(self) -> Seconds:
-        """The time of the last answer of the state service, by the monotonic clock."""
+        """The time of the state service's last response, by the monotonic clock."""
         ...
 
     def mark_contact(self) -> None:
-        """Record that the state service has just answered."""
+        """Record that the state service has just responded."""
         ...
 
     def apply_stored_write(self, key: str, value: object, version: int) -> None:
--- a/src/dapplewick/coordination/shard_assignment.py
+++ b/src/dapplewick/coordination/shard_assignment.py
@@ -14,9 +14,9 @@
 # unreachable.
 REASSIGNMENT_COOLDOWN_S = 20.0
 # A shard is moved to balance the load only after the load has been uneven for this long, for
-# example since a controller came back.
+# example since a controller became present again.
 REBALANCE_DELAY_S = 20.0
-# The same for a shard without machines, which loses nothing by a new owner.
+# The same for a shard without machines, whose reassignment costs nothing.
 EMPTY_SHARD_REBALANCE_DELAY_S = 1.0
 LEADER_LOAD_SHARDS = 1  # load of the leader's role, in shards
 
@@ -46,7 +46,7 @@
 
 
 class OwnerReachability(NamedTuple):
-    """Reachability of the shard owners, beyond their presence records, as the leader sees it.
+    """Reachability of the shard owners, beyond their presence records, as observed by the leader.
 
     Attributes:
         shards_without_machine_contact: shards whose owner has no contact with any of their
@@ -68,7 +68,8 @@
     """Chooses the owners of shards for the leader. Every reassignment has an `AssignmentReason`.
 
     Attributes:
-        partition_shards: the shards of the partitions that must exist, beside those of the zones.
+        partition_shards: the shards of the partitions that must exist, in addition to those of the
+            zones.
     """
 
     def __init__(self, cache: WatchCache, zones: list[str], own_name: ControllerName) -> None:
--- a/src/dapplewick/coordination/wake.py
+++ b/src/dapplewick/coordination/wake.py
@@ -12,7 +12,7 @@
         self._event = anyio.Event()
 
     def set(self) -> None:
-        """Wake the loop now, or let its next wait return at once."""
+        """Wake the loop now; if it is not waiting, its next wait returns at once."""
         self._event.set()
 
     def clear(self) -> None:
--- a/src/dapplewick/core/leader/array_assignment.py
+++ b/src/dapplewick/core/leader/array_assignment.py
@@ -52,7 +52,7 @@
         Args:
             shard_capacities: The free capacity in this pass; assigned slots are deducted from it.
             pending: The arrays and services that need slots, in the order in which they are served.
-            overdue: The arrays of which one task is assigned before all other tasks.
+            overdue: The arrays that each have one task assigned before all other tasks.
         """
         queue_capacity = self._queue_capacity(shard_capacities)
         self._assign_in_order(overdue, shard_capacities, queue_capacity, limit=1)
@@ -68,7 +68,7 @@
         limit: int | None = None,
     ) -> None:
         """Assign slots to at most `limit` tasks of each array, in order, until none are free."""
-        # Shapes of which one job received fewer slots than it needs; none is free for later jobs.
+        # Shapes with no free slots left for later jobs: a job received fewer slots than it needs.
         exhausted: set[_SlotShape] = set()
         for array in arrays:
             if array.unassigned <= 0:
--- a/src/dapplewick/core/leader/array_order.py
+++ b/src/dapplewick/core/leader/array_order.py
@@ -17,8 +17,8 @@
     90.0  # arrays without objectives yield to gangs with objectives for this time
 )
 # Users expect the largest jobs of a class to start within 240 s. An array that has waited for half
-# of that without a task has one task assigned before all others; the other 120 s allow for a slot
-# to become idle.
+# of that time without a task has one task assigned before all others; the remaining 120 s allow for
+# a slot to become idle.
 OVERDUE_S = 120.0
 
 
--- a/src/dapplewick/core/leader/limit_audit.py
+++ b/src/dapplewick/core/leader/limit_audit.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-# It is a violation if ended work holds a limit for longer than this, counted only while all shards
-# and machines are in contact.
+# Ended work that counts against a limit for longer than this is an invariant violation. Only time
+# in which all shards and machines are in contact is counted.
 RELEASE_TIMEOUT_S = 60.0
 
 
--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -21,7 +21,7 @@
 MAX_STATUS_AGE_S = 6.0  # older statuses are not used to decide on capacity
 # A shard is assigned to another owner if the leader has had no contact with its owner for longer
 # than this.
-# The time-out is long because a reassignment loses the shard's gang reservations, and because peers
+# The timeout is long because a reassignment loses the shard's gang reservations, and because peers
 # commonly refuse messages for some seconds.
 OWNER_CONTACT_TIMEOUT_S = 30.0
 # A shard without contact has to be reassigned within this many planning passes plus one per shard;
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -207,7 +207,7 @@
     # Slots
 
     def assign(self, task: TaskRef, slot: Slot) -> None:
-        """Assign a task to a slot; the answer to the machine's next heartbeat starts it."""
+        """Assign a task to a slot; the response to the machine's next heartbeat starts it."""
         array_task = self.get(task)
         assert array_task is not None
         spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -36,7 +36,7 @@
     def fitting_jobs(
         self, now: Seconds, machine: Machine, jobs: Iterable[JobId]
     ) -> dict[JobId, None]:
-        """The jobs of which an array task may start on this machine now.
+        """The jobs that may start an array task on this machine now.
 
         Jobs whose image is on the machine come first, because among queues of equal length, work
         stealing prefers the queue of the earlier job.
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -217,10 +217,10 @@
     def _record_lost_start(
         reservation: GangReservation, index: int, is_new_incarnation: bool
     ) -> None:
-        # If no heartbeat has listed the task, the answer with its start command was lost, and the
-        # command is sent again. But a task that was listed, or that was started before a failover
-        # or a new incarnation of the machine, may have run. An attempt must not be started twice,
-        # so the attempt fails.
+        # If no heartbeat has listed the task, the response with its start command was lost, and the
+        # command is sent again. However, a task that was listed, or that was started before a
+        # failover or a new incarnation of the machine, may have run. An attempt must not be started
+        # twice, so the attempt fails.
         if index in reservation.listed_indices or reservation.inherited or is_new_incarnation:
             reservation.failure_reason = "start lost"
         else:
--- a/src/dapplewick/core/shard/launches.py
+++ b/src/dapplewick/core/shard/launches.py
@@ -1,4 +1,4 @@
-"""Start commands in the answer to a machine's heartbeat."""
+"""Start commands in the response to a machine's heartbeat."""
 
 from __future__ import annotations
 
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -18,10 +18,10 @@
 # A machine is faulty after failures of this many jobs without a success in between.
 MIN_FAULTY_FAILURES = 4
 # Fraction of a lease. If a machine begins a new incarnation sooner than this after its last
-# confirmed heartbeat, it did send heartbeats within its lease but did not receive the answers.
+# confirmed heartbeat, it did send heartbeats within its lease but did not receive the responses.
 UNREACHABLE_LEASE_FRACTION = 0.95
 # Number of leases. If a second incarnation of a machine ends within this time of the first, the
-# machine does not receive answers.
+# machine does not receive responses.
 REPEATED_INCARNATION_LEASES = 4.0
 
 
@@ -104,10 +104,10 @@
     def _record_new_incarnation(self, now: Seconds, machine: Machine) -> None:
         if not machine.reconciled or machine.last_confirmed_at <= self.accepting_heartbeats_since:
             return
-        # If the lease ended although this controller answered the heartbeats, the answers do not
+        # If the lease ended although this controller answered the heartbeats, the responses do not
         # reach the machine. A machine contacts all controllers in turn, so its heartbeats to this
-        # one may also be a lease apart. A single end of a lease then proves nothing, but a second
-        # one soon after it shows that the answers are lost.
+        # one may also be a lease apart. A single end of a lease is then no proof, but a second
+        # one soon after it shows that the responses are lost.
         is_repeated = (
             now - machine.incarnation_ended_at < self._lease_s * REPEATED_INCARNATION_LEASES
         )
@@ -120,7 +120,7 @@
     def count_lost_starts(self, now: Seconds, machine: Machine, listed: set[TaskRef]) -> None:
         """Count consecutive heartbeats that list none of the tasks whose start was sent.
 
-        A machine that sends heartbeats but never lists these tasks does not receive answers.
+        A machine that sends heartbeats but never lists these tasks does not receive responses.
 
         Args:
             now: The time.
@@ -138,6 +138,6 @@
             machine.lost_starts += 1
             machine.lost_starts_at = now
         elif now - machine.lost_starts_at > self._lease_s:
-            # No start is unconfirmed, and the machine has received an answer since the last lost
+            # No start is unconfirmed, and the machine has received a response since the last lost
             # start: otherwise its lease would have ended by now.
             machine.lost_starts = 0
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -81,7 +81,7 @@
                 self._available_with_preemption(machine, available, spec.priority)
             ):
                 continue
-            # The answer to one heartbeat stops the preempted tasks, and the answer to the next
+            # The response to one heartbeat stops the preempted tasks, and the response to the next
             # starts the replica. This is faster than fetching an image.
             cost_s = (
                 self._placement_cost(now, spec, job_id, machine) + PREEMPTION_COST_S * must_preempt
@@ -118,7 +118,7 @@
             )
             cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
             cost_s += machine.pending_image_fetches()
-        # The start is sent in the answer to the machine's next heartbeat, so the time until then
+        # The start is sent in the response to the machine's next heartbeat, so the time until then
         # is part of the delay.
         cost_s += max(0.0, self._heartbeat_interval_s - (now - machine.last_heartbeat_at))
         return cost_s + FREE_CPU_COST_S * machine.free().cpus
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -59,7 +59,7 @@
         tuning: Parameters that a deployment may change.
         seed: Combined with the token to seed the random generator.
         classes_with_objectives: The job classes for which users set objectives.
-        lease_s: How long a machine continues without an answer.
+        lease_s: How long a machine continues its tasks without a response to a heartbeat.
         heartbeat_interval_s: The interval between a machine's heartbeats.
     """
 
--- a/src/dapplewick/core/shard/slow_machines.py
+++ b/src/dapplewick/core/shard/slow_machines.py
@@ -44,7 +44,7 @@
     def update(self, machines: Collection[Machine]) -> None:
         """Update which machines are marked as slow.
 
-        The short tasks of a job end first, so its later tasks look slow on every machine. A
+        The short tasks of a job end first, so its later tasks appear slow on every machine. A
         machine is therefore compared with the others, and the mark is removed once its mean is
         no longer above theirs by the margin.
         """
--- a/src/dapplewick/core/shard/status.py
+++ b/src/dapplewick/core/shard/status.py
@@ -292,8 +292,8 @@
     def _gang_state(self, job_id: JobId, reservation: GangReservation) -> GangState:
         """The state of a gang's attempt in this shard."""
         job = self._cache.jobs.get(job_id)
-        # The result of a cancelled gang is not needed; the leader must learn when its tasks are
-        # gone. Reported as done, the gang would count against its team's limit for ever.
+        # The result of a cancelled gang is not needed, but the leader must be notified when its
+        # tasks have ended. Reported as done, the gang would count against its team's limit forever.
         is_open = job is not None and job.open
         if is_open and self._reservations.is_done(job_id, reservation):
             return GANG_DONE
@@ -307,7 +307,7 @@
             (m := self._machines.by_id.get(i)) is not None and m.slow
             for i in reservation.indices_on
         ):
-            # A slow machine starts no tasks, so its slots would stay reserved for ever.
+            # A slow machine starts no tasks, so its slots would stay reserved forever.
             return GANG_FAILED
         return GANG_RESERVED
 
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -1,4 +1,4 @@
-"""Stop commands in the answer to a machine's heartbeat."""
+"""Stop commands in the response to a machine's heartbeat."""
 
 from __future__ import annotations
 
--- a/src/dapplewick/partitions/balancing.py
+++ b/src/dapplewick/partitions/balancing.py
@@ -46,8 +46,8 @@
     def __init__(self) -> None:
         self.surplus: dict[ShardName, int] = {}
         self.shortages: dict[ShardName, int] = {}
-        # Machines in the zone's own shard, without those that open transfers will move out of it;
-        # may be negative.
+        # Machines in the zone's default shard, without those that open transfers will move out of
+        # it; may be negative.
         self.unassigned = 0
 
     def record_excess(self, shard: ShardName, excess: int) -> None:
@@ -64,7 +64,7 @@
         return count
 
     def allocate_unassigned(self, limit: int) -> int:
-        """Allocate up to `limit` machines of the zone's own shard and return their number."""
+        """Allocate up to `limit` machines of the zone's default shard and return their number."""
         count = min(limit, max(0, self.unassigned))
         self.unassigned -= count
         return count
@@ -139,7 +139,7 @@
         for partition in sorted(partitions - {""}):
             shard = shard_name(zone, partition)
             expected = self._index.count(shard, type_) + incoming[shard] - outgoing[shard]
-            # A partition that is no longer in the plan gives up all its machines.
+            # A partition that is no longer in the plan has a target of 0 machines.
             target = targets[Cell(partition, zone, type_)] if partition in plan.partitions else 0
             imbalance.record_excess(shard, expected - target)
         zone_shard = shard_name(zone)
--- a/src/dapplewick/partitions/cleanup.py
+++ b/src/dapplewick/partitions/cleanup.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-ENDED_TRANSFER_RETENTION_S = 60.0  # operators can see an ended transfer for this long
+ENDED_TRANSFER_RETENTION_S = 60.0  # `shares show` lists an ended transfer for this long
 
 
 class RecordCleaner:
@@ -27,7 +27,7 @@
         self._cache = cache
         self._index = index
         self._drafts = drafts
-        self._end_seen_at: dict[TransferId, Seconds] = {}  # when a pass first saw the end
+        self._end_seen_at: dict[TransferId, Seconds] = {}  # when a pass first observed the end
 
     def transfer_removals(
         self, now: Seconds, wall_time: Seconds, plan: PartitionPlan
--- a/src/dapplewick/partitions/commands.py
+++ b/src/dapplewick/partitions/commands.py
@@ -35,8 +35,8 @@
 ) -> TransferCommand:
     """Validate a command that moves machines from one partition of a zone to another.
 
-    An empty partition name stands for the zone's own shard. A repeated command has the same id and
-    is executed once; only the first one is checked against the number of available machines.
+    An empty partition name stands for the zone's default shard. A repeated command has the same id
+    and is executed once; only the first one is checked against the number of available machines.
 
     Args:
         message: the command as received; any field may be missing or of a wrong type.
--- a/src/dapplewick/partitions/messages.py
+++ b/src/dapplewick/partitions/messages.py
@@ -34,7 +34,7 @@
 
 
 class MoveCommand(msgspec.Struct, kw_only=True):
-    """Moves machines between partitions; an empty name stands for the zone's own shard."""
+    """Moves machines between partitions; an empty name stands for the zone's default shard."""
 
     verb: str = MOVE
     id: str
@@ -87,10 +87,10 @@
     """The current and the target number of machines of a type in a partition of a zone."""
 
     zone: str
-    partition: str = msgspec.field(name="share")  # empty: the zone's own shard
+    partition: str = msgspec.field(name="share")  # empty: the zone's default shard
     type: str
     machines: int
-    target: int | None  # None: the zone's own shard has no target
+    target: int | None  # None: the zone's default shard has no target
 
 
 class TransferDescription(msgspec.Struct, kw_only=True):
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -79,7 +79,7 @@
         )
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
-        """The teams whose work may be placed in a shard; None (all) for a zone's own shard."""
+        """The teams whose work may be placed in a shard; None (all) for a zone's default shard."""
         name = partition_of(shard)
         if not name:
             return None
--- a/src/dapplewick/partitions/selection.py
+++ b/src/dapplewick/partitions/selection.py
@@ -1,4 +1,4 @@
-"""Selects the machines that a partition gives up: idle ones first, then those empty soonest."""
+"""Selects the machines to move out of a partition: idle ones first, then those empty soonest."""
 
 from __future__ import annotations
 
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -26,7 +26,7 @@
     """Manages the partitions of zones on one controller.
 
     Without a plan the service only dissolves partitions: it moves all machines back to the zones'
-    own shards.
+    default shards.
 
     Attributes:
         rebalancer: the rebalancer of this controller's latest term; None before the first term.
@@ -81,7 +81,7 @@
         assert self.rebalancer is not None
         self.rebalancer.plan = self._plan_in_force.plan
         if self._initial_plan is None:
-            # All targets are 0, so all machines return to the zones' own shards.
+            # All targets are 0, so all machines return to the zones' default shards.
             self.rebalancer.targets.known = True
 
     async def run(self) -> None:
--- a/src/dapplewick/partitions/solver.py
+++ b/src/dapplewick/partitions/solver.py
@@ -158,7 +158,7 @@
     model.minimize(objective)
     if model.getModelStatus() == highspy.HighsModelStatus.kOptimal:
         return True
-    # After a time-out, the best solution found may still be feasible.
+    # After a timeout, the best solution found may still be feasible.
     status = model.getInfo().primal_solution_status
     return bool(status == highspy.SolutionStatus.kSolutionStatusFeasible)
 
--- a/src/dapplewick/partitions/targets.py
+++ b/src/dapplewick/partitions/targets.py
@@ -35,7 +35,7 @@
 
 
 def current_counts(index: MachineIndex) -> dict[Cell, int]:
-    """The machines of each type and zone in each partition, without the zones' own shards."""
+    """The machines of each type and zone in each partition, without the zones' default shards."""
     return {
         Cell(partition_of(pool.shard), zone_of(pool.shard), pool.type): count
         for pool, count in index.counts()
--- a/src/dapplewick/storage/errors.py
+++ b/src/dapplewick/storage/errors.py
@@ -19,7 +19,7 @@
 class OutcomeUnknownError(StateServiceError):
     """The request may have been carried out, or may still be carried out later.
 
-    The answer is missing, incomplete or malformed. A write must not be treated as failed. The
+    The response is missing, incomplete or malformed. A write must not be treated as failed. The
     caller must read the records again, and must change a key on which the write is conditional to
     prevent the write from being applied late.
     """
--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -13,7 +13,7 @@
 
 OPEN, DONE, CANCELLED = "open", "done", "cancelled"  # stored stages of a job
 
-# Bytes of a record's other fields and quotes beside the sets of tasks, and bytes of quotes and
+# Bytes of a record's fields and quotes other than the sets of tasks, and bytes of quotes and
 # separators that are added to each shard's name.
 _RECORD_OVERHEAD_BYTES = 40
 _NAME_OVERHEAD_BYTES = 8
--- a/src/dapplewick/storage/read_coalescer.py
+++ b/src/dapplewick/storage/read_coalescer.py
@@ -69,7 +69,7 @@
 
     async def _execute(self, read: _Read) -> None:
         # The read counts as failed until it has succeeded. Whatever ends it, including a malformed
-        # answer, the callers are released and don't treat it as successful.
+        # response, the callers are released and don't treat it as successful.
         read.error = RequestRefusedError("the changes could not be read")
         read.requested_at = self._clock()
         try:
--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -64,7 +64,7 @@
     """Calls the state service. A call that exceeds a budget is refused by the client itself.
 
     Every call raises RequestRefusedError if it was not carried out, and OutcomeUnknownError if the
-    answer is missing or malformed.
+    response is missing or malformed.
 
     Attributes:
         request_budget: the budget of requests.
@@ -97,7 +97,7 @@
 
     @staticmethod
     def _decoded(decoder: msgspec.json.Decoder[Decoded], answer: bytes) -> Decoded:
-        """Decode the body of a response with status 200. A malformed body counts as no answer."""
+        """Decode the body of a response with status 200. A malformed body counts as no response."""
         try:
             return decoder.decode(answer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as err:
@@ -155,7 +155,8 @@
 
         Raises:
             RevisionCompactedError: the service no longer keeps these changes.
-            RequestRefusedError: as for every call, or the answer's revision is older than `since`.
+            RequestRefusedError: as for every call, or the response's revision is older than
+                `since`.
         """
         self._acquire_call()
         target = f"{CHANGES_TARGET}?starts={prefix}&since={since}&wait_ms={wait_ms}"
@@ -166,7 +167,7 @@
             raise _refused("GET", target, status)
         changes = self._decoded(CHANGES_DECODER, answer)
         if changes.revision < since:
-            # An answer that is older than `since` does not prove that the copy is current.
+            # A response that is older than `since` does not prove that the copy is current.
             error = RequestRefusedError("the answer is older than the question")
             raise _with_note(error, f"GET {target}: answered with revision {changes.revision}")
         return changes
@@ -209,7 +210,7 @@
         raise self._transaction_error(status, answer, [*puts, *deletes])
 
     def _transaction_error(self, status: int, answer: bytes, keys: list[str]) -> StateServiceError:
-        """The error for a transaction that was answered with a status other than 200."""
+        """The error for a transaction whose response has a status other than 200."""
         if status == HTTPStatus.CONFLICT:
             return TransactionConflictError(
                 self._decoded(TRANSACTION_RESULT_DECODER, answer).failed
--- a/src/dapplewick/storage/watch_cache.py
+++ b/src/dapplewick/storage/watch_cache.py
@@ -147,14 +147,14 @@
         self.revision = Revision(max(self.revision, revision))
 
     def apply_events(self, events: Iterable[Event], revision: int) -> None:
-        """Apply the answer to a watch request.
+        """Apply the response to a watch request.
 
-        Answers may arrive out of order. Events up to the revision that has already been read are
+        Responses may arrive out of order. Events up to the revision that has already been read are
         skipped, because a newer removal of the same key may have been pruned by then.
 
         Args:
-            events: the changes in the answer.
-            revision: the revision up to which the answer is complete.
+            events: the changes in the response.
+            revision: the revision up to which the response is complete.
         """
         read_revision = self.revision
         for event in events:
@@ -175,7 +175,8 @@
             if handlers is not None:
                 handlers.put(key[PREFIX_LENGTH:], value, version)
         except (msgspec.ValidationError, ValueError, TypeError) as err:
-            # The previous record is kept. As it is outdated, users get no answers from it.
+            # The previous record is kept. It is outdated, so users' requests are not answered from
+            # it.
             log.error("event=record_malformed key=%s error=%s", key, err)
             self.unreadable[key] = version
             return
@@ -242,7 +243,7 @@
         return self._machine_groups.is_in_one_group(machine)
 
     def shard_of(self, machine: MachineId, zone: str) -> ShardName:
-        """The shard that schedules a machine; the zone's own shard if the machine is unknown."""
+        """The shard that schedules a machine; the zone's default shard for an unknown machine."""
         record = self.machines.get(machine)
         return record.shard if record is not None else ShardName(zone)
 
