--- a/src/dapplewick/controller/budgets.py
+++ b/src/dapplewick/controller/budgets.py
@@ -8,12 +8,14 @@
 from dapplewick.coordination.election import WriteRates
 from dapplewick.storage.state_client import CALL_TIMEOUT_S
 
-STATE_LIMIT_SHARE = 0.9  # of the state service's limits, used by all controllers together
-LEADER_WRITE_SHARE = 0.8  # of all controllers' writes, reserved for the leader
-WATCH_REQUEST_SHARE = 0.35  # of this controller's requests; each batch of changes costs a new watch
-FRESHNESS_CHECK_SHARE = 0.4  # of this controller's requests
+STATE_LIMIT_FRACTION = 0.9  # of the state service's limits, used by all controllers together
+LEADER_WRITE_FRACTION = 0.8  # of all controllers' writes, reserved for the leader
+WATCH_REQUEST_FRACTION = (
+    0.35  # of this controller's requests; each batch of changes costs a new watch
+)
+FRESHNESS_CHECK_FRACTION = 0.4  # of this controller's requests
 MIN_CHECK_INTERVAL_S = 0.25  # users' polls within this time share one freshness check
-CLOUD_LIMIT_SHARE = 0.8  # of the cloud's request limit; only the leader calls the cloud
+CLOUD_LIMIT_FRACTION = 0.8  # of the cloud's request limit; only the leader calls the cloud
 BASE_RESERVED_SOCKETS = 64  # for the state service, the cloud and the process's own files
 MIN_CLIENT_SOCKETS = 16  # for workers and users, even if the file limit is lower
 
@@ -33,17 +35,17 @@
     # The state service switches to its announced limits without notice, so the lower of the current
     # and the announced value of each limit applies from the start.
     limits = deployment.state.lowest()
-    calls_per_s = limits.rps * STATE_LIMIT_SHARE / deployment.count
-    writes_per_s = limits.write_rps * STATE_LIMIT_SHARE
+    calls_per_s = limits.rps * STATE_LIMIT_FRACTION / deployment.count
+    writes_per_s = limits.write_rps * STATE_LIMIT_FRACTION
     return Budgets(
         calls_per_s=calls_per_s,
         writes_per_s=WriteRates(
-            following=writes_per_s * (1 - LEADER_WRITE_SHARE) / max(1, deployment.count - 1),
-            leading=writes_per_s * LEADER_WRITE_SHARE,
+            following=writes_per_s * (1 - LEADER_WRITE_FRACTION) / max(1, deployment.count - 1),
+            leading=writes_per_s * LEADER_WRITE_FRACTION,
         ),
-        watch_delay_s=1.0 / (WATCH_REQUEST_SHARE * calls_per_s),
-        check_interval_s=max(MIN_CHECK_INTERVAL_S, 1.0 / (FRESHNESS_CHECK_SHARE * calls_per_s)),
-        cloud_calls_per_s=deployment.cloud.rps * CLOUD_LIMIT_SHARE,
+        watch_delay_s=1.0 / (WATCH_REQUEST_FRACTION * calls_per_s),
+        check_interval_s=max(MIN_CHECK_INTERVAL_S, 1.0 / (FRESHNESS_CHECK_FRACTION * calls_per_s)),
+        cloud_calls_per_s=deployment.cloud.rps * CLOUD_LIMIT_FRACTION,
     )
 
 
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -43,7 +43,7 @@
     """A connection that sends requests to the cloud."""
 
     async def request(
-        self, method: str, target: str, body: bytes | None, within: float
+        self, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
         """Send a request and wait for the response.
 
@@ -51,7 +51,7 @@
             method: the HTTP method.
             target: the path and the query.
             body: the request's body, if any.
-            within: the timeout in seconds.
+            timeout_s: the timeout in seconds.
 
         Returns:
             The status and the body of the response.
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -30,7 +30,7 @@
 NO_SHARD_POLL_INTERVAL_S = 0.5  # while this process owns no shard
 UNCHANGED_STATUS_INTERVAL_S = 1.5  # between statuses of a shard without changes
 # A status is due after this share of its interval, since the delays between ticks vary.
-STATUS_DUE_SHARE = 0.9
+STATUS_DUE_FRACTION = 0.9
 
 
 class ShardLoop:
@@ -80,7 +80,7 @@
             now, self._wall_time(), now - self._records.current_at < MAX_CURRENT_RECORD_AGE_S
         )
         status_interval_s = tick_delay_s if scheduler.dirty else UNCHANGED_STATUS_INTERVAL_S
-        if now - self._status_sent_at.get(name, NEVER_S) >= status_interval_s * STATUS_DUE_SHARE:
+        if now - self._status_sent_at.get(name, NEVER_S) >= status_interval_s * STATUS_DUE_FRACTION:
             self._status_sent_at[name] = now
             self.send_status(now, scheduler)
 
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -17,11 +17,11 @@
 # If some classes have objectives, resources are reserved for a job of another class only after the
 # job has waited for this long.
 NO_OBJECTIVE_RESERVATION_DELAY_S = 60.0
-MIN_WANTED_FRACTION = 0.01  # nothing is reserved if a smaller fraction of accelerators is wanted
+MIN_DEMAND_FRACTION = 0.01  # nothing is reserved if a smaller fraction of accelerators is wanted
 SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is wanted
 # Ended gangs are removed from the set of counted gangs once it has more entries than this number
 # plus two per live job.
-SEEN_GANGS_ALLOWANCE = 500
+COUNTED_GANGS_ALLOWANCE = 500
 DEMAND_DECAY_S = 20.0  # decay time constant of a past accelerator demand
 MIN_GANG_SLOTS = 0.5  # nothing is reserved if gangs need fewer slots
 
@@ -41,10 +41,10 @@
     ) -> None:
         self.cache = cache
         self._classes_with_objectives = classes_with_objectives
-        self._wanted = 0.0
+        self._demand = 0.0
         self._updated_at = 0.0
         self._per_accelerator = Resources(0.0, 1.0, 0.0)  # resources needed with one accelerator
-        self._wanted_fraction = 0.0  # of all available accelerators
+        self._demand_fraction = 0.0  # of all available accelerators
         self.priority = -1
 
     def update(self, now: Seconds, wall_time: Seconds) -> None:
@@ -54,16 +54,16 @@
             now: The monotonic clock, in seconds.
             wall_time: The wall clock, in seconds, which is compared with submission times.
         """
-        wanted = self._count_wanted(wall_time)
+        demand = self._count_demand(wall_time)
         decay = math.exp(-max(0.0, now - self._updated_at) / DEMAND_DECAY_S)
         self._updated_at = now
-        self._wanted = max(wanted, self._wanted * decay)
+        self._demand = max(demand, self._demand * decay)
         total = self._count_available()
-        self._wanted_fraction = min(1.0, self._wanted / total) if total else 0.0
+        self._demand_fraction = min(1.0, self._demand / total) if total else 0.0
 
-    def _count_wanted(self, wall_time: Seconds) -> float:
+    def _count_demand(self, wall_time: Seconds) -> float:
         """Count the wanted accelerators; update the priority and needs of their work."""
-        wanted = cpus = ram_gb = 0.0
+        demand = cpus = ram_gb = 0.0
         self.priority = -1
         for _, job in self.cache.iter_live_jobs():
             spec = job.spec
@@ -77,12 +77,12 @@
                 ):
                     continue
                 self.priority = max(self.priority, spec.priority)
-                wanted += spec.gpus * (spec.task_count - len(job.done))
+                demand += spec.gpus * (spec.task_count - len(job.done))
                 cpus = max(cpus, spec.cpus / spec.gpus)
                 ram_gb = max(ram_gb, spec.ram_gb / spec.gpus)
         if cpus or ram_gb:
             self._per_accelerator = Resources(cpus, 1.0, ram_gb)
-        return wanted
+        return demand
 
     def _count_available(self) -> float:
         """Count the accelerators of all machines that are up and not terminating."""
@@ -95,11 +95,11 @@
 
     def needs_reservation(self) -> bool:
         """Return whether enough accelerators are wanted to reserve resources for them."""
-        return self._wanted_fraction > MIN_WANTED_FRACTION
+        return self._demand_fraction > MIN_DEMAND_FRACTION
 
     def is_scarce(self) -> bool:
         """Return whether most accelerators are wanted; their CPUs then go to accelerator work."""
-        return self._wanted_fraction > SCARCE_FRACTION
+        return self._demand_fraction > SCARCE_FRACTION
 
     def resources_to_reserve(self, total: Resources, free: Resources) -> Resources:
         """Return the resources to leave free on a machine for the wanted accelerators.
@@ -108,9 +108,9 @@
             total: All resources of the machine.
             free: The resources that no task uses.
         """
-        if total.gpus <= 0 or self._wanted_fraction <= MIN_WANTED_FRACTION:
+        if total.gpus <= 0 or self._demand_fraction <= MIN_DEMAND_FRACTION:
             return NO_RESOURCES
-        target = math.floor(self._wanted_fraction * total.gpus + 0.5)
+        target = math.floor(self._demand_fraction * total.gpus + 0.5)
         count = max(0.0, min(free.gpus, target - (total.gpus - free.gpus)))
         return Resources(
             self._per_accelerator.cpus * count, 0.0, self._per_accelerator.ram_gb * count
@@ -148,7 +148,7 @@
         self._decayed_arrivals = 0.0  # gang tasks that arrived, exponentially decayed
         self._updated_at: Seconds | None = None
         self._started_at = 0.0
-        self._seen: dict[JobId, None] = {}
+        self._counted_gangs: dict[JobId, None] = {}
         self.latest_spec: JobSpec | None = None
         self.resources = NO_RESOURCES
         self.priority = 0
@@ -158,8 +158,10 @@
     def update(self, now: Seconds) -> None:
         """Count the tasks of gangs that have arrived since the last call, and of waiting gangs."""
         new, waiting, blocking_priority = self._count_tasks()
-        if len(self._seen) > SEEN_GANGS_ALLOWANCE + 2 * len(self.cache.live_jobs):
-            self._seen = {job_id: None for job_id in self._seen if job_id in self.cache.live_jobs}
+        if len(self._counted_gangs) > COUNTED_GANGS_ALLOWANCE + 2 * len(self.cache.live_jobs):
+            self._counted_gangs = {
+                job_id: None for job_id in self._counted_gangs if job_id in self.cache.live_jobs
+            }
         if self._updated_at is None:
             self._started_at = self._updated_at = now
         self._decayed_arrivals = (
@@ -172,9 +174,9 @@
         mean = self._decayed_arrivals / (weight * RATE_DECAY_S) * GANG_WINDOW_S
         # Gangs end about as often as they arrive, so slots cover only the random fluctuations of
         # both: the variance of the difference is twice the mean.
-        wanted = self._slot_factor * GANG_SLOT_DEVIATIONS * math.sqrt(2.0 * mean)
+        demand = self._slot_factor * GANG_SLOT_DEVIATIONS * math.sqrt(2.0 * mean)
         preempts = blocking_priority < self.priority
-        self.slots = 0.0 if preempts else wanted
+        self.slots = 0.0 if preempts else demand
         self.waiting = 0 if preempts else waiting
 
     def _count_tasks(self) -> _TaskCounts:
@@ -186,8 +188,8 @@
                 waiting += spec.task_count
             if job.open and not spec.is_gang and not spec.is_service and spec.gpus == 0:
                 blocking_priority = max(blocking_priority, spec.priority)
-            if spec.is_gang and job_id not in self._seen:
-                self._seen[job_id] = None
+            if spec.is_gang and job_id not in self._counted_gangs:
+                self._counted_gangs[job_id] = None
                 self.latest_spec = spec
                 self.resources = spec.resources
                 self.priority = spec.priority
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -95,15 +95,15 @@
         """
         if self._cache.format < PARTITIONS_FORMAT:
             return []
-        wanted = {
+        required = {
             shard_name(cell.zone, cell.partition): None
             for cell, count in self.targets.items()
             if count > 0 and cell.partition in self.plan.partitions
         }
         for record in self._drafts.open_records().values():
             if partition_of(record.target) in self.plan.partitions:
-                wanted[ShardName(record.target)] = None
-        return list(wanted)
+                required[ShardName(record.target)] = None
+        return list(required)
 
     def changes(
         self,
--- a/tests/unit/test_waiting_gangs.py
+++ b/tests/unit/test_waiting_gangs.py
@@ -259,10 +259,10 @@
     counted = gang_demand._decayed_arrivals
     gang_demand.update(1.0)
     assert gang_demand._decayed_arrivals == counted
-    assert len(gang_demand._seen) == 6000
+    assert len(gang_demand._counted_gangs) == 6000
     for n in range(6000):
         finished = JobRecord(GANG, 0.0)
         finished.stage = DONE
         cache.put(f"{JOBS}run-{n}", finished.dump(), 6001 + n)
     gang_demand.update(2.0)
-    assert not gang_demand._seen
+    assert not gang_demand._counted_gangs
