--- a/src/dapplewick/storage/state_client.py
+++ b/src/dapplewick/storage/state_client.py
@@ -82,7 +82,7 @@
         self, method: str, target: str, body: bytes | None, timeout_s: float = CALL_TIMEOUT_S
     ) -> tuple[int, bytes]:
         try:
-            status, answer = await self._http.request(method, target, body, timeout_s)
+            status, response_body = await self._http.request(method, target, body, timeout_s)
         except RequestNotSentError as err:
             raise _with_note(
                 RequestRefusedError(str(err)), f"{method} {target}: not sent"
@@ -93,15 +93,15 @@
             (self.write_budget if target == TRANSACTION_TARGET else self.request_budget).exhaust()
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             raise _refused(method, target, status)
-        return status, answer
+        return status, response_body
 
     @staticmethod
-    def _decoded(decoder: msgspec.json.Decoder[Decoded], answer: bytes) -> Decoded:
+    def _decoded(decoder: msgspec.json.Decoder[Decoded], response_body: bytes) -> Decoded:
         """Decode the body of a response with status 200. A malformed body counts as no response."""
         try:
-            return decoder.decode(answer)
+            return decoder.decode(response_body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as err:
-            log.error("event=state_response_malformed error=%s answer=%r", err, answer[:200])
+            log.error("event=state_response_malformed error=%s answer=%r", err, response_body[:200])
             raise OutcomeUnknownError("malformed answer") from None
 
     def _acquire_call(self) -> None:
@@ -112,12 +112,12 @@
         """Read the value and version of a key; version 0 if the key does not exist."""
         self._acquire_call()
         target = f"{KEYS_TARGET}/{key}"
-        status, answer = await self._call("GET", target, None)
+        status, response_body = await self._call("GET", target, None)
         if status == HTTPStatus.NOT_FOUND:
             return KeyValue(None, 0)
         if status != HTTPStatus.OK:
             raise _refused("GET", target, status)
-        item = self._decoded(KEY_ITEM_DECODER, answer)
+        item = self._decoded(KEY_ITEM_DECODER, response_body)
         return KeyValue(item.value, item.version)
 
     async def listing(self, prefix: str) -> Listing:
@@ -130,10 +130,10 @@
             target = f"{KEYS_TARGET}?starts={prefix}&limit={PAGE_ITEMS}"
             if since:
                 target += f"&since={since}"
-            status, answer = await self._call("GET", target, None, LISTING_TIMEOUT_S)
+            status, response_body = await self._call("GET", target, None, LISTING_TIMEOUT_S)
             if status != HTTPStatus.OK:
                 raise _refused("GET", target, status)
-            page = self._decoded(KEY_PAGE_DECODER, answer)
+            page = self._decoded(KEY_PAGE_DECODER, response_body)
             first_revision = page.revision if first_revision is None else first_revision
             for item in page.items:
                 items[item.key] = KeyValue(item.value, item.version)
@@ -160,12 +160,14 @@
         """
         self._acquire_call()
         target = f"{CHANGES_TARGET}?starts={prefix}&since={since}&wait_ms={wait_ms}"
-        status, answer = await self._call("GET", target, None, wait_ms / 1000 + CALL_TIMEOUT_S)
+        status, response_body = await self._call(
+            "GET", target, None, wait_ms / 1000 + CALL_TIMEOUT_S
+        )
         if status == HTTPStatus.GONE:
             raise _with_note(RevisionCompactedError(), f"GET {target}")
         if status != HTTPStatus.OK:
             raise _refused("GET", target, status)
-        changes = self._decoded(CHANGES_DECODER, answer)
+        changes = self._decoded(CHANGES_DECODER, response_body)
         if changes.revision < since:
             # A response that is older than `since` does not prove that the copy is current.
             error = RequestRefusedError("the answer is older than the question")
@@ -204,22 +206,27 @@
         deletes = deletes or []
         self._acquire_writes(len(puts) + len(deletes), urgent=urgent)
         body = encode_transaction(conditions, puts, deletes, leases or {})
-        status, answer = await self._call("POST", TRANSACTION_TARGET, body)
+        status, response_body = await self._call("POST", TRANSACTION_TARGET, body)
         if status == HTTPStatus.OK:
-            return self._decoded(TRANSACTION_RESULT_DECODER, answer).revision
-        raise self._transaction_error(status, answer, [*puts, *deletes])
+            return self._decoded(TRANSACTION_RESULT_DECODER, response_body).revision
+        raise self._transaction_error(status, response_body, [*puts, *deletes])
 
-    def _transaction_error(self, status: int, answer: bytes, keys: list[str]) -> StateServiceError:
+    def _transaction_error(
+        self, status: int, response_body: bytes, keys: list[str]
+    ) -> StateServiceError:
         """The error for a transaction whose response has a status other than 200."""
         if status == HTTPStatus.CONFLICT:
             return TransactionConflictError(
-                self._decoded(TRANSACTION_RESULT_DECODER, answer).failed
+                self._decoded(TRANSACTION_RESULT_DECODER, response_body).failed
             )
         listed = ",".join(keys)
-        if status == HTTPStatus.BAD_REQUEST and NO_SUCH_LEASE in answer:
+        if status == HTTPStatus.BAD_REQUEST and NO_SUCH_LEASE in response_body:
             return _with_note(LeaseExpiredError(), f"POST {TRANSACTION_TARGET}: keys {listed}")
         log.error(
-            "event=state_request_rejected status=%d answer=%r keys=%s", status, answer[:200], listed
+            "event=state_request_rejected status=%d answer=%r keys=%s",
+            status,
+            response_body[:200],
+            listed,
         )
         if status == HTTPStatus.BAD_REQUEST:
             return _with_note(
@@ -239,10 +246,12 @@
     async def new_lease(self, ttl_ms: int) -> int:
         """Create a lease that expires `ttl_ms` milliseconds after its last renewal."""
         self._acquire_call()
-        status, answer = await self._call("POST", LEASES_TARGET, encode_lease_request(ttl_ms))
+        status, response_body = await self._call(
+            "POST", LEASES_TARGET, encode_lease_request(ttl_ms)
+        )
         if status != HTTPStatus.OK:
             raise _refused("POST", LEASES_TARGET, status)
-        return self._decoded(LEASE_DECODER, answer).lease_id
+        return self._decoded(LEASE_DECODER, response_body).lease_id
 
     async def renew(self, lease: int) -> None:
         """Renew a lease.
