--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -76,7 +76,7 @@
         connect: creates an HTTP client for a host and a port.
         link: creates the link to the peer at a host and a port.
         clock: the monotonic clock, in seconds.
-        wall_time: the wall clock, in seconds since the epoch.
+        wall_time: the wall clock, in seconds since the Unix epoch.
         seed: the seed of this controller's random numbers.
         tuning: parameters set by the operators' script; None: the defaults.
         partitions: the partition service; None: partitions are disabled.
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -17,8 +17,8 @@
 # If some classes have objectives, resources are reserved for a job of another class only after the
 # job has waited for this long.
 NO_OBJECTIVE_RESERVATION_DELAY_S = 60.0
-MIN_DEMAND_FRACTION = 0.01  # nothing is reserved if a smaller fraction of accelerators is wanted
-SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is wanted
+MIN_DEMAND_FRACTION = 0.01  # nothing is reserved if a smaller fraction is demanded
+SCARCE_FRACTION = 0.5  # accelerators are scarce if a larger fraction is demanded
 # Ended gangs are removed from the set of counted gangs once it has more entries than this number
 # plus two per live job.
 COUNTED_GANGS_ALLOWANCE = 500
@@ -27,13 +27,13 @@
 
 
 class AcceleratorDemand:
-    """The number of accelerators that are wanted, and the CPUs and memory that each needs.
+    """The number of accelerators that open jobs need, and the CPUs and memory for each.
 
     A machine's accelerators are unusable without CPUs. Work without accelerators may use only the
-    CPUs and memory of a machine that its wanted accelerators do not need.
+    CPUs and memory of a machine that its demanded accelerators do not need.
 
     Attributes:
-        priority: The highest priority of the work that wants accelerators; -1 without such work.
+        priority: The highest priority of the work that needs accelerators; -1 without such work.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self._demand_fraction = min(1.0, self._demand / total) if total else 0.0
 
     def _count_demand(self, wall_time: Seconds) -> float:
-        """Count the wanted accelerators; update the priority and needs of their work."""
+        """Count the accelerators that open jobs need; update their work's priority and needs."""
         demand = cpus = ram_gb = 0.0
         self.priority = -1
         for _, job in self.cache.iter_live_jobs():
@@ -94,15 +94,18 @@
         return count
 
     def needs_reservation(self) -> bool:
-        """Return whether enough accelerators are wanted to reserve resources for them."""
+        """Return whether the demand is high enough to reserve resources for accelerator work."""
         return self._demand_fraction > MIN_DEMAND_FRACTION
 
     def is_scarce(self) -> bool:
-        """Return whether most accelerators are wanted; their CPUs then go to accelerator work."""
+        """Return whether the demand exceeds `SCARCE_FRACTION` of the available accelerators.
+
+        The CPUs of machines with accelerators are then left to work that needs accelerators.
+        """
         return self._demand_fraction > SCARCE_FRACTION
 
     def resources_to_reserve(self, total: Resources, free: Resources) -> Resources:
-        """Return the resources to leave free on a machine for the wanted accelerators.
+        """Return the resources to leave free on a machine for the demanded accelerators.
 
         Args:
             total: All resources of the machine.
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -68,7 +68,7 @@
         """Apply the assignments in a job's record to this shard.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             job_id: The job.
             job: The job's record; None if it was deleted.
             assigned: Indices of the tasks assigned to this shard that have no result yet.
--- a/src/dapplewick/core/shard/candidates.py
+++ b/src/dapplewick/core/shard/candidates.py
@@ -80,7 +80,7 @@
         Tasks whose image is on the machine have precedence.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine.
             queue: The waiting tasks, in the order in which they are considered.
             fitting: The result of `fitting_jobs` for this machine.
--- a/src/dapplewick/core/shard/free_capacity.py
+++ b/src/dapplewick/core/shard/free_capacity.py
@@ -33,8 +33,8 @@
         """Update the demand for accelerators and gang slots, and the count of idle slots.
 
         Args:
-            now: The time by this process's clock.
-            wall_time: The wall-clock time, in which the submission times of jobs are given.
+            now: The monotonic clock, in seconds.
+            wall_time: The wall clock, in seconds, which is compared with submission times.
         """
         self._accelerators.update(now, wall_time)
         self._gang_demand.update(now)
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -93,7 +93,7 @@
         that it is missing; its tasks only count as usage until a newer heartbeat arrives.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine that sent the heartbeat.
             heartbeat: The heartbeat.
             is_current: Whether it carries this shard's fencing token.
@@ -175,7 +175,7 @@
         """Record that a task is no longer on its machine.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine that had the task.
             task: The task.
             reason: The failure reason of the gang's attempt, if the task belongs to a gang.
--- a/src/dapplewick/core/shard/machine_health.py
+++ b/src/dapplewick/core/shard/machine_health.py
@@ -123,7 +123,7 @@
         A machine that sends heartbeats but never lists these tasks does not receive responses.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine.
             listed: The tasks that its newest heartbeat lists.
         """
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# A replica is stopped this long before its spot machine is withdrawn, even if no other machine has
+# A replica is stopped this long before its spot machine is reclaimed, even if no other machine has
 # capacity for it.
 EVICTION_LEAD_S = 6.0
 PREEMPTION_COST_S = 4.0  # time until preempted tasks have stopped, plus their lost work
@@ -62,7 +62,7 @@
         for spot machines and for accelerators.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             spec: The service's specification.
             job_id: The service's job.
             eligible: The machines to choose from.
@@ -126,8 +126,8 @@
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
         """Whether a replica must leave its machine now.
 
-        It leaves a machine that is slow, draining or about to be withdrawn as soon as another
-        machine with its image has free capacity. Shortly before a spot machine is withdrawn, it
+        It leaves a machine that is slow, draining or about to be reclaimed as soon as another
+        machine with its image has free capacity. Shortly before a spot machine is reclaimed, it
         leaves in any case.
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
@@ -158,7 +158,7 @@
         to the cloud, unless unqueued tasks end the drain once it is empty.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             has_unqueued_tasks: Whether any array task is in no slot or queue.
 
         Yields:
--- a/src/dapplewick/core/shard/scheduler.py
+++ b/src/dapplewick/core/shard/scheduler.py
@@ -55,7 +55,7 @@
         token: The fencing token of this ownership.
         cache: The watched records.
         estimates: Run-time estimates, shared by all shards of this controller.
-        now: The time.
+        now: The monotonic clock, in seconds.
         tuning: Parameters that a deployment may change.
         seed: Combined with the token to seed the random generator.
         classes_with_objectives: The job classes for which users set objectives.
@@ -206,7 +206,7 @@
         """Apply a change of a job's record.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             job_id: The job.
             failover: Whether a previous owner may have acted on the record.
         """
@@ -279,7 +279,7 @@
         """Handle a worker's heartbeat.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             heartbeat: The heartbeat; outdated copies and other shards' machines are ignored.
             may_launch: Whether the records are current enough to start tasks.
 
@@ -359,8 +359,8 @@
         """Run the periodic work.
 
         Args:
-            now: The time by this process's clock.
-            wall_time: The wall-clock time, in which the submission times of jobs are given.
+            now: The monotonic clock, in seconds.
+            wall_time: The wall clock, in seconds, which is compared with submission times.
             watch_current: Whether the record watch is current, so that the leader may be working.
         """
         if now - self._ticked_at > STALL_THRESHOLD_S:
--- a/src/dapplewick/core/shard/stops.py
+++ b/src/dapplewick/core/shard/stops.py
@@ -90,7 +90,7 @@
             return True
         if spec.is_service:
             return self._replicas.must_leave(now, machine, task.job, spec)
-        # A task that can save its state does so before its spot machine is withdrawn.
+        # A task that can save its state does so before its spot machine is reclaimed.
         is_evicted = machine.spot_notice_s is not None and _can_checkpoint(task_attempt, job)
         return is_evicted and not spec.is_gang
 
--- a/src/dapplewick/core/shard/task_exits.py
+++ b/src/dapplewick/core/shard/task_exits.py
@@ -184,7 +184,7 @@
         until other commands change its tasks anyway.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine that has the results.
             forget_now: Whether there are other commands or the machine is being drained.
         """
