--- a/src/dapplewick/storage/job_assembly.py
+++ b/src/dapplewick/storage/job_assembly.py
@@ -12,7 +12,7 @@
     DONE,
     OPEN,
     Chunk,
-    GangPlacementPart,
+    GangPlacementPiece,
     JobRecord,
 )
 from dapplewick.storage.keys import split_numbered_key
@@ -35,7 +35,7 @@
         self.jobs: dict[JobId, JobRecord] = {}
         self.live_jobs: dict[JobId, None] = {}
         self.chunks: dict[JobId, dict[int, Chunk]] = {}
-        self.placements: dict[JobId, dict[int, GangPlacementPart]] = {}
+        self.placements: dict[JobId, dict[int, GangPlacementPiece]] = {}
         self.cancellations = CancellationIndex()
         self._main_records: dict[JobId, JobRecord] = {}  # without the other keys
 
@@ -73,7 +73,7 @@
         """Store a piece of a gang's placement; `name` is the job's id and the piece's number."""
         job_id, number = split_numbered_key(name)
         pieces = self.placements.setdefault(job_id, {})
-        pieces[number] = msgspec.convert(value, type=GangPlacementPart)
+        pieces[number] = msgspec.convert(value, type=GangPlacementPiece)
         self._join(job_id)
 
     def remove_placement(self, name: str) -> None:
@@ -141,7 +141,7 @@
                     job.assignments.setdefault(shard, set()).update(tasks)
 
     @staticmethod
-    def _join_placements(job: JobRecord, pieces: dict[int, GangPlacementPart]) -> None:
+    def _join_placements(job: JobRecord, pieces: dict[int, GangPlacementPiece]) -> None:
         if job.gang is None:
             return
         placements: list[tuple[str, str]] = []
--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -57,7 +57,7 @@
     assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
 
 
-class GangPlacementPart(msgspec.Struct):
+class GangPlacementPiece(msgspec.Struct):
     """A piece of the placement of a long gang, stored in its own key."""
 
     attempt: int
