--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -38,7 +38,7 @@
     """An owner's fencing token, and when the leader first saw it in its present term."""
 
     token: FencingToken
-    first_seen_at: Seconds
+    recorded_at: Seconds
 
 
 class ShardContacts:
@@ -83,8 +83,8 @@
             return 0.0
         shard = self._shards.by_name.get(name)
         if shard is None or shard.token != owner.token or shard.status_number == 0:
-            return now - owner.first_seen_at
-        return now - max(owner.first_seen_at, shard.received_at)
+            return now - owner.recorded_at
+        return now - max(owner.recorded_at, shard.received_at)
 
     def shards_without_contact(self, now: Seconds) -> set[ShardName]:
         """The shards to reassign, because the leader has no contact with their owner."""
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -87,13 +87,13 @@
         """The machines of a transfer that are proven empty, if the target shard has an owner."""
         if self._drafts.is_drafted(transfer) or not record.draining:
             return []  # the draft is not stored yet, so no owner has seen it
-        if not self._owner_has_seen_transfer(transfer, ShardName(record.source), shards):
+        if not self._owner_has_read_transfer(transfer, ShardName(record.source), shards):
             return []
         if not self._cache.version(SHARDS + record.target):
             return []  # the target shard has no owner yet
         return [m for m in map(MachineId, record.draining) if selector.is_empty(record, m)]
 
-    def _owner_has_seen_transfer(
+    def _owner_has_read_transfer(
         self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
     ) -> bool:
         """Whether the source shard's owner has seen the stored version of the transfer.
--- a/tests/unit/test_partition_model.py
+++ b/tests/unit/test_partition_model.py
@@ -450,7 +450,7 @@
     transfer must not rely on the earlier status, which may be seconds old.
     """
     if not guarded:
-        monkeypatch.setattr(HandoverDrafter, "_owner_has_seen_transfer", lambda *_: True)
+        monkeypatch.setattr(HandoverDrafter, "_owner_has_read_transfer", lambda *_: True)
     simulation = Simulation(1, 1)
     machine, owner = simulation.machine_ids[0], simulation.owners[OWN]
     worker = simulation.workers[machine]
