--- a/src/dapplewick/controller/overload.py
+++ b/src/dapplewick/controller/overload.py
@@ -38,7 +38,7 @@
         """Return the event loop's lag, caused by a suspended process or by overload.
 
         Includes the delay of a timer that is overdue now, so that the first code that runs after a
-        suspension already sees the lag.
+        suspension already detects the lag.
         """
         return max(self.lag_s, self._now() - self._due_at)
 
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -29,7 +29,7 @@
 TICK_DELAY_FACTOR = 40.0
 NO_SHARD_POLL_INTERVAL_S = 0.5  # while this process owns no shard
 UNCHANGED_STATUS_INTERVAL_S = 1.5  # between statuses of a shard without changes
-# A status is due after this share of its interval, since the delays between ticks vary.
+# A status is due after this fraction of its interval, since the delays between ticks vary.
 STATUS_DUE_FRACTION = 0.9
 
 
--- a/src/dapplewick/coordination/peer_reachability.py
+++ b/src/dapplewick/coordination/peer_reachability.py
@@ -14,7 +14,7 @@
 
 
 class _PresenceStart(NamedTuple):
-    """An incarnation of a controller, and when this process first saw its presence record."""
+    """An incarnation of a controller, and when this process first read its presence record."""
 
     incarnation: str
     at: Seconds
--- a/src/dapplewick/core/estimates.py
+++ b/src/dapplewick/core/estimates.py
@@ -1,4 +1,4 @@
-"""Corrections of the job owners' run time estimates, learned from tasks that have ended.
+"""Corrections of users' run time estimates, computed from tasks that have ended.
 
 The paper "Job Scheduling in a Distributed System Using Backfilling with Inaccurate Runtime
 Computations" assumes estimates within 30 %. Estimates of a job class with larger errors are
@@ -29,7 +29,7 @@
         self._biases: dict[str, Bias] = {}
 
     def learn(self, job_class: str, estimate_s: Seconds, actual_s: Seconds) -> None:
-        """Learn from a task that has ended; observations with non-positive times are ignored."""
+        """Update the corrections from an ended task; times that are not positive are ignored."""
         if estimate_s <= 0.0 or actual_s <= 0.0:
             return
         observed = math.log(min(MAX_RATIO, max(MIN_RATIO, actual_s / estimate_s)))
--- a/src/dapplewick/core/leader/machine_groups.py
+++ b/src/dapplewick/core/leader/machine_groups.py
@@ -91,7 +91,7 @@
     rewritten with some of its machines removed, because the result would still exceed the lower
     limit. Its machines are therefore copied to new groups first, and the group is removed once each
     machine is in a newer group. Meanwhile `WatchCache` uses the newer record of a machine, so a
-    change of leader in between loses nothing.
+    change of leader in between loses no machine.
 
     Attributes:
         group_name: The group that is split in this pass; None if no group is too large.
--- a/src/dapplewick/core/leader/reconciliation.py
+++ b/src/dapplewick/core/leader/reconciliation.py
@@ -36,7 +36,7 @@
         self._drafts = drafts
         self._shards = shards
         self._preemption_threshold_s = preemption_threshold_s
-        # When each gang was first seen holding reserved slots without preempting.
+        # When each gang was first found to hold reserved slots without preempting.
         self._reserved_since: dict[JobId, Seconds] = {}
 
     def reconcile(self, now: Seconds) -> None:
--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -35,7 +35,7 @@
 
 
 class _OwnerTerm(NamedTuple):
-    """An owner's fencing token, and when the leader first saw it in its present term."""
+    """An owner's fencing token, and when the leader first recorded it in its present term."""
 
     token: FencingToken
     recorded_at: Seconds
--- a/src/dapplewick/partitions/handover.py
+++ b/src/dapplewick/partitions/handover.py
@@ -86,7 +86,7 @@
     ) -> list[MachineId]:
         """The machines of a transfer that are proven empty, if the target shard has an owner."""
         if self._drafts.is_drafted(transfer) or not record.draining:
-            return []  # the draft is not stored yet, so no owner has seen it
+            return []  # the draft is not stored yet, so no owner has read it
         if not self._owner_has_read_transfer(transfer, ShardName(record.source), shards):
             return []
         if not self._cache.version(SHARDS + record.target):
@@ -96,9 +96,9 @@
     def _owner_has_read_transfer(
         self, transfer: TransferId, source: ShardName, shards: Iterable[ObservedShard]
     ) -> bool:
-        """Whether the source shard's owner has seen the stored version of the transfer.
+        """Whether the source shard's owner has read the stored version of the transfer.
 
-        An earlier status of the owner proves nothing, because the owner may have started tasks on
+        An earlier status of the owner is no proof, because the owner may have started tasks on
         the machine since, for example after an earlier transfer of the machine was cancelled.
         """
         stored = self._cache.version(TRANSFERS + transfer)
--- a/src/dapplewick/partitions/service.py
+++ b/src/dapplewick/partitions/service.py
@@ -55,7 +55,7 @@
     # Called by the controller
 
     def shard_names(self, zones: list[str]) -> list[str]:
-        """All shards that job records may refer to: the zones' own and those of partitions."""
+        """All shards that job records may refer to: default shards of zones, partition shards."""
         partitions = self._plan_in_force.plan.partitions
         return [
             *zones,
