--- a/src/dapplewick/controller/budgets.py
+++ b/src/dapplewick/controller/budgets.py
@@ -10,9 +10,8 @@
 
 STATE_LIMIT_FRACTION = 0.9  # of the state service's limits, used by all controllers together
 LEADER_WRITE_FRACTION = 0.8  # of all controllers' writes, reserved for the leader
-WATCH_REQUEST_FRACTION = (
-    0.35  # of this controller's requests; each batch of changes costs a new watch
-)
+# Of this controller's requests; each batch of changes costs a new watch.
+WATCH_REQUEST_FRACTION = 0.35
 FRESHNESS_CHECK_FRACTION = 0.4  # of this controller's requests
 MIN_CHECK_INTERVAL_S = 0.25  # users' polls within this time share one freshness check
 CLOUD_LIMIT_FRACTION = 0.8  # of the cloud's request limit; only the leader calls the cloud
--- a/src/dapplewick/core/demand.py
+++ b/src/dapplewick/core/demand.py
@@ -177,9 +177,9 @@
         mean = self._decayed_arrivals / (weight * RATE_DECAY_S) * GANG_WINDOW_S
         # Gangs end about as often as they arrive, so slots cover only the random fluctuations of
         # both: the variance of the difference is twice the mean.
-        demand = self._slot_factor * GANG_SLOT_DEVIATIONS * math.sqrt(2.0 * mean)
+        slots = self._slot_factor * GANG_SLOT_DEVIATIONS * math.sqrt(2.0 * mean)
         preempts = blocking_priority < self.priority
-        self.slots = 0.0 if preempts else demand
+        self.slots = 0.0 if preempts else slots
         self.waiting = 0 if preempts else waiting
 
     def _count_tasks(self) -> _TaskCounts:
