--- a/src/dapplewick/core/leader/shard_contacts.py
+++ b/src/dapplewick/core/leader/shard_contacts.py
@@ -21,7 +21,7 @@
 MAX_STATUS_AGE_S = 6.0  # older statuses are not used to decide on capacity
 # A shard is assigned to another owner if the leader has had no contact with its owner for longer
 # than this.
-# The time-out is long because a reassignment loses the shard's gang reservations, and because peers
+# The timeout is long because a reassignment loses the shard's gang reservations, and because peers
 # commonly refuse messages for some seconds.
 OWNER_CONTACT_TIMEOUT_S = 30.0
 # A shard without contact has to be reassigned within this many planning passes plus one per shard;
@@ -35,10 +35,10 @@
 
 
 class _OwnerTerm(NamedTuple):
-    """An owner's fencing token, and when the leader first saw it in its present term."""
+    """An owner's fencing token, and when the leader first recorded it in its present term."""
 
     token: FencingToken
-    first_seen_at: Seconds
+    recorded_at: Seconds
 
 
 class ShardContacts:
@@ -83,8 +83,8 @@
             return 0.0
         shard = self._shards.by_name.get(name)
         if shard is None or shard.token != owner.token or shard.status_number == 0:
-            return now - owner.first_seen_at
-        return now - max(owner.first_seen_at, shard.received_at)
+            return now - owner.recorded_at
+        return now - max(owner.recorded_at, shard.received_at)
 
     def shards_without_contact(self, now: Seconds) -> set[ShardName]:
         """The shards to reassign, because the leader has no contact with their owner."""
--- a/src/dapplewick/core/shard/array_tasks.py
+++ b/src/dapplewick/core/shard/array_tasks.py
@@ -68,7 +68,7 @@
         """Apply the assignments in a job's record to this shard.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             job_id: The job.
             job: The job's record; None if it was deleted.
             assigned: Indices of the tasks assigned to this shard that have no result yet.
@@ -207,7 +207,7 @@
     # Slots
 
     def assign(self, task: TaskRef, slot: Slot) -> None:
-        """Assign a task to a slot; the answer to the machine's next heartbeat starts it."""
+        """Assign a task to a slot; the response to the machine's next heartbeat starts it."""
         array_task = self.get(task)
         assert array_task is not None
         spec, machine = self.spec(task), self._machines.by_id.get(slot.machine)
--- a/src/dapplewick/core/shard/heartbeats.py
+++ b/src/dapplewick/core/shard/heartbeats.py
@@ -93,7 +93,7 @@
         that it is missing; its tasks only count as usage until a newer heartbeat arrives.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine that sent the heartbeat.
             heartbeat: The heartbeat.
             is_current: Whether it carries this shard's fencing token.
@@ -175,7 +175,7 @@
         """Record that a task is no longer on its machine.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             machine: The machine that had the task.
             task: The task.
             reason: The failure reason of the gang's attempt, if the task belongs to a gang.
@@ -217,10 +217,10 @@
     def _record_lost_start(
         reservation: GangReservation, index: int, is_new_incarnation: bool
     ) -> None:
-        # If no heartbeat has listed the task, the answer with its start command was lost, and the
-        # command is sent again. But a task that was listed, or that was started before a failover
-        # or a new incarnation of the machine, may have run. An attempt must not be started twice,
-        # so the attempt fails.
+        # If no heartbeat has listed the task, the response with its start command was lost, and the
+        # command is sent again. However, a task that was listed, or that was started before a
+        # failover or a new incarnation of the machine, may have run. An attempt must not be started
+        # twice, so the attempt fails.
         if index in reservation.listed_indices or reservation.inherited or is_new_incarnation:
             reservation.failure_reason = "start lost"
         else:
--- a/src/dapplewick/core/shard/replicas.py
+++ b/src/dapplewick/core/shard/replicas.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# A replica is stopped this long before its spot machine is withdrawn, even if no other machine has
+# A replica is stopped this long before its spot machine is reclaimed, even if no other machine has
 # capacity for it.
 EVICTION_LEAD_S = 6.0
 PREEMPTION_COST_S = 4.0  # time until preempted tasks have stopped, plus their lost work
@@ -62,7 +62,7 @@
         for spot machines and for accelerators.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             spec: The service's specification.
             job_id: The service's job.
             eligible: The machines to choose from.
@@ -81,7 +81,7 @@
                 self._available_with_preemption(machine, available, spec.priority)
             ):
                 continue
-            # The answer to one heartbeat stops the preempted tasks, and the answer to the next
+            # The response to one heartbeat stops the preempted tasks, and the response to the next
             # starts the replica. This is faster than fetching an image.
             cost_s = (
                 self._placement_cost(now, spec, job_id, machine) + PREEMPTION_COST_S * must_preempt
@@ -118,7 +118,7 @@
             )
             cost_s += spec.image_gb / max(MIN_FETCH_RATE_GB_PER_S, rate)
             cost_s += machine.pending_image_fetches()
-        # The start is sent in the answer to the machine's next heartbeat, so the time until then
+        # The start is sent in the response to the machine's next heartbeat, so the time until then
         # is part of the delay.
         cost_s += max(0.0, self._heartbeat_interval_s - (now - machine.last_heartbeat_at))
         return cost_s + FREE_CPU_COST_S * machine.free().cpus
@@ -126,8 +126,8 @@
     def must_leave(self, now: Seconds, machine: Machine, job_id: JobId, spec: JobSpec) -> bool:
         """Whether a replica must leave its machine now.
 
-        It leaves a machine that is slow, draining or about to be withdrawn as soon as another
-        machine with its image has free capacity. Shortly before a spot machine is withdrawn, it
+        It leaves a machine that is slow, draining or about to be reclaimed as soon as another
+        machine with its image has free capacity. Shortly before a spot machine is reclaimed, it
         leaves in any case.
         """
         if machine.spot_notice_s is not None and machine.spot_notice_s < EVICTION_LEAD_S:
@@ -158,7 +158,7 @@
         to the cloud, unless unqueued tasks end the drain once it is empty.
 
         Args:
-            now: The time.
+            now: The monotonic clock, in seconds.
             has_unqueued_tasks: Whether any array task is in no slot or queue.
 
         Yields:
--- a/src/dapplewick/partitions/rebalancer.py
+++ b/src/dapplewick/partitions/rebalancer.py
@@ -79,7 +79,7 @@
         )
 
     def served_teams(self, shard: ShardName) -> frozenset[str] | None:
-        """The teams whose work may be placed in a shard; None (all) for a zone's own shard."""
+        """The teams whose work may be placed in a shard; None (all) for a zone's default shard."""
         name = partition_of(shard)
         if not name:
             return None
@@ -95,15 +95,15 @@
         """
         if self._cache.format < PARTITIONS_FORMAT:
             return []
-        wanted = {
+        required = {
             shard_name(cell.zone, cell.partition): None
             for cell, count in self.targets.items()
             if count > 0 and cell.partition in self.plan.partitions
         }
         for record in self._drafts.open_records().values():
             if partition_of(record.target) in self.plan.partitions:
-                wanted[ShardName(record.target)] = None
-        return list(wanted)
+                required[ShardName(record.target)] = None
+        return list(required)
 
     def changes(
         self,
--- a/src/dapplewick/storage/job_records.py
+++ b/src/dapplewick/storage/job_records.py
@@ -13,7 +13,7 @@
 
 OPEN, DONE, CANCELLED = "open", "done", "cancelled"  # stored stages of a job
 
-# Bytes of a record's other fields and quotes beside the sets of tasks, and bytes of quotes and
+# Bytes of a record's fields and quotes other than the sets of tasks, and bytes of quotes and
 # separators that are added to each shard's name.
 _RECORD_OVERHEAD_BYTES = 40
 _NAME_OVERHEAD_BYTES = 8
@@ -57,7 +57,7 @@
     assignments: dict[str, str] = msgspec.field(name="grants", default_factory=dict)
 
 
-class GangPlacementPart(msgspec.Struct):
+class GangPlacementPiece(msgspec.Struct):
     """A piece of the placement of a long gang, stored in its own key."""
 
     attempt: int
