--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -137,6 +137,8 @@
             return decoded
         return None
 
+    ask = request  # earlier versions of the controller call it by this name
+
     async def run(self) -> None:
         while True:
             await anyio.sleep(0.02 + self.world.random.random() * 0.03)
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -39,7 +39,7 @@
     async def unchecked(self: RecordFollower) -> Seconds:
         return self.now()
 
-    patch.setattr(RecordFollower, "current", unchecked)
+    patch.setattr(RecordFollower, "wait_until_current", unchecked)
 
 
 def any_machine_will_do(patch: pytest.MonkeyPatch) -> None:
