--- a/src/dapplewick/controller/budgets.py
+++ b/src/dapplewick/controller/budgets.py
@@ -1,4 +1,4 @@
-"""How much of the limits of the services and of its machine one controller may use."""
+"""Divides the limits of the services and of the host among controllers and their tasks."""
 
 from __future__ import annotations
 
@@ -8,34 +8,30 @@
 from dapplewick.coordination.election import WriteRates
 from dapplewick.storage.state_client import CALL_TIMEOUT_S
 
-STATE_LIMIT_SHARE = 0.9  # of the state service's limits that all controllers use together
-LEADER_WRITE_SHARE = 0.8  # of the writes: the leader's
-WATCH_REQUEST_SHARE = (
-    0.35  # of this controller's requests: a watch is opened anew after each change
-)
-FRESHNESS_CHECK_SHARE = 0.4  # of this controller's requests: checks that the watch cache is current
-MIN_CHECK_INTERVAL_S = 0.25  # polls within this time wait for one check together
-CLOUD_LIMIT_SHARE = 0.8  # of the cloud's limit: only the leader calls it
-BASE_RESERVED_SOCKETS = (
-    64  # kept for the state service, the cloud and what a process has open anyway
-)
-MIN_CLIENT_SOCKETS = 16  # for workers and users, however low the limit is
+STATE_LIMIT_SHARE = 0.9  # of the state service's limits, for all controllers together
+LEADER_WRITE_SHARE = 0.8  # of all controllers' writes, reserved for the leader
+WATCH_REQUEST_SHARE = 0.35  # of this controller's requests; each batch of changes costs a new watch
+FRESHNESS_CHECK_SHARE = 0.4  # of this controller's requests
+MIN_CHECK_INTERVAL_S = 0.25  # users' polls within this time share one freshness check
+CLOUD_LIMIT_SHARE = 0.8  # of the cloud's request limit; only the leader calls the cloud
+BASE_RESERVED_SOCKETS = 64  # for the state service, the cloud and the process's own files
+MIN_CLIENT_SOCKETS = 16  # for workers and users, even if the file limit is lower
 
 
 class Budgets(NamedTuple):
-    """What one controller may use of the state service and the cloud."""
+    """Request rates that one controller may use."""
 
-    calls_per_s: float  # of the state service
-    writes_per_s: WriteRates  # of the state service
-    watch_delay_s: float  # between the answer to a watch and the next watch
-    check_interval_s: float  # between two checks that the watch cache is current
+    calls_per_s: float  # requests to the state service
+    writes_per_s: WriteRates  # writes to the state service, as leader and otherwise
+    watch_delay_s: float  # between the response to a watch and the next watch
+    check_interval_s: float  # between two freshness checks of the watch cache
     cloud_calls_per_s: float
 
 
 def budgets_of(deployment: Deployment) -> Budgets:
     """Divide a deployment's limits among its controllers."""
-    # The lower of the limits of now and of later, from the start: both are kept to before
-    # and after a moment that comes without notice.
+    # The limits may change to announced values at an unannounced moment, so the lower of the
+    # present and the announced value of each limit applies from the start.
     limits = deployment.state.lowest()
     calls_per_s = limits.rps * STATE_LIMIT_SHARE / deployment.count
     writes_per_s = limits.write_rps * STATE_LIMIT_SHARE
@@ -52,10 +48,11 @@
 
 
 def max_client_sockets(deployment: Deployment) -> int:
-    """How many connections of workers and users may be open.
+    """Return how many connections of workers and users may be open at the same time.
 
-    The state service, the cloud and the peers keep theirs, whatever workers and users do.
+    The remaining sockets are reserved for the state service, the cloud and the peers, so that
+    connections of workers and users can't exhaust them.
     """
-    own = BASE_RESERVED_SOCKETS + 8 * deployment.count
+    reserved = BASE_RESERVED_SOCKETS + 8 * deployment.count
     state_calls = 2.0 * CALL_TIMEOUT_S * deployment.state.rps / deployment.count
-    return max(MIN_CLIENT_SOCKETS, deployment.machine_limits.fd_limit - int(own + state_calls))
+    return max(MIN_CLIENT_SOCKETS, deployment.machine_limits.fd_limit - int(reserved + state_calls))
--- a/src/dapplewick/controller/cloud_calls.py
+++ b/src/dapplewick/controller/cloud_calls.py
@@ -1,4 +1,4 @@
-"""The leader's calls of the cloud: provisioning, deletions, the catalogue and machine lists."""
+"""Calls to the cloud by the leader: provisioning, deletion, catalogue and machine list."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_S = 0.1  # how often is looked for something to call the cloud for
-NON_LEADER_EXTRA_DELAY_S = 0.3  # and where this controller does not lead
+POLL_INTERVAL_S = 0.1  # between two checks for requests to send
+NON_LEADER_EXTRA_DELAY_S = 0.3  # added to POLL_INTERVAL_S while this controller does not lead
 CATALOG_INTERVAL_S = 45.0
 LIST_INTERVAL_S = 10.0
 CALL_TIMEOUT_S = 6.0
 FAILURE_BACKOFF_S = 1.0
-MAX_DELETIONS_PER_CALL = 100  # machines in one call
-PAGE_SIZE = 500  # machines in one page of the list
-MAX_LISTED_MACHINES = 20_000  # machines; with more of them the rest is left for the next list
+MAX_DELETIONS_PER_CALL = 100
+PAGE_SIZE = 500  # machines in one page of the machine list
+MAX_LISTED_MACHINES = 20_000  # no further pages of a list are read beyond this number
 
 
 class CloudConnection(Protocol):
@@ -45,19 +45,28 @@
     async def request(
         self, method: str, target: str, body: bytes | None, within: float
     ) -> tuple[int, bytes]:
-        """Make a request.
+        """Send a request and wait for the response.
+
+        Args:
+            method: the HTTP method.
+            target: the path and the query.
+            body: the request's body, if any.
+            within: the time-out in seconds.
 
         Returns:
-            The status and the body of the answer.
+            The status and the body of the response.
 
         Raises:
-            HttpError: no answer came within so many seconds.
+            HttpError: no response arrived within the time-out.
         """
         ...
 
 
 class CloudCalls:
-    """Carries out what the leader's records say is to be provisioned or deleted."""
+    """Sends the provisioning requests and deletions in the records, and reads the cloud's state.
+
+    Requests are sent only while this controller leads and its presence lease is valid.
+    """
 
     def __init__(
         self,
@@ -78,7 +87,7 @@
         self._deleting: set[MachineId] = set()
 
     async def run(self) -> None:
-        """Call the cloud whenever this controller leads, for ever."""
+        """Call the cloud whenever this controller leads; runs until cancelled."""
         catalog_requested_at = list_requested_at = NEVER_S
         async with anyio.create_task_group() as group:
             while True:
@@ -153,7 +162,7 @@
             status, _ = await self._call("POST", "/hosts/delete", encode_deletion_request(machines))
             if status == 200:
                 leader.machines_deleted(machines)
-                # What was on them can start elsewhere once the records say that they are gone.
+                # Tasks of a deleted machine can start elsewhere once its record is removed.
                 self._leadership.wake(at_once=True)
             else:
                 log.info("event=deletion_failed count=%d status=%d", len(machines), status)
@@ -170,7 +179,7 @@
                 leader.catalog(parse_catalog(answer))
                 self._leadership.wake()
                 return True
-        except Exception as err:  # noqa: BLE001 a bad catalogue must not end the other calls
+        except Exception as err:  # noqa: BLE001 a malformed catalogue must not stop the other calls
             log.error("event=catalog_malformed error=%s", err)
         return False
 
@@ -189,5 +198,5 @@
                     break
                 since = page.machines[-1].machine
             leader.machines_listed(self._now(), MachineList(machines))
-        except Exception as err:  # noqa: BLE001 a bad list must not end the other calls
+        except Exception as err:  # noqa: BLE001 a malformed list must not stop the other calls
             log.error("event=machine_list_malformed error=%s", err)
--- a/src/dapplewick/controller/controller.py
+++ b/src/dapplewick/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: it joins transport, storage and coordination to the cores, and runs the loops."""
+"""One controller: creates its components, connects them and runs their loops."""
 
 from __future__ import annotations
 
@@ -57,15 +57,16 @@
 if TYPE_CHECKING:
     from dapplewick.partitions.service import PartitionService
 
-MIN_WRITE_BURST = 6.0  # users come at once, so each controller may accept some at once
+MIN_WRITE_BURST = 6.0  # lets each controller accept a burst of simultaneous submissions
 PEER_LISTEN_BACKLOG = 64
 
 
 class Controller:
-    """One controller process: its collaborators, and the tasks that run them.
+    """One controller process: its components and the tasks that run them.
 
-    What follows the records comes first, then what coordinates with the peers, then what answers
-    requests, then the loops that act; each is given only what comes before it.
+    Components are created in the order of their dependencies: tracking of records, coordination
+    with peers, endpoints for requests, and the loops of the leader, the shards and the cloud calls.
+    Each component depends only on earlier ones.
     """
 
     def __init__(
@@ -100,7 +101,7 @@
     def _create_service_clients(
         self, connect: Callable[[str, int], HttpClient], budgets: Budgets
     ) -> None:
-        """Make the clients of the state service and the cloud."""
+        """Create the clients of the state service and the cloud."""
         outside = self.settings.outside
         self.state = StateClient(
             connect(*host_port(outside.state, "outside.state")),
@@ -112,7 +113,7 @@
         self.cloud_budget = RateLimiter(budgets.cloud_calls_per_s)
 
     def _create_record_tracking(self, budgets: Budgets) -> None:
-        """Make what reads the records, and what is told of them."""
+        """Create the watch cache, and the components that use or update it."""
         deployment = self.settings.deployment
         self.cache = WatchCache()
         self.limits = RecordLimits(deployment.state, self.cache)
@@ -141,7 +142,7 @@
         partitions: PartitionService | None,
         budgets: Budgets,
     ) -> None:
-        """Make what coordinates this controller with the others."""
+        """Create the components that coordinate this controller with its peers."""
         self.links = {
             ControllerName(peer.host_name): link(*host_port(peer.peer_addr, "peers.peer_addr"))
             for peer in self.settings.peers
@@ -179,7 +180,7 @@
         )
 
     def _create_endpoints(self, partitions: PartitionService | None) -> None:
-        """Make what answers peers, operators and HTTP requests."""
+        """Create the endpoints for peers, operators and HTTP clients."""
         deployment = self.settings.deployment
         self.latencies = Latencies()
         self.overload = OverloadMonitor(self.now)
@@ -218,7 +219,7 @@
         )
 
     def _create_http_endpoints(self, user_api: UserApi) -> None:
-        """Make what answers HTTP requests of workers, users and the platform."""
+        """Create the endpoints for HTTP requests of workers, users and the platform."""
         worker_endpoint = WorkerEndpoint(
             identity=self.identity,
             records=self.records,
@@ -257,7 +258,7 @@
         return PartitionSwitch(partitions, host, self.cache, self.settings.deployment.zones)
 
     def _create_loops(self) -> None:
-        """Make what plans, ticks and calls the cloud."""
+        """Create the loops of the leader, the shards and the cloud calls."""
         self.shard_loop = ShardLoop(
             self.identity,
             self.records,
@@ -296,7 +297,7 @@
         )
 
     def _new_planner(self, epoch: FencingToken, now: Seconds) -> LeaderPlanner:
-        """The planner of a new term of leadership."""
+        """Create the planner for a new leadership term."""
         return LeaderPlanner(
             self.cache,
             self.settings,
@@ -310,12 +311,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the records were read at least once."""
+        """Whether the records have been read at least once."""
         return self.records.ready
 
     @property
     def leader(self) -> LeaderPlanner | None:
-        """The planner of the present term, if this process leads."""
+        """The planner of the current leadership term; None if this process does not lead."""
         return self.leadership.planner
 
     @property
@@ -328,18 +329,18 @@
         return await self._router.handle(request)
 
     async def on_request(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Handle a message on a peer connection; some are answered on it.
+        """Handle a message on a peer connection; return the response, if its kind has one.
 
         Raises:
-            ValueError: it is malformed.
+            ValueError: the message is malformed.
         """
         return await self._peer_endpoint.on_request(message)
 
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Handle a peer's message that is answered at once or not at all.
+        """Handle a peer message whose kind needs no I/O; return the response, if its kind has one.
 
         Raises:
-            ValueError: it is malformed.
+            ValueError: the message is malformed.
         """
         return self._peer_endpoint.on_message(message)
 
@@ -347,7 +348,7 @@
         """Listen to clients and peers, and run all loops, until cancelled.
 
         Raises:
-            OSError: an address can't be listened at.
+            OSError: a listen address is unavailable.
         """
         deployment = self.settings.deployment
         max_clients = max_client_sockets(deployment)
@@ -373,13 +374,13 @@
             await ConnectionAcceptor(max_clients, serve).run(client_listener)
 
     async def run_loops(self) -> None:
-        """Run all that a controller does besides answering, until cancelled."""
+        """Run all background loops until cancelled; requests are not served here."""
         async with anyio.create_task_group() as group:
             for link in self.links.values():
                 group.start_soon(link.run)
             if self.partitions.service is not None:
                 group.start_soon(run_supervised, "run", self.partitions.service.run)
-            # The names are those by which the log tells of a loop that broke.
+            # The names identify a crashed loop in the log (event=loop_crashed).
             for name, loop in (
                 ("_lease_loop", self.presence.run),
                 ("_watch_loop", self.records.run_watch),
--- a/src/dapplewick/controller/core_notifier.py
+++ b/src/dapplewick/controller/core_notifier.py
@@ -1,4 +1,4 @@
-"""Tells the cores of this process, shards' schedulers and planner, of records that changed."""
+"""Notifies the shard schedulers and the planner of this process about changed records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CoreNotifier:
-    """Brings the schedulers of the owned shards up to date, and wakes the planner."""
+    """Passes changed records to the schedulers of the owned shards and wakes the planner."""
 
     def __init__(self, cache: WatchCache, owned_shards: OwnedShards, leadership: Leadership):
         self._cache = cache
@@ -20,7 +20,7 @@
         self._leadership = leadership
 
     def is_active(self) -> bool:
-        """Whether this process leads, owns a shard, or may have to lead soon."""
+        """Whether this process leads, owns a shard, or may become leader since no leader exists."""
         return (
             bool(self._owned_shards.schedulers)
             or self._leadership.planner is not None
@@ -28,7 +28,10 @@
         )
 
     def notify(self, now: Seconds, keys: Collection[str], machines: Collection[MachineId]) -> None:
-        """Tell of changed records; shards first: who owns them decides the rest."""
+        """Pass on changed records.
+
+        Shard records are applied first, since they decide which schedulers get the other changes.
+        """
         if any(key.startswith(SHARDS) for key in keys):
             self._owned_shards.update(now)
         jobs = dict.fromkeys(job for key in keys if (job := job_of(key)) is not None)
@@ -42,6 +45,9 @@
         self._leadership.pass_wake.set()
 
     def _is_unassigned_service(self, job_id: JobId) -> bool:
-        """Users wait for its first replicas: the leader does not rest first."""
+        """Whether a job is an open service without assignments.
+
+        Users wait for its first replicas, so the leader skips the delay before its next pass.
+        """
         job = self._cache.jobs.get(job_id)
         return job is not None and job.spec.is_service and job.open and not job.assignments
--- a/src/dapplewick/controller/job_states.py
+++ b/src/dapplewick/controller/job_states.py
@@ -1,14 +1,15 @@
-"""What users may be told of a job: the one place from which answers take a job's state.
+"""Job states for responses to users; every response takes a job's state from this module.
 
-No controller may give an older answer than any has given before. Two kinds of knowledge are safe:
+Reads by users must be monotonic across controllers: no controller may return an older state than
+any controller has returned before. Two kinds of state satisfy this:
 
-- A final state. Records are changed only by comparing versions, and nothing is ever written over
-  a job that is done or cancelled, so it stays true however old the copy is.
-- Anything else, if the newest changes were asked for after the user's question came: whatever was
-  told by then is in the records, since a controller tells only what is stored.
+- A final state. Records change only by compare-and-swap on their versions, and no write replaces a
+  job that is done or cancelled, so a final state stays valid at any age of the cache.
+- Any other state, if the newest changes were requested after the user's request arrived. A
+  controller returns only stored states, so these changes contain every state returned earlier.
 
-What a request was about to write is no such knowledge: its transaction may have been carried out
-without an answer, or refused because the job is known, and the job may be over by then.
+The value that a request was about to write satisfies neither: its transaction may have been applied
+although the response was lost, or rejected because the job exists. The job may have ended since.
 """
 
 from __future__ import annotations
@@ -21,57 +22,61 @@
 from dapplewick.storage.watch_cache import WatchCache
 from dapplewick.types import JobId, Seconds
 
-# Users wait 2 s for the answer to a question. What rests on an older read is not told any more:
-# the process stood still or is short of processor time, and others have told newer things since.
+# Users wait 2 s for a response. An older read isn't used: it means that the process was suspended
+# or short of processor time, and other controllers may have returned newer states since.
 MAX_READ_AGE_S = 2.0
 
 
 class UnreadableJobError(RequestRefusedError):
-    """The newest record of a job can't be parsed: it is known, and nothing can be said of it."""
+    """The newest record of a job can't be parsed: the job exists, but its state is unknown."""
 
 
 class Records(Protocol):
-    """A copy of the records that can be brought up to date."""
+    """A cache of the records that can be brought up to date."""
 
     cache: WatchCache
 
     def now(self) -> Seconds:
-        """The steady clock."""
+        """Return the time of the monotonic clock, in seconds."""
         ...
 
     async def current(self) -> Seconds:
-        """Return once the copy is known to be as new as when this was called.
+        """Wait until the cache holds all changes stored before this call.
 
         Returns:
-            When the changes were asked for, by the steady clock.
+            When the changes were requested, by the monotonic clock.
 
         Raises:
-            RequestRefusedError: they could not be read.
+            RequestRefusedError: the changes could not be read.
         """
         ...
 
 
 class JobStates:
-    """Reads jobs for answers to users.
+    """Reads jobs for responses to users.
 
-    Every read raises RequestRefusedError where it can't be sure of its answer.
+    Every read raises RequestRefusedError if it can't guarantee that its result is recent enough.
     """
 
     def __init__(self, records: Records) -> None:
         self._records = records
 
     async def read(self, job_id: JobId) -> JobRecord | None:
-        """A job as it stands; None if there is none."""
+        """Return a job in its final state from the cache, or else its latest state.
+
+        Returns:
+            The job; None if it does not exist.
+        """
         job = self._records.cache.jobs.get(job_id)
         if job is not None and not job.open:
             return job
         return await self.read_latest(job_id)
 
     async def read_latest(self, job_id: JobId, *, for_change: bool = False) -> JobRecord | None:
-        """A job as it stands by a read that begins now; None if there is none.
+        """Return a job by a read that begins now; None if the job does not exist.
 
-        The age of the read does not matter for a final state, nor for a job that is read to be
-        changed: the write names the version that it replaces.
+        The age of the read is not checked for a final state, nor with `for_change`: the write that
+        follows such a read is conditional on the version that was read.
         """
         requested_at = await self._records.current()
         job = self.cached(job_id)
@@ -81,7 +86,11 @@
         return job
 
     def cached(self, job_id: JobId) -> JobRecord | None:
-        """A job by what was read so far, where a read or a write of it has just ended."""
+        """Return a job from the cache; only valid right after a read or a write of the job.
+
+        Raises:
+            UnreadableJobError: the job's newest record can't be parsed.
+        """
         if JOBS + job_id in self._records.cache.unreadable:
             raise UnreadableJobError(job_id)
         return self._records.cache.jobs.get(job_id)
--- a/src/dapplewick/controller/latencies.py
+++ b/src/dapplewick/controller/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies and waits, counted in histograms."""
+"""Histograms of request latencies."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class Latencies:
-    """A histogram in milliseconds for each thing that is measured."""
+    """A histogram in milliseconds for each kind of request."""
 
     def __init__(self) -> None:
         self._histograms: dict[str, HdrHistogram] = {}
 
     def record(self, name: str, seconds: float) -> None:
-        """Count one duration, in seconds; what is out of range counts as the nearest bound."""
+        """Record one duration in seconds, clamped to the histogram's range."""
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = self._histograms[name] = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
         histogram.record_value(min(MAX_MS, max(MIN_MS, round(seconds * 1000))))
 
     def summarize(self) -> dict[str, LatencySummary]:
-        """Summarise every histogram."""
+        """Return a summary of each histogram."""
         return {
             name: {
                 "count": histogram.get_total_count(),
--- a/src/dapplewick/controller/leader_loop.py
+++ b/src/dapplewick/controller/leader_loop.py
@@ -1,4 +1,4 @@
-"""Planning passes while this process leads, and campaigns while it does not."""
+"""Runs planning passes while this process leads, and campaigns for leadership otherwise."""
 
 from __future__ import annotations
 
@@ -36,20 +36,21 @@
 log = logging.getLogger(__name__)
 
 NOT_READY_POLL_INTERVAL_S = 0.1
-CAMPAIGN_INTERVAL_S = 0.3  # a controller that does not lead looks this often whether it should
-ISOLATED_CAMPAIGN_DELAY_S = (
-    3.0  # one that hears no peer lets the others campaign first for this long
-)
-MAX_PASS_INTERVAL_S = 0.5  # a pass begins this long after the last one, also when nothing changed
+CAMPAIGN_INTERVAL_S = 0.3  # between two campaigns of a controller that does not lead
+# A controller without contact to its peers lets the others campaign first for this long.
+ISOLATED_CAMPAIGN_DELAY_S = 3.0
+# The longest wait for a change after a pass; MIN_PASS_DELAY_S to MAX_PASS_DELAY_S are added to it.
+MAX_CHANGE_WAIT_S = 0.5
 MIN_PASS_DELAY_S = 0.25
 MAX_PASS_DELAY_S = 0.8
-# After a pass the leader leaves the processor alone for this times as long, within the limits.
+# The delay before the next pass is the duration of the last one times this factor, within
+# MIN_PASS_DELAY_S and MAX_PASS_DELAY_S, so that planning leaves processor time to other tasks.
 PASS_DELAY_FACTOR = 20.0
 
 
 @dataclass(eq=False, kw_only=True)
 class LeaderLoop:
-    """Campaigns, plans and writes; one pass after the other."""
+    """Campaigns for leadership; as leader, plans and writes in one pass after the other."""
 
     identity: Identity
     records: RecordFollower
@@ -69,7 +70,7 @@
     _last_pass_duration_s: Seconds = field(default=0.0, init=False)
 
     async def run(self) -> None:
-        """Lead or campaign for ever. A pass that breaks is logged and followed by the next."""
+        """Lead or campaign until cancelled; failed passes are logged."""
         while True:
             try:
                 if not self.records.ready:
@@ -101,7 +102,10 @@
             await self._lead()
 
     async def _campaign(self) -> None:
-        """Try to become leader, after those that hear their peers."""
+        """Try to become leader.
+
+        Without contact to any peer, controllers that have contact get time to campaign first.
+        """
         if self.records.cache.leader is None and self._has_no_peer_contact():
             await anyio.sleep(ISOLATED_CAMPAIGN_DELAY_S)
         await self.election.campaign(owns_shards=bool(self.owned_shards.schedulers))
@@ -113,8 +117,8 @@
         return self.silence.silent(now, self.records.cache.controllers)
 
     async def _wait_for_next_pass(self) -> None:
-        """Wait for something to plan; leave the processor to others unless work waits for it."""
-        with anyio.move_on_after(MAX_PASS_INTERVAL_S):
+        """Wait for a change, then for the delay between passes, which an urgent wake cuts short."""
+        with anyio.move_on_after(MAX_CHANGE_WAIT_S):
             self.leadership.pass_wake.clear()
             await self.leadership.pass_wake.wait()
         delay_s = max(
@@ -125,7 +129,7 @@
         self.leadership.urgent_wake.clear()
 
     async def _lead(self) -> None:
-        """Make one planning pass, and write what it decides."""
+        """Run one planning pass and write its decisions."""
         epoch = await self.election.settle_epoch()
         self.election.note_planned(epoch)
         now = self.now()
@@ -154,7 +158,7 @@
         )
 
     def _is_isolated(self, snapshot: OwnersView, now: Seconds) -> bool:
-        """Whether neither a peer nor a worker reaches this leader, and another should lead."""
+        """Whether this leader has contact to no peer and no worker, so that another should lead."""
         populated = {
             name for name, scheduler in self.owned_shards.schedulers.items() if scheduler.machines
         }
@@ -170,7 +174,7 @@
         self.assigner.wanted = service.wanted_shards() if service is not None else []
 
     async def _assign_shards(self, snapshot: OwnersView, epoch: FencingToken, now: Seconds) -> None:
-        """Write the new owners of shards, each by itself."""
+        """Write the new owners of shards, each in a transaction of its own."""
         for assignment in self.assigner.changes(now, snapshot):
             key = SHARDS + assignment.shard
             log.info(
@@ -188,7 +192,7 @@
             await self.election.write(epoch, [change])
 
     def _apply_own_shard_statuses(self, planner: LeaderPlanner, now: Seconds) -> None:
-        """Give the planner the statuses of this process's own shards."""
+        """Pass the statuses of the shards that this process owns to the planner."""
         for name, scheduler in self.owned_shards.schedulers.items():
             base = self.confirmations.base(name, scheduler.token)
             status_number = planner.shard_status(now, scheduler.status(now, base))
--- a/src/dapplewick/controller/leader_writer.py
+++ b/src/dapplewick/controller/leader_writer.py
@@ -1,4 +1,4 @@
-"""Writes of a planning pass, within the leader's budget and the state service's limits."""
+"""Writes the changes of a planning pass within the write budget and the size limits."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 log = logging.getLogger(__name__)
 
-URGENT_WRITE_RESERVE = 0.3  # of a second's writes are left by progress for what users wait for
+URGENT_WRITE_RESERVE = 0.3  # of a second's writes, which PROGRESS writes leave to more urgent ones
 
 
 class LeaderWriter:
-    """Writes what a planning pass has decided, and tells the planner what is stored."""
+    """Writes the changes of planning passes and notifies the planner of stored ones."""
 
     def __init__(
         self,
@@ -43,8 +43,8 @@
 
         Raises:
             TransactionConflictError: the epoch or a record has changed.
-            OutcomeUnknownError: a write may have been done, or may come late.
-            RequestRefusedError: a write was not done.
+            OutcomeUnknownError: a write may have been applied, or may still be applied later.
+            RequestRefusedError: a write was not applied.
         """
         for batch in split_into_transactions(
             self._within_budget(changes),
@@ -54,12 +54,13 @@
             await self._write_batch(epoch, now, batch)
 
     def _within_budget(self, changes: list[ConditionalWrite]) -> list[ConditionalWrite]:
-        """Leave out what the budget does not allow.
+        """Drop the changes that exceed the write budget.
 
-        It is found again by the next pass, or overtaken by more.
+        The next pass produces them again, or newer changes that replace them.
         """
         available = self._write_budget.available()
-        # What users wait for, and what ends tasks, goes before what is only kept for a restart.
+        # Writes that users wait for or that end tasks have precedence over progress records, which
+        # serve only a restart.
         urgent_count = sum(change.priority < WritePriority.PROGRESS for change in changes)
         limit_with_reserve = int(available - URGENT_WRITE_RESERVE * self._write_budget.rate_per_s)
         limit = min(int(available), max(urgent_count, limit_with_reserve))
@@ -73,8 +74,9 @@
     ) -> None:
         """Write a batch as one transaction.
 
-        Where it is refused for its size, each change is written by itself, so that one that is
-        too large keeps no other back.
+        If the state service rejects it for its size, each change is written in a transaction of its
+        own, so that one that is too large does not block the others. A batch with a transaction
+        group must stay atomic and is dropped.
         """
         try:
             await self._election.write(epoch, batch)
--- a/src/dapplewick/controller/overload.py
+++ b/src/dapplewick/controller/overload.py
@@ -1,4 +1,4 @@
-"""How far this process is behind with what is due."""
+"""Measures the event loop's lag to detect overload."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from dapplewick.types import Seconds
 
 SAMPLE_INTERVAL_S = 0.25
-MAX_LAG_S = 1.0  # a controller that is later than this takes nothing from users
-LAG_DECAY = 0.8  # what is left of a delay after each sample without one
+MAX_LAG_S = 1.0  # with more lag, users' requests are refused
+LAG_DECAY = 0.8  # factor by which the recorded lag decays with each sample
 NO_TIMER_DUE_AT = 1e18
 
 
 class OverloadMonitor:
-    """Measures by how much a timer of this process is late.
+    """Measures how late a periodic timer of this process fires.
 
     Attributes:
-        lag_s: how late it was, fading.
+        lag_s: the delay of the timer at the last sample, or the decayed delay of earlier samples if
+            that is longer.
     """
 
     def __init__(self, now: Callable[[], Seconds]) -> None:
@@ -27,19 +28,20 @@
         self._due_at: Seconds = NO_TIMER_DUE_AT
 
     async def run(self) -> None:
-        """Measure for ever."""
+        """Sample the lag until cancelled."""
         while True:
             self._due_at = self._now() + SAMPLE_INTERVAL_S
             await anyio.sleep(SAMPLE_INTERVAL_S)
             self.lag_s = max(self._now() - self._due_at, self.lag_s * LAG_DECAY)
 
     def current_lag_s(self) -> Seconds:
-        """How far this process is behind: it stood still, or has more to do than it can.
+        """Return the event loop's lag, caused by a suspended process or by overload.
 
-        It is known at once, in the turn in which the process goes on.
+        Includes the delay of a timer that is overdue now, so that the first code that runs after a
+        suspension already sees the lag.
         """
         return max(self.lag_s, self._now() - self._due_at)
 
     def is_overloaded(self) -> bool:
-        """Whether this process is too far behind to take anything from users."""
+        """Whether the lag is too high to accept users' requests."""
         return self.current_lag_s() > MAX_LAG_S
--- a/src/dapplewick/controller/owned_shards.py
+++ b/src/dapplewick/controller/owned_shards.py
@@ -1,4 +1,4 @@
-"""The shards that this controller owns by the records."""
+"""The shards that the records assign to this controller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OwnedShards:
-    """A scheduler for each shard that the records assign to this incarnation."""
+    """Holds a scheduler for each shard that the records assign to this incarnation."""
 
     def __init__(
         self,
@@ -38,7 +38,10 @@
         self.schedulers: dict[ShardName, ShardScheduler] = {}
 
     def update(self, now: Seconds) -> None:
-        """Take over what the records say of owners: each new token begins a new scheduler."""
+        """Create and drop schedulers by the owners in the records.
+
+        Each new fencing token of an owned shard gets a new scheduler.
+        """
         for name in dict.fromkeys([*self.schedulers, *self._assigner.shards()]):
             token = FencingToken(self._cache.version(SHARDS + name))
             owned = self._is_owned(name)
--- a/src/dapplewick/controller/partition_host.py
+++ b/src/dapplewick/controller/partition_host.py
@@ -1,4 +1,4 @@
-"""What the partition service is given of its controller."""
+"""The interface of a controller that its partition service uses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False, kw_only=True)
 class PartitionHost:
-    """Joins the collaborators of the partition service."""
+    """Gives the partition service access to components of its controller."""
 
     settings: Settings
     estimates: Estimates
@@ -41,17 +41,17 @@
 
     @property
     def leader(self) -> LeaderPlanner | None:
-        """The planner of the present term, if this process leads."""
+        """The planner of the current leadership term; None if this process does not lead."""
         return self.leadership.planner
 
     def wake_leader(self, at_once: bool = False) -> None:
-        """Ask for a planning pass; at once if work waits for it."""
+        """Request a planning pass; `at_once` skips the delay between passes."""
         self.leadership.wake(at_once)
 
     def limits_now(self) -> StateLimits:
-        """How large values and transactions may be."""
+        """Return the size limits of values and transactions that apply now."""
         return self.limits.current()
 
     def stored(self, key: str, value: object, version: int) -> None:
-        """Take over a write of this process that is known to be done."""
+        """Apply a stored write of this process to the watch cache."""
         self.records.stored(key, value, version)
--- a/src/dapplewick/controller/partition_switch.py
+++ b/src/dapplewick/controller/partition_switch.py
@@ -1,4 +1,4 @@
-"""Whether partitions of zones are switched on, and what moves machines between them."""
+"""Selects the service that moves machines between partitions of zones, if one is needed."""
 
 from __future__ import annotations
 
@@ -14,10 +14,13 @@
 
 
 class PartitionSwitch:
-    """The partition service, where partitions are switched on or some are left from before.
+    """Provides the partition service.
+
+    A service is needed if partitions are enabled, or if partitions of an earlier configuration
+    still exist.
 
     Attributes:
-        service: the service by the operators' plan; None where partitions are switched off.
+        service: the service for the operators' plan; None if partitions are disabled.
     """
 
     def __init__(
@@ -36,17 +39,17 @@
             service.attach(host)
 
     def active_service(self) -> PartitionService | None:
-        """The service that moves machines between partitions now.
+        """Return the service that moves machines between partitions now, if one is needed.
 
-        Where partitions are switched off, but some are left from before, one without a plan brings
-        all machines back to the zones' own shards.
+        If partitions are disabled while partitions or transfers of an earlier configuration still
+        exist, a service without a plan returns all machines to the shards of their zones.
         """
         if self.service is not None:
             return self.service
         if not self._cache.transfers and not any(map(partition_of, self._cache.shards)):
             self._dissolving_service = None
         elif self._dissolving_service is None:
-            # Loaded only here: controllers without partitions do without it and its solver.
+            # Imported on demand: controllers without partitions need neither it nor its solver.
             from dapplewick.partitions.service import PartitionService
 
             self._dissolving_service = PartitionService(None)
@@ -54,10 +57,10 @@
         return self._dissolving_service
 
     def shard_names(self) -> list[str]:
-        """The shards that records of jobs may have to name."""
+        """Return the names of all shards that job records may refer to."""
         return self._zones if self.service is None else self.service.shard_names(self._zones)
 
 
 def supported_format(partitions: PartitionService | None) -> int:
-    """The newest format of records that a controller says it understands."""
+    """Return the newest record format that a controller announces as supported."""
     return PARTITIONS_FORMAT if partitions is not None else FORMAT_NOW
--- a/src/dapplewick/controller/peer_endpoint.py
+++ b/src/dapplewick/controller/peer_endpoint.py
@@ -1,4 +1,4 @@
-"""Messages of peers and operators: what each kind is given to."""
+"""Dispatches messages of peers and operators by their kind."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(eq=False, kw_only=True)
 class PeerEndpoint:
-    """Hears frames, and answers those that have an answer."""
+    """Handles messages of peer connections and returns responses for kinds that have one."""
 
     leadership: Leadership
     exchange: PeerExchange
@@ -39,7 +39,7 @@
         """Handle any message on a peer connection.
 
         Returns:
-            The answer that goes back on the connection, if there is one.
+            The response to send on the connection, if the kind of message has one.
 
         Raises:
             ValueError: the message is malformed.
@@ -52,10 +52,10 @@
         return self.on_message(message)
 
     def on_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Handle a message that is answered at once or not at all.
+        """Handle a message whose kind needs no I/O.
 
         Returns:
-            The answer that goes back on the connection, if there is one.
+            The response to send on the connection, if the kind of message has one.
 
         Raises:
             ValueError: the message is malformed.
@@ -87,7 +87,7 @@
         )
 
     async def _answer_forwarded(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a user's request that a peer can't decide."""
+        """Respond to a user's request that a peer without the state service forwards."""
         forwarded = peers.decode(message, ForwardedRequest)
         request = Request(forwarded.method, forwarded.target, forwarded.body, False)
         answer = await self.user_api.answer(request) or NO_PATH
@@ -97,7 +97,7 @@
         return peers.encode(response)
 
     async def _answer_partition_command(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer an operator's command on partitions."""
+        """Respond to an operator's command on partitions."""
         service = self.partitions.service
         if service is None:
             return {"status": 404, "error": "shares are not switched on here"}
--- a/src/dapplewick/controller/record_follower.py
+++ b/src/dapplewick/controller/record_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the watch cache up to date, and knows how old it is."""
+"""Keeps the watch cache up to date and tracks its age."""
 
 from __future__ import annotations
 
@@ -27,20 +27,18 @@
 log = logging.getLogger(__name__)
 
 WATCH_TIMEOUT_MS = 4000
-STANDBY_WATCH_DELAY_S = (
-    0.4  # a controller that neither leads nor owns a shard follows in these steps
-)
+STANDBY_WATCH_DELAY_S = 0.4  # for a controller that neither leads nor owns a shard
 
 
 class RecordFollower:
-    """Reads the records at first and follows their changes.
+    """Loads all records once, then watches them for changes.
 
     Attributes:
-        cache: the copy of the records.
-        ready: whether the records were read at least once.
-        current_at: the watch cache has all that was stored by then, by the steady clock.
-        contact_at: when the state service answered last, by the steady clock.
-        now: the steady clock, in seconds.
+        cache: the watch cache, a copy of the records.
+        ready: whether the records have been read at least once.
+        current_at: the watch cache holds all changes stored up to this time of the monotonic clock.
+        contact_at: when the state service last responded, by the monotonic clock.
+        now: returns the time of the monotonic clock, in seconds.
     """
 
     def __init__(
@@ -71,28 +69,28 @@
         cache.listeners.append(self._on_key_changed)
 
     async def current(self) -> Seconds:
-        """Return once the watch cache is known to be as new as when this was called.
+        """Wait until the watch cache holds all changes stored before this call.
 
         Returns:
-            When the changes were asked for, by the steady clock.
+            When the changes were requested, by the monotonic clock.
 
         Raises:
-            RequestRefusedError: they could not be read.
+            RequestRefusedError: the changes could not be read.
         """
         return await self._read_checks.current()
 
     async def run_checks(self) -> None:
-        """Serve those who wait for `current`, for ever."""
+        """Perform the freshness checks that callers of `current` wait for, until cancelled."""
         await self._read_checks.run()
 
     async def run_watch(self) -> None:
-        """Read the records, and follow their changes for ever."""
+        """Load the records, then watch them for changes until cancelled."""
         while True:
             try:
                 if not self.ready:
                     await self._load()
                 await self._poll_changes(WATCH_TIMEOUT_MS)
-                # What changes meanwhile comes with the next answer, in one request.
+                # The next watch returns all changes of this delay at once, which saves requests.
                 is_active = self._notifier.is_active()
                 await anyio.sleep(self._watch_delay_s if is_active else STANDBY_WATCH_DELAY_S)
             except (RequestRefusedError, OutcomeUnknownError) as err:
@@ -100,19 +98,20 @@
                 await anyio.sleep(0.2 + self._random.random() * 0.3)
 
     def mark_contact(self) -> None:
-        """Note that the state service has answered just now."""
+        """Record that the state service has just responded."""
         self.contact_at = self.now()
 
     def stored(self, key: str, value: object, version: int) -> None:
-        """Take over a write of this process that is known to be done."""
+        """Apply a stored write of this process to the watch cache and notify the schedulers."""
         self.cache.put(key, value, version)
         if key.startswith(JOBS) and isinstance(value, dict) and value.get("stage") == CANCELLED:
-            # Owners that can't read the records stop its tasks sooner; no rule rests on it.
+            # Gossip lets shard owners that can't read the records stop the job's tasks sooner.
+            # Correctness does not depend on it.
             self._gossip_wake.set()
         self.apply_changed()
 
     def apply_changed(self) -> None:
-        """Tell the cores of records that have changed in the watch cache."""
+        """Notify the schedulers and the planner of records that changed in the watch cache."""
         if not self._changed_keys:
             return
         keys, self._changed_keys = dict.fromkeys(self._changed_keys), []
@@ -124,7 +123,7 @@
         self._changed_keys.append(key)
 
     async def _load(self) -> None:
-        """Read all records anew."""
+        """Load all records into the watch cache, in place of its content."""
         sent_at = self.now()
         items, revision = await self._state.listing(ROOT)
         self.cache.reload(items, revision)
@@ -136,7 +135,7 @@
             log.info("event=controller_ready controller=%s revision=%d", name, revision)
 
     async def _poll_changes(self, wait_ms: int) -> None:
-        """Bring the watch cache up to the newest changes."""
+        """Apply the changes since the cached revision; wait up to `wait_ms` if there are none."""
         sent_at = self.now()
         try:
             changes = await self._state.changes(ROOT, self.cache.revision, wait_ms)
--- a/src/dapplewick/controller/record_limits.py
+++ b/src/dapplewick/controller/record_limits.py
@@ -1,4 +1,4 @@
-"""How large records and transactions may be now."""
+"""Size limits of records and transactions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RecordLimits:
-    """The state service's limits, by the format in which the records are written."""
+    """The limits of the state service that apply to the record format in use."""
 
     def __init__(self, limits: StateLimits, cache: WatchCache) -> None:
         self._limits = limits
@@ -18,10 +18,10 @@
         self._cache = cache
 
     def current(self) -> StateLimits:
-        """How large values and transactions may be.
+        """Return the size limits of values and transactions that apply now.
 
-        What controllers of the older version read can't be cut, so until the format is raised a
-        value may be as large as it was.
+        Controllers of the previous version can't read records that are split into chunks. Until the
+        format is raised, values may therefore be as large as the limit before any announced change.
         """
         if self._cache.format >= FORMAT_NOW:
             return self._lowest
--- a/src/dapplewick/controller/router.py
+++ b/src/dapplewick/controller/router.py
@@ -1,4 +1,4 @@
-"""The paths of the HTTP interface, and whether this controller is healthy."""
+"""Routes HTTP requests by path, and decides whether this controller is healthy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 HEARTBEAT_PATH = "/checkin"
 HEALTH_PATH = "/healthz"
-# A controller that did not reach the state service for so long, while a peer did, is unhealthy.
+# A controller without contact to the state service for longer, while a peer has contact, is
+# unhealthy.
 MAX_CONTACT_AGE_S = 5.0
 
 HEALTHY = Response(200)
@@ -26,7 +27,7 @@
 
 @dataclass(eq=False, kw_only=True)
 class Router:
-    """Gives each request to what answers it."""
+    """Passes each HTTP request to the component that handles it."""
 
     records: RecordFollower
     overload: OverloadMonitor
@@ -37,7 +38,7 @@
     now: Callable[[], Seconds]
 
     async def handle(self, request: Request) -> Response:
-        """Answer a worker's, a user's or the platform's request."""
+        """Handle a request of a worker, a user or the platform."""
         path = request.target.partition("?")[0]
         if path == HEARTBEAT_PATH:
             return self.worker_endpoint.answer(request) if request.method == "POST" else NO_METHOD
@@ -47,7 +48,8 @@
             return HEALTHY if self.is_healthy() else UNHEALTHY
         started_at = self.now()
         if self.overload.is_overloaded() and path.startswith(JOBS_PATH):
-            # Answering costs most of what a refusal does not, and workers' leases need it.
+            # Refusing users' requests saves most of their processor time, which heartbeats need to
+            # keep workers' leases alive.
             return OVERLOADED
         answer = await self.user_api.handle(request)
         if answer is None:
@@ -56,13 +58,14 @@
         return answer
 
     def is_healthy(self) -> bool:
-        """Whether users are served here as well as anywhere."""
+        """Whether this controller can serve users at least as well as its peers."""
         if not self.records.ready or self.overload.is_overloaded():
             return False
         now = self.now()
         if now - self.records.contact_at < MAX_CONTACT_AGE_S:
             return True
-        # Cut off alone, this controller sends its users elsewhere. In an outage for all it stays:
-        # being taken out would cost seconds more when the state service is back. Contacts are
-        # a renewal apart at most, so in an outage no peer still claims one by now.
+        # If only this controller lost the state service, the platform should route users to its
+        # peers. In an outage for all controllers it stays healthy, since being taken out of service
+        # would cost further seconds once the state service is back. Contacts are at most one lease
+        # renewal apart, so by now no peer reports a contact from before such an outage.
         return not self.peers.any_reaches_state_service(now)
--- a/src/dapplewick/controller/shard_loop.py
+++ b/src/dapplewick/controller/shard_loop.py
@@ -1,4 +1,4 @@
-"""Ticks of the owned shards, and their statuses to the leader."""
+"""Ticks the schedulers of the owned shards and sends their statuses to the leader."""
 
 from __future__ import annotations
 
@@ -19,20 +19,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CURRENT_RECORD_AGE_S = 6.0  # an open watch answers sooner than that, unless there is an outage
-MIN_TICK_DELAY_S = 0.2  # shards tick, and tell what changed, this often
-# Or less often where that costs much; heartbeats steal what joined no queue yet.
+# Records of at most this age count as current: except in an outage a watch responds sooner.
+MAX_CURRENT_RECORD_AGE_S = 6.0
+# The delay between ticks is the duration of the last round times TICK_DELAY_FACTOR, within these
+# limits. A longer delay does not hold up tasks, since heartbeats also launch tasks that no tick has
+# put into a queue yet.
+MIN_TICK_DELAY_S = 0.2
 MAX_TICK_DELAY_S = 0.5
-TICK_DELAY_FACTOR = 40.0  # after a tick this times its length passes
-NO_SHARD_POLL_INTERVAL_S = 0.5  # and without a shard
-UNCHANGED_STATUS_INTERVAL_S = 1.5
+TICK_DELAY_FACTOR = 40.0
+NO_SHARD_POLL_INTERVAL_S = 0.5  # while this process owns no shard
+UNCHANGED_STATUS_INTERVAL_S = 1.5  # between statuses of a shard without changes
 STATUS_INTERVAL_TOLERANCE = (
     0.9  # of the time between statuses: the ticks are not exactly as far apart
 )
 
 
 class ShardLoop:
-    """Lets the schedulers tick, and sends their statuses to the leader."""
+    """Ticks the schedulers periodically and sends their statuses to the leader."""
 
     def __init__(
         self,
@@ -57,7 +60,7 @@
         self._status_sent_at: dict[ShardName, Seconds] = {}
 
     async def run(self) -> None:
-        """Tick for ever. A scheduler that breaks is logged, and keeps no other back."""
+        """Tick until cancelled. A failing scheduler is logged and does not affect the others."""
         tick_delay_s = MIN_TICK_DELAY_S
         while True:
             await anyio.sleep(tick_delay_s if self._schedulers else NO_SHARD_POLL_INTERVAL_S)
@@ -83,9 +86,9 @@
             self.send_status(now, scheduler)
 
     def send_status(self, now: Seconds, scheduler: ShardScheduler) -> None:
-        """Send a shard's status to the leader, wherever it is."""
+        """Send a shard's status to the leader, or wake the leader's loop in this process."""
         if self._leadership.planner is not None:
-            # The leader's pass takes the status of its own shards itself.
+            # The leader's pass reads the statuses of its own shards directly.
             self._leadership.pass_wake.set()
             return
         record = self._records.cache.leader
--- a/src/dapplewick/controller/startup.py
+++ b/src/dapplewick/controller/startup.py
@@ -1,4 +1,4 @@
-"""Start of one controller."""
+"""Starts a controller process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
 
 
 def configure_logging() -> str | None:
-    """Log to standard error at LOG_LEVEL; gives what is wrong with it, if anything is."""
+    """Log to standard error at the level in LOG_LEVEL.
+
+    Returns:
+        A message if the value of LOG_LEVEL is invalid; info is used then.
+    """
     name = os.environ.get("LOG_LEVEL", "") or "info"
     level = LOG_LEVELS.get(name.lower())
     logging.basicConfig(
@@ -39,11 +43,11 @@
 
 
 def configure_memory() -> None:
-    """Let the collector of cycles search less often.
+    """Make the cyclic garbage collector run less often.
 
-    What is loaded by now stays, and what a controller keeps are long-lived records without cycles:
-    they need not be searched after every 700 new objects. `run.py` loads them with the collector
-    switched off.
+    Objects that exist at start live as long as the process, and a controller mostly keeps
+    long-lived records without cycles, so collecting after every 700 new objects (the default) is
+    wasted. `run.py` imports the modules with the collector disabled; it is enabled here.
     """
     gc.collect()
     gc.freeze()
@@ -52,7 +56,7 @@
 
 
 def raise_file_limit(requested: int) -> None:
-    """Where a process may by default open fewer files than its settings allow, ask for those."""
+    """Raise the soft limit of open files to `requested`, as far as the hard limit allows."""
     try:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY:
@@ -68,11 +72,15 @@
 
 
 class StartupError(Exception):
-    """The process can't start with what it was given; the text says why in one line."""
+    """The process can't start with its inputs; the message gives the reason in one line."""
 
 
 def _load_settings(path: str) -> Settings:
-    """Read the settings; a StartRefusedError says what is wrong with them."""
+    """Read the settings.
+
+    Raises:
+        StartupError: the settings are invalid.
+    """
     try:
         return load(path)
     except SettingsError as err:
@@ -80,10 +88,14 @@
 
 
 def _load_tuning(path: str | None) -> Tuning:
-    """Run the operators' script, if there is one; a StartRefusedError says what is wrong."""
+    """Run the operators' script, if one is given.
+
+    Raises:
+        StartupError: the script is invalid.
+    """
     if not path:
         return Tuning()
-    # Loaded only here: most controllers run without a script.
+    # Imported on demand: most controllers run without a script.
     from dapplewick.script import ScriptError
     from dapplewick.script import load as load_script
 
@@ -94,14 +106,14 @@
 
 
 def _load_partitions(path: str | None, settings: Settings) -> PartitionService | None:
-    """Make the service that keeps the partitions of zones by the plan in a file, if there is one.
+    """Create the partition service for the plan in a file, if one is given.
 
     Raises:
-        StartRefusedError: the plan is bad, or names what the deployment does not have.
+        StartupError: the plan is invalid, or names a team or zone that the deployment lacks.
     """
     if not path:
         return None
-    # Loaded only here: controllers without partitions do without it and its solver.
+    # Imported on demand: controllers without partitions need neither it nor its solver.
     from dapplewick.partitions.plan import PlanError, unknown_names
     from dapplewick.partitions.plan import load as load_plan
     from dapplewick.partitions.service import PartitionService
@@ -119,10 +131,12 @@
 
 
 def run_controller(config: str, script: str | None, partition_plan_path: str | None = None) -> int:
-    """Run until killed; bad settings, a bad script or a bad plan end the start with one line.
+    """Run a controller until it is killed.
+
+    Invalid settings, an invalid script or an invalid plan end the start with a one-line message.
 
     Returns:
-        The exit code: 2 for bad settings, scripts and plans, 1 where it can't listen.
+        The exit code: 2 for invalid settings, scripts and plans, 1 if an address is unavailable.
     """
     try:
         settings = _load_settings(config)
@@ -145,12 +159,12 @@
 
 
 def start(arguments: list[str]) -> int:
-    """Start as the platform does: `--config FILE` last, before it perhaps `--shares PLAN`.
+    """Start with the platform's command line: optional `--shares PLAN`, then `--config FILE`.
 
-    A script comes only from the environment (docs/DEPLOY-dapplewick.md).
+    The path of a script comes only from the environment (docs/DEPLOY-dapplewick.md).
 
     Returns:
-        The exit code: 2 for bad arguments or settings, 1 where it can't listen.
+        The exit code: 2 for invalid arguments or settings, 1 if an address is unavailable.
     """
     partition_plan_path = None
     if len(arguments) == 4 and arguments[0] == "--shares":
--- a/src/dapplewick/controller/status.py
+++ b/src/dapplewick/controller/status.py
@@ -1,4 +1,4 @@
-"""What a controller tells operators of itself; it only reads."""
+"""Describes a controller's state for operators; changes nothing in the records."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 @dataclass(eq=False, kw_only=True)
 class ControllerStatus:
-    """A status as plain values, for the command line and later consoles.
+    """Builds the status of a controller from plain values, for the command line and consoles.
 
-    The names in it are kept: consoles of earlier versions read them.
+    The keys of the status must not change, since consoles of earlier versions read them.
     """
 
     identity: Identity
@@ -41,7 +41,7 @@
     now: Callable[[], Seconds]
 
     def describe(self) -> dict[str, Any]:
-        """Describe this controller, and the records as far as it has read them."""
+        """Describe this controller and its copy of the records."""
         now = self.now()
         cache = self.records.cache
         return {
@@ -76,19 +76,19 @@
         }
 
     def _describe_violations(self) -> dict[str, Any]:
-        """The violated invariants; nothing if all have held."""
+        """Return the counts of violated invariants; empty if none was violated."""
         violations = {str(name): n for name, n in self.invariants.violations.items()}
         return {"violations": violations} if violations else {}
 
     def _describe_waiting(self) -> dict[str, Any]:
-        """The groups of jobs that wait for long, and why, if this controller leads."""
+        """Return the groups of long-waiting jobs with their reasons, if this controller leads."""
         planner = self.leadership.planner
         if planner is None or not planner.wait_reasons.groups:
             return {}
         return {"waiting": [group._asdict() for group in planner.wait_reasons.groups]}
 
     def _count_jobs(self) -> dict[str, int]:
-        """The number of jobs in each stage."""
+        """Return the number of jobs in each stage."""
         counts: dict[str, int] = {}
         for job in self.records.cache.jobs.values():
             counts[job.stage] = counts.get(job.stage, 0) + 1
@@ -121,7 +121,7 @@
 def _describe_shard(now: Seconds, scheduler: ShardScheduler) -> dict[str, Any]:
     """Describe an owned shard by its status."""
     status = scheduler.status(now)
-    scheduler.dirty = True  # this status went to nobody, so what it tells is still to be sent
+    scheduler.dirty = True  # this status was not sent, so its changes must go to the leader later
     unqueued = len(scheduler.queues.unqueued)
     return {
         "token": scheduler.token,
--- a/src/dapplewick/controller/supervision.py
+++ b/src/dapplewick/controller/supervision.py
@@ -1,4 +1,4 @@
-"""Loops that are started again when they break."""
+"""Restarts loops that fail."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 log = logging.getLogger(__name__)
 
-RESTART_DELAY_S = 0.5  # before a loop that broke is started again
+RESTART_DELAY_S = 0.5  # before a failed loop is restarted
 
 
 async def run_supervised(name: str, loop: Callable[[], Awaitable[None]]) -> None:
-    """Run a loop; one that breaks is logged and started again, and ends nothing else."""
+    """Run a loop; if it raises an exception, log it and restart the loop after a delay."""
     while True:
         try:
             await loop()
--- a/src/dapplewick/controller/user_api.py
+++ b/src/dapplewick/controller/user_api.py
@@ -1,4 +1,4 @@
-"""The users' interface: submit, poll, abort."""
+"""The HTTP interface for users: submit, poll and abort jobs."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 
 def error_response(status: int, reason: str) -> Response:
-    """An answer that tells a user what is wrong."""
+    """Return an error response that gives the reason to the user."""
     return Response(status, msgspec.json.encode({"error": reason}))
 
 
 class UserApi:
-    """Answers users. Nothing is promised before it is stored."""
+    """Handles users' requests. A job is only acknowledged once it is stored."""
 
     def __init__(
         self,
@@ -73,10 +73,10 @@
         self._wall_time = wall_time
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer a request under our path; None if it is another's.
+        """Handle a request below JOBS_PATH; return None for other paths.
 
-        What can't be decided here because the state service does not answer this process alone
-        is put once to a peer that reaches it: every request here may be repeated.
+        If the state service is unavailable to this process, the request is forwarded once to a peer
+        that has contact to it. This is safe since all these requests are idempotent.
         """
         answer = await self.answer(request)
         if answer is UNAVAILABLE:
@@ -84,7 +84,7 @@
         return answer
 
     async def answer(self, request: Request) -> Response | None:
-        """Answer a request under our path by this controller alone; None if it is another's."""
+        """Handle a request below JOBS_PATH without forwarding it; return None for other paths."""
         path = request.target.partition("?")[0]
         if path == JOBS_PATH:
             if request.method != "POST":
@@ -113,7 +113,7 @@
             return UNAVAILABLE
 
     def _infeasibility_reason(self, spec: JobSpec) -> str | None:
-        """Why a job can never run, if so."""
+        """Return why a job can never run in this deployment; None if it can."""
         team = self._teams.get(spec.team)
         if team is None:
             return "unknown team"
@@ -124,12 +124,12 @@
         suitable = [t for t in types if spec.resources.fits_in(t.resources)]
         if not suitable:
             return "a task fits no allowed machine type"
-        # A type that names no zones is offered in all of them.
+        # A machine type without zones is offered in all zones.
         zones = {z for t in suitable for z in t.zones or self._deployment.zones}
         zones &= set(self._deployment.zones if spec.zone is None else [spec.zone])
         if not zones:
             return "no allowed machine type is offered in its zone"
-        # All tasks of a gang, and all replicas of a service, are to run at the same time.
+        # All tasks of a gang and all replicas of a service must run at the same time.
         all_at_once = spec.is_gang or spec.is_service
         if all_at_once and len(zones) * spec.max_tasks_per_zone < spec.task_count:
             return "it can't be spread over so few zones"
@@ -143,7 +143,7 @@
         return None
 
     async def submit(self, request: Request) -> Response:
-        """Accept a job, or say why not; a job that is known already is told of as it stands.
+        """Accept or refuse a job; for an existing job, return its state.
 
         Raises:
             RequestRefusedError: the records can't be read or written now.
@@ -158,7 +158,8 @@
         if job_id in cache.jobs:
             return await self._state_or_else(job_id, UNAVAILABLE)
         if spec.is_service and cache.format < FORMAT_NOW:
-            # The record decides, so all controllers answer alike; not what this one last read.
+            # The cached format may be outdated. The stored one decides, so that the responses of
+            # all controllers agree.
             await self._records.current()
             if cache.format < FORMAT_NOW:
                 return SERVICES_NOT_SUPPORTED
@@ -176,7 +177,7 @@
         return await self._accept(job_id, spec.task_count, value)
 
     def _new_record(self, spec: JobSpec) -> JobRecord:
-        """The first record of a job that is about to be accepted."""
+        """Create the initial record of a job that is about to be accepted."""
         cache = self._records.cache
         if spec.types is not None:
             known = sorted({t for t in spec.types if t in cache.types})
@@ -194,26 +195,27 @@
     async def _accept(self, job_id: JobId, tasks: int, value: object) -> Response:
         """Store a new job.
 
-        What it answers is what is known of the job when the write has ended, not what was to be
-        written.
+        The response gives the job's state after the write, not the value that was to be written.
         """
         key = JOBS + job_id
         try:
             version = await self._state.transaction({key: 0}, {key: value})
         except (TransactionConflictError, OutcomeUnknownError):
-            # The job is known, or the answer was lost: of the transaction that accepted it, or
-            # of one that was refused since the job is known, and may be over, elsewhere. If no
-            # job is found the write may still come late; the user's retry finds it then.
+            # Either the job exists, or the response was lost: that of the transaction that stored
+            # the job, or of one that was rejected because another controller had stored the job,
+            # which may have ended since. If no job is found, the write may still be applied later;
+            # the user's retry finds the job then.
             return await self._state_or_else(job_id, UNAVAILABLE)
         self._records.stored(key, value, version)
         log.info("event=job_accepted job=%s tasks=%d", job_id, tasks)
         return self._state_without_counts(201, job_id, self._states.cached(job_id))
 
     async def _refuse(self, job_id: JobId, refusal: Response) -> Response:
-        """Refuse a submission for good, unless its job was accepted before.
+        """Refuse a submission permanently, unless its job was accepted before.
 
-        Then the catalogue or the limits have changed since. While the records can't be read the
-        refusal rests on these alone, as it always does for a job that nobody accepted.
+        A job that was accepted may no longer pass validation if the catalogue or the limits have
+        changed since; its state is returned. While the records can't be read, the catalogue and the
+        limits alone decide, as they do for any job that was never accepted.
         """
         try:
             return await self._state_or_else(job_id, refusal)
@@ -223,7 +225,7 @@
             return refusal
 
     async def _state_or_else(self, job_id: JobId, otherwise: Response) -> Response:
-        """How a job stands, or another answer if there is no such job."""
+        """Return a job's state, or `otherwise` if the job does not exist."""
         job = await self._states.read(job_id)
         if job is None:
             return otherwise
@@ -233,7 +235,7 @@
 
     @staticmethod
     def _stage(job: JobRecord, running: int) -> JobStage:
-        """The word for a job's state."""
+        """Return the stage of a job as users see it."""
         if job.stage == DONE:
             return JobStage.DONE
         if job.stage == CANCELLED:
@@ -241,13 +243,13 @@
         return JobStage.RUNNING if running else JobStage.QUEUED
 
     def _state_without_counts(self, status: int, job_id: JobId, job: JobRecord | None) -> Response:
-        """How a job stands, without counts, right after a write of it."""
+        """Return a job's state without task counts, right after the job was written."""
         if job is None:
             return UNAVAILABLE
         return Response(status, encode_job_state(job_id, self._stage(job, 0)))
 
     async def poll(self, job_id: JobId) -> Response:
-        """Tell how a job stands.
+        """Return a job's state.
 
         Raises:
             RequestRefusedError: the records can't be read now.
@@ -255,7 +257,7 @@
         return await self._state_or_else(job_id, NOT_FOUND)
 
     async def abort(self, job_id: JobId) -> Response:
-        """Cancel a job; one that is over stays as it is.
+        """Cancel a job; a job that is done or cancelled stays unchanged.
 
         Raises:
             RequestRefusedError: the records can't be read or written now.
@@ -276,7 +278,8 @@
             try:
                 version = await self._state.transaction({key: job.main_version}, {key: value})
             except (TransactionConflictError, OutcomeUnknownError):
-                # Read again in the next round; a late write fails or does the same.
+                # The next attempt reads the job again. A write of this attempt that is applied late
+                # either conflicts with a newer version or cancels the job too.
                 continue
             self._records.stored(key, value, version)
             log.info("event=job_cancelled job=%s", job_id)
--- a/src/dapplewick/controller/worker_endpoint.py
+++ b/src/dapplewick/controller/worker_endpoint.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: who may answer them, and where others are sent."""
+"""Handles workers' heartbeats, or redirects them to the owner of the worker's shard."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LAUNCH_AGE_S = 9.0  # with records older than this, nothing is launched
-CANCELLATION_MARGIN_S = 3.0  # what a cancellation takes on its way besides a worker's lease
+MAX_LAUNCH_AGE_S = 9.0  # no task is launched while the records are older
+CANCELLATION_MARGIN_S = 3.0  # for the delays of a cancellation besides a worker's lease
 
 TOO_LARGE = Response(400, b'{"error":"body over 64 KiB"}')
 MALFORMED = Response(400, b'{"error":"malformed report"}')
@@ -38,7 +38,7 @@
 
 @dataclass(eq=False, kw_only=True)
 class WorkerEndpoint:
-    """Answers heartbeats as the owner of a shard, or says who owns it."""
+    """Responds to heartbeats as the owner of a shard, or redirects them to the owner."""
 
     identity: Identity
     records: RecordFollower
@@ -51,7 +51,12 @@
     now: Callable[[], Seconds]
 
     def answer(self, request: Request) -> Response:
-        """Answer a heartbeat: 200 by its owner, 421 to another, 503 if none may answer here."""
+        """Respond to a heartbeat.
+
+        Returns:
+            200 with commands if this process owns the shard, 421 with the name of another owner, or
+            503 if the owner is unknown or this process may not renew the worker's lease.
+        """
         if request.too_large:
             return TOO_LARGE
         try:
@@ -74,21 +79,23 @@
     def _answer_as_owner(
         self, now: Seconds, scheduler: ShardScheduler, heartbeat: Heartbeat
     ) -> Response:
-        # A cancellation that we can't see ends its tasks through the workers' leases: we
-        # keep them up only as long as that is still in time. A lease counts from when the
-        # heartbeat was sent, so neither a heartbeat held back nor a process that stands still
-        # here adds to it; a hanging machine goes on only within it.
+        # A 200 response renews the worker's lease. If this process can't see a cancellation, the
+        # job's tasks end when the leases of their workers expire, so leases are only renewed while
+        # they would still expire in time. A lease counts from the sending of the heartbeat, so
+        # neither a delayed heartbeat nor a suspension of this process extends it, and a hanging
+        # machine runs its tasks no longer than its lease.
         cancellations_known_at = self.cancellations.known_at(now)
         times = self.worker_times
         max_age_s = times.cancel_s - times.lease_s - CANCELLATION_MARGIN_S
         if now - max(self.records.current_at, cancellations_known_at) >= max_age_s:
             scheduler.refuse(now)
             return RECORDS_TOO_OLD
-        # A start needs no lease: should there be a newer owner, what this machine is told
-        # under our token is on it at its first heartbeat under the newer one, and until
-        # then that owner takes it for unreconciled. What the records assign to us is taken
-        # back only when we say that it is not here. So in an outage starts go on, as
-        # long as no cancellation can have been missed.
+        # Launching tasks does not require this controller's presence lease. If the shard has a
+        # newer owner, tasks launched under the token of this process appear in the machine's first
+        # heartbeat to that owner, which treats the machine as unreconciled until then. Assignments
+        # of the records to this owner are withdrawn only after it has reported that the tasks are
+        # not present in its shard. So launches continue in an outage, as long as no cancellation
+        # can have been missed.
         has_current_records = (
             self.presence.lease_valid() and now - self.records.current_at < MAX_LAUNCH_AGE_S
         )
@@ -100,7 +107,7 @@
         return Response(200, encode_heartbeat_response(token, commands))
 
     def _redirect_to_owner(self, name: ShardName, latest_owner: HeardOwner) -> Response:
-        """Name the newest owner that is known, if it is another controller that is there."""
+        """Redirect to the latest known owner, if it is another controller that is present."""
         cache = self.records.cache
         shard = cache.shards.get(name)
         owner = shard.owner if shard is not None else ""
--- a/src/dapplewick/protocol/cloud.py
+++ b/src/dapplewick/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's interface on the wire: the catalogue, provisioning, deletion and the machine list."""
+"""The cloud's wire protocol: catalogue, provisioning, deletion and machine list."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class MachineType(msgspec.Struct):
-    """A type of machine, as the cloud offers it.
+    """A type of machine that the cloud offers.
 
     Attributes:
         name: the type's name.
-        cpus: processors.
-        gpus: accelerators.
+        cpus: number of processors.
+        gpus: number of accelerators.
         ram_gb: memory in GB.
-        fetch_rate: how fast a machine fetches images, in GB/s.
-        price: of a machine for an hour.
-        spot_price: of a spot machine for an hour.
-        boot_s: seconds that a machine usually takes to come up, times 0.6 to 1.5.
-        zones: where the type is offered.
+        fetch_gb_per_s: rate at which a machine fetches images, in GB/s.
+        hourly_price: price of an on-demand machine per hour.
+        hourly_spot_price: price of a spot machine per hour.
+        boot_s: typical boot time in seconds; actual boot times are 0.6 to 1.5 times as long.
+        zones: zones in which the type is offered.
     """
 
     name: str = msgspec.field(name="sku")
@@ -39,7 +39,7 @@
 
     @property
     def resources(self) -> Resources:
-        """What a machine of this type has."""
+        """The resources of a machine of this type."""
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
 
@@ -52,19 +52,19 @@
 
 
 class ListedMachine(msgspec.Struct):
-    """A machine as the cloud lists it; `state` is "booting", "running" or "failed"."""
+    """An entry of the machine list; `state` is "booting", "running" or "failed"."""
 
     machine: str = msgspec.field(name="name_id")
     type: str = msgspec.field(name="build")
     zone: str = msgspec.field(name="yard")
     spot: bool = msgspec.field(name="borrowed")
     state: str = msgspec.field(name="stage")
-    age_s: float = msgspec.field(name="held_s")  # in seconds
+    age_s: float = msgspec.field(name="held_s")  # since it was provisioned
     address: str = msgspec.field(name="endpoint", default="")
 
 
 class MachineList(msgspec.Struct):
-    """A page of the machines that are provisioned, and whether more follow."""
+    """A page of the list of provisioned machines; `more` tells whether further pages follow."""
 
     machines: list[ListedMachine] = msgspec.field(name="looms")
     more: bool = False
@@ -76,47 +76,51 @@
 
 
 def parse_catalog(raw: bytes) -> list[MachineType]:
-    """Read the catalogue.
+    """Parse the catalogue.
 
     Raises:
-        msgspec.MsgspecError: it is malformed; so with all parsers here.
+        msgspec.MsgspecError: the catalogue is malformed. All parsers of this module raise this
+            error for malformed input.
     """
     return _CATALOG_DECODER.decode(raw).builds
 
 
 def decode_machine_types(value: Any) -> list[MachineType]:
-    """Read types as they are stored.
+    """Decode machine types from their stored form.
 
     Raises:
-        msgspec.ValidationError: they are malformed.
+        msgspec.ValidationError: the types are malformed.
     """
     return msgspec.convert(value, type=list[MachineType])
 
 
 def encode_machine_types(types: list[MachineType]) -> Any:
-    """Types as they are stored."""
+    """Encode machine types into their stored form."""
     return msgspec.to_builtins(types)
 
 
 def encode_provisioning_request(
     request: str, type_: str, zone: str, *, spot: bool, count: int
 ) -> bytes:
-    """A request for machines; one that was fulfilled gets the same answer when it is repeated."""
+    """Encode a provisioning request.
+
+    The request's name makes it idempotent: repeating a fulfilled request returns the same response.
+    """
     return msgspec.json.encode(
         {"booking": request, "build": type_, "yard": zone, "borrowed": spot, "how_many": count}
     )
 
 
 def parse_provisioned_machines(raw: bytes) -> list[MachineId]:
-    """Read which machines the cloud has provisioned for a request."""
+    """Parse the identifiers of the machines that the cloud provisioned for a request."""
     return [MachineId(m) for m in _PROVISIONED_MACHINES_DECODER.decode(raw).looms]
 
 
 def encode_deletion_request(machines: list[MachineId]) -> bytes:
-    """A request to delete machines."""
+    """Encode a request to delete machines."""
     return msgspec.json.encode({"looms": machines})
 
 
 def parse_machine_list(raw: bytes) -> MachineList:
-    """Read a page of the machine list."""
+    """Parse a page of the machine list."""
     return _MACHINE_LIST_DECODER.decode(raw)
--- a/src/dapplewick/protocol/errors.py
+++ b/src/dapplewick/protocol/errors.py
@@ -1,4 +1,4 @@
-"""Errors of messages that break a protocol."""
+"""Errors for messages that violate a protocol."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MalformedMessageError(DapplewickError):
-    """A user's or worker's body that breaks the protocol: refused, and nothing of it is done.
+    """The body of a user's or worker's request violates the protocol; it is refused as a whole.
 
-    The text is a short reason, which the user is given; it names the field where one is at fault.
+    The message is a short reason that is returned to users; it names the invalid field, if any.
     """
--- a/src/dapplewick/protocol/job_spec.py
+++ b/src/dapplewick/protocol/job_spec.py
@@ -1,4 +1,4 @@
-"""What a job asks for."""
+"""The specification of a job."""
 
 from __future__ import annotations
 
@@ -19,29 +19,31 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True, dict=True):
-    """What a user asks for. What is computed of it is computed once (`dict`).
+    """The requirements and properties of a job, as its user submits them.
+
+    With `dict=True`, instances have a `__dict__` that stores the cached properties.
 
     Attributes:
-        job_class: the class of jobs that it belongs to, for which the settings have objectives.
-        team: whose guarantee and limit apply.
-        is_gang: all tasks run at the same time or none does.
-        priority: the higher one goes first.
-        task_count: tasks are numbered from 0.
+        job_class: the class of the job; the settings define service level objectives per class.
+        team: the team whose guarantee and limit apply to the job.
+        is_gang: whether the tasks must all run at the same time.
+        priority: jobs with a higher priority have precedence.
+        task_count: number of tasks; they are numbered from 0.
         cpus: processors for each task.
         gpus: accelerators for each task.
         ram_gb: memory for each task, in GB.
-        image: what a machine must have before a task can start.
-        image_gb: its size in GB.
-        estimated_run_s: the owner's estimate of a task's run time, often wrong by half.
-        types: the allowed types of machines; None: any.
+        image: the image that a machine must have fetched before a task can start.
+        image_gb: size of the image in GB.
+        estimated_run_s: the user's estimate of a task's run time in seconds, often wrong by half.
+        types: the allowed machine types; None: any.
         zone: the only allowed zone; None: any.
-        same_zone: all tasks must be in one zone.
-        spread: at most half of the tasks, rounded up, may be in one zone.
-        spot: spot machines are allowed.
-        checkpoint_interval_s: of progress, after which a task saves; 0: it never does.
-        save_s: how long a task takes to save when it is stopped.
-        deadline_s: when it should be complete, from its submission.
-        is_service: its tasks are replicas, and run until it is cancelled.
+        same_zone: whether all tasks must run in one zone.
+        spread: whether at most half of the tasks, rounded up, may run in one zone.
+        spot: whether tasks may run on spot machines.
+        checkpoint_interval_s: run time in seconds between a task's checkpoints; 0: none are saved.
+        save_s: seconds that a task needs to save its progress when it is stopped.
+        deadline_s: seconds from the job's submission within which it should be complete.
+        is_service: whether the tasks are replicas that run until the job is cancelled.
     """
 
     job_class: str = msgspec.field(name="bundle")
@@ -67,12 +69,15 @@
 
     @cached_property
     def resources(self) -> Resources:
-        """What each task takes of its machine."""
+        """The resources that each task occupies on its machine."""
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
     @cached_property
     def placement_key(self) -> PlacementKey:
-        """What decides where a task fits: of jobs that are alike in it one is looked at."""
+        """All properties that decide where a task fits.
+
+        Placement evaluates only one of several jobs with the same key.
+        """
         return (
             self.resources,
             tuple(self.types or ()),
@@ -85,5 +90,5 @@
 
     @property
     def max_tasks_per_zone(self) -> int:
-        """How many tasks may be in one zone."""
+        """The maximum number of tasks in one zone."""
         return (self.task_count + 1) // 2 if self.spread else self.task_count
--- a/src/dapplewick/protocol/peers.py
+++ b/src/dapplewick/protocol/peers.py
@@ -1,7 +1,8 @@
-"""Messages between controllers, and their form on the wire.
+"""Messages between controllers and their encoding.
 
-A message is a CBOR map. Its keys are kept for the sake of versions that run side by side; the names
-here are the ones that the rest of the package uses. Every message names its `kind`.
+A message is a CBOR map with the field `kind`. The keys on the wire must not change, since
+controllers of different versions run at the same time. Fields whose names in the source differ from
+their keys declare the key with `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
@@ -32,23 +33,34 @@
 
 
 class TaskEnd(msgspec.Struct, array_like=True, frozen=True):
-    """When a task is estimated to end, and what it leaves then."""
+    """The estimated end of a task and the resources that it releases then."""
 
     at: Seconds
     cpus: float
     gpus: float
     ram_gb: float
     priority: int
-    gang: str  # the job whose tasks end together with this one; empty for an array's task
+    gang: str  # the gang's job, whose tasks all end with this one; empty for tasks of arrays
 
     @property
     def resources(self) -> Resources:
-        """What the task uses until its end."""
+        """The resources that the task occupies until its end."""
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
 
 class MachineStatus(msgspec.Struct, kw_only=True):
-    """What a shard's owner tells of one of its machines."""
+    """The status of a machine, as its shard's owner reports it to the leader.
+
+    Attributes:
+        free: the unoccupied resources.
+        ends: the estimated ends of the running tasks.
+        images: the images that the machine has fetched.
+        queued: number of tasks in the queues of the machine's slots.
+        usable: whether tasks may be placed on the machine.
+        reconciled: whether the owner knows the machine's tasks from its heartbeats.
+        leaving: whether the machine has a spot notice, is slow or unreachable, or is drained.
+        faulty: whether too many tasks failed on the machine.
+    """
 
     free: Resources
     ends: list[TaskEnd]
@@ -61,27 +73,29 @@
 
 
 class JobStatus(msgspec.Struct, kw_only=True):
-    """What a shard's owner tells of the array tasks that it was assigned of one job."""
+    """The status of a job's array tasks that are assigned to one shard."""
 
     placed: int
     running: int
     done: list[int]
     released: list[int] = msgspec.field(name="returned")
-    version: int  # of the job's record that the owner knew
+    version: int  # of the job record that the shard's owner used
 
 
-# How a gang's attempt stands in a shard, as its owner tells the leader.
+# The state of a gang's attempt in a shard, as the shard's owner reports it to the leader.
 GangState = Literal["held", "on", "bad", "done", "busy", "clear"]
-GANG_RESERVED: Final = "held"  # slots are reserved, and not all starts were sent
-GANG_STARTED: Final = "on"  # all starts were sent
-GANG_FAILED: Final = "bad"  # this attempt can't succeed
-GANG_DONE: Final = "done"  # a task of it has the result
-GANG_STOPPING: Final = "busy"  # no longer wanted, but some task is or may be on its machine
-GANG_STOPPED: Final = "clear"  # no longer wanted, and on no machine
+GANG_RESERVED: Final = "held"  # slots are reserved, but not all start commands were sent
+GANG_STARTED: Final = "on"  # all start commands were sent
+GANG_FAILED: Final = "bad"  # this attempt can't succeed any more
+GANG_DONE: Final = "done"  # a task of the attempt completed with the result
+GANG_STOPPING: Final = (
+    "busy"  # the attempt is no longer scheduled, but a task is or may be on a machine
+)
+GANG_STOPPED: Final = "clear"  # the attempt is no longer scheduled, and no task is on a machine
 
 
 class GangStatus(msgspec.Struct, array_like=True, frozen=True):
-    """How an attempt of a gang stands in one shard."""
+    """The state of a gang's attempt in one shard."""
 
     attempt: int
     state: str
@@ -89,17 +103,17 @@
 
 
 class MachineContactGap(msgspec.Struct, array_like=True, frozen=True):
-    """A machine that has not been heard from for a while."""
+    """The time without contact to a machine whose heartbeats are overdue."""
 
-    gap_s: Seconds
-    urgent: bool  # replicas or cancelled tasks wait for the proof that it is gone
+    gap_s: Seconds  # since the last heartbeat that confirmed the owner's fencing token
+    urgent: bool  # replicas or cancelled tasks wait for proof that the machine is gone
 
 
 class ShardStatus(msgspec.Struct, kw_only=True):
-    """What a shard's owner tells the leader: what changed since the status numbered `base`.
+    """The status of a shard, sent by its owner to the leader.
 
-    `machines`, `jobs` and `gangs` hold what changed, with None for what is gone. The other fields
-    are complete in each status.
+    `machines`, `jobs` and `gangs` hold the entries that changed since the status numbered `base`,
+    with None for removed entries. The other fields are complete in each status.
     """
 
     kind: str = KIND_SHARD_STATUS
@@ -107,29 +121,29 @@
     token: FencingToken
     number: int
     base: int
-    at: Seconds  # by the owner's steady clock
+    at: Seconds  # when the status was made, by the owner's monotonic clock
     seen_revision: Revision = msgspec.field(name="seen")
     machines: dict[MachineId, MachineStatus | None]
     jobs: dict[JobId, JobStatus | None]
     gangs: dict[JobId, GangStatus | None]
     machine_contact_gaps: dict[MachineId, MachineContactGap] = msgspec.field(name="silent")
     idle: dict[MachineId, Seconds]
-    last_contact_age_s: Seconds = msgspec.field(name="heard_ago")  # -1: the shard has no machine
+    last_contact_age_s: Seconds = msgspec.field(name="heard_ago")  # -1: no machine
     drained_jobs: list[JobId] = msgspec.field(name="clear")
     unreconciled: int = msgspec.field(name="unheard", default=0)
     estimates: dict[str, tuple[float, int]]
-    drained: list[MachineId] | UnsetType = UNSET  # only while machines move between partitions
+    drained: list[MachineId] | UnsetType = UNSET  # set while machines move between partitions
     controller: ControllerName | UnsetType = msgspec.field(name="node", default=UNSET)
     version: int | UnsetType = UNSET
 
     @property
     def drained_machines(self) -> list[MachineId]:
-        """Machines that a transfer drains and that are proven empty."""
+        """Machines that a transfer drains and that are proven to have no tasks."""
         return [] if isinstance(self.drained, UnsetType) else self.drained
 
 
 class StatusConfirmation(msgspec.Struct, kw_only=True):
-    """The leader's answer to a shard's status: up to which number it has them."""
+    """The leader's confirmation of a shard's statuses up to `number`."""
 
     kind: str = KIND_STATUS_CONFIRMATION
     shard: ShardName = msgspec.field(name="zone")
@@ -140,9 +154,9 @@
 
 
 class Gossip(msgspec.Struct, kw_only=True):
-    """What each controller tells all others about once a second.
+    """A message that each controller sends to all others about once a second.
 
-    The fields of a `CancellationMessage` stand in the same map.
+    The same map also holds the fields of a `CancellationMessage`.
     """
 
     kind: str = KIND_GOSSIP
@@ -154,7 +168,7 @@
 
 
 class ForwardedRequest(msgspec.Struct, kw_only=True):
-    """A user's request that a controller puts to one that reaches the state service."""
+    """A user's request, forwarded to a controller that has contact to the state service."""
 
     kind: str = KIND_FORWARDED_REQUEST
     method: str
@@ -163,7 +177,7 @@
 
 
 class ForwardedResponse(msgspec.Struct, kw_only=True):
-    """The answer to a forwarded request."""
+    """The response to a forwarded request."""
 
     status: int
     body: bytes
@@ -174,15 +188,15 @@
 
 
 def encode(message: msgspec.Struct) -> dict[str, Any]:
-    """A message as the map that goes into a frame."""
+    """Encode a message as the map that a frame contains."""
     encoded: dict[str, Any] = msgspec.to_builtins(message, builtin_types=(bytes,))
     return encoded
 
 
 def decode(message: Mapping[str, Any], kind: type[Message]) -> Message:
-    """Read a message of a known kind.
+    """Decode a message of a known kind.
 
     Raises:
-        ValueError: it is malformed.
+        ValueError: the message is malformed.
     """
     return msgspec.convert(message, type=kind, builtin_types=(bytes,))
--- a/src/dapplewick/protocol/state_service.py
+++ b/src/dapplewick/protocol/state_service.py
@@ -1,4 +1,4 @@
-"""The state service on the wire: a consensus-backed key-value store with leases and watches."""
+"""The state service's wire protocol: a consensus-backed key-value store with leases, watches."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Event(msgspec.Struct):
-    """The write (`put`, with `value`) or the removal (`delete`) of a key at a revision."""
+    """The write (`put`, with `value`) or removal (`delete`) of a key; `version` is its revision."""
 
     version: int = msgspec.field(name="stamp")
     put: str | None = msgspec.field(name="write", default=None)
@@ -33,21 +33,21 @@
 
 
 class Changes(msgspec.Struct):
-    """The events that a watch gives, and up to which revision they are all."""
+    """The response to a watch: all events up to and including `revision`."""
 
     revision: int = msgspec.field(name="ledger")
     events: list[Event]
 
 
 class TransactionResult(msgspec.Struct):
-    """The revision of a transaction, or the keys whose conditions do not hold."""
+    """The revision of a transaction, or the keys whose conditions failed."""
 
     revision: int = msgspec.field(name="ledger", default=0)
     failed: list[str] = []
 
 
 class Lease(msgspec.Struct):
-    """The name of a new lease."""
+    """The identifier of a new lease."""
 
     lease_id: int = msgspec.field(name="hold")
 
@@ -62,13 +62,13 @@
 def encode_transaction(
     conditions: dict[str, int], puts: dict[str, Any], deletes: list[str], leases: dict[str, int]
 ) -> bytes:
-    """A transaction.
+    """Encode a transaction.
 
     Args:
-        conditions: the version that each of these keys must have; 0: it must not be there.
-        puts: values to write.
+        conditions: the required version of each key; 0: the key must not exist.
+        puts: values to write, by key.
         deletes: keys to remove.
-        leases: the lease on which a written key hangs.
+        leases: the leases to which written keys are attached, by key.
     """
     apply: list[dict[str, Any]] = []
     for key, value in puts.items():
@@ -84,5 +84,5 @@
 
 
 def encode_lease_request(ttl_ms: int) -> bytes:
-    """A request for a lease that expires this long after its last renewal."""
+    """Encode a request for a lease that expires `ttl_ms` milliseconds after its last renewal."""
     return msgspec.json.encode({"life_ms": ttl_ms})
--- a/src/dapplewick/protocol/users.py
+++ b/src/dapplewick/protocol/users.py
@@ -1,4 +1,4 @@
-"""The users' interface on the wire: submissions and the states of jobs."""
+"""The users' wire protocol: job submissions and job states."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class JobShape(StrEnum):
-    """What a job is made of, in the words of the wire."""
+    """The kind of a job; the values are those on the wire."""
 
     ARRAY = "sweep"
     GANG = "group"
@@ -28,7 +28,7 @@
 
 
 class JobStage(StrEnum):
-    """How a job stands, in the words that users are told."""
+    """The stage of a job as users see it; the values are those on the wire."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -37,7 +37,7 @@
 
 
 class Submission(NamedTuple):
-    """A job that a user submits."""
+    """A parsed job submission."""
 
     job_id: JobId
     spec: JobSpec
@@ -128,13 +128,14 @@
 
 
 def parse_submission(raw: bytes) -> Submission:
-    """Check a submission and give it in our own terms.
+    """Validate a submission and convert it to a job specification.
 
     Raises:
-        MalformedMessageError: it breaks the protocol; the text names the first field at fault.
+        MalformedMessageError: the submission violates the protocol; the message names the first
+            invalid field.
     """
     body = _decoded_object(raw)
-    # In this order the fields are checked, so the first of them that is at fault is named.
+    # The order of these calls decides which of several invalid fields the error names.
     job_id = _job_id(body)
     shape = _shape(body)
     priority = _priority(body)
@@ -170,7 +171,7 @@
 def encode_job_state(
     job: str, stage: str, done: int | None = None, running: int | None = None
 ) -> bytes:
-    """How a job stands, as users are told; `stage` is a `JobStage`, the counts are of tasks."""
+    """Encode a job's state for users; `stage` is a `JobStage`, the counts are of tasks."""
     body: dict[str, Any] = {"name_id": job, "stage": stage}
     if done is not None:
         body["done"] = done
--- a/src/dapplewick/protocol/workers.py
+++ b/src/dapplewick/protocol/workers.py
@@ -1,4 +1,4 @@
-"""The workers' interface on the wire: heartbeats, and the commands that answer them."""
+"""The workers' wire protocol: heartbeats, and the responses with commands."""
 
 from __future__ import annotations
 
@@ -21,39 +21,39 @@
     Zone,
 )
 
-COUNTER_LIMIT = 1 << 64  # the protocol: counts, versions, tokens and attempts are below 2^64
+COUNTER_LIMIT = 1 << 64  # counts, versions, tokens and attempts in the protocol are lower than this
 MAX_TASK_INDEX_DIGITS = 9
-TASK_CACHE_SIZE = 20_000  # names of tasks kept, about 4 MB; more are parsed anew each time
+TASK_CACHE_SIZE = 20_000  # parsed task names, about 4 MB; further names are parsed on each use
 
 
 class TaskStage(StrEnum):
-    """How a task stands on a machine, in the words of the wire.
+    """The stage of a task on a machine; the values are those on the wire.
 
-    A heartbeat may have other words, of later workers: they are passed on as they come.
+    Heartbeats of newer workers may contain other stages, which are passed on unchanged.
     """
 
-    FETCHING = "fetching"  # waits for its image
-    GATHERING = "gathering"  # of a gang, waits for the other tasks of its attempt
+    FETCHING = "fetching"  # waits for its image to be fetched
+    GATHERING = "gathering"  # a gang's task that waits for the other tasks of its attempt
     RUNNING = "running"
-    FLUSHING = "flushing"  # was told to stop and saves
+    FLUSHING = "flushing"  # received a stop command and saves its progress
     EXITED = "exited"
 
 
 class ExitCause(StrEnum):
-    """Why a task has exited, in the words of the wire."""
+    """Why a task has exited; the values are those on the wire."""
 
     DONE = "done"
-    STOPPED = "halted"  # by a command
-    GANG_MEMBER_LOST = "peers"  # another task of its gang is gone
-    GANG_INCOMPLETE = "alone"  # its gang was not complete in time
+    STOPPED = "halted"  # by a stop command
+    GANG_MEMBER_LOST = "peers"  # another task of its gang exited or was lost
+    GANG_INCOMPLETE = "alone"  # the gang's tasks did not all arrive in time
     ERROR = "error"
     INSUFFICIENT_RESOURCES = "full"  # start refused: not enough free resources
-    ALREADY_PRESENT = "in_use"  # start refused: the task is there with another attempt
+    ALREADY_PRESENT = "in_use"  # start refused: the machine has another attempt of the task
     NOT_FOUND = "no_such"  # start refused: no such job or task
 
 
 class CommandKind(StrEnum):
-    """What a command to a worker asks for."""
+    """The kind of a command to a worker."""
 
     START = "start"
     STOP = "stop"
@@ -82,14 +82,14 @@
 
 
 class TaskStatus(NamedTuple):
-    """What a worker tells of a task on its machine.
+    """The status of a task on a machine, as its worker reports it.
 
     Attributes:
-        task: which task.
-        attempt: which attempt of it.
-        stage: a `TaskStage`, or a word that is not known here.
-        cause: an `ExitCause` or another word, if it has exited.
-        saved: whether its progress was saved when it was stopped.
+        task: the task.
+        attempt: the attempt of the task.
+        stage: a `TaskStage`, or an unknown stage of a newer worker.
+        cause: if the task has exited, an `ExitCause` or an unknown cause of a newer worker.
+        saved: whether the task's progress was saved when it was stopped.
     """
 
     task: TaskRef
@@ -100,19 +100,20 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a worker tells of its machine.
+    """A worker's periodic report of the state of its machine.
 
     Attributes:
         machine: the worker's machine.
-        type: its type.
-        zone: where it is.
-        spot: whether the cloud may take it away.
-        incarnation: starts at 1, grows each time the worker's lease expires.
-        sequence: grows with each message; the larger (incarnation, sequence) is the newer one.
-        token: the highest fencing token that the worker has seen.
-        spot_notice_s: seconds until the cloud takes the machine away; None if it does not.
-        address: where the worker takes commands.
-        tasks: all tasks on the machine, exited ones until they are forgotten.
+        type: the machine's type.
+        zone: the machine's zone.
+        spot: whether the machine is a spot machine, which the cloud may reclaim.
+        incarnation: starts at 1 and grows each time the worker's lease expires.
+        sequence: grows with each message; of two messages, the one with the greater (incarnation,
+            sequence) is newer.
+        token: the highest fencing token that the worker has received.
+        spot_notice_s: seconds until the cloud reclaims the machine; None without a notice.
+        address: the address at which the worker accepts commands.
+        tasks: all tasks on the machine, including exited ones until a forget command.
     """
 
     machine: MachineId
@@ -132,12 +133,12 @@
 
 @lru_cache(maxsize=TASK_CACHE_SIZE)
 def parse_task(name: str) -> TaskRef:
-    """Read the name of a task.
+    """Parse the name of a task.
 
-    It stands in each heartbeat while the task is on its machine, so what was read is kept.
+    Results are cached, since every heartbeat repeats the names of all tasks on the machine.
 
     Raises:
-        MalformedMessageError: it names no task.
+        MalformedMessageError: the name is not that of a task.
     """
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > MAX_TASK_INDEX_DIGITS:
@@ -146,10 +147,10 @@
 
 
 def parse_heartbeat(raw: bytes) -> Heartbeat:
-    """Read a worker's heartbeat.
+    """Parse a worker's heartbeat.
 
     Raises:
-        MalformedMessageError: it breaks the protocol.
+        MalformedMessageError: the heartbeat violates the protocol.
     """
     try:
         body = _HEARTBEAT_DECODER.decode(raw)
@@ -180,10 +181,10 @@
     """A command to a worker.
 
     Attributes:
-        op: a `CommandKind`.
-        task: which task.
-        attempt: which attempt of it.
-        grace: for stops: the seconds within which the task may save.
+        kind: a `CommandKind`.
+        task: the task.
+        attempt: the attempt of the task.
+        grace_s: for stop commands, the seconds that the task has to save its progress.
     """
 
     kind: str
@@ -192,9 +193,9 @@
     grace_s: Seconds = 0.0
 
 
-# Plain strings: each response to a heartbeat looks them up, and members of enums are slower.
+# Plain strings, since every response to a heartbeat looks these up and enum members are slower.
 _STOP = CommandKind.STOP.value
-_WIRE_VERBS = {  # of the wire
+_WIRE_VERBS = {
     CommandKind.START.value: "launch",
     _STOP: "kill",
     CommandKind.FORGET.value: "forget",
@@ -202,7 +203,7 @@
 
 
 def encode_heartbeat_response(token: FencingToken, commands: list[Command]) -> bytes:
-    """The response to a heartbeat: the shard owner's fencing token, and commands in order."""
+    """Encode the response to a heartbeat: the shard owner's fencing token and ordered commands."""
     items: list[dict[str, Any]] = []
     for command in commands:
         item: dict[str, Any] = {
@@ -217,5 +218,5 @@
 
 
 def encode_redirect(owner: str | None) -> bytes:
-    """The response to a worker whose shard another controller owns, or nobody known here."""
+    """Encode the response to a worker whose shard has another owner; None: owner unknown."""
     return msgspec.json.encode({} if owner is None else {"foreman": owner})
